--- /dev/null
+++ b/lib/tests/test_message_bytes.rs
@@ -0,0 +1,228 @@
+//! The bytes of every message between daemons: a release reads what the one before it sends.
+//!
+//! The snapshot holds a name and the encoded bytes of each message, one a line. It changes only
+//! with the version of the messages; a rename in the code must leave it as it is.
+
+#![allow(clippy::unwrap_used, reason = "a failed unwrap fails the test")]
+
+use {
+    hazelyoke_lib::{
+        gateway::{
+            catalogue::{EndpointChanges, EndpointEntry, GoneEndpoint},
+            peer_message::{
+                Ask, Datagram, Frame, Heartbeat, JobOrder, LoadDigest, LoadNote, PROTOCOL,
+                PeerNote, Phase, QueueNote, Reply, Roster, WorkNote, decode, encode,
+            },
+            stage_job::{Handle, JobEnd, PieceInput},
+        },
+        units::Capacity,
+    },
+    serde::{Serialize, de::DeserializeOwned},
+    std::fmt::{Debug, Write as _},
+};
+
+/// Lines of the snapshot.
+#[derive(Default)]
+struct Lines(String);
+
+impl Lines {
+    /// Adds a message's bytes, after a check that they decode to the same message.
+    fn add<T>(&mut self, name: &str, message: &T)
+    where
+        T: Serialize + DeserializeOwned + PartialEq + Debug,
+    {
+        let bytes = encode(message);
+        assert_eq!(decode::<T>(&bytes).unwrap(), *message, "{name}");
+        let hex: String = bytes.iter().map(|byte| format!("{byte:02x}")).collect();
+        writeln!(self.0, "{name}: {hex}").unwrap();
+    }
+
+    /// Adds the content of a frame.
+    fn add_framed<T>(&mut self, name: &str, content: T)
+    where
+        T: Serialize + DeserializeOwned + PartialEq + Debug,
+    {
+        // A number of two bytes.
+        let number = 0x0102;
+        self.add(name, &Frame { number, content });
+    }
+}
+
+fn peer_notes() -> Vec<PeerNote> {
+    vec![
+        PeerNote {
+            address: "10.1.2.3:7001".parse().unwrap(),
+            age_ms: 1_234,
+            phase: Phase::Starting,
+            capacity: Capacity(250),
+        },
+        PeerNote {
+            address: "[fd00::1:2]:7002".parse().unwrap(),
+            age_ms: 70_000,
+            phase: Phase::Stopping,
+            capacity: Capacity(64_000),
+        },
+    ]
+}
+
+fn load_notes() -> Vec<LoadNote> {
+    vec![LoadNote(0xdead_beef, 3, 90_000), LoadNote(7, 0, 12)]
+}
+
+fn heartbeat(phase: Phase, read_ms: Option<u32>) -> Heartbeat {
+    Heartbeat {
+        protocol: PROTOCOL,
+        host: "host-a".parse().unwrap(),
+        run: 0x0102_0304_0506_0708,
+        sequence: 65_537,
+        address: "10.1.2.4:7003".parse().unwrap(),
+        data_centre: "north".parse().unwrap(),
+        phase,
+        table: 41,
+        fingerprint: u64::MAX - 1,
+        catalogue: 5_000_000_000,
+        calm: true,
+        read_ms,
+        broadcasts: false,
+        capacity: Capacity(1_500),
+        joining: true,
+        peers: peer_notes(),
+        loads: load_notes(),
+        queues: vec![
+            QueueNote(0x0bad_cafe, 9, true, 700),
+            QueueNote(2, 0, false, 0),
+        ],
+        work: vec![WorkNote(0x0bad_cafe, 44), WorkNote(5, 300)],
+    }
+}
+
+/// A heartbeat that says nothing beyond its sender, with the flags turned over.
+fn bare_heartbeat() -> Heartbeat {
+    Heartbeat {
+        calm: false,
+        broadcasts: true,
+        joining: false,
+        peers: Vec::new(),
+        loads: Vec::new(),
+        queues: Vec::new(),
+        work: Vec::new(),
+        ..heartbeat(Phase::Stopping, None)
+    }
+}
+
+fn entry(number: u8, draining: bool) -> EndpointEntry {
+    EndpointEntry {
+        id: format!("endpoint-{number}").parse().unwrap(),
+        service: "rerank".parse().unwrap(),
+        address: format!("10.0.0.{number}:8080").parse().unwrap(),
+        data_centre: "south".parse().unwrap(),
+        slots: 16,
+        draining,
+        revision: 1_000 + u64::from(number),
+    }
+}
+
+fn changes() -> EndpointChanges {
+    let gone = |name: &str, revision, doubted| GoneEndpoint {
+        id: name.parse().unwrap(),
+        revision,
+        doubted,
+    };
+    EndpointChanges {
+        revision: 70_001,
+        entries: vec![entry(1, false)],
+        gone: vec![
+            gone("endpoint-8", 69_999, false),
+            gone("endpoint-9", 70_001, true),
+        ],
+    }
+}
+
+fn handles() -> Vec<Handle> {
+    vec![
+        Handle("10.0.0.1:8080/a1".into()),
+        Handle("10.0.0.2:8080/b2".into()),
+    ]
+}
+
+fn order(input: PieceInput, objective_ms: i64, home: Option<&str>) -> JobOrder {
+    JobOrder {
+        service: "encode".parse().unwrap(),
+        request: "request-1".into(),
+        stage: 2,
+        pieces: 24,
+        input,
+        remaining_ms: 9_000,
+        objective_ms,
+        rank: 3,
+        result: 800_000,
+        home: home.map(|name| name.parse().unwrap()),
+        moved: 2_400_001,
+    }
+}
+
+#[test]
+fn datagram_bytes() {
+    let mut lines = Lines::default();
+    let full = heartbeat(Phase::Ready, Some(345));
+    lines.add("heartbeat", &Datagram::Heartbeat(full));
+    let unread = heartbeat(Phase::Starting, None);
+    lines.add("heartbeat without a reading", &Datagram::Heartbeat(unread));
+    lines.add("bare heartbeat", &Datagram::Heartbeat(bare_heartbeat()));
+    let digest = LoadDigest {
+        protocol: PROTOCOL,
+        loads: load_notes(),
+    };
+    lines.add("loads", &Datagram::Loads(digest));
+    let roster = Roster {
+        protocol: PROTOCOL,
+        peers: peer_notes(),
+    };
+    lines.add("roster", &Datagram::Roster(roster));
+    insta::assert_snapshot!(lines.0);
+}
+
+#[test]
+fn phase_bytes() {
+    let mut lines = Lines::default();
+    lines.add("starting", &Phase::Starting);
+    lines.add("ready", &Phase::Ready);
+    lines.add("stopping", &Phase::Stopping);
+    insta::assert_snapshot!(lines.0);
+}
+
+#[test]
+fn ask_bytes() {
+    let mut lines = Lines::default();
+    lines.add_framed("table", Ask::Table);
+    lines.add_framed("endpoints", Ask::Endpoints);
+    lines.add_framed("changes", Ask::Changes(70_000));
+    let key = order(PieceInput::Key("key-1".into()), 1_200, None);
+    lines.add_framed("job from a key", Ask::Job(key));
+    let results = order(PieceInput::Results(handles()), -20, Some("west"));
+    lines.add_framed("job from results, overdue", Ask::Job(results));
+    lines.add_framed("cancel", Ask::Cancel(0x0203));
+    let release = Ask::Release("encode".parse().unwrap(), handles());
+    lines.add_framed("release", release);
+    insta::assert_snapshot!(lines.0);
+}
+
+#[test]
+fn reply_bytes() {
+    let mut lines = Lines::default();
+    let bytes = vec![0, 255, 7, 128];
+    lines.add_framed("table", Reply::Table { bytes });
+    let endpoints = Reply::Endpoints {
+        revision: 70_002,
+        entries: vec![entry(1, false), entry(2, true)],
+    };
+    lines.add_framed("endpoints", endpoints);
+    lines.add_framed("changes", Reply::Changes(changes()));
+    lines.add_framed("job made", Reply::Job(JobEnd::Made(handles())));
+    lines.add_framed("job late", Reply::Job(JobEnd::Late));
+    lines.add_framed("job without inputs", Reply::Job(JobEnd::InputsGone));
+    lines.add_framed("job failed", Reply::Job(JobEnd::Failed));
+    lines.add_framed("done", Reply::Done);
+    lines.add_framed("unable", Reply::Unable);
+    insta::assert_snapshot!(lines.0);
+}
