--- a/lib/tests/test_core_random.rs
+++ b/lib/tests/test_core_random.rs
@@ -7,10 +7,11 @@
     hazelyoke_lib::{problem::Outcome, raw_tree::RawTree, tree::Tree},
     hazelyoke_testutils::{
         core_run::{CoreRun, RunOptions, TOKENS, Told},
+        draws::Draws,
         one_value::OneValue,
         seeds::for_seeds,
     },
-    std::{cell::Cell, sync::Arc},
+    std::{cell::Cell, fmt::Write as _, sync::Arc},
 };
 
 /// Three plain services, one of them guarded, and an engine; `policy` and `guarded` are settings.
@@ -162,3 +163,29 @@
     });
     assert_eq!(seen.get(), [true; 3]);
 }
+
+/// Every outcome of some fixed runs, a letter for each request in order of arrival: `+` answered,
+/// `n` not run, `u` unknown, `-` its caller had left.
+#[test]
+fn outcomes_pinned() {
+    let letter = |told: &Option<Told>| match told {
+        Some(Told::Answered) => '+',
+        Some(Told::Wrong) => 'W',
+        Some(Told::Problem(Outcome::NotRun)) => 'n',
+        Some(Told::Problem(_)) => 'u',
+        None => '-',
+    };
+    let mut lines = String::new();
+    for (policy, slots) in [("estimated", 8), ("estimated", 1), ("naive", 8)] {
+        let tree = tree(policy, GUARDED, slots);
+        for seed in 1..=10 {
+            let mut draws = Draws::new(seed);
+            let bytes: Vec<u8> = (0..CHOICES).map(|_| draws.below(256) as u8).collect();
+            let mut choices = Unstructured::new(&bytes);
+            let run = CoreRun::new(tree.clone(), FAULTY, &mut choices).run();
+            let letters: String = run.unwrap().told.iter().map(letter).collect();
+            writeln!(lines, "{policy} {slots} {seed:2}: {letters}").unwrap();
+        }
+    }
+    insta::assert_snapshot!(lines);
+}
--- /dev/null
+++ b/lib/testutils/src/draws.rs
@@ -0,0 +1,31 @@
+//! Numbers drawn from a fixed seed: the same ones on every machine and in every run.
+
+/// A series of numbers that depends on its seed alone (`SplitMix64`).
+#[derive(Debug, Clone)]
+pub struct Draws(u64);
+
+impl Draws {
+    /// Starts a series.
+    pub fn new(seed: u64) -> Self {
+        Self(seed)
+    }
+
+    /// Draws a number below `bound`, which must not be zero.
+    pub fn below(&mut self, bound: u64) -> u64 {
+        self.0 = self.0.wrapping_add(0x9e37_79b9_7f4a_7c15);
+        let mut bits = self.0;
+        bits = (bits ^ (bits >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
+        bits = (bits ^ (bits >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
+        (bits ^ (bits >> 31)) % bound
+    }
+
+    /// Draws whether something happens that happens in so many of a hundred cases.
+    pub fn percent(&mut self, share: u64) -> bool {
+        self.below(100) < share
+    }
+
+    /// Draws one of some values, which must not be none.
+    pub fn pick<'a, T>(&mut self, values: &'a [T]) -> &'a T {
+        &values[self.below(values.len() as u64) as usize]
+    }
+}
--- a/lib/testutils/src/lib.rs
+++ b/lib/testutils/src/lib.rs
@@ -6,6 +6,7 @@
 pub mod collector;
 pub mod config_service;
 pub mod core_run;
+pub mod draws;
 pub mod endpoint;
 pub mod engine;
 pub mod expect;
