--- a/lib/tests/test_decision_pins.rs
+++ b/lib/tests/test_decision_pins.rs
@@ -6,17 +6,23 @@
 use {
     hazelyoke_lib::{
         gateway::{
-            admission::{AdmissionRequest, PlannedStage, StageService, Verdict, decide},
-            budget::{BudgetLimits, WindowBudget},
-            peer_message::Phase,
-            peers::{Beliefs, Coordinator, Identity, Peers},
-            progress::Progress,
-            settings::Bounds,
+            peers::{
+                membership::{Beliefs, Coordinator, Identity, Peers},
+                message::Phase,
+            },
+            rules::{
+                admission::{AdmissionRequest, PlannedStage, StageService, Verdict, decide},
+                progress::Progress,
+                retry_budget::{BudgetLimits, WindowBudget},
+            },
+            serving::settings::Bounds,
             table::RouteKind,
         },
-        health::{Health, State},
-        ids::ServiceId,
-        units::{Capacity, Millis, Share, Time},
+        shared::{
+            health::{Health, State},
+            ids::ServiceId,
+            units::{Capacity, Millis, Share, Time},
+        },
     },
     hazelyoke_testutils::draws::Draws,
     std::{
--- a/lib/tests/test_fleet_pins.rs
+++ b/lib/tests/test_fleet_pins.rs
@@ -6,12 +6,16 @@
 use {
     hazelyoke_lib::{
         gateway::{
-            catalogue::EndpointEntry,
             dialect::{Prompt, PromptPart, ReplyLoad},
-            fleet::{Choice, Demand, Ending, Fleet, PeerLoad, short_hash, short_hash_of, weighted},
+            directory::catalogue::EndpointEntry,
+            routing::endpoint_state::{
+                Choice, Demand, Ending, Fleet, PeerLoad, short_hash, short_hash_of, weighted,
+            },
+        },
+        shared::{
+            ids::{DataCentreId, EndpointId},
+            units::{ByteSize, Millis, Time},
         },
-        ids::{DataCentreId, EndpointId},
-        units::{ByteSize, Millis, Time},
     },
     hazelyoke_testutils::draws::Draws,
     std::{fmt::Write as _, sync::Arc},
--- a/lib/tests/test_message_bytes.rs
+++ b/lib/tests/test_message_bytes.rs
@@ -8,14 +8,14 @@
 use {
     hazelyoke_lib::{
         gateway::{
-            catalogue::{EndpointChanges, EndpointEntry, GoneEndpoint},
-            peer_message::{
+            directory::catalogue::{EndpointChanges, EndpointEntry, GoneEndpoint},
+            peers::message::{
                 Ask, Datagram, Frame, Heartbeat, JobOrder, LoadDigest, LoadNote, PROTOCOL,
                 PeerNote, Phase, QueueNote, Reply, Roster, WorkNote, decode, encode,
             },
-            stage_job::{Handle, JobEnd, PieceInput},
+            stages::job::{Handle, JobEnd, PieceInput},
         },
-        units::Capacity,
+        shared::units::Capacity,
     },
     serde::{Serialize, de::DeserializeOwned},
     std::fmt::{Debug, Write as _},
--- a/lib/tests/test_policy_pins.rs
+++ b/lib/tests/test_policy_pins.rs
@@ -5,18 +5,24 @@
 
 use {
     hazelyoke_lib::{
-        endpoint::{LoadReport, Prefill},
-        estimate::{Average, LoadEstimate},
-        fair::FairShares,
-        ids::{CustomerId, MemberSerial},
-        limit::CustomerUse,
-        policy::{Needs, Policy},
-        policy_choice::AnyPolicy,
-        pool::{Member, Pool},
-        retry::RetryBudget,
-        settings::{PolicyKind, Priority, Settings},
-        tree::{EndpointSpec, Service, ServiceKind},
-        units::{Millis, Share, Time, WorkMillis},
+        pipeline::decision::{
+            endpoint::{LoadReport, Prefill},
+            estimate::{Average, LoadEstimate},
+            fair::FairShares,
+            limit::CustomerUse,
+            policy::{Needs, Policy},
+            policy_choice::AnyPolicy,
+            pool::{Member, Pool},
+            retry::RetryBudget,
+        },
+        settings::{
+            tree::{EndpointSpec, Service, ServiceKind},
+            values::{PolicyKind, Priority, Settings},
+        },
+        shared::{
+            ids::{CustomerId, MemberSerial},
+            units::{Millis, Share, Time, WorkMillis},
+        },
     },
     hazelyoke_testutils::draws::Draws,
     rand::{SeedableRng, rngs::SmallRng},
