--- a/lib/tests/test_decision_pins.rs
+++ b/lib/tests/test_decision_pins.rs
@@ -7,11 +7,13 @@
     hazelyoke_lib::{
         gateway::{
             peers::{
-                membership::{Beliefs, Coordinator, Identity, Peers},
+                membership::{Coordinator, Identity, Peers, SelfReport},
                 message::Phase,
             },
             rules::{
-                admission::{AdmissionRequest, PlannedStage, StageService, Verdict, decide},
+                admission::{
+                    AdmissionDecision, AdmissionRequest, PlannedStage, StageService, decide,
+                },
                 progress::Progress,
                 retry_budget::{BudgetLimits, WindowBudget},
             },
@@ -19,7 +21,7 @@
             table::RouteKind,
         },
         shared::{
-            health::{Health, State},
+            health::{Health, HealthState},
             ids::ServiceId,
             units::{Capacity, Millis, Share, Time},
         },
@@ -94,8 +96,8 @@
 
 fn verdict(request: &AdmissionRequest) -> String {
     match decide(request) {
-        Verdict::Take(expected_ms) => format!("take {expected_ms:.3}"),
-        Verdict::Refuse {
+        AdmissionDecision::Take(expected_ms) => format!("take {expected_ms:.3}"),
+        AdmissionDecision::Refuse {
             expected_ms,
             retry_after,
         } => format!("refuse {expected_ms:.3}, {retry_after}"),
@@ -196,9 +198,9 @@
 
 fn state_letter(health: &Health, now: Time) -> &'static str {
     match health.state(now) {
-        State::Healthy => "h",
-        State::Ejected => "e",
-        State::Probing => "p",
+        HealthState::Healthy => "h",
+        HealthState::Ejected => "e",
+        HealthState::Probing => "p",
     }
 }
 
@@ -213,7 +215,7 @@
             continue;
         }
         let ejected = now;
-        while health.state(now) == State::Ejected {
+        while health.state(now) == HealthState::Ejected {
             now = now + Millis(1);
         }
         times.push(now.since(ejected).as_millis());
@@ -232,13 +234,13 @@
     Peers::new(me, &[])
 }
 
-fn beliefs(phase: Phase) -> Beliefs {
-    Beliefs {
+fn beliefs(phase: Phase) -> SelfReport {
+    SelfReport {
         phase,
         table: 1,
         fingerprint: 0,
         catalogue: 0,
-        calm: true,
+        steady: true,
         read_ms: None,
         loads: Vec::new(),
         queues: Vec::new(),
--- a/lib/tests/test_fleet_pins.rs
+++ b/lib/tests/test_fleet_pins.rs
@@ -9,7 +9,8 @@
             dialect::{Prompt, PromptPart, ReplyLoad},
             directory::catalogue::EndpointEntry,
             routing::endpoint_state::{
-                Choice, Demand, Ending, Fleet, PeerLoad, short_hash, short_hash_of, weighted,
+                EndpointChoice, EndpointOutcome, EndpointStates, PeerLoad, Placement,
+                endpoint_hash, service_hash, weighted,
             },
         },
         shared::{
@@ -43,14 +44,14 @@
 
 /// A request under way.
 struct Sent {
-    choice: Choice,
+    choice: EndpointChoice,
     is_read: bool,
 }
 
 /// A fleet under a drawn course of events.
 struct Course {
     draws: Draws,
-    fleet: Fleet,
+    fleet: EndpointStates,
     now: Time,
     sent: Vec<Sent>,
     lines: String,
@@ -58,7 +59,7 @@
 
 impl Course {
     fn new(seed: u64) -> Self {
-        let mut fleet = Fleet::default();
+        let mut fleet = EndpointStates::default();
         for number in 0..ENDPOINTS {
             fleet.put(entry(number, false));
         }
@@ -129,7 +130,7 @@
         let tried: Vec<EndpointId> = (0..self.draws.below(3))
             .map(|_| format!("e{}", self.draws.below(ENDPOINTS)).parse().unwrap())
             .collect();
-        let demand = Demand {
+        let demand = Placement {
             prompt: &prompt,
             affinity: self.draws.percent(75),
             tried: &tried,
@@ -194,13 +195,13 @@
         }
         let call_ms = 5.0 + self.draws.below(40) as f64;
         let (name, ending) = match self.draws.below(16) {
-            0..=5 => ("served", Ending::Served(Some(call_ms))),
-            6..=7 => ("served without a time", Ending::Served(None)),
-            8..=11 => ("failed", Ending::Failed),
-            12 => ("full", Ending::Full),
-            13 => ("replaced", Ending::Replaced),
-            14 => ("unreachable", Ending::Unreachable),
-            _ => ("neutral", Ending::Neutral),
+            0..=5 => ("served", EndpointOutcome::Served(Some(call_ms))),
+            6..=7 => ("served without a time", EndpointOutcome::Served(None)),
+            8..=11 => ("failed", EndpointOutcome::Failed),
+            12 => ("full", EndpointOutcome::Full),
+            13 => ("replaced", EndpointOutcome::Replaced),
+            14 => ("unreachable", EndpointOutcome::Unreachable),
+            _ => ("neutral", EndpointOutcome::Neutral),
         };
         let ejected = self.fleet.ended(self.now, id, ending);
         writeln!(self.lines, "  {id} {name}: {ejected}").unwrap();
@@ -214,7 +215,7 @@
                     running: self.draws.below(5) as u32,
                     prefill: self.draws.below(3_000) as f64,
                 };
-                (short_hash(&entry(number, false).id), load)
+                (endpoint_hash(&entry(number, false).id), load)
             })
             .collect();
         if self.draws.percent(50) {
@@ -260,8 +261,8 @@
 fn names_pinned() {
     let mut lines = String::new();
     for name in ["e1", "endpoint-2", "chat-large", "rerank"] {
-        let endpoint = short_hash(&name.parse().unwrap());
-        let service = short_hash_of(&name.parse().unwrap());
+        let endpoint = endpoint_hash(&name.parse().unwrap());
+        let service = service_hash(&name.parse().unwrap());
         writeln!(lines, "{name}: {endpoint:08x} {service:08x}").unwrap();
     }
     let choices = [("a", 1.0), ("b", 3.0), ("c", 0.0), ("d", 0.5)];
--- a/lib/tests/test_message_bytes.rs
+++ b/lib/tests/test_message_bytes.rs
@@ -10,10 +10,10 @@
         gateway::{
             directory::catalogue::{EndpointChanges, EndpointEntry, GoneEndpoint},
             peers::message::{
-                Ask, Datagram, Frame, Heartbeat, JobOrder, LoadDigest, LoadNote, PROTOCOL,
-                PeerNote, Phase, QueueNote, Reply, Roster, WorkNote, decode, encode,
+                Datagram, Frame, Heartbeat, JobOrder, LinkReply, LinkRequest, LoadDigest, LoadNote,
+                PROTOCOL, PeerNote, Phase, QueueNote, Roster, WorkNote, decode, encode,
             },
-            stages::job::{Handle, JobEnd, PieceInput},
+            stages::job::{JobEnd, PieceInput, ResultHandle},
         },
         shared::units::Capacity,
     },
@@ -81,7 +81,7 @@
         table: 41,
         fingerprint: u64::MAX - 1,
         catalogue: 5_000_000_000,
-        calm: true,
+        steady: true,
         read_ms,
         broadcasts: false,
         capacity: Capacity(1_500),
@@ -99,7 +99,7 @@
 /// A heartbeat that says nothing beyond its sender, with the flags turned over.
 fn bare_heartbeat() -> Heartbeat {
     Heartbeat {
-        calm: false,
+        steady: false,
         broadcasts: true,
         joining: false,
         peers: Vec::new(),
@@ -138,10 +138,10 @@
     }
 }
 
-fn handles() -> Vec<Handle> {
+fn handles() -> Vec<ResultHandle> {
     vec![
-        Handle("10.0.0.1:8080/a1".into()),
-        Handle("10.0.0.2:8080/b2".into()),
+        ResultHandle("10.0.0.1:8080/a1".into()),
+        ResultHandle("10.0.0.2:8080/b2".into()),
     ]
 }
 
@@ -194,15 +194,15 @@
 #[test]
 fn ask_bytes() {
     let mut lines = Lines::default();
-    lines.add_framed("table", Ask::Table);
-    lines.add_framed("endpoints", Ask::Endpoints);
-    lines.add_framed("changes", Ask::Changes(70_000));
+    lines.add_framed("table", LinkRequest::Table);
+    lines.add_framed("endpoints", LinkRequest::Endpoints);
+    lines.add_framed("changes", LinkRequest::Changes(70_000));
     let key = order(PieceInput::Key("key-1".into()), 1_200, None);
-    lines.add_framed("job from a key", Ask::Job(key));
+    lines.add_framed("job from a key", LinkRequest::Job(key));
     let results = order(PieceInput::Results(handles()), -20, Some("west"));
-    lines.add_framed("job from results, overdue", Ask::Job(results));
-    lines.add_framed("cancel", Ask::Cancel(0x0203));
-    let release = Ask::Release("encode".parse().unwrap(), handles());
+    lines.add_framed("job from results, overdue", LinkRequest::Job(results));
+    lines.add_framed("cancel", LinkRequest::Cancel(0x0203));
+    let release = LinkRequest::Release("encode".parse().unwrap(), handles());
     lines.add_framed("release", release);
     insta::assert_snapshot!(lines.0);
 }
@@ -211,18 +211,18 @@
 fn reply_bytes() {
     let mut lines = Lines::default();
     let bytes = vec![0, 255, 7, 128];
-    lines.add_framed("table", Reply::Table { bytes });
-    let endpoints = Reply::Endpoints {
+    lines.add_framed("table", LinkReply::Table { bytes });
+    let endpoints = LinkReply::Endpoints {
         revision: 70_002,
         entries: vec![entry(1, false), entry(2, true)],
     };
     lines.add_framed("endpoints", endpoints);
-    lines.add_framed("changes", Reply::Changes(changes()));
-    lines.add_framed("job made", Reply::Job(JobEnd::Made(handles())));
-    lines.add_framed("job late", Reply::Job(JobEnd::Late));
-    lines.add_framed("job without inputs", Reply::Job(JobEnd::InputsGone));
-    lines.add_framed("job failed", Reply::Job(JobEnd::Failed));
-    lines.add_framed("done", Reply::Done);
-    lines.add_framed("unable", Reply::Unable);
+    lines.add_framed("changes", LinkReply::Changes(changes()));
+    lines.add_framed("job made", LinkReply::Job(JobEnd::Made(handles())));
+    lines.add_framed("job late", LinkReply::Job(JobEnd::Late));
+    lines.add_framed("job without inputs", LinkReply::Job(JobEnd::InputsGone));
+    lines.add_framed("job failed", LinkReply::Job(JobEnd::Failed));
+    lines.add_framed("done", LinkReply::Done);
+    lines.add_framed("unable", LinkReply::Unable);
     insta::assert_snapshot!(lines.0);
 }
--- a/lib/tests/test_plan_pins.rs
+++ b/lib/tests/test_plan_pins.rs
@@ -11,7 +11,7 @@
             stages::{
                 batch_call::{BatchCall, CallEnd},
                 batch_queue::BatchQueue,
-                job::{Handle, Job, JobEnd, JobId, PieceEnd, PieceInput},
+                job::{JobEnd, JobId, PieceEnd, PieceInput, ResultHandle, StageJob},
             },
             table::BatchLimits,
         },
@@ -120,10 +120,10 @@
             PieceInput::Key("key".into())
         } else {
             let input = format!("10.0.0.9:80/in{}", id.0);
-            PieceInput::Results(vec![Handle(input.into())])
+            PieceInput::Results(vec![ResultHandle(input.into())])
         };
         let objective = Millis(self.draws.below(1_500));
-        let job = Job {
+        let job = StageJob {
             request: format!("r{}", id.0).into(),
             stage: 1,
             pieces: 1 + self.draws.below(6) as u32,
@@ -164,7 +164,7 @@
                 1 => PieceEnd::InputGone,
                 2 => PieceEnd::NoRoom,
                 3 => PieceEnd::Failed,
-                _ => PieceEnd::Made(Handle(format!("{name}-{}", call.id).into())),
+                _ => PieceEnd::Made(ResultHandle(format!("{name}-{}", call.id).into())),
             };
             ends.push(end);
         }
--- a/lib/tests/test_policy_pins.rs
+++ b/lib/tests/test_policy_pins.rs
@@ -12,7 +12,7 @@
             limit::CustomerUse,
             policy::{Needs, Policy},
             policy_choice::AnyPolicy,
-            pool::{Member, Pool},
+            pool::{Pool, PoolMember},
             retry::RetryBudget,
         },
         settings::{
@@ -312,7 +312,7 @@
             let holders = job.holders.len();
             writeln!(lines, "{at}: {work}, {holders} holders: {name}; {back}").unwrap();
             if let Some(member) = choice {
-                let Member { serial, load, .. } = &mut pool.members[member];
+                let PoolMember { serial, load, .. } = &mut pool.members[member];
                 let (serial, expected) = (*serial, load.sent(now, work));
                 pool.note_prefix(now, serial, &size.prefix);
                 sent.push(Sent {
