--- a/bench/src/commands/mod.rs
+++ b/bench/src/commands/mod.rs
@@ -4,7 +4,6 @@
 mod demo;
 mod forwarding;
 mod overhead;
-mod plot;
 mod run;
 mod scale;
 mod tokens;
@@ -19,8 +18,6 @@
     Demo(demo::Demo),
     /// Experiments from files.
     Run(run::Run),
-    /// Results as a page.
-    Plot(plot::Plot),
     /// Time of one decision.
     Decide(decide::Decide),
     /// Added time of the path.
@@ -42,7 +39,6 @@
     match command {
         Command::Demo(command) => command.run().await,
         Command::Run(command) => command.run().await,
-        Command::Plot(command) => command.run(),
         Command::Decide(command) => command.run().await,
         Command::Overhead(command) => command.run().await,
         Command::Tokens(command) => command.run().await,
--- a/bench/src/report.rs
+++ b/bench/src/report.rs
@@ -12,7 +12,7 @@
     anyhow::{Result, bail},
     comfy_table::{Table, presets},
     hazelyoke_lib::{settings::PolicyKind, tree::Tree},
-    serde::{Deserialize, Serialize},
+    serde::Serialize,
     std::{collections::BTreeMap, time::Duration},
     tokio::{sync::mpsc, time::Instant},
 };
@@ -24,7 +24,7 @@
 const SETTLE: Duration = Duration::from_millis(300);
 
 /// Result of one run, written as one line of JSON.
-#[derive(Debug, Clone, Serialize, Deserialize)]
+#[derive(Debug, Clone, Serialize)]
 pub struct Report {
     /// Name of the experiment.
     pub experiment: String,
