--- a/bench/src/commands/mod.rs
+++ b/bench/src/commands/mod.rs
@@ -1,10 +1,8 @@
 //! The commands, a file each.
 
-mod decide;
 mod demo;
 mod forwarding;
 mod run;
-mod scale;
 mod tokens;
 
 use {anyhow::Result, argh::FromArgs};
@@ -17,14 +15,10 @@
     Demo(demo::Demo),
     /// Experiments from files.
     Run(run::Run),
-    /// Time of one decision.
-    Decide(decide::Decide),
     /// Processor time of a token.
     Tokens(tokens::Tokens),
     /// Decisions of a forwarding daemon.
     Forwarding(forwarding::Forwarding),
-    /// Memory and time at larger sizes.
-    Scale(scale::Scale),
 }
 
 /// Runs a command; returns whether every promise was kept.
@@ -36,9 +30,7 @@
     match command {
         Command::Demo(command) => command.run().await,
         Command::Run(command) => command.run().await,
-        Command::Decide(command) => command.run().await,
         Command::Tokens(command) => command.run().await,
         Command::Forwarding(command) => command.run(),
-        Command::Scale(command) => command.run().await,
     }
 }
--- a/bench/src/main.rs
+++ b/bench/src/main.rs
@@ -2,7 +2,6 @@
 
 mod caller;
 mod commands;
-mod core_load;
 mod experiment;
 mod fault_plan;
 mod faults;
--- a/bench/src/process.rs
+++ b/bench/src/process.rs
@@ -5,9 +5,6 @@
     std::{fs, time::Duration},
 };
 
-/// Bytes of a page of memory.
-const PAGE: u64 = 4_096;
-
 /// Time of one tick of the processor's clock in `/proc`.
 const TICK: Duration = Duration::from_millis(10);
 
@@ -15,17 +12,6 @@
 const USER_FIELD: usize = 11;
 const SYSTEM_FIELD: usize = 12;
 
-/// Returns the memory that is resident, in bytes.
-///
-/// # Errors
-///
-/// Returns an error where `/proc` doesn't tell.
-pub fn resident() -> Result<u64> {
-    let text = fs::read_to_string("/proc/self/statm")?;
-    let pages = text.split_whitespace().nth(1).context("no second field")?;
-    Ok(pages.parse::<u64>()? * PAGE)
-}
-
 /// Returns the processor time used so far.
 ///
 /// # Errors
