--- a/bench/src/commands/mod.rs
+++ b/bench/src/commands/mod.rs
@@ -1,7 +1,6 @@
 //! The commands, a file each.
 
 mod demo;
-mod forwarding;
 mod run;
 
 use {anyhow::Result, argh::FromArgs};
@@ -14,8 +13,6 @@
     Demo(demo::Demo),
     /// Experiments from files.
     Run(run::Run),
-    /// Decisions of a forwarding daemon.
-    Forwarding(forwarding::Forwarding),
 }
 
 /// Runs a command; returns whether every promise was kept.
@@ -27,6 +24,5 @@
     match command {
         Command::Demo(command) => command.run().await,
         Command::Run(command) => command.run().await,
-        Command::Forwarding(command) => command.run(),
     }
 }
