--- a/bench/src/installation.rs
+++ b/bench/src/installation.rs
@@ -112,7 +112,7 @@
     ///
     /// Returns an error when the tree is invalid or something can't be started.
     pub async fn start(experiment: &Experiment, root_settings: &str) -> Result<Self> {
-        let mut values = Values::example(experiment.user);
+        let mut values = Values::example();
         values.add_root_settings(root_settings);
         let written = values.tree()?;
         let mut replacements = BTreeMap::new();
