--- a/bench/src/caller.rs
+++ b/bench/src/caller.rs
@@ -10,9 +10,6 @@
     tokio::time::Instant,
 };
 
-/// Waits between a caller's tries when it isn't told how long to wait.
-const RETRY_PAUSE: Duration = Duration::from_millis(100);
-
 /// How a caller repeats a request that wasn't answered.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Repeat {
@@ -20,8 +17,6 @@
     Never,
     /// At once, up to so many times, whatever the daemons say.
     AtOnce(u32),
-    /// As `Retry-After` says, up to so many times.
-    AsTold(u32),
 }
 
 /// What a caller wants.
@@ -115,22 +110,18 @@
     let mut tries = Vec::new();
     for round in 0.. {
         let caller = &callers[(first + round) % callers.len()];
-        let (attempt, wait) = attempt(caller, &order, &body, &expected, due).await;
+        let attempt = attempt(caller, &order, &body, &expected, due).await;
         let answered = attempt.ending == Ending::Answered;
         tries.push(attempt);
-        let pause = match order.repeat {
-            Repeat::AtOnce(times) if tries.len() <= times as usize => Some(Duration::ZERO),
-            Repeat::AsTold(times) if tries.len() <= times as usize => {
-                Some(wait.unwrap_or(RETRY_PAUSE))
-            }
-            _ => None,
+        let left = match order.repeat {
+            Repeat::Never => false,
+            Repeat::AtOnce(times) => tries.len() <= times as usize,
         };
-        let Some(pause) =
-            pause.filter(|pause| !answered && due.elapsed() + *pause < order.deadline)
-        else {
+        if answered || !left || due.elapsed() >= order.deadline {
             break;
-        };
-        tokio::time::sleep(pause).await;
+        }
+        // Even a sleep of no time takes a tick of the timer, so others get their turn.
+        tokio::time::sleep(Duration::ZERO).await;
     }
     Outcome {
         took: due.elapsed(),
@@ -145,7 +136,7 @@
     body: &Bytes,
     expected: &Bytes,
     due: Instant,
-) -> (Try, Option<Duration>) {
+) -> Try {
     let left = order.deadline.saturating_sub(due.elapsed()).as_millis();
     let mut request = CallerRequest::new(&*order.path, &order.customer, body.clone())
         .header("x-deadline-ms", left.max(1));
@@ -153,12 +144,11 @@
         request = request.header("idempotency-key", format!("order-{}", order.number));
     }
     match caller.post(request).await {
-        Ok(reply) => (judge(&reply, expected), told_wait(&reply)),
-        Err(error) => {
-            let ending = Ending::Broken(error);
-            let request = None;
-            (Try { request, ending }, None)
-        }
+        Ok(reply) => judge(&reply, expected),
+        Err(error) => Try {
+            request: None,
+            ending: Ending::Broken(error),
+        },
     }
 }
 
@@ -183,9 +173,3 @@
     };
     Try { request, ending }
 }
-
-fn told_wait(reply: &CallerReply) -> Option<Duration> {
-    reply.json()["retry_after_ms"]
-        .as_u64()
-        .map(Duration::from_millis)
-}
--- a/bench/src/experiment.rs
+++ b/bench/src/experiment.rs
@@ -11,7 +11,7 @@
         findings::{Findings, Place},
         settings::PolicyKind,
         tree::Tree,
-        units::{Count, Millis, Rate},
+        units::{Count, Millis},
     },
     std::{collections::BTreeMap, time::Duration},
 };
@@ -72,8 +72,6 @@
 /// An amount of load.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Load {
-    /// Requests a second.
-    Rate(Rate),
     /// Multiple of the capacity.
     OfCapacity(f64),
     /// The run's own multiple of the capacity.
@@ -84,7 +82,6 @@
     /// Returns the requests a second, in a run at `swept` times the capacity.
     pub fn rate(self, capacity: f64, swept: f64) -> f64 {
         match self {
-            Load::Rate(rate) => rate.0,
             Load::OfCapacity(share) => share * capacity,
             Load::Swept => swept * capacity,
         }
@@ -276,13 +273,8 @@
     };
     let mut reader = ObjectReader::new("repeat", value, root.findings());
     let times = reader.take_required::<Count>("times");
-    let told = reader.take_parsed::<bool>("as_told");
     reader.finish();
-    let times = times.map_or(1, |(times, _)| times.0);
-    match told {
-        Some((true, _)) => Repeat::AsTold(times),
-        _ => Repeat::AtOnce(times),
-    }
+    times.map_or(Repeat::Never, |(times, _)| Repeat::AtOnce(times.0))
 }
 
 fn read_context(root: &mut ObjectReader<'_>) -> Option<Context> {
@@ -332,21 +324,10 @@
 fn read_phase(value: Value, findings: &mut Findings) -> Option<Phase> {
     let mut reader = ObjectReader::new("phase", value, findings);
     let lasts = reader.take_required::<Millis>("lasts");
-    let rate = reader.take_parsed::<Rate>("rate");
     let share = reader.take_parsed::<f64>("of_capacity");
     let counted = reader.take_parsed::<bool>("counted");
-    let place = reader.place().clone();
-    if rate.is_some() && share.is_some() {
-        let message = "a phase has both \"rate\" and \"of_capacity\"";
-        let hint = "give one, or none to take the run's";
-        reader.findings().add(&place, "phase", message, hint);
-    }
     reader.finish();
-    let load = match (rate, share) {
-        (Some((rate, _)), _) => Load::Rate(rate),
-        (None, Some((share, _))) => Load::OfCapacity(share),
-        (None, None) => Load::Swept,
-    };
+    let load = share.map_or(Load::Swept, |(share, _)| Load::OfCapacity(share));
     Some(Phase {
         lasts: lasts?.0.to_duration(),
         load,
@@ -375,7 +356,6 @@
     let kind = match kind.as_str() {
         "slow" => Some(FaultKind::Slow(factor.map_or(10.0, |(factor, _)| factor))),
         "frozen_reports" => Some(FaultKind::FrozenReports),
-        "leaving" => Some(FaultKind::Leaving),
         "death" => Some(FaultKind::Death),
         "data_centre" => centre.map(|(name, _)| FaultKind::DataCentre(name)),
         "config_silent" => Some(FaultKind::ConfigSilent),
--- a/bench/src/fault_plan.rs
+++ b/bench/src/fault_plan.rs
@@ -26,8 +26,6 @@
     Damage(Damage, f64),
     /// Load reports stay what they are.
     FrozenReports,
-    /// The endpoint leaves.
-    Leaving,
     /// The endpoint's process ends.
     Death,
     /// All endpoints of a data centre end.
@@ -40,12 +38,7 @@
 pub fn parse_damage(text: &str) -> Option<Damage> {
     Some(match text {
         "garbage" => Damage::Garbage,
-        "wrong_ids" => Damage::WrongIds,
-        "too_much" => Damage::TooMuch,
-        "truncated" => Damage::Truncated,
-        "nothing" => Damage::Nothing,
         "server_error" => Damage::ServerError,
-        "not_run" => Damage::NotRun,
         _ => return None,
     })
 }
--- a/bench/src/faults.rs
+++ b/bench/src/faults.rs
@@ -54,7 +54,6 @@
             faults.damage(*damage, if begins { *share } else { 0.0 });
         }
         FaultKind::FrozenReports => faults.freeze_report(begins),
-        FaultKind::Leaving => faults.leave(begins),
         FaultKind::Death | FaultKind::DataCentre(_) if begins => slot.kill(),
         FaultKind::Death | FaultKind::DataCentre(_) => {
             if let Err(error) = slot.start().await {
