--- a/bench/src/caller.rs
+++ b/bench/src/caller.rs
@@ -1,159 +1,147 @@
 //! One caller's request: sent when it is due, judged by the value that only it could get.
+//!
+//! Owns how a caller sends again and how it reads answers; what the right answer is follows from
+//! `hazelyoke_testutils::expect`.
 
 use {
     bytes::Bytes,
+    hazelyoke_lib::wire::{DEADLINE_HEADER, KEY_HEADER, REQUEST_HEADER},
     hazelyoke_testutils::{
         expect::{self, Step},
         http_client::{Caller, CallerReply, CallerRequest},
     },
     std::{sync::Arc, time::Duration},
-    tokio::time::Instant,
+    tokio::time::{Instant, sleep},
 };
 
-/// How a caller repeats a request that wasn't answered.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Repeat {
-    /// Never.
-    Never,
-    /// At once, up to so many times, whatever the daemons say.
-    AtOnce(u32),
-}
-
-/// What a caller wants.
+/// A request that a caller is to make.
 #[derive(Debug, Clone)]
-pub struct Order {
+pub struct PlannedRequest {
     /// Number of the request in its run.
     pub number: u64,
     /// Path of the pipeline or service.
     pub path: Arc<str>,
     /// Its name.
     pub target: Arc<str>,
-    /// Beginning that its prompt shares with others; may be empty.
-    pub context: Arc<str>,
+    /// Beginning that its prompt shares with others; absent if its prompt is its own.
+    pub context: Option<Arc<str>>,
     /// Customer that asks.
     pub customer: Arc<str>,
     /// Steps of the pipeline.
-    pub steps: Arc<Vec<Step>>,
-    /// Time within which the answer is of use.
+    pub steps: Arc<[Step]>,
+    /// Time within which the answer is of use, since the request was due.
     pub deadline: Duration,
     /// Whether an idempotency key is sent.
     pub keyed: bool,
-    /// How the request is repeated.
-    pub repeat: Repeat,
+    /// Times that it is sent again, at once, after an attempt without an answer.
+    pub retries: u32,
 }
 
-/// How one try ended.
+/// How one attempt ended.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Ending {
     /// Answered with the right value.
     Answered,
     /// Answered with another value: an answer lost, doubled or crossed.
-    Wrong,
-    /// Refused or failed with `not_run`.
+    WrongAnswer,
+    /// Refused or failed with `not_run`, for the code given.
     NotRun(String),
-    /// Failed with `unknown`.
+    /// Failed with `unknown`, for the code given.
     Unknown(String),
-    /// The connection to the daemon broke, or its answer was no answer.
-    Broken(String),
+    /// The connection to the daemon broke, or its response was neither answer nor problem.
+    Unanswered(String),
 }
 
-/// One try, as the observer needs it.
+/// One attempt of a caller, as the observer needs it.
 #[derive(Debug, Clone)]
-pub struct Try {
-    /// Id that the daemon gave the request.
+pub struct Attempt {
+    /// Id that the daemon gave the request; absent if no response named one.
     pub request: Option<String>,
     /// How it ended.
     pub ending: Ending,
 }
 
-/// What became of an order.
+/// A request with all that came of it.
 #[derive(Debug, Clone)]
 pub struct Outcome {
-    /// The order.
-    pub order: Order,
-    /// Time from when it was due to its end.
-    pub took: Duration,
-    /// Its tries, the last one last.
-    pub tries: Vec<Try>,
+    /// The request.
+    pub request: PlannedRequest,
+    /// Time from when it was due to the end of its last attempt.
+    pub latency: Duration,
+    /// All attempts but the last.
+    pub earlier: Vec<Attempt>,
+    /// The last attempt.
+    pub last: Attempt,
 }
 
 impl Outcome {
-    /// Returns how it ended in the end.
-    pub fn ending(&self) -> &Ending {
-        self.tries
-            .last()
-            .map_or(&Ending::Answered, |last| &last.ending)
+    /// Returns all attempts, the last one last.
+    pub fn attempts(&self) -> impl Iterator<Item = &Attempt> {
+        self.earlier.iter().chain([&self.last])
     }
 
     /// Returns whether it was answered whole within its deadline.
     pub fn attained(&self) -> bool {
-        *self.ending() == Ending::Answered && self.took <= self.order.deadline
-    }
-}
-
-/// Returns an order's body, which no other order has.
-fn body(order: &Order) -> Bytes {
-    let Order {
-        context, number, ..
-    } = order;
-    if context.is_empty() {
-        Bytes::from(format!("{{\"order\":{number}}}"))
-    } else {
-        Bytes::from(format!("{{\"context\":\"{context}\",\"order\":{number}}}"))
+        self.last.ending == Ending::Answered && self.latency <= self.request.deadline
     }
 }
 
-/// Carries an order out; `due` is when it should have been sent, whether or not it could be.
-pub async fn carry_out(callers: &[Caller], order: Order, first: usize, due: Instant) -> Outcome {
-    let body = body(&order);
-    let expected = expect::answer(&order.steps, &body);
-    let mut tries = Vec::new();
-    for round in 0.. {
-        let caller = &callers[(first + round) % callers.len()];
-        let attempt = attempt(caller, &order, &body, &expected, due).await;
-        let answered = attempt.ending == Ending::Answered;
-        tries.push(attempt);
-        let left = match order.repeat {
-            Repeat::Never => false,
-            Repeat::AtOnce(times) => tries.len() <= times as usize,
-        };
-        if answered || !left || due.elapsed() >= order.deadline {
-            break;
+impl PlannedRequest {
+    /// Sends the request until it is answered, has no retry left, or is late.
+    ///
+    /// Attempts go round the daemons from the one numbered `first`. `due` is when the request
+    /// should have been sent, whether or not it could be.
+    pub async fn perform(self, callers: &[Caller], first: usize, due: Instant) -> Outcome {
+        let body = self.body();
+        let expected = expect::answer(&self.steps, &body);
+        let mut earlier = Vec::new();
+        loop {
+            let caller = &callers[(first + earlier.len()) % callers.len()];
+            let attempt = match caller.post(self.to_http(&body, due)).await {
+                Ok(reply) => judge(&reply, &expected),
+                Err(error) => Attempt {
+                    request: None,
+                    ending: Ending::Unanswered(error),
+                },
+            };
+            let spent = earlier.len() >= self.retries as usize;
+            if attempt.ending == Ending::Answered || spent || due.elapsed() >= self.deadline {
+                return Outcome {
+                    request: self,
+                    latency: due.elapsed(),
+                    earlier,
+                    last: attempt,
+                };
+            }
+            earlier.push(attempt);
+            // Even a sleep of no time takes a tick of the timer, so others get their turn.
+            sleep(Duration::ZERO).await;
         }
-        // Even a sleep of no time takes a tick of the timer, so others get their turn.
-        tokio::time::sleep(Duration::ZERO).await;
     }
-    Outcome {
-        took: due.elapsed(),
-        order,
-        tries,
-    }
-}
 
-async fn attempt(
-    caller: &Caller,
-    order: &Order,
-    body: &Bytes,
-    expected: &Bytes,
-    due: Instant,
-) -> Try {
-    let left = order.deadline.saturating_sub(due.elapsed()).as_millis();
-    let mut request = CallerRequest::new(&*order.path, &order.customer, body.clone())
-        .header("x-deadline-ms", left.max(1));
-    if order.keyed {
-        request = request.header("idempotency-key", format!("order-{}", order.number));
+    /// Returns the body, which no other request of the run has.
+    fn body(&self) -> Bytes {
+        let number = self.number;
+        Bytes::from(match &self.context {
+            Some(context) => format!("{{\"context\":\"{context}\",\"order\":{number}}}"),
+            None => format!("{{\"order\":{number}}}"),
+        })
     }
-    match caller.post(request).await {
-        Ok(reply) => judge(&reply, expected),
-        Err(error) => Try {
-            request: None,
-            ending: Ending::Broken(error),
-        },
+
+    fn to_http(&self, body: &Bytes, due: Instant) -> CallerRequest {
+        let left = self.deadline.saturating_sub(due.elapsed()).as_millis();
+        let request = CallerRequest::new(&*self.path, &self.customer, body.clone())
+            .header(DEADLINE_HEADER, left.max(1));
+        if self.keyed {
+            request.header(KEY_HEADER, format!("order-{}", self.number))
+        } else {
+            request
+        }
     }
 }
 
-fn judge(reply: &CallerReply, expected: &Bytes) -> Try {
-    let header = reply.headers.get("x-request-id");
+fn judge(reply: &CallerReply, expected: &Bytes) -> Attempt {
+    let header = reply.headers.get(REQUEST_HEADER);
     let request = header
         .and_then(|value| value.to_str().ok())
         .map(str::to_owned)
@@ -162,14 +150,14 @@
         if reply.body == expected {
             Ending::Answered
         } else {
-            Ending::Wrong
+            Ending::WrongAnswer
         }
     } else {
         match reply.outcome().as_str() {
             "not_run" => Ending::NotRun(reply.code()),
             "unknown" => Ending::Unknown(reply.code()),
-            _ => Ending::Broken(format!("status {}", reply.status)),
+            _ => Ending::Unanswered(format!("status {}", reply.status)),
         }
     };
-    Try { request, ending }
+    Attempt { request, ending }
 }
--- a/bench/src/commands/demo.rs
+++ b/bench/src/commands/demo.rs
@@ -2,13 +2,16 @@
 
 use {
     crate::{
-        experiment::Experiment,
-        report::{self, print_details, print_table},
+        experiment::{Experiment, LoadFactor},
+        report_table::{print_details, print_table},
+        runner::{Progress, Run},
     },
     anyhow::Result,
     argh::FromArgs,
+    std::slice,
 };
 
+/// The demo's experiment; its one phase has a load of its own.
 const DEMO: &str = include_str!("../../experiments/demo.jsonc");
 
 /// ten seconds of mixed load on the Bureau's tree, with everything in this process
@@ -25,35 +28,35 @@
     pub async fn run(self) -> Result<bool> {
         let experiments = Experiment::parse("demo.jsonc", DEMO.as_bytes())?;
         let experiment = &experiments[0];
-        println!(
-            "{} daemons and their stand-ins on loopback, ten seconds of load",
-            experiment.daemons
-        );
-        let report = report::run(
+        let daemons = experiment.daemons;
+        println!("{daemons} daemons and their stand-ins on loopback, ten seconds of load");
+        let run = Run {
             experiment,
-            experiment.policies[0],
-            1.0,
-            |at, total, attained| {
-                println!(
-                    "{:>3}s: {total} answered or refused, {attained} in time",
-                    at.as_secs()
-                );
-            },
-        )
-        .await?;
+            policy: experiment.policies[0],
+            load: LoadFactor::CAPACITY,
+        };
+        let report = run.run(print_progress).await?;
         println!();
-        print_table(std::slice::from_ref(&report));
+        print_table(slice::from_ref(&report));
         println!();
         print_details(&report);
         let kept = report.kept();
-        println!(
-            "{}",
-            if kept {
-                "every promise was kept"
-            } else {
-                "A PROMISE WAS BROKEN"
-            }
-        );
+        let verdict = if kept {
+            "every promise was kept"
+        } else {
+            "A PROMISE WAS BROKEN"
+        };
+        println!("{verdict}");
         Ok(kept)
     }
 }
+
+fn print_progress(progress: Progress) {
+    let Progress {
+        elapsed,
+        ended,
+        attained,
+    } = progress;
+    let seconds = elapsed.as_secs();
+    println!("{seconds:>3}s: {ended} answered or refused, {attained} in time");
+}
--- a/bench/src/commands/mod.rs
+++ b/bench/src/commands/mod.rs
@@ -12,7 +12,7 @@
     /// Ten seconds of mixed load.
     Demo(demo::Demo),
     /// Experiments from files.
-    Run(run::Run),
+    Run(run::RunExperiments),
 }
 
 /// Runs a command; returns whether every promise was kept.
--- a/bench/src/commands/run.rs
+++ b/bench/src/commands/run.rs
@@ -3,21 +3,22 @@
 use {
     crate::{
         experiment::Experiment,
-        report::{self, print_details, print_table},
+        report::Report,
+        report_table::{print_details, print_table},
+        runner::Run,
     },
     anyhow::{Context, Result, bail},
     argh::FromArgs,
-    hazelyoke_lib::settings::PolicyKind,
     std::{fs, io::Write, path::PathBuf},
 };
 
 /// run experiments and print a table; one line of JSON a run goes to a file
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "run")]
-pub struct Run {
+pub struct RunExperiments {
     /// files with experiments, in JSON with comments
     #[argh(positional)]
-    experiments: Vec<PathBuf>,
+    files: Vec<PathBuf>,
 
     /// file to which a line of JSON is added for each run
     #[argh(option)]
@@ -32,43 +33,51 @@
     details: bool,
 }
 
-impl Run {
+impl RunExperiments {
     /// Runs the command; returns whether every promise was kept.
     ///
     /// # Errors
     ///
     /// Returns an error when an experiment is invalid or can't be run.
     pub async fn run(self) -> Result<bool> {
-        if self.experiments.is_empty() {
-            bail!("run needs an experiment; see bench/experiments");
-        }
-        let mut experiments = Vec::new();
-        for path in &self.experiments {
-            let name = path.display().to_string();
-            let bytes = fs::read(path).with_context(|| format!("can't read {name}"))?;
-            experiments.extend(Experiment::parse(&name, &bytes)?);
-        }
+        let experiments = self.read()?;
         if self.check {
             println!("{} experiments: fine", experiments.len());
             return Ok(true);
         }
         let mut reports = Vec::new();
-        for experiment in &experiments {
-            for (load, policy) in runs(experiment) {
-                eprintln!("{} at {load} under {policy}", experiment.name);
-                let report = report::run(experiment, policy, load, |_, _, _| {}).await?;
-                self.write(&report)?;
-                if self.details {
-                    print_details(&report);
-                }
-                reports.push(report);
+        for run in experiments.iter().flat_map(runs) {
+            let Run {
+                experiment,
+                policy,
+                load,
+            } = run;
+            eprintln!("{} at {load} under {policy}", experiment.name);
+            let report = run.run(|_| {}).await?;
+            self.write(&report)?;
+            if self.details {
+                print_details(&report);
             }
+            reports.push(report);
         }
         print_table(&reports);
-        Ok(reports.iter().all(report::Report::kept))
+        Ok(reports.iter().all(Report::kept))
+    }
+
+    fn read(&self) -> Result<Vec<Experiment>> {
+        if self.files.is_empty() {
+            bail!("run needs an experiment; see bench/experiments");
+        }
+        let mut experiments = Vec::new();
+        for path in &self.files {
+            let name = path.display().to_string();
+            let bytes = fs::read(path).with_context(|| format!("can't read {name}"))?;
+            experiments.extend(Experiment::parse(&name, &bytes)?);
+        }
+        Ok(experiments)
     }
 
-    fn write(&self, report: &report::Report) -> Result<()> {
+    fn write(&self, report: &Report) -> Result<()> {
         let Some(path) = &self.out else {
             return Ok(());
         };
@@ -82,8 +91,15 @@
     }
 }
 
-/// Every load under every policy.
-fn runs(experiment: &Experiment) -> impl Iterator<Item = (f64, PolicyKind)> {
+/// Returns a run at each load under each policy.
+fn runs(experiment: &Experiment) -> impl Iterator<Item = Run<'_>> {
     let loads = experiment.loads.iter();
-    loads.flat_map(|load| experiment.policies.iter().map(|policy| (*load, *policy)))
+    loads.flat_map(move |load| {
+        let policies = experiment.policies.iter();
+        policies.map(move |policy| Run {
+            experiment,
+            policy: *policy,
+            load: *load,
+        })
+    })
 }
--- a/bench/src/trees.rs
+++ b/bench/src/example_tree.rs
@@ -1,4 +1,7 @@
-//! The Bureau's example tree, built in, with addresses of stand-ins put in place of its own.
+//! The Bureau's example tree, built in.
+//!
+//! Owns the texts of its values, in which the addresses of stand-ins take the place of the written
+//! ones; what they mean is the library's to say.
 
 use {
     hazelyoke_lib::{
@@ -12,6 +15,9 @@
 /// Name of the tree's root value.
 pub const ROOT: &str = "tree.jsonc";
 
+/// Start of the root's settings, as the example writes it.
+const ROOT_SETTINGS: &str = "\"settings\": {";
+
 /// The tree's values by name.
 const EXAMPLE: [(&str, &str); 3] = [
     (ROOT, include_str!("../../examples/bureau/tree.jsonc")),
@@ -52,14 +58,10 @@
         }
     }
 
-    /// Adds settings at the root, before the ones that stand there.
+    /// Adds settings, as JSON fields, at the root before the ones that stand there.
     pub fn add_root_settings(&mut self, fields: &str) {
-        if let Some(root) = self.0.get_mut(ROOT)
-            && !fields.is_empty()
-        {
-            let written = "\"settings\": {";
-            *root = root.replacen(written, &format!("{written} {fields},"), 1);
-        }
+        let root = self.0.get_mut(ROOT).expect("the example has a root value");
+        *root = root.replacen(ROOT_SETTINGS, &format!("{ROOT_SETTINGS} {fields},"), 1);
     }
 
     /// Reads and checks the tree.
--- /dev/null
+++ b/bench/src/experiment/reader.rs
@@ -0,0 +1,311 @@
+//! Reads experiments from JSON with comments and checks them against the tree that they run.
+//!
+//! Every fault of a file becomes a finding with its place, so that one reading names all of them.
+//! Settings are the exception: they are checked together with the tree when a run starts.
+
+use {
+    super::{Experiment, LoadFactor, Phase, SharedContexts, Weights},
+    crate::{
+        example_tree::Values,
+        fault_plan::{EndpointFault, Fault, FaultKind, parse_damage},
+    },
+    hazelyoke_lib::{
+        document::{self, Field, ObjectReader, Value},
+        findings::{Findings, Place},
+        ids::{DataCentreId, ServiceId},
+        settings::PolicyKind,
+        tree::Tree,
+        units::{Count, Millis, Share},
+    },
+    std::{fmt::Display, str::FromStr},
+};
+
+/// Daemons of an experiment that names no number; chosen, not measured.
+const DAEMONS: Count = Count(6);
+
+/// Seed of an experiment that names none.
+const SEED: u64 = 1;
+
+/// Factor of a slow endpoint whose fault names none; chosen, not measured.
+const SLOWNESS: f64 = 10.0;
+
+/// Reads the experiments of a file: one, or one for each of its cases.
+///
+/// # Errors
+///
+/// Returns all findings with their places.
+pub fn read(file: &str, bytes: &[u8]) -> Result<Vec<Experiment>, Findings> {
+    let value = document::parse_bytes(file, bytes)?;
+    let tree = Values::example().tree()?;
+    let mut findings = Findings::default();
+    let experiments = read_root(file, value, &tree, &mut findings);
+    findings.into_result(experiments)
+}
+
+/// Reads all that a file holds; what can't be read stands as its default beside its finding.
+fn read_root(file: &str, value: Value, tree: &Tree, findings: &mut Findings) -> Vec<Experiment> {
+    let mut root = ObjectReader::new(file, value, findings);
+    let name = root.take_required::<String>("name");
+    let daemons = root.take_parsed::<Count>("daemons");
+    let seed = root.take_parsed::<u64>("seed");
+    let retries = root.take_parsed::<Count>("retries");
+    let shared_cache = root.take_parsed::<bool>("shared_cache");
+    let common = Experiment {
+        name: name.map_or_else(String::new, |(name, _)| name),
+        daemons: daemons.map_or(DAEMONS, |(daemons, _)| daemons),
+        policies: read_list(&mut root, "policies", PolicyKind::Estimated),
+        settings: read_settings(&mut root),
+        seed: seed.map_or(SEED, |(seed, _)| seed),
+        loads: read_list(&mut root, "loads", LoadFactor::CAPACITY),
+        phases: read_phases(&mut root),
+        mix: read_weights(&mut root, "mix", &target_names(tree)),
+        customers: read_weights(&mut root, "customers", &customer_names(tree)),
+        contexts: read_contexts(&mut root),
+        shared_cache: shared_cache.is_some_and(|(shared, _)| shared),
+        retries: retries.map_or(0, |(retries, _)| retries.0),
+        faults: read_faults(&mut root, tree),
+    };
+    let cases = root.take_list("cases");
+    let found = root.findings();
+    let cases: Vec<_> = cases
+        .into_iter()
+        .filter_map(|value| read_case(value, &common, tree, found))
+        .collect();
+    root.finish();
+    if cases.is_empty() {
+        vec![common]
+    } else {
+        cases
+    }
+}
+
+/// Reads a case: the experiment under a name and with faults of its own beside the common ones.
+fn read_case(
+    value: Value,
+    common: &Experiment,
+    tree: &Tree,
+    findings: &mut Findings,
+) -> Option<Experiment> {
+    let mut reader = ObjectReader::new("case", value, findings);
+    let name = reader.take_required::<String>("name");
+    let faults = read_faults(&mut reader, tree);
+    reader.finish();
+    let (name, _) = name?;
+    let mut case = common.clone();
+    case.name = format!("{}/{name}", common.name);
+    case.faults.extend(faults);
+    Some(case)
+}
+
+fn target_names(tree: &Tree) -> Vec<String> {
+    let pipelines = tree.pipelines.keys().map(ToString::to_string);
+    let services = tree.services.keys().map(ToString::to_string);
+    pipelines.chain(services).collect()
+}
+
+fn customer_names(tree: &Tree) -> Vec<String> {
+    tree.customers.keys().map(ToString::to_string).collect()
+}
+
+/// Reads a list of scalars; an empty or absent one holds `default` alone.
+fn read_list<T>(root: &mut ObjectReader<'_>, name: &'static str, default: T) -> Vec<T>
+where
+    T: FromStr<Err: Display>,
+{
+    let mut list = Vec::new();
+    for value in root.take_list(name) {
+        let text = document::scalar_text(&value).unwrap_or_else(|| value.kind.name().to_owned());
+        match text.parse() {
+            Ok(parsed) => list.push(parsed),
+            Err(error) => {
+                let message = format!("{name}: {error}");
+                let findings = root.findings();
+                findings.add(&value.place, name, message, "correct the value");
+            }
+        }
+    }
+    if list.is_empty() {
+        list.push(default);
+    }
+    list
+}
+
+fn read_settings(root: &mut ObjectReader<'_>) -> String {
+    let mut texts = Vec::new();
+    for Field { name, value, .. } in root.take_fields("settings") {
+        match document::scalar_text(&value) {
+            Some(text) => texts.push(format!("\"{name}\": \"{text}\"")),
+            None => {
+                let message = format!("{name}: expected a scalar, found {}", value.kind.name());
+                let findings = root.findings();
+                findings.add(&value.place, "settings", message, "correct the value");
+            }
+        }
+    }
+    texts.join(", ")
+}
+
+fn read_contexts(root: &mut ObjectReader<'_>) -> Option<SharedContexts> {
+    let value = root.take("context")?;
+    let mut reader = ObjectReader::new("context", value, root.findings());
+    let groups = reader.take_required::<Count>("groups");
+    let bytes = reader.take_required::<Count>("bytes");
+    reader.finish();
+    let ((groups, _), (bytes, _)) = (groups?, bytes?);
+    Some(SharedContexts { groups, bytes })
+}
+
+fn read_weights(root: &mut ObjectReader<'_>, name: &'static str, known: &[String]) -> Weights {
+    let place = root.place().clone();
+    let fields = root.take_fields(name);
+    let findings = root.findings();
+    let weights: Weights = fields
+        .into_iter()
+        .filter_map(|field| read_weight(field, name, known, findings))
+        .collect();
+    if weights.is_empty() {
+        let message = format!("{name} holds no weight");
+        findings.add(&place, name, message, "add some");
+    }
+    weights
+}
+
+fn read_weight(
+    Field { place, name, value }: Field,
+    list: &'static str,
+    known: &[String],
+    findings: &mut Findings,
+) -> Option<(String, f64)> {
+    if !known.contains(&name) {
+        let message = format!("unknown name {name:?}");
+        let hint = format!("use one of: {}", known.join(", "));
+        findings.add(&place, list, message, hint);
+    }
+    let weight = document::scalar_text(&value).and_then(|text| text.parse().ok());
+    let positive = weight.filter(|weight| *weight > 0.0 && f64::is_finite(*weight));
+    if positive.is_none() {
+        let message = "the weight is no number above zero";
+        findings.add(&value.place, list, message, "correct the weight");
+    }
+    Some((name, positive?))
+}
+
+fn read_phases(root: &mut ObjectReader<'_>) -> Vec<Phase> {
+    let place = root.place().clone();
+    let values = root.take_list("phases");
+    let findings = root.findings();
+    let phases: Vec<_> = values
+        .into_iter()
+        .filter_map(|value| read_phase(value, findings))
+        .collect();
+    if phases.is_empty() {
+        findings.add(&place, "phases", "there is no phase", "add \"phases\"");
+    }
+    phases
+}
+
+fn read_phase(value: Value, findings: &mut Findings) -> Option<Phase> {
+    let mut reader = ObjectReader::new("phase", value, findings);
+    let lasts = reader.take_required::<Millis>("lasts");
+    let load = reader.take_parsed::<LoadFactor>("of_capacity");
+    let counted = reader.take_parsed::<bool>("counted");
+    reader.finish();
+    let (lasts, _) = lasts?;
+    Some(Phase {
+        lasts: lasts.to_duration(),
+        load: load.map(|(load, _)| load),
+        counted: counted.is_none_or(|(counted, _)| counted),
+    })
+}
+
+fn read_faults(owner: &mut ObjectReader<'_>, tree: &Tree) -> Vec<Fault> {
+    let values = owner.take_list("faults");
+    let findings = owner.findings();
+    let faults = values.into_iter();
+    faults
+        .filter_map(|value| read_fault(value, tree, findings))
+        .collect()
+}
+
+fn read_fault(value: Value, tree: &Tree, findings: &mut Findings) -> Option<Fault> {
+    let mut reader = ObjectReader::new("fault", value, findings);
+    let kind = reader.take_required::<String>("kind");
+    let from = reader.take_required::<Millis>("from");
+    let until = reader.take_parsed::<Millis>("until");
+    let kind = kind.and_then(|(kind, place)| read_kind(&mut reader, tree, &kind, &place));
+    reader.finish();
+    let (from, _) = from?;
+    Some(Fault {
+        kind: kind?,
+        from: from.to_duration(),
+        until: until.map(|(until, _)| until.to_duration()),
+    })
+}
+
+/// Reads the fields that a kind of fault has of its own.
+fn read_kind(
+    reader: &mut ObjectReader<'_>,
+    tree: &Tree,
+    kind: &str,
+    place: &Place,
+) -> Option<FaultKind> {
+    match kind {
+        "config_silent" => Some(FaultKind::ConfigSilent),
+        "data_centre" => read_centre(reader, tree).map(FaultKind::DataCentre),
+        _ => {
+            let service = read_service(reader, tree);
+            let count = reader.take_parsed::<Count>("count");
+            Some(FaultKind::Endpoints {
+                fault: read_endpoint_fault(reader, kind, place)?,
+                service: service?,
+                count: count.map_or(Count(1), |(count, _)| count),
+            })
+        }
+    }
+}
+
+fn read_centre(reader: &mut ObjectReader<'_>, tree: &Tree) -> Option<DataCentreId> {
+    let (centre, place) = reader.take_required::<DataCentreId>("data_centre")?;
+    if !tree.data_centres.contains(&centre) {
+        let message = format!("unknown data centre \"{centre}\"");
+        let findings = reader.findings();
+        findings.add(&place, "fault", message, "correct it");
+    }
+    Some(centre)
+}
+
+fn read_service(reader: &mut ObjectReader<'_>, tree: &Tree) -> Option<ServiceId> {
+    let (service, place) = reader.take_required::<ServiceId>("service")?;
+    if !tree.services.contains_key(&service) {
+        let message = format!("unknown service \"{service}\"");
+        let findings = reader.findings();
+        findings.add(&place, "fault", message, "correct it");
+    }
+    Some(service)
+}
+
+fn read_endpoint_fault(
+    reader: &mut ObjectReader<'_>,
+    kind: &str,
+    place: &Place,
+) -> Option<EndpointFault> {
+    let fault = match kind {
+        "death" => EndpointFault::Death,
+        "frozen_reports" => EndpointFault::FrozenReports,
+        "slow" => {
+            let factor = reader.take_parsed::<f64>("factor");
+            EndpointFault::Slow(factor.map_or(SLOWNESS, |(factor, _)| factor))
+        }
+        _ => {
+            let Some(damage) = parse_damage(kind) else {
+                let hint = "see bench/experiments for the kinds";
+                let findings = reader.findings();
+                findings.add(place, "fault", format!("unknown kind {kind:?}"), hint);
+                return None;
+            };
+            let share = reader.take_parsed::<f64>("share");
+            EndpointFault::Damage(damage, Share(share.map_or(1.0, |(share, _)| share)))
+        }
+    };
+    Some(fault)
+}
--- /dev/null
+++ b/bench/src/fault_injector.rs
@@ -0,0 +1,95 @@
+//! Carries out the faults of an experiment when they are due.
+//!
+//! Owns the order of the moments at which faults begin and end; replicas and the configuration
+//! service do the misbehaving.
+
+use {
+    crate::{
+        fault_plan::{EndpointFault, Fault, FaultKind},
+        installation::Installation,
+        replica::Replica,
+    },
+    anyhow::Result,
+    hazelyoke_lib::units::Share,
+    std::time::Duration,
+    tokio::time::{Instant, sleep_until},
+};
+
+/// Slowness of an endpoint without a fault.
+const USUAL_SPEED: f64 = 1.0;
+
+/// Share of damaged replies of an endpoint without a fault.
+const NO_DAMAGE: Share = Share(0.0);
+
+/// A time at which a fault begins or ends.
+struct Moment<'f> {
+    at: Duration,
+    kind: &'f FaultKind,
+    begins: bool,
+}
+
+/// Carries all faults out, each at its time after `start`.
+///
+/// # Errors
+///
+/// Returns an error when an endpoint that had ended can't be started again.
+pub async fn run(faults: &[Fault], installation: &Installation, start: Instant) -> Result<()> {
+    for Moment { at, kind, begins } in moments(faults) {
+        sleep_until(start + at).await;
+        if let FaultKind::ConfigSilent = kind {
+            installation.config.silence(begins);
+        }
+        for replica in targets(kind, installation) {
+            set(replica, kind, begins).await?;
+        }
+    }
+    Ok(())
+}
+
+/// Returns all moments in the order of their times.
+fn moments(faults: &[Fault]) -> Vec<Moment<'_>> {
+    let mut moments = Vec::new();
+    for Fault { kind, from, until } in faults {
+        let moment = |at, begins| Moment { at, kind, begins };
+        moments.push(moment(*from, true));
+        moments.extend(until.map(|until| moment(until, false)));
+    }
+    moments.sort_by_key(|moment| moment.at);
+    moments
+}
+
+fn targets<'i>(kind: &FaultKind, installation: &'i Installation) -> Vec<&'i Replica> {
+    let replicas = installation.replicas.iter();
+    match kind {
+        FaultKind::Endpoints { service, count, .. } => replicas
+            .filter(|replica| replica.service.id == *service)
+            .take(count.0 as usize)
+            .collect(),
+        FaultKind::DataCentre(centre) => replicas
+            .filter(|replica| replica.spec.data_centre == *centre)
+            .collect(),
+        FaultKind::ConfigSilent => Vec::new(),
+    }
+}
+
+/// Begins or ends a fault at one replica.
+async fn set(replica: &Replica, kind: &FaultKind, begins: bool) -> Result<()> {
+    let fault = match kind {
+        FaultKind::Endpoints { fault, .. } => *fault,
+        FaultKind::DataCentre(_) => EndpointFault::Death,
+        FaultKind::ConfigSilent => return Ok(()),
+    };
+    let endpoint = replica.current();
+    let faults = &endpoint.faults;
+    match fault {
+        EndpointFault::Slow(factor) => faults.slow_down(if begins { factor } else { USUAL_SPEED }),
+        EndpointFault::Damage(damage, share) => {
+            let share = if begins { share } else { NO_DAMAGE };
+            faults.damage(damage, share.0);
+        }
+        EndpointFault::FrozenReports => faults.freeze_report(begins),
+        EndpointFault::Death if begins => replica.kill(),
+        EndpointFault::Death => replica.start().await?,
+    }
+    Ok(())
+}
--- a/bench/src/installation.rs
+++ b/bench/src/installation.rs
@@ -1,95 +1,48 @@
-//! A whole installation on loopback: stand-ins for every endpoint of a tree, several daemons.
+//! A whole installation on loopback: stand-ins for every endpoint of the tree, and several daemons.
+//!
+//! Owns everything that a run starts; dropping it ends all of it.
 
 use {
     crate::{
+        example_tree::{ROOT, Values},
         experiment::Experiment,
-        model::{engine_model, plain_model},
-        trees::{ROOT, Values},
+        model::engine_model,
+        replica::{Replica, SharedState},
     },
-    anyhow::{Context, Result},
+    anyhow::Result,
     hazelyoke_lib::{
         api::ApiLimits,
         daemon::Daemon,
         daemon_settings::{ConfigSettings, DaemonSettings},
-        tree::{EndpointSpec, Service, ServiceKind, Tree},
+        tree::{Service, Tree},
         units::{ByteSize, Count, Millis},
     },
     hazelyoke_testutils::{
         config_service::ConfigService,
-        endpoint::{Endpoint, EndpointServer},
         engine::{self, SharedCache},
         fixture::{any_address, start_daemon},
         http_client::Caller,
-        plain,
-    },
-    std::{
-        collections::BTreeMap,
-        net::SocketAddr,
-        sync::{Arc, Mutex},
+        plain::Answers,
     },
+    std::{collections::BTreeMap, net::SocketAddr, sync::Arc},
+    tokio::net::TcpListener,
 };
 
-/// One stand-in endpoint with what is needed to start it again.
-#[derive(Debug)]
-pub struct Slot {
-    /// Service that it belongs to.
-    pub service: Arc<Service>,
-    /// Its entry in the tree.
-    pub spec: Arc<EndpointSpec>,
-    address: SocketAddr,
-    server: Mutex<Option<EndpointServer>>,
-    /// States of all its lives, the last one last.
-    lives: Mutex<Vec<Arc<Endpoint>>>,
-    answers: plain::Answers,
-    cache: Option<SharedCache>,
-}
+/// Time between two readings of the tree's root value; chosen, not measured.
+const POLL: Millis = Millis(500);
 
-impl Slot {
-    /// Ends the endpoint's process.
-    pub fn kill(&self) {
-        self.server.lock().expect("no panic while held").take();
-    }
+/// Network time that daemons count for a call; chosen, not measured: an upper bound on loopback.
+const HOP: Millis = Millis(1);
 
-    /// Starts the endpoint's process on its address.
-    ///
-    /// # Errors
-    ///
-    /// Returns an error when the address can't be bound.
-    pub async fn start(&self) -> Result<()> {
-        let server = match &self.service.kind {
-            ServiceKind::Plain => {
-                let name = self.service.id.as_str();
-                let model = plain_model(&self.service);
-                plain::start_sharing(name, self.address, model, self.answers.clone()).await
-            }
-            ServiceKind::Engine { model } => {
-                let times = engine_model(&self.service);
-                let cache = self.cache.clone();
-                let cache = cache.unwrap_or_else(|| engine::new_cache(&times));
-                engine::start_sharing(model, self.address, times, cache).await
-            }
-        };
-        let server = server.with_context(|| format!("can't start {}", self.spec.id))?;
-        let life = server.endpoint.clone();
-        self.lives.lock().expect("no panic while held").push(life);
-        *self.server.lock().expect("no panic while held") = Some(server);
-        Ok(())
-    }
+/// Time between two load reports of an endpoint; chosen, not measured.
+const LOAD_INTERVAL: Millis = Millis(100);
 
-    /// Returns the states of all lives.
-    pub fn lives(&self) -> Vec<Arc<Endpoint>> {
-        self.lives.lock().expect("no panic while held").clone()
-    }
-
-    /// Returns the state of the latest life.
-    pub fn current(&self) -> Option<Arc<Endpoint>> {
-        self.lives
-            .lock()
-            .expect("no panic while held")
-            .last()
-            .cloned()
-    }
-}
+/// Limits of the callers' interface; chosen, not measured, so that no experiment meets them.
+const LIMITS: ApiLimits = ApiLimits {
+    requests: Count(5_000),
+    headers: ByteSize(16 << 10),
+    receive: Millis(5_000),
+};
 
 /// A running installation.
 pub struct Installation {
@@ -98,7 +51,7 @@
     /// The configuration service.
     pub config: ConfigService,
     /// All endpoints.
-    pub slots: Vec<Arc<Slot>>,
+    pub replicas: Vec<Replica>,
     /// All daemons.
     pub daemons: Vec<Daemon>,
     /// A caller of each daemon.
@@ -115,47 +68,37 @@
         let mut values = Values::example();
         values.add_root_settings(root_settings);
         let written = values.tree()?;
-        let mut replacements = BTreeMap::new();
-        let mut slots = Vec::new();
+        let mut replicas = Vec::new();
+        let mut addresses = BTreeMap::new();
         for service in written.services.values() {
-            let answers = plain::Answers::default();
-            let cache = experiment.shared_cache.then(|| shared_cache(service));
+            let shared = shared_state(service, experiment);
             for spec in &service.endpoints {
                 let address = free_address().await?;
-                replacements.insert(spec.address, address);
-                let slot = Slot {
-                    service: service.clone(),
-                    spec: spec.clone(),
-                    address,
-                    server: Mutex::new(None),
-                    lives: Mutex::new(Vec::new()),
-                    answers: answers.clone(),
-                    cache: cache.clone(),
-                };
-                slot.start().await?;
-                slots.push(Arc::new(slot));
+                addresses.insert(spec.address, address);
+                let (service, shared) = (service.clone(), shared.clone());
+                replicas.push(Replica::launch(service, spec.clone(), address, shared).await?);
             }
         }
-        values.replace_addresses(&replacements);
-        let config = ConfigService::start().await?;
-        for (name, text) in &values.0 {
-            config.publish(name, text.clone());
-        }
-        let tree = Arc::new(values.tree()?);
+        values.replace_addresses(&addresses);
         let mut installation = Self {
-            tree,
-            config,
-            slots,
+            tree: Arc::new(values.tree()?),
+            config: publish(&values).await?,
+            replicas,
             daemons: Vec::new(),
             callers: Vec::new(),
         };
-        for i in 0..experiment.daemons {
-            let settings = installation.daemon_settings(i)?;
+        installation.start_daemons(experiment.daemons).await?;
+        Ok(installation)
+    }
+
+    async fn start_daemons(&mut self, count: Count) -> Result<()> {
+        for index in 0..count.0 as usize {
+            let settings = self.daemon_settings(index)?;
             let (daemon, caller) = start_daemon(settings).await;
-            installation.daemons.push(daemon);
-            installation.callers.push(caller);
+            self.daemons.push(daemon);
+            self.callers.push(caller);
         }
-        Ok(installation)
+        Ok(())
     }
 
     fn daemon_settings(&self, index: usize) -> Result<DaemonSettings> {
@@ -167,21 +110,32 @@
             config: ConfigSettings {
                 address: self.config.address(),
                 tree: ROOT.to_owned(),
-                poll: Millis(500),
-            },
-            hop: Millis(1),
-            load_interval: Millis(100),
-            limits: ApiLimits {
-                requests: Count(5_000),
-                headers: ByteSize(16 << 10),
-                receive: Millis(5_000),
+                poll: POLL,
             },
+            hop: HOP,
+            load_interval: LOAD_INTERVAL,
+            limits: LIMITS,
             stop_grace: Millis(0),
             traces: None,
         })
     }
 }
 
+async fn publish(values: &Values) -> Result<ConfigService> {
+    let config = ConfigService::start().await?;
+    for (name, text) in &values.0 {
+        config.publish(name, text.clone());
+    }
+    Ok(config)
+}
+
+fn shared_state(service: &Service, experiment: &Experiment) -> SharedState {
+    SharedState {
+        answers: Answers::default(),
+        cache: experiment.shared_cache.then(|| shared_cache(service)),
+    }
+}
+
 /// One cache with the room of all engines of a service together.
 fn shared_cache(service: &Service) -> SharedCache {
     let mut times = engine_model(service);
@@ -190,7 +144,9 @@
 }
 
 /// Finds a free port and gives it back, so that an endpoint can come back on the same one.
+///
+/// Another program may take the port before the endpoint does; starting the endpoint fails then.
 async fn free_address() -> Result<SocketAddr> {
-    let listener = tokio::net::TcpListener::bind(any_address()).await?;
+    let listener = TcpListener::bind(any_address()).await?;
     Ok(listener.local_addr()?)
 }
--- a/bench/src/load.rs
+++ b/bench/src/load.rs
@@ -1,12 +1,18 @@
 //! Open-loop load: requests come when they are due, whether or not earlier ones are done.
+//!
+//! Owns the arrivals of a run and the draw of each request; callers perform them.
 
 use {
     crate::{
-        caller::{Order, Outcome, carry_out},
-        experiment::{Context, Experiment},
+        caller::{Outcome, PlannedRequest},
+        experiment::{Experiment, LoadFactor, SharedContexts, Weighted, WeightedChoice},
+        installation::Installation,
         model,
     },
-    hazelyoke_lib::tree::{Pipeline, Tree},
+    hazelyoke_lib::{
+        tree::{Pipeline, Tree},
+        units::Rate,
+    },
     hazelyoke_testutils::{expect::Step, http_client::Caller},
     rand::{RngExt, SeedableRng, rngs::SmallRng},
     std::{sync::Arc, time::Duration},
@@ -16,176 +22,149 @@
     },
 };
 
-/// Least requests a second, so that a run at no load ends.
-const MIN_RATE: f64 = 0.1;
+/// Least rate of requests; chosen, not measured, so that a run at no load ends.
+const MIN_RATE: Rate = Rate(0.1);
+
+/// Places between the most likely shared context and the one half as likely; chosen, not measured.
+const CONTEXT_SKEW: u32 = 4;
 
-/// Draws values by weight.
-struct Draw<V> {
-    values: Vec<(V, f64)>,
-    total: f64,
+/// An outcome with the time at which its request was due.
+#[derive(Debug)]
+pub struct TimedOutcome {
+    /// Time since the start of the run.
+    pub at: Duration,
+    /// The outcome.
+    pub outcome: Outcome,
 }
 
-impl<V: Clone> Draw<V> {
-    fn new(values: Vec<(V, f64)>) -> Self {
-        Self {
-            total: values.iter().map(|(_, weight)| weight).sum(),
-            values,
-        }
+/// Runs the load at `factor` times the capacity, but for phases that have a load of their own, and
+/// hands each outcome over when it is known.
+pub async fn run(
+    installation: &Installation,
+    experiment: &Experiment,
+    factor: LoadFactor,
+    outcomes: mpsc::UnboundedSender<TimedOutcome>,
+) {
+    let capacity = model::capacity(&installation.tree, &experiment.mix);
+    let mut rng = SmallRng::seed_from_u64(experiment.seed);
+    let mut requests = RequestSource::new(&installation.tree, experiment);
+    let callers: Arc<[Caller]> = installation.callers.clone().into();
+    let start = Instant::now();
+    let mut at = Duration::ZERO;
+    while let Some(phase) = experiment.phase(at) {
+        let rate = phase.load.unwrap_or(factor).rate(capacity);
+        at = next_arrival(at, rate, &mut rng);
+        let due = start + at;
+        let request = requests.draw(&mut rng);
+        let first = rng.random_range(0..callers.len());
+        sleep_until(due).await;
+        let callers = callers.clone();
+        let outcomes = outcomes.clone();
+        tokio::spawn(async move {
+            let outcome = request.perform(&callers, first, due).await;
+            // Nobody receives any more only if the run was given up with an error of its own.
+            let _ = outcomes.send(TimedOutcome { at, outcome });
+        });
     }
+}
 
-    fn draw(&self, rng: &mut SmallRng) -> V {
-        let mut point = rng.random_range(0.0..self.total);
-        for (value, weight) in &self.values {
-            if point < *weight {
-                return value.clone();
-            }
-            point -= weight;
-        }
-        self.values[self.values.len() - 1].0.clone()
-    }
+/// Returns when the next request is due after `at`, with exponential gaps.
+fn next_arrival(at: Duration, rate: Rate, rng: &mut SmallRng) -> Duration {
+    let uniform: f64 = rng.random_range(f64::EPSILON..1.0);
+    at + Duration::from_secs_f64(-uniform.ln() / rate.0.max(MIN_RATE.0))
 }
 
 /// A pipeline, or a service that is called directly.
-#[derive(Clone)]
+#[derive(Debug, Clone)]
 struct Target {
     name: Arc<str>,
     path: Arc<str>,
     pipeline: Arc<Pipeline>,
-    steps: Arc<Vec<Step>>,
+    steps: Arc<[Step]>,
     keyed: bool,
 }
 
-fn target(tree: &Tree, name: &str, steps: Vec<Step>) -> Target {
-    let service = name.parse().ok();
-    let service = service.and_then(|id| tree.services.get(&id));
-    let pipeline = name.parse().ok();
-    let pipeline = pipeline.and_then(|id| tree.pipelines.get(&id));
-    let (path, pipeline) = match (pipeline, service) {
-        (Some(pipeline), _) => (format!("/v1/pipelines/{name}"), pipeline.clone()),
-        (None, Some(service)) => {
-            let call = Tree::service_call(service);
-            (format!("/v1/services/{name}"), Arc::new(call))
+impl Target {
+    /// Finds a target by its name, which the reader of experiments has checked.
+    fn find(tree: &Tree, name: &str) -> Self {
+        let pipeline = name.parse().ok().and_then(|id| tree.pipelines.get(&id));
+        let (path, pipeline) = match pipeline {
+            Some(pipeline) => (format!("/v1/pipelines/{name}"), pipeline.clone()),
+            None => {
+                let service = name.parse().ok().and_then(|id| tree.services.get(&id));
+                let service = service.expect("the experiment's targets were checked");
+                let call = Tree::service_call(service);
+                (format!("/v1/services/{name}"), Arc::new(call))
+            }
+        };
+        let mut stages = pipeline.stages.iter();
+        Self {
+            name: name.into(),
+            path: path.into(),
+            keyed: stages.any(|stage| !stage.settings.repeatable.value),
+            steps: model::steps(tree, &pipeline).into(),
+            pipeline,
         }
-        (None, None) => unreachable!("the experiment's names were checked"),
-    };
-    let mut stages = pipeline.stages.iter();
-    Target {
-        name: name.into(),
-        path: path.into(),
-        keyed: stages.any(|stage| !stage.settings.repeatable.value),
-        pipeline,
-        steps: Arc::new(steps),
     }
 }
 
-/// Makes orders by the experiment's mix.
-struct Orders<'e> {
+/// Draws requests by the experiment's weights.
+struct RequestSource<'e> {
     tree: &'e Tree,
-    experiment: &'e Experiment,
-    targets: Draw<Target>,
-    customers: Draw<Arc<str>>,
-    contexts: Option<Draw<Arc<str>>>,
-    next: u64,
+    targets: WeightedChoice<Target>,
+    customers: WeightedChoice<Arc<str>>,
+    contexts: Option<WeightedChoice<Arc<str>>>,
+    retries: u32,
+    drawn: u64,
 }
 
-impl<'e> Orders<'e> {
-    fn new(tree: &'e Tree, experiment: &'e Experiment) -> Self {
-        let mut steps = model::steps(tree);
-        let mix = experiment.mix.iter();
-        let targets = mix.map(|(name, weight)| {
-            let steps = steps.remove(name).unwrap_or_default();
-            (target(tree, name, steps), *weight)
-        });
-        let customers = experiment.customers.iter();
-        let customers = customers.map(|(name, weight)| (name.as_str().into(), *weight));
+impl<'e> RequestSource<'e> {
+    fn new(tree: &'e Tree, experiment: &Experiment) -> Self {
         Self {
             tree,
-            experiment,
-            targets: Draw::new(targets.collect()),
-            customers: Draw::new(customers.collect()),
-            contexts: experiment.context.as_ref().map(contexts),
-            next: 0,
+            targets: experiment.mix.choice(|name| Target::find(tree, name)),
+            customers: experiment.customers.choice(|name| name.into()),
+            contexts: experiment.contexts.map(contexts),
+            retries: experiment.retries,
+            drawn: 0,
         }
     }
 
-    fn order(&mut self, rng: &mut SmallRng) -> Order {
+    fn draw(&mut self, rng: &mut SmallRng) -> PlannedRequest {
         let target = self.targets.draw(rng);
         let customer = self.customers.draw(rng);
-        self.next += 1;
-        let deadline = self.deadline(&target, &customer);
-        Order {
-            number: self.next,
-            path: target.path.clone(),
-            target: target.name.clone(),
-            context: self
-                .contexts
-                .as_ref()
-                .map_or("".into(), |draw| draw.draw(rng)),
-            steps: target.steps.clone(),
+        self.drawn += 1;
+        PlannedRequest {
+            number: self.drawn,
+            deadline: self.deadline(&target, &customer),
+            path: target.path,
+            target: target.name,
+            context: self.contexts.as_ref().map(|contexts| contexts.draw(rng)),
             customer,
-            deadline,
+            steps: target.steps,
             keyed: target.keyed,
-            repeat: self.experiment.repeat,
+            retries: self.retries,
         }
     }
 
     fn deadline(&self, target: &Target, customer: &str) -> Duration {
         let owner = customer.parse().ok();
         let owner = owner.and_then(|id| self.tree.customers.get(&id));
-        let owner = owner.expect("the experiment's names were checked");
+        let owner = owner.expect("the experiment's customers were checked");
         let settings = self.tree.request_settings(owner, &target.pipeline);
         settings.deadline.value.to_duration()
     }
 }
 
-/// Beginnings of prompts: each one's text is its own.
-fn contexts(context: &Context) -> Draw<Arc<str>> {
-    let text = |group: u32| -> Arc<str> {
+/// Builds the shared beginnings of prompts; each one's text is its own.
+fn contexts(SharedContexts { groups, bytes }: SharedContexts) -> WeightedChoice<Arc<str>> {
+    let context = |group: u32| {
         let word = format!("case-{group:06} ");
-        let times = context.bytes as usize / word.len() + 1;
-        word.repeat(times).into()
+        let times = bytes.0 as usize / word.len() + 1;
+        Weighted {
+            value: Arc::from(word.repeat(times)),
+            weight: 1.0 / f64::from(group + CONTEXT_SKEW),
+        }
     };
-    let weight = |group: u32| 1.0 / f64::from(group + 4);
-    Draw::new(
-        (0..context.groups)
-            .map(|group| (text(group), weight(group)))
-            .collect(),
-    )
-}
-
-/// Returns when the next request is due after `at`, at a rate of requests a second.
-fn next_arrival(at: Duration, rate: f64, rng: &mut SmallRng) -> Duration {
-    let uniform: f64 = rng.random_range(f64::EPSILON..1.0);
-    at + Duration::from_secs_f64(-uniform.ln() / rate.max(MIN_RATE))
-}
-
-/// Runs the load and hands each outcome over when it is known.
-pub async fn run(
-    tree: Arc<Tree>,
-    callers: Vec<Caller>,
-    experiment: &Experiment,
-    swept: f64,
-    outcomes: mpsc::UnboundedSender<(Duration, Outcome)>,
-) {
-    let capacity = model::capacity(&tree, &experiment.mix);
-    let mut rng = SmallRng::seed_from_u64(experiment.seed);
-    let mut orders = Orders::new(&tree, experiment);
-    let callers: Arc<[Caller]> = callers.into();
-    let start = Instant::now();
-    let mut at = Duration::ZERO;
-    while let Some(phase) = experiment.phase(at) {
-        at = next_arrival(at, phase.load.rate(capacity, swept), &mut rng);
-        let due = start + at;
-        let order = orders.order(&mut rng);
-        let first = rng.random_range(0..callers.len());
-        sleep_until(due).await;
-        let callers = callers.clone();
-        let outcomes = outcomes.clone();
-        let arrived = at;
-        tokio::spawn(async move {
-            let outcome = carry_out(&callers, order, first, due).await;
-            // The run may have been given up.
-            let _ = outcomes.send((arrived, outcome));
-        });
-    }
+    (0..groups.0).map(context).collect()
 }
--- a/bench/src/main.rs
+++ b/bench/src/main.rs
@@ -1,17 +1,23 @@
 //! The load and experiment tool of hazelyoke.
+//!
+//! It runs the daemon that reads a settings tree, and the naive policy beside it, under load and
+//! faults that the users' bench can't play; that bench plays the forwarding daemon.
 
 mod caller;
 mod commands;
+mod example_tree;
 mod experiment;
+mod fault_injector;
 mod fault_plan;
-mod faults;
 mod installation;
 mod load;
 mod model;
 mod observer;
+mod replica;
 mod report;
+mod report_table;
+mod runner;
 mod tally;
-mod trees;
 
 use {anyhow::Result, argh::FromArgs, std::process::ExitCode};
 
--- a/bench/src/model.rs
+++ b/bench/src/model.rs
@@ -1,25 +1,34 @@
-//! Times of the stand-ins, taken from the tree, and the capacity that follows from them.
+//! Times of the stand-ins, worked out from the tree, and the capacity that follows from them.
+//!
+//! The factors make stand-ins a plausible multiple slower than the floors that the tree promises.
 
 use {
-    hazelyoke_lib::tree::{Pipeline, Service, ServiceKind, Stage, Tree},
+    crate::experiment::Weights,
+    hazelyoke_lib::{
+        settings::Guard,
+        tree::{Pipeline, Service, ServiceKind, Stage, Tree},
+        units::Rate,
+    },
     hazelyoke_testutils::{engine::EngineModel, expect::Step, plain::PlainModel},
     std::{collections::BTreeMap, time::Duration},
 };
 
-/// Factor from a service's floor to the usual time of a call.
+/// Factor from a service's floor to the usual time of a call; chosen, not measured.
 const USUAL: f64 = 3.0;
 
-/// Factor from an engine's floor to the time of a generation alone on it.
+/// Factor from an engine's floor to the time of a generation alone on it; chosen, not measured.
 const ALONE: f64 = 2.0;
 
-/// Slowing of each sequence by a full batch.
+/// Share by which a full batch slows each sequence down; chosen, not measured.
 const BATCH_COST: f64 = 0.5;
 
-/// Time of an engine's prefill for one byte, and blocks that its prefix cache holds.
+/// Time of an engine's prefill for one byte; chosen, not measured.
 const PREFILL_BYTE: Duration = Duration::from_micros(25);
+
+/// Blocks that an engine's prefix cache holds; chosen, not measured.
 const CACHE_BLOCKS: usize = 400;
 
-/// Usual size of an engine's input in bytes, for its capacity.
+/// Bytes of an engine's usual input, for its capacity; chosen, not measured.
 const INPUT_BYTES: u32 = 30;
 
 /// Model of a plain service's endpoint.
@@ -28,7 +37,7 @@
     PlainModel {
         usual: settings.floor.value.to_duration().mul_f64(USUAL),
         slots: settings.slots.value.0,
-        checks_keys: settings.guard.value == hazelyoke_lib::settings::Guard::Endpoint,
+        checks_keys: settings.guard.value == Guard::Endpoint,
     }
 }
 
@@ -46,65 +55,53 @@
     }
 }
 
-/// Calls a second that one endpoint of a service can take.
-fn endpoint_rate(service: &Service) -> f64 {
+/// Returns the rate of calls that one endpoint of a service can take.
+fn endpoint_rate(service: &Service) -> Rate {
     match service.kind {
         ServiceKind::Plain => {
             let model = plain_model(service);
-            f64::from(model.slots) / model.usual.as_secs_f64()
+            Rate(f64::from(model.slots) / model.usual.as_secs_f64())
         }
         ServiceKind::Engine { .. } => {
             let model = engine_model(service);
             let token = model.token.mul_f64(1.0 + model.batch_cost);
             let whole: Duration = token * model.tokens + model.prefill_byte * INPUT_BYTES;
-            f64::from(model.batch) / whole.as_secs_f64()
+            Rate(f64::from(model.batch) / whole.as_secs_f64())
         }
     }
 }
 
-/// Requests a second at which the busiest service is full, for a mix of pipelines.
-pub fn capacity(tree: &Tree, mix: &BTreeMap<String, f64>) -> f64 {
-    let total: f64 = mix.values().sum();
-    let mut demand: BTreeMap<_, f64> = BTreeMap::new();
-    let calls: Vec<_> = tree
-        .services
-        .values()
-        .map(|service| Tree::service_call(service))
-        .collect();
-    let pipelines = tree.pipelines.values().map(|pipeline| &**pipeline);
-    for pipeline in pipelines.chain(&calls) {
-        let share = mix.get(pipeline.id.as_str()).copied().unwrap_or(0.0) / total;
-        for stage in &pipeline.stages {
-            *demand.entry(&stage.service).or_default() += share;
+/// Returns the rate of requests at which the busiest service is full, for a mix of targets.
+pub fn capacity(tree: &Tree, mix: &Weights) -> Rate {
+    let mut calls: BTreeMap<_, f64> = BTreeMap::new();
+    for target in targets(tree) {
+        let share = mix.share(target.id.as_str());
+        for stage in target.stages {
+            *calls.entry(stage.service).or_default() += share;
         }
     }
-    let rates = demand
+    let rates = calls
         .iter()
         .filter(|(_, calls)| **calls > 0.0)
         .map(|(name, calls)| {
-            let service = &tree.services[*name];
-            endpoint_rate(service) * service.endpoints.len() as f64 / calls
+            let service = &tree.services[name];
+            endpoint_rate(service).0 * service.endpoints.len() as f64 / calls
         });
-    rates.fold(f64::INFINITY, f64::min)
+    Rate(rates.fold(f64::INFINITY, f64::min))
+}
+
+/// Returns all targets: each service as a pipeline of one stage, and all pipelines.
+fn targets(tree: &Tree) -> impl Iterator<Item = Pipeline> {
+    let services = tree.services.values();
+    let pipelines = tree.pipelines.values();
+    let calls = services.map(|service| Tree::service_call(service));
+    calls.chain(pipelines.map(|pipeline| Pipeline::clone(pipeline)))
 }
 
-/// Steps of each pipeline, and of each service called directly, for the expected answers.
-pub fn steps(tree: &Tree) -> BTreeMap<String, Vec<Step>> {
-    let pipelines = tree
-        .pipelines
-        .values()
-        .map(|pipeline| Pipeline::clone(pipeline));
-    let calls = tree
-        .services
-        .values()
-        .map(|service| Tree::service_call(service));
-    calls
-        .chain(pipelines)
-        .map(|pipeline| {
-            let steps = pipeline.stages.iter().map(|stage| step(tree, stage));
-            (pipeline.id.to_string(), steps.collect())
-        })
-        .collect()
+/// Returns the steps of a target, for its expected answers.
+pub fn steps(tree: &Tree, target: &Pipeline) -> Vec<Step> {
+    let stages = target.stages.iter();
+    stages.map(|stage| step(tree, stage)).collect()
 }
 
 fn step(tree: &Tree, stage: &Stage) -> Step {
--- a/bench/src/observer.rs
+++ b/bench/src/observer.rs
@@ -3,28 +3,45 @@
 use {
     crate::{
         caller::{Ending, Outcome},
-        installation::Slot,
+        replica::Replica,
     },
+    serde::Serialize,
     std::{
         collections::{BTreeMap, BTreeSet},
-        sync::Arc,
+        fmt,
     },
 };
 
-/// Promises that were broken; all zero in a good run.
-#[derive(Debug, Clone, Copy, Default, PartialEq, Eq, serde::Serialize)]
+/// Broken promises by kind; all zero in a good run.
+#[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize)]
 pub struct Breaches {
     /// Answers that weren't the request's own.
     pub wrong: u64,
-    /// Requests told `not_run` of which something ran.
+    /// Requests that callers were told weren't run, of which something ran.
     pub false_not_run: u64,
     /// Calls that may not be repeated and ran more than once under one key.
-    pub doubled: u64,
-    /// Requests without any final answer.
+    pub run_twice: u64,
+    /// Attempts without any final answer.
     pub unanswered: u64,
 }
 
-/// What the observer remembers of the callers.
+impl Breaches {
+    /// Returns the number of broken promises of all kinds.
+    pub fn total(&self) -> u64 {
+        self.wrong + self.false_not_run + self.run_twice + self.unanswered
+    }
+}
+
+impl fmt::Display for Breaches {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        writeln!(f, "false not_run: {}", self.false_not_run)?;
+        writeln!(f, "run twice: {}", self.run_twice)?;
+        writeln!(f, "unanswered: {}", self.unanswered)?;
+        write!(f, "wrong answers: {}", self.wrong)
+    }
+}
+
+/// Endings that the observer remembers until it knows what ran.
 #[derive(Debug, Default)]
 pub struct Observer {
     wrong: u64,
@@ -33,38 +50,39 @@
 }
 
 impl Observer {
-    /// Takes one outcome in.
+    /// Remembers how the attempts of one request ended.
     pub fn add(&mut self, outcome: &Outcome) {
-        for attempt in &outcome.tries {
+        for attempt in outcome.attempts() {
             match &attempt.ending {
-                Ending::Wrong => self.wrong += 1,
-                Ending::Broken(_) => self.unanswered += 1,
+                Ending::WrongAnswer => self.wrong += 1,
+                Ending::Unanswered(_) => self.unanswered += 1,
+                // Without an id, the request never was one of the daemon's.
                 Ending::NotRun(_) => self.not_run.extend(attempt.request.clone()),
                 Ending::Answered | Ending::Unknown(_) => {}
             }
         }
     }
 
-    /// Looks at what ran at the endpoints.
-    pub fn judge(&self, slots: &[Arc<Slot>]) -> Breaches {
+    /// Returns the promises that were broken, given all that ran at the endpoints.
+    pub fn judge(&self, replicas: &[Replica]) -> Breaches {
         let mut false_not_run = BTreeSet::new();
-        let mut guarded: BTreeMap<(String, String), u64> = BTreeMap::new();
-        for slot in slots {
-            let repeatable = slot.service.settings.repeatable.value;
-            for run in slot.lives().iter().flat_map(|life| life.runs()) {
+        let mut guarded: BTreeMap<_, u64> = BTreeMap::new();
+        for replica in replicas {
+            let service = &replica.service;
+            let repeatable = service.settings.repeatable.value;
+            for run in replica.lives().iter().flat_map(|life| life.runs()) {
                 if self.not_run.contains(&run.request) {
-                    false_not_run.insert(run.request.clone());
+                    false_not_run.insert(run.request);
                 }
                 if let Some(key) = run.key.filter(|_| !repeatable) {
-                    let service = slot.service.id.to_string();
-                    *guarded.entry((service, key)).or_default() += 1;
+                    *guarded.entry((&service.id, key)).or_default() += 1;
                 }
             }
         }
         Breaches {
             wrong: self.wrong,
             false_not_run: false_not_run.len() as u64,
-            doubled: guarded.values().filter(|runs| **runs > 1).count() as u64,
+            run_twice: guarded.values().filter(|runs| **runs > 1).count() as u64,
             unanswered: self.unanswered,
         }
     }
--- a/bench/src/report.rs
+++ b/bench/src/report.rs
@@ -1,29 +1,21 @@
-//! Runs an experiment under one policy and reports what came out.
+//! The report of one run, as it is written to a line of JSON.
 
 use {
     crate::{
-        experiment::Experiment,
-        faults,
+        experiment::{Experiment, Weights},
         installation::Installation,
-        load, model,
-        observer::{Breaches, Observer},
+        model,
+        observer::Breaches,
+        runner::{Results, Run},
         tally::Tally,
     },
-    anyhow::{Result, bail},
-    comfy_table::{Table, presets},
-    hazelyoke_lib::{settings::PolicyKind, tree::Tree},
+    hazelyoke_lib::{tree::Tree, units::WorkMillis},
+    hazelyoke_testutils::endpoint::PromptBytes,
     serde::Serialize,
     std::{collections::BTreeMap, time::Duration},
-    tokio::{sync::mpsc, time::Instant},
 };
 
-/// Longest wait for the last answers after the load has ended.
-const DRAIN: Duration = Duration::from_secs(30);
-
-/// Pause after the last answer, so that endpoints finish what nobody waits for.
-const SETTLE: Duration = Duration::from_millis(300);
-
-/// Result of one run, written as one line of JSON.
+/// Report of one run. Shares are from 0 to 1.
 #[derive(Debug, Clone, Serialize)]
 pub struct Report {
     /// Name of the experiment.
@@ -42,9 +34,9 @@
     pub goodput: f64,
     /// Median latency of answered requests in milliseconds.
     pub p50_ms: f64,
-    /// 95th percentile.
+    /// 95th percentile in milliseconds.
     pub p95_ms: f64,
-    /// 99th percentile.
+    /// 99th percentile in milliseconds.
     pub p99_ms: f64,
     /// Attained work at the busiest service, as a share of its capacity.
     pub used: f64,
@@ -52,14 +44,14 @@
     pub wasted: f64,
     /// Attempts beyond the first, as a share of first attempts.
     pub extra: f64,
-    /// Endings by name.
+    /// Requests by how they ended.
     pub endings: BTreeMap<String, u64>,
-    /// Attainment by pipeline.
-    pub pipelines: BTreeMap<String, f64>,
+    /// Attainment by target.
+    pub targets: BTreeMap<String, f64>,
     /// Attainment by customer.
     pub customers: BTreeMap<String, f64>,
-    /// Endpoint milliseconds by pipeline and stage: useful, wasted.
-    pub stages: BTreeMap<String, (f64, f64)>,
+    /// Endpoint time by target and stage, as the daemons count it.
+    pub stages: BTreeMap<String, StageTime>,
     /// Share of the engines' prompt bytes that were found in their caches.
     pub cached: f64,
     /// Share of their slots' time that the endpoints of each service were busy.
@@ -67,114 +59,67 @@
     /// Attainment by second since the start.
     pub seconds: Vec<f64>,
     /// Promises that were broken.
-    pub breaches: BTreeMap<String, u64>,
+    pub breaches: Breaches,
+}
+
+/// Endpoint time of a stage.
+#[derive(Debug, Clone, Copy, Default, Serialize)]
+pub struct StageTime {
+    /// Time for requests that were answered in time.
+    pub useful: WorkMillis,
+    /// Time for requests that weren't.
+    pub wasted: WorkMillis,
 }
 
 impl Report {
     /// Returns whether every promise was kept.
     pub fn kept(&self) -> bool {
-        self.breaches.values().all(|count| *count == 0)
+        self.breaches.total() == 0
     }
 }
 
-#[derive(Default)]
-struct Tallies {
-    all: Tally,
-    pipelines: BTreeMap<String, Tally>,
-    customers: BTreeMap<String, Tally>,
-    seconds: BTreeMap<u64, Tally>,
-}
-
-/// Runs one experiment under one policy; `progress` is told each second how far it is.
-///
-/// # Errors
-///
-/// Returns an error when the installation can't be started or answers stay out.
-pub async fn run(
-    experiment: &Experiment,
-    policy: PolicyKind,
-    swept: f64,
-    mut progress: impl FnMut(Duration, u64, u64),
-) -> Result<Report> {
-    let separator = if experiment.settings.is_empty() {
-        ""
-    } else {
-        ", "
-    };
-    let settings = format!("\"policy\": \"{policy}\"{separator}{}", experiment.settings);
-    let installation = Installation::start(experiment, &settings).await?;
-    let (sender, mut outcomes) = mpsc::unbounded_channel();
-    let start = Instant::now();
-    let load = load::run(
-        installation.tree.clone(),
-        installation.callers.clone(),
-        experiment,
-        swept,
-        sender,
-    );
-    let faults = faults::run(
-        &experiment.faults,
-        &installation.slots,
-        &installation.config,
-        start,
-    );
-    let mut tallies = Tallies::default();
-    let mut observer = Observer::default();
-    let collect = async {
-        let mut ticks = tokio::time::interval(Duration::from_secs(1));
-        loop {
-            tokio::select! {
-                received = outcomes.recv() => match received {
-                    Some((at, outcome)) => {
-                        observer.add(&outcome);
-                        take(&mut tallies, experiment, at, &outcome);
-                    }
-                    None => break,
-                },
-                _ = ticks.tick() => {
-                    progress(start.elapsed(), tallies.all.total, tallies.all.attained);
-                }
-            }
+impl From<&Results<'_>> for Report {
+    fn from(results: &Results<'_>) -> Self {
+        let Results {
+            run: Run {
+                experiment, policy, ..
+            },
+            installation,
+            tallies,
+            breaches,
+        } = results;
+        let capacity = model::capacity(&installation.tree, &experiment.mix).0;
+        let counted = experiment.counted_time().as_secs_f64().max(f64::EPSILON);
+        let stages = stage_times(installation);
+        let all = &tallies.all;
+        Self {
+            experiment: experiment.name.clone(),
+            policy: policy.to_string(),
+            load: all.total as f64 / counted / capacity,
+            capacity,
+            requests: all.total,
+            attainment: all.attainment(),
+            goodput: all.attained as f64 / counted,
+            p50_ms: millis(all.quantile(0.5)),
+            p95_ms: millis(all.quantile(0.95)),
+            p99_ms: millis(all.quantile(0.99)),
+            used: used(&installation.tree, &tallies.targets, counted),
+            wasted: wasted(installation, &stages),
+            extra: extra(installation),
+            endings: all.endings.clone(),
+            targets: attainments(&tallies.targets),
+            customers: attainments(&tallies.customers),
+            stages,
+            cached: cached(installation),
+            busy: busy(experiment, installation),
+            seconds: tallies.seconds.values().map(Tally::attainment).collect(),
+            breaches: *breaches,
         }
-    };
-    let whole: Duration = experiment.phases.iter().map(|phase| phase.lasts).sum();
-    let finished = tokio::time::timeout(whole + DRAIN, async {
-        tokio::join!(load, collect);
-    });
-    tokio::select! {
-        done = finished => if done.is_err() {
-            bail!("answers are still out {DRAIN:?} after the load has ended");
-        },
-        // Faults end on their own; the load decides how long a run lasts.
-        () = async { faults.await; std::future::pending().await } => {}
     }
-    tokio::time::sleep(SETTLE).await;
-    let breaches = observer.judge(&installation.slots);
-    Ok(summarise(
-        experiment,
-        policy,
-        &installation,
-        &tallies,
-        breaches,
-    ))
 }
 
-fn take(
-    tallies: &mut Tallies,
-    experiment: &Experiment,
-    at: Duration,
-    outcome: &crate::caller::Outcome,
-) {
-    let second = tallies.seconds.entry(at.as_secs()).or_default();
-    second.add(outcome);
-    if !experiment.phase(at).is_some_and(|phase| phase.counted) {
-        return;
-    }
-    tallies.all.add(outcome);
-    let pipeline = outcome.order.target.to_string();
-    tallies.pipelines.entry(pipeline).or_default().add(outcome);
-    let customer = outcome.order.customer.to_string();
-    tallies.customers.entry(customer).or_default().add(outcome);
+fn millis(time: Duration) -> f64 {
+    time.as_secs_f64() * 1000.0
 }
 
 fn attainments(tallies: &BTreeMap<String, Tally>) -> BTreeMap<String, f64> {
@@ -184,162 +129,69 @@
         .collect()
 }
 
-fn summarise(
-    experiment: &Experiment,
-    policy: PolicyKind,
-    installation: &Installation,
-    tallies: &Tallies,
-    breaches: Breaches,
-) -> Report {
-    let capacity = model::capacity(&installation.tree, &experiment.mix);
-    let mut stages: BTreeMap<String, (f64, f64)> = BTreeMap::new();
-    let (mut first, mut extra) = (0, 0);
-    for daemon in &installation.daemons {
-        let snapshot = daemon.node().snapshot();
-        first += snapshot.counters.attempts;
-        extra += snapshot.counters.extra;
-        for (pipeline, stage, cost) in snapshot.costs {
-            let sum = stages.entry(format!("{pipeline}/{stage}")).or_default();
-            sum.0 += cost.useful.0;
-            sum.1 += cost.wasted.0;
-        }
+/// Adds up the endpoint time of each stage over all daemons.
+fn stage_times(installation: &Installation) -> BTreeMap<String, StageTime> {
+    let mut stages: BTreeMap<String, StageTime> = BTreeMap::new();
+    let daemons = installation.daemons.iter();
+    for (target, stage, cost) in daemons.flat_map(|daemon| daemon.node().snapshot().costs) {
+        let sum = stages.entry(format!("{target}/{stage}")).or_default();
+        sum.useful.0 += cost.useful.0;
+        sum.wasted.0 += cost.wasted.0;
     }
-    let useful: f64 = stages.values().map(|cost| cost.0).sum();
-    let lives = installation.slots.iter().flat_map(|slot| slot.lives());
-    let busy: f64 = lives.map(|life| life.busy().as_secs_f64() * 1000.0).sum();
-    let seconds = experiment.counted_time().as_secs_f64().max(f64::EPSILON);
-    let all = &tallies.all;
-    let ms = |quantile| all.quantile(quantile).as_secs_f64() * 1000.0;
-    Report {
-        experiment: experiment.name.clone(),
-        policy: policy.to_string(),
-        load: all.total as f64 / seconds / capacity,
-        capacity,
-        requests: all.total,
-        attainment: all.attainment(),
-        goodput: all.attained as f64 / seconds,
-        p50_ms: ms(0.5),
-        p95_ms: ms(0.95),
-        p99_ms: ms(0.99),
-        used: used(&installation.tree, &tallies.pipelines, seconds),
-        wasted: (1.0 - useful / busy.max(f64::EPSILON)).max(0.0),
-        extra: extra as f64 / first.max(1) as f64,
-        endings: all.endings.clone(),
-        pipelines: attainments(&tallies.pipelines),
-        customers: attainments(&tallies.customers),
-        stages,
-        cached: cached_share(installation),
-        busy: busy_shares(experiment, installation),
-        seconds: tallies.seconds.values().map(Tally::attainment).collect(),
-        breaches: BTreeMap::from([
-            ("wrong answers".to_owned(), breaches.wrong),
-            ("false not_run".to_owned(), breaches.false_not_run),
-            ("run twice".to_owned(), breaches.doubled),
-            ("unanswered".to_owned(), breaches.unanswered),
-        ]),
-    }
-}
-
-fn cached_share(installation: &Installation) -> f64 {
-    let lives = installation.slots.iter().flat_map(|slot| slot.lives());
-    let (prefilled, prompted) = lives.fold((0, 0), |sum, life| {
-        let (prefilled, prompted) = life.prefill();
-        (sum.0 + prefilled, sum.1 + prompted)
-    });
-    1.0 - prefilled as f64 / prompted.max(1) as f64
-}
-
-fn busy_shares(experiment: &Experiment, installation: &Installation) -> BTreeMap<String, f64> {
-    let whole: Duration = experiment.phases.iter().map(|phase| phase.lasts).sum();
-    let mut busy: BTreeMap<String, (f64, f64)> = BTreeMap::new();
-    for slot in &installation.slots {
-        let sum = busy.entry(slot.service.id.to_string()).or_default();
-        sum.0 += slot
-            .lives()
-            .iter()
-            .map(|life| life.busy().as_secs_f64())
-            .sum::<f64>();
-        sum.1 += f64::from(slot.service.settings.slots.value.0) * whole.as_secs_f64();
-    }
-    busy.into_iter()
-        .map(|(service, (busy, whole))| (service, busy / whole))
-        .collect()
+    stages
 }
 
 /// Attained work at the busiest service, as a share of its capacity.
-fn used(tree: &Tree, pipelines: &BTreeMap<String, Tally>, seconds: f64) -> f64 {
-    let attained = pipelines
+fn used(tree: &Tree, targets: &BTreeMap<String, Tally>, seconds: f64) -> f64 {
+    let attained: Weights = targets
         .iter()
         .map(|(name, tally)| (name.clone(), tally.attained as f64))
         .filter(|(_, attained)| *attained > 0.0)
-        .collect::<BTreeMap<_, _>>();
-    let rate: f64 = attained.values().sum::<f64>() / seconds;
-    rate / model::capacity(tree, &attained)
+        .collect();
+    attained.total() / seconds / model::capacity(tree, &attained).0
 }
 
-/// Prints reports side by side.
-pub fn print_table(reports: &[Report]) {
-    let mut table = Table::new();
-    table.load_style(presets::NOTHING);
-    table.set_header([
-        "EXPERIMENT",
-        "POLICY",
-        "LOAD",
-        "REQUESTS",
-        "ATTAINED",
-        "GOODPUT/S",
-        "USED",
-        "P50",
-        "P95",
-        "P99",
-        "WASTED",
-        "EXTRA",
-        "CACHED",
-        "BROKEN",
-    ]);
-    for report in reports {
-        table.add_row([
-            report.experiment.clone(),
-            report.policy.clone(),
-            format!("{:.2}", report.load),
-            report.requests.to_string(),
-            format!("{:.3}%", report.attainment * 100.0),
-            format!("{:.1}", report.goodput),
-            format!("{:.1}%", report.used * 100.0),
-            format!("{:.1}ms", report.p50_ms),
-            format!("{:.1}ms", report.p95_ms),
-            format!("{:.1}ms", report.p99_ms),
-            format!("{:.2}%", report.wasted * 100.0),
-            format!("{:.2}%", report.extra * 100.0),
-            format!("{:.1}%", report.cached * 100.0),
-            report.breaches.values().sum::<u64>().to_string(),
-        ]);
-    }
-    println!("{}", table.trim_fmt());
+/// Share of the endpoints' busy time that daemons don't count as useful.
+fn wasted(installation: &Installation, stages: &BTreeMap<String, StageTime>) -> f64 {
+    let useful: f64 = stages.values().map(|time| time.useful.0).sum();
+    let replicas = installation.replicas.iter();
+    let lives = replicas.flat_map(|replica| replica.lives());
+    let busy: f64 = lives.map(|life| millis(life.busy())).sum();
+    (1.0 - useful / busy.max(f64::EPSILON)).max(0.0)
 }
 
-/// Prints one report in full.
-pub fn print_details(report: &Report) {
-    let mut table = Table::new();
-    table.load_style(presets::NOTHING);
-    table.set_header(["STAGE", "USEFUL", "WASTED", "WASTED SHARE"]);
-    for (stage, (useful, wasted)) in &report.stages {
-        let share = wasted / (useful + wasted).max(f64::EPSILON);
-        table.add_row([
-            stage.clone(),
-            format!("{:.2}s", useful / 1000.0),
-            format!("{:.2}s", wasted / 1000.0),
-            format!("{:.2}%", share * 100.0),
-        ]);
-    }
-    println!("{}\n", table.trim_fmt());
-    for (service, busy) in &report.busy {
-        println!("{service}: {:.1}% busy", busy * 100.0);
+fn extra(installation: &Installation) -> f64 {
+    let mut first = 0;
+    let mut extra = 0;
+    for daemon in &installation.daemons {
+        let counters = daemon.node().snapshot().counters;
+        first += counters.attempts;
+        extra += counters.extra;
     }
-    for (ending, count) in &report.endings {
-        println!("{ending}: {count}");
+    extra as f64 / first.max(1) as f64
+}
+
+fn cached(installation: &Installation) -> f64 {
+    let mut sum = PromptBytes::default();
+    let replicas = installation.replicas.iter();
+    for life in replicas.flat_map(|replica| replica.lives()) {
+        let prompts = life.prompt_bytes();
+        sum.uncached += prompts.uncached;
+        sum.all += prompts.all;
     }
-    for (promise, count) in &report.breaches {
-        println!("{promise}: {count}");
+    1.0 - sum.uncached as f64 / sum.all.max(1) as f64
+}
+
+fn busy(experiment: &Experiment, installation: &Installation) -> BTreeMap<String, f64> {
+    let whole = experiment.whole_time().as_secs_f64();
+    let mut busy: BTreeMap<String, f64> = BTreeMap::new();
+    for service in installation.tree.services.values() {
+        let slots = f64::from(service.settings.slots.value.0) * service.endpoints.len() as f64;
+        let replicas = installation.replicas.iter();
+        let own = replicas.filter(|replica| replica.service.id == service.id);
+        let lives = own.flat_map(|replica| replica.lives());
+        let seconds: f64 = lives.map(|life| life.busy().as_secs_f64()).sum();
+        busy.insert(service.id.to_string(), seconds / (slots * whole));
     }
+    busy
 }
--- a/bench/src/tally.rs
+++ b/bench/src/tally.rs
@@ -1,4 +1,4 @@
-//! Counts outcomes as they come in.
+//! Counts of a group of requests: how they ended and how long answers took.
 
 use {
     crate::caller::{Ending, Outcome},
@@ -6,8 +6,10 @@
     std::{collections::BTreeMap, time::Duration},
 };
 
-/// Longest latency told apart, in microseconds, and the digits kept.
+/// Longest latency recorded, in microseconds; chosen, not measured: longer than any deadline.
 const MAX_MICROS: u64 = 120_000_000;
+
+/// Decimal digits of a latency that are kept; chosen, not measured.
 const DIGITS: u8 = 3;
 
 /// Counts of one group of requests.
@@ -17,12 +19,10 @@
     pub total: u64,
     /// Requests answered whole within their deadline.
     pub attained: u64,
-    /// Requests answered late.
-    pub late: u64,
     /// Endings by name.
     pub endings: BTreeMap<String, u64>,
-    /// Times of answered requests, in microseconds.
-    pub latency: Histogram<u64>,
+    /// Latencies of answered requests, in microseconds.
+    latency: Histogram<u64>,
 }
 
 impl Default for Tally {
@@ -32,7 +32,6 @@
         Self {
             total: 0,
             attained: 0,
-            late: 0,
             endings: BTreeMap::new(),
             latency,
         }
@@ -43,20 +42,17 @@
     /// Counts one outcome.
     pub fn add(&mut self, outcome: &Outcome) {
         self.total += 1;
-        let ending = outcome.ending();
-        if outcome.attained() {
-            self.attained += 1;
-        } else if *ending == Ending::Answered {
-            self.late += 1;
-        }
+        self.attained += u64::from(outcome.attained());
+        let ending = &outcome.last.ending;
         if *ending == Ending::Answered {
-            self.latency
-                .saturating_record(outcome.took.as_micros() as u64);
+            let micros = outcome.latency.as_micros() as u64;
+            self.latency.saturating_record(micros);
         }
         *self.endings.entry(ending_name(ending)).or_default() += 1;
     }
 
-    /// Returns the share of requests answered whole within their deadline.
+    /// Returns the share of requests answered whole within their deadline, from 0 to 1; 1 if there
+    /// was no request.
     pub fn attainment(&self) -> f64 {
         if self.total == 0 {
             return 1.0;
@@ -73,9 +69,9 @@
 fn ending_name(ending: &Ending) -> String {
     match ending {
         Ending::Answered => "answered".to_owned(),
-        Ending::Wrong => "wrong".to_owned(),
+        Ending::WrongAnswer => "wrong".to_owned(),
         Ending::NotRun(code) => format!("not_run {code}"),
         Ending::Unknown(code) => format!("unknown {code}"),
-        Ending::Broken(_) => "broken".to_owned(),
+        Ending::Unanswered(_) => "unanswered".to_owned(),
     }
 }
--- a/lib/tests/test_prefix.rs
+++ b/lib/tests/test_prefix.rs
@@ -103,7 +103,7 @@
     assert!(runs.contains(&0), "{runs:?}");
     let (prefilled, prompted) = engines
         .iter()
-        .map(|server| server.endpoint.prefill())
-        .fold((0, 0), |sum, one| (sum.0 + one.0, sum.1 + one.1));
+        .map(|server| server.endpoint.prompt_bytes())
+        .fold((0, 0), |sum, one| (sum.0 + one.uncached, sum.1 + one.all));
     assert!(prefilled * 4 < prompted, "{prefilled} of {prompted}");
 }
--- a/lib/testutils/src/endpoint.rs
+++ b/lib/testutils/src/endpoint.rs
@@ -1,4 +1,6 @@
-//! What both kinds of stand-in endpoints share: slots, load reports, and a record of what ran.
+//! Common parts of both kinds of stand-in endpoints: slots, load reports, a record of what ran.
+//!
+//! Owns the state of one life of an endpoint; `plain` and `engine` serve it over HTTP.
 
 use {
     crate::{
@@ -26,10 +28,10 @@
     },
 };
 
-/// Bytes of a reply that is larger than any limit.
+/// Bytes of a reply that is larger than any limit; chosen, not measured.
 const TOO_MUCH: usize = 32 << 20;
 
-/// Age of the reports that a stand-in gives, as real ones lag.
+/// Age of the reports that a stand-in gives, as real ones lag; chosen, not measured.
 const REPORT_LAG: Millis = Millis(50);
 
 /// One run of work at an endpoint.
@@ -47,6 +49,15 @@
     pub resumed: u32,
 }
 
+/// Bytes of prompts.
+#[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
+pub struct PromptBytes {
+    /// Bytes that weren't in the prefix cache.
+    pub uncached: u64,
+    /// All bytes.
+    pub all: u64,
+}
+
 /// State of one stand-in endpoint.
 #[derive(Debug)]
 pub struct Endpoint {
@@ -63,7 +74,7 @@
     running: AtomicU32,
     cancelled: AtomicU32,
     busy_micros: AtomicU64,
-    prefilled: AtomicU64,
+    uncached: AtomicU64,
     prompted: AtomicU64,
     runs: Mutex<Vec<Run>>,
     report: Mutex<Option<LoadReport>>,
@@ -85,7 +96,7 @@
     }
 }
 
-/// Counts a call as present, whatever way it ends.
+/// Counts a call as present until it ends, however it ends.
 #[derive(Debug)]
 pub struct Presence<'e>(&'e AtomicU32);
 
@@ -95,7 +106,7 @@
     }
 }
 
-/// Holds a slot and counts how long, whatever way the call ends.
+/// Holds a slot and counts how long, however the call ends.
 #[derive(Debug)]
 pub struct SlotHold<'e> {
     endpoint: &'e Endpoint,
@@ -126,7 +137,7 @@
             running: AtomicU32::new(0),
             cancelled: AtomicU32::new(0),
             busy_micros: AtomicU64::new(0),
-            prefilled: AtomicU64::new(0),
+            uncached: AtomicU64::new(0),
             prompted: AtomicU64::new(0),
             runs: Mutex::new(Vec::new()),
             report: Mutex::new(None),
@@ -150,19 +161,21 @@
         }
     }
 
-    /// Counts the bytes of a prompt, and those of them that weren't cached.
-    pub fn count_prefill(&self, uncached: u64, all: u64) {
-        self.prefilled.fetch_add(uncached, Ordering::Relaxed);
-        self.prompted.fetch_add(all, Ordering::Relaxed);
+    /// Counts the bytes of a prompt.
+    pub fn count_prompt(&self, prompt: PromptBytes) {
+        self.uncached.fetch_add(prompt.uncached, Ordering::Relaxed);
+        self.prompted.fetch_add(prompt.all, Ordering::Relaxed);
     }
 
-    /// Returns the bytes of all prompts that weren't cached, and all their bytes.
-    pub fn prefill(&self) -> (u64, u64) {
-        let prefilled = self.prefilled.load(Ordering::Relaxed);
-        (prefilled, self.prompted.load(Ordering::Relaxed))
+    /// Returns the bytes of all prompts.
+    pub fn prompt_bytes(&self) -> PromptBytes {
+        PromptBytes {
+            uncached: self.uncached.load(Ordering::Relaxed),
+            all: self.prompted.load(Ordering::Relaxed),
+        }
     }
 
-    /// Returns the time that slots were held, whatever came of it.
+    /// Returns the time that slots were held, whether or not a reply followed.
     pub fn busy(&self) -> Duration {
         Duration::from_micros(self.busy_micros.load(Ordering::Relaxed))
     }
@@ -205,8 +218,8 @@
         self.runs.lock().expect("no panic while held").clone()
     }
 
-    /// Scales a time by the endpoint's slowness.
-    pub fn time(&self, usual: Duration) -> Duration {
+    /// Returns a time multiplied by the endpoint's slowness.
+    pub fn slowed(&self, usual: Duration) -> Duration {
         usual.mul_f64(self.faults.slowness())
     }
 
@@ -233,7 +246,7 @@
 
     /// Returns the response to a request for the load report.
     pub fn report_reply(&self) -> Response<ReplyBody> {
-        let json = serde_json::to_vec(&self.report()).unwrap_or_default();
+        let json = serde_json::to_vec(&self.report()).expect("a load report is plain JSON");
         Response::new(whole_body(json))
     }
 
--- a/lib/testutils/src/engine.rs
+++ b/lib/testutils/src/engine.rs
@@ -1,8 +1,10 @@
 //! A stand-in for a model engine: batches continuously, streams tokens, resumes and is cancelled.
+//!
+//! Speaks the engine's half of `docs/PROTOCOLS.md`; its tokens come from `expect`.
 
 use {
     crate::{
-        endpoint::{Endpoint, EndpointServer},
+        endpoint::{Endpoint, EndpointServer, PromptBytes},
         expect::token,
         faults::Damage,
         http_server::{ReplyBody, Server, empty_body, whole_body},
@@ -27,7 +29,7 @@
     tokio::{sync::mpsc, time::Instant},
 };
 
-/// Events that may wait for a slow reader.
+/// Events that may wait for a slow reader; chosen, not measured.
 const QUEUE: usize = 16;
 
 /// An engine's times and batch.
@@ -87,8 +89,8 @@
     start_sharing(name, address, model, new_cache(&model)).await
 }
 
-/// Starts an engine on a cache that others may share, as if whatever one holds were with all the
-/// others at once and for nothing.
+/// Starts an engine on a cache that others may share, as if engines exchanged their caches at once
+/// and for nothing.
 ///
 /// # Errors
 ///
@@ -119,13 +121,23 @@
 impl Engine {
     fn cache_events(&self, query: Option<&str>) -> Response<ReplyBody> {
         let after = query.and_then(|query| query.strip_prefix("after="));
+        // Who names no change hears of all.
         let after = after.and_then(|text| text.parse().ok()).unwrap_or(0);
-        let events = self
-            .cache
-            .lock()
-            .expect("no panic while held")
-            .events(after);
-        Response::new(whole_body(serde_json::to_vec(&events).unwrap_or_default()))
+        let cache = self.cache.lock().expect("no panic while held");
+        let json = serde_json::to_vec(&cache.events(after)).expect("events are plain JSON");
+        Response::new(whole_body(json))
+    }
+
+    /// Looks a prompt up in the cache and adds it; returns the time of its prefill and its bytes
+    /// that were cached.
+    fn prefill(&self, input: &[u8]) -> (Duration, u64) {
+        let mut cache = self.cache.lock().expect("no panic while held");
+        let cached = cache.insert(input);
+        let all = input.len() as u64;
+        let uncached = all - cached;
+        self.endpoint.count_prompt(PromptBytes { uncached, all });
+        let time = self.model.prefill_byte * uncached as u32;
+        (self.endpoint.slowed(time), cached)
     }
 }
 
@@ -197,13 +209,12 @@
 
 type Events = mpsc::Sender<Result<Frame<Bytes>, io::Error>>;
 
+/// The stream takes nothing more: its reader has left, or it was broken off.
+struct StreamEnded;
+
 /// Generates until the end or until nobody listens: a closed channel is a cancelled stream.
 async fn run(engine: Arc<Engine>, headers: HeaderMap, generation: Generation, events: Events) {
-    let Engine {
-        endpoint,
-        model,
-        cache,
-    } = &*engine;
+    let endpoint = &engine.endpoint;
     let _present = endpoint.enter();
     let _slot = tokio::select! {
         slot = endpoint.slot() => slot,
@@ -211,57 +222,80 @@
     };
     endpoint.record(&headers, generation.from);
     let started = Instant::now();
-    let cached = cache
-        .lock()
-        .expect("no panic while held")
-        .take(&generation.input);
-    let uncached = generation.input.len() as u64 - cached;
-    endpoint.count_prefill(uncached, generation.input.len() as u64);
-    let prefill = model.prefill_byte * uncached as u32;
+    let (prefill, cached_bytes) = engine.prefill(&generation.input);
+    // An error means that the caller has left, so there is nobody to tell.
+    let _ = async {
+        generate_tokens(&engine, &generation, &events, started + prefill).await?;
+        end_stream(&generation, &events, || StreamEvent::Done {
+            tokens: generation.to,
+            served_ms: Some(WorkMillis(millis(started.elapsed()))),
+            prefill: Some(Prefill {
+                spent: WorkMillis(millis(prefill)),
+                cached_bytes,
+            }),
+        })
+        .await
+    }
+    .await;
+}
+
+fn millis(time: Duration) -> f64 {
+    time.as_secs_f64() * 1000.0
+}
+
+/// Sends the tokens of a generation whose prefill ends at `next`.
+async fn generate_tokens(
+    engine: &Engine,
+    generation: &Generation,
+    events: &Events,
+    mut next: Instant,
+) -> Result<(), StreamEnded> {
+    let Engine {
+        endpoint, model, ..
+    } = engine;
     // Points in time, not pauses: the timer's rounding would else add up over a generation.
-    let mut next = started + endpoint.time(prefill);
     tokio::time::sleep_until(next).await;
     for index in generation.from..generation.to {
         if generation.break_at == Some(index) {
-            let _ = events.send(Err(io::Error::other("broken off"))).await;
-            return;
+            send_frame(events, Err(io::Error::other("broken off"))).await?;
+            return Err(StreamEnded);
         }
         let share = f64::from(endpoint.running()) / f64::from(model.batch);
         let pause = model.token.mul_f64(1.0 + model.batch_cost * share);
-        next += endpoint.time(pause);
+        next += endpoint.slowed(pause);
         tokio::time::sleep_until(next).await;
         let text = token(&endpoint.name, &generation.input, index);
-        if send(&events, &StreamEvent::Token { index, text })
-            .await
-            .is_err()
-        {
-            return;
-        }
+        send(events, &StreamEvent::Token { index, text }).await?;
     }
+    Ok(())
+}
+
+/// Ends a stream as its damage says.
+async fn end_stream(
+    generation: &Generation,
+    events: &Events,
+    done: impl FnOnce() -> StreamEvent,
+) -> Result<(), StreamEnded> {
     match generation.damage {
         Some(Damage::Garbage) => {
             let garbage = Bytes::from_static(b"data: \xff\xfe\n\n");
-            let _ = events.send(Ok(Frame::data(garbage))).await;
+            send_frame(events, Ok(Frame::data(garbage))).await
         }
         // The stream ends without its announced end.
-        Some(_) => {}
-        None => {
-            let ms = started.elapsed().as_secs_f64() * 1000.0;
-            let done = StreamEvent::Done {
-                tokens: generation.to,
-                served_ms: Some(WorkMillis(ms)),
-                prefill: Some(Prefill {
-                    spent: WorkMillis(endpoint.time(prefill).as_secs_f64() * 1000.0),
-                    cached_bytes: cached,
-                }),
-            };
-            let _ = send(&events, &done).await;
-        }
+        Some(_) => Ok(()),
+        None => send(events, &done()).await,
     }
 }
 
-async fn send(events: &Events, event: &StreamEvent) -> Result<(), ()> {
-    let json = serde_json::to_string(event).map_err(|_| ())?;
+async fn send(events: &Events, event: &StreamEvent) -> Result<(), StreamEnded> {
+    let json = serde_json::to_string(event).expect("an event is plain JSON");
     let frame = Frame::data(Bytes::from(format!("data: {json}\n\n")));
-    events.send(Ok(frame)).await.map_err(|_| ())
+    send_frame(events, Ok(frame)).await
+}
+
+async fn send_frame(
+    events: &Events,
+    frame: Result<Frame<Bytes>, io::Error>,
+) -> Result<(), StreamEnded> {
+    events.send(frame).await.map_err(|_| StreamEnded)
 }
--- a/lib/testutils/src/plain.rs
+++ b/lib/testutils/src/plain.rs
@@ -32,7 +32,7 @@
     pub usual: Duration,
     /// Calls worked on at the same time.
     pub slots: u32,
-    /// Whether a repeat under a key gets the first answer and doesn't run.
+    /// Whether a second call under a key gets the first answer and doesn't run.
     pub checks_keys: bool,
 }
 
@@ -133,7 +133,7 @@
         let mut answers = answers.lock().expect("no panic while held");
         answers.insert(key, output.clone());
     }
-    let time = endpoint.time(endpoint.usual);
+    let time = endpoint.slowed(endpoint.usual);
     // Even a sleep of no time takes a tick of the timer.
     if !time.is_zero() {
         tokio::time::sleep(time).await;
--- a/lib/testutils/src/prefix_cache.rs
+++ b/lib/testutils/src/prefix_cache.rs
@@ -1,4 +1,4 @@
-//! A stand-in engine's prefix cache: limited, and told of late and with gaps.
+//! A stand-in engine's prefix cache: limited, its changes reported late and with gaps.
 
 use {
     hazelyoke_lib::prefix::{BLOCK, CacheEvent, CacheEvents, Prefix},
@@ -9,18 +9,26 @@
     tokio::time::Instant,
 };
 
-/// Time after which a change is told of.
+/// Time after which a change is reported; chosen, not measured.
 const LAG: Duration = Duration::from_millis(100);
 
-/// Changes that are kept; older ones are a gap for who asks too late.
+/// Changes that are kept, so that a reader who asks too late finds a gap; chosen, not measured.
 const LOG: usize = 2_048;
 
-/// Most changes told at once.
+/// Most changes reported at once; chosen, not measured.
 const BATCH: usize = 512;
 
-/// Of so many changes, one is never told of.
+/// One change of this many is never reported; chosen, not measured.
 const LOST_OF: u64 = 50;
 
+/// One change of the cache.
+#[derive(Debug)]
+struct Change {
+    number: u64,
+    at: Instant,
+    event: CacheEvent,
+}
+
 /// Blocks held, by least recent use.
 #[derive(Debug)]
 pub struct PrefixCache {
@@ -28,8 +36,8 @@
     uses: HashMap<u64, u64>,
     order: BTreeMap<u64, u64>,
     clock: u64,
-    log: VecDeque<(u64, Instant, CacheEvent)>,
-    next: u64,
+    log: VecDeque<Change>,
+    changes: u64,
 }
 
 impl PrefixCache {
@@ -41,19 +49,19 @@
             order: BTreeMap::new(),
             clock: 0,
             log: VecDeque::new(),
-            next: 0,
+            changes: 0,
         }
     }
 
-    /// Takes a prompt in and returns the bytes of its beginning that were held already.
-    pub fn take(&mut self, input: &[u8]) -> u64 {
+    /// Adds a prompt and returns the bytes of its beginning that were held already.
+    pub fn insert(&mut self, input: &[u8]) -> u64 {
         let prefix = Prefix::of(input);
         let blocks = prefix.blocks();
         let held = blocks
             .iter()
             .take_while(|block| self.uses.contains_key(*block));
         let cached = held.count();
-        // The beginning is used last, so that ends of prompts are given up first.
+        // The beginning is used last, so that ends of prompts are evicted first.
         for block in blocks.iter().rev() {
             self.touch(*block);
         }
@@ -66,43 +74,45 @@
             Some(old) => {
                 self.order.remove(&old);
             }
-            None => self.tell(block, true),
+            None => self.log_change(block, true),
         }
         self.order.insert(self.clock, block);
         if self.uses.len() > self.capacity
             && let Some((_, oldest)) = self.order.pop_first()
         {
             self.uses.remove(&oldest);
-            self.tell(oldest, false);
+            self.log_change(oldest, false);
         }
     }
 
-    fn tell(&mut self, block: u64, held: bool) {
-        self.next += 1;
-        if self.next.is_multiple_of(LOST_OF) {
+    fn log_change(&mut self, block: u64, held: bool) {
+        self.changes += 1;
+        if self.changes.is_multiple_of(LOST_OF) {
             return;
         }
         if self.log.len() == LOG {
             self.log.pop_front();
         }
-        let event = CacheEvent { block, held };
-        self.log.push_back((self.next, Instant::now(), event));
+        self.log.push_back(Change {
+            number: self.changes,
+            at: Instant::now(),
+            event: CacheEvent { block, held },
+        });
     }
 
     /// Returns the changes after a number.
     pub fn events(&self, after: u64) -> CacheEvents {
-        let told = self
-            .log
-            .iter()
-            .filter(|(number, at, _)| *number > after && at.elapsed() >= LAG)
+        let changes = self.log.iter();
+        let reported = changes
+            .filter(|change| change.number > after && change.at.elapsed() >= LAG)
             .take(BATCH);
         let mut events = CacheEvents {
             next: after,
             events: Vec::new(),
         };
-        for (number, _, event) in told {
-            events.next = *number;
-            events.events.push(*event);
+        for change in reported {
+            events.next = change.number;
+            events.events.push(change.event);
         }
         events
     }
