--- a/lib/tests/test_core_random.rs
+++ b/lib/tests/test_core_random.rs
@@ -6,7 +6,7 @@
     arbtest::arbitrary::Unstructured,
     hazelyoke_lib::{problem::Outcome, raw_tree::RawTree, tree::Tree},
     hazelyoke_testutils::{
-        core_run::{CoreRun, RunOptions, TOKENS, Told},
+        core_run::{CoreRun, Reported, RunOptions, TOKENS},
         one_value::OneValue,
         seeds::for_seeds,
     },
@@ -121,7 +121,8 @@
         let one = CoreRun::new(estimated.clone(), calm, &mut one).run()?;
         let other = CoreRun::new(naive.clone(), calm, &mut other).run()?;
         assert_eq!(one, other);
-        assert!(one.told.iter().all(|told| *told == Some(Told::Answered)));
+        let mut reported = one.reported.iter();
+        assert!(reported.all(|end| *end == Some(Reported::Answered)));
         Ok(())
     });
 }
@@ -148,13 +149,13 @@
     let tree = tree("estimated", GUARDED, 8);
     let seen = Cell::new([false; 3]);
     for_seeds(FEW, CHOICES, |u| {
-        for told in CoreRun::new(tree.clone(), FAULTY, u).run()?.told {
+        for end in CoreRun::new(tree.clone(), FAULTY, u).run()?.reported {
             let mut now = seen.get();
-            match told {
-                Some(Told::Answered) => now[0] = true,
-                Some(Told::Problem(Outcome::NotRun)) => now[1] = true,
-                Some(Told::Problem(_)) => now[2] = true,
-                Some(Told::Wrong) | None => {}
+            match end {
+                Some(Reported::Answered) => now[0] = true,
+                Some(Reported::Problem(Outcome::NotRun)) => now[1] = true,
+                Some(Reported::Problem(_)) => now[2] = true,
+                Some(Reported::Wrong) | None => {}
             }
             seen.set(now);
         }
--- a/lib/testutils/src/collector.rs
+++ b/lib/testutils/src/collector.rs
@@ -1,4 +1,7 @@
 //! A stand-in for an OTLP collector that keeps the spans' names and ids.
+//!
+//! An export that it can't read breaks the connection off, and a field that is missing is empty: a
+//! test that looks for a span fails either way.
 
 use {
     crate::http_server::{Server, empty_body},
--- /dev/null
+++ b/lib/testutils/src/core_run/observer.rs
@@ -0,0 +1,218 @@
+//! Keeps what ran at the endpoints of a run and compares it with what callers were told.
+
+use {
+    super::body,
+    crate::expect::{self, Step},
+    hazelyoke_lib::{
+        core::Core,
+        endpoint::Call,
+        ids::{AttemptId, RequestId, StageId},
+        problem::{Outcome, Problem},
+        request::Answer,
+    },
+    std::collections::BTreeMap,
+};
+
+/// Start of the names of stages that may run only once for a request.
+const GUARDED: &str = "guarded";
+
+/// The end of a request as its caller saw it.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub enum Reported {
+    /// The right answer.
+    Answered,
+    /// Another answer.
+    Wrong,
+    /// A problem.
+    Problem(Outcome),
+}
+
+/// The findings of a run.
+#[derive(Debug, Default, PartialEq, Eq)]
+pub struct Findings {
+    /// Ends of the requests, in order of arrival; none if the caller had left.
+    pub reported: Vec<Option<Reported>>,
+    /// Broken promises, in words.
+    pub broken: Vec<String>,
+}
+
+/// What the observer knows of one request.
+#[derive(Debug, Default)]
+struct Seen {
+    number: u32,
+    tokens: u32,
+    finished: bool,
+    left: bool,
+    ran: bool,
+}
+
+/// A call whose end the core may still be waiting for.
+#[derive(Debug)]
+struct Pending {
+    request: RequestId,
+    ran: bool,
+}
+
+/// Sees all that a run does.
+#[derive(Debug)]
+pub(super) struct Observer {
+    steps: BTreeMap<String, Vec<Step>>,
+    requests: BTreeMap<RequestId, Seen>,
+    calls: BTreeMap<AttemptId, Pending>,
+    runs: BTreeMap<(RequestId, StageId), u32>,
+    findings: Findings,
+}
+
+impl Observer {
+    /// Builds an observer of a number of requests; `steps` are those of each target.
+    pub(super) fn new(steps: BTreeMap<String, Vec<Step>>, requests: usize) -> Self {
+        Self {
+            steps,
+            requests: BTreeMap::new(),
+            calls: BTreeMap::new(),
+            runs: BTreeMap::new(),
+            findings: Findings {
+                reported: vec![None; requests],
+                broken: Vec::new(),
+            },
+        }
+    }
+
+    /// Returns whether a target's last stage is an engine's.
+    pub(super) fn ends_with_engine(&self, target: &str) -> bool {
+        matches!(self.steps[target].last(), Some(Step::Engine(..)))
+    }
+
+    /// Returns whether a request has ended.
+    pub(super) fn is_finished(&self, request: RequestId) -> bool {
+        self.requests[&request].finished
+    }
+
+    /// Notes a request's arrival.
+    pub(super) fn arrived(&mut self, request: RequestId, number: u32) {
+        let seen = Seen {
+            number,
+            ..Seen::default()
+        };
+        self.requests.insert(request, seen);
+    }
+
+    /// Notes that a caller left.
+    pub(super) fn left(&mut self, request: RequestId) {
+        self.seen(request).left = true;
+    }
+
+    /// Notes a call, and whether its endpoint runs it.
+    pub(super) fn sent(&mut self, call: &Call, ran: bool) {
+        let request = call.ids.request;
+        let seen = self.seen(request);
+        seen.ran |= ran;
+        if seen.finished {
+            self.broken(format!("{request}: sent after its end"));
+        }
+        if ran {
+            let stage = call.ids.stage.clone();
+            *self.runs.entry((request, stage)).or_default() += 1;
+        }
+        let pending = Pending { request, ran };
+        self.calls.insert(call.ids.attempt, pending);
+    }
+
+    /// Notes a call that the core has given up.
+    pub(super) fn cancelled(&mut self, attempt: AttemptId) {
+        self.calls.remove(&attempt);
+    }
+
+    /// Checks a token that a caller gets.
+    pub(super) fn token(&mut self, request: RequestId, index: u32) {
+        let seen = self.seen(request);
+        let next = seen.tokens;
+        seen.tokens += 1;
+        if next != index || seen.finished {
+            self.broken(format!("{request}: token {index} instead of {next}"));
+        }
+    }
+
+    /// Checks the end that a caller gets.
+    pub(super) fn finished(&mut self, request: RequestId, result: Result<Answer, Problem>) {
+        let seen = self.seen(request);
+        let (number, ran) = (seen.number, seen.ran);
+        if seen.finished {
+            self.broken(format!("{request}: ended twice"));
+        }
+        self.seen(request).finished = true;
+        let reported = match result {
+            Ok(answer) if self.is_right(number, &answer) => Reported::Answered,
+            Ok(_) => Reported::Wrong,
+            Err(problem) => Reported::Problem(problem.outcome),
+        };
+        if reported == Reported::Wrong {
+            self.broken(format!("{request}: wrong answer"));
+        }
+        if reported == Reported::Problem(Outcome::NotRun) && ran {
+            self.broken(format!("{request}: false not_run"));
+        }
+        self.findings.reported[number as usize] = Some(reported);
+    }
+
+    fn is_right(&self, number: u32, answer: &Answer) -> bool {
+        self.steps.iter().any(|(target, steps)| {
+            let body = body(number, target);
+            expect::answer(steps, &body) == answer.body
+        })
+    }
+
+    /// Checks what is left once nothing more is due.
+    pub(super) fn finish(mut self, core: &Core) -> Findings {
+        self.check_requests();
+        self.check_guarded();
+        self.check_core(core);
+        self.check_calls();
+        self.findings
+    }
+
+    fn check_requests(&mut self) {
+        let requests = self.requests.iter();
+        let endless = requests.filter(|(_, seen)| !seen.finished && !seen.left);
+        let broken = endless.map(|(request, _)| format!("{request}: no end"));
+        self.findings.broken.extend(broken);
+    }
+
+    fn check_guarded(&mut self) {
+        for ((request, stage), count) in &self.runs {
+            if stage.as_str().starts_with(GUARDED) && *count > 1 {
+                let broken = format!("{request}: {stage} ran {count} times");
+                self.findings.broken.push(broken);
+            }
+        }
+    }
+
+    fn check_core(&mut self, core: &Core) {
+        let pools = core.fleet().pools();
+        let members = pools.flat_map(|pool| &pool.members);
+        let busy: u32 = members.map(|member| member.load.in_flight()).sum();
+        let requests = core.in_flight();
+        if busy > 0 || requests > 0 {
+            self.broken(format!("{busy} calls and {requests} requests left over"));
+        }
+    }
+
+    /// Whatever still runs has to serve a request that has ended.
+    fn check_calls(&mut self) {
+        let running = self.calls.values().filter(|pending| pending.ran);
+        let requests = running.map(|pending| &self.requests[&pending.request]);
+        let forgotten = requests.filter(|seen| !seen.finished && !seen.left).count();
+        if forgotten > 0 {
+            self.broken(format!("{forgotten} calls forgotten"));
+        }
+    }
+
+    fn seen(&mut self, request: RequestId) -> &mut Seen {
+        let seen = self.requests.get_mut(&request);
+        seen.expect("the core acts for requests that arrived")
+    }
+
+    fn broken(&mut self, finding: String) {
+        self.findings.broken.push(finding);
+    }
+}
--- a/lib/testutils/src/faults.rs
+++ b/lib/testutils/src/faults.rs
@@ -2,10 +2,10 @@
 
 use std::sync::{
     Mutex,
-    atomic::{AtomicBool, AtomicU32, AtomicU64, Ordering},
+    atomic::{AtomicBool, AtomicU32, Ordering},
 };
 
-/// What is wrong with a reply.
+/// Damage of a reply.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Damage {
     /// Bytes that aren't JSON or events.
@@ -24,28 +24,25 @@
     NotRun,
 }
 
-/// Damages in the order of their codes.
-const DAMAGES: [Damage; 7] = [
-    Damage::Garbage,
-    Damage::WrongIds,
-    Damage::TooMuch,
-    Damage::Truncated,
-    Damage::Nothing,
-    Damage::ServerError,
-    Damage::NotRun,
-];
+/// A share of one in thousandths: the scale of draws.
+const WHOLE: u64 = 1_000;
+
+/// Damage of a share of replies.
+#[derive(Debug)]
+struct DamagePlan {
+    damage: Damage,
+    thousandths: u64,
+    draws: u64,
+}
 
 /// Faults of one endpoint.
 #[derive(Debug)]
 pub struct Faults {
     /// Factor on all times, in thousandths.
     slowness: AtomicU32,
-    /// Share of replies that are damaged, in thousandths.
-    rate: AtomicU32,
-    damage: AtomicU32,
+    damage: Mutex<Option<DamagePlan>>,
     frozen: AtomicBool,
     leaving: AtomicBool,
-    draws: AtomicU64,
     /// Token before which a stream breaks off, once.
     break_at: Mutex<Option<u32>>,
 }
@@ -53,12 +50,10 @@
 impl Default for Faults {
     fn default() -> Self {
         Self {
-            slowness: AtomicU32::new(1000),
-            rate: AtomicU32::new(0),
-            damage: AtomicU32::new(0),
+            slowness: AtomicU32::new(WHOLE as u32),
+            damage: Mutex::new(None),
             frozen: AtomicBool::new(false),
             leaving: AtomicBool::new(false),
-            draws: AtomicU64::new(0),
             break_at: Mutex::new(None),
         }
     }
@@ -67,32 +62,36 @@
 impl Faults {
     /// Makes everything take `factor` times as long.
     pub fn slow_down(&self, factor: f64) {
-        let thousandths = (factor * 1000.0) as u32;
+        let thousandths = (factor * WHOLE as f64) as u32;
         self.slowness.store(thousandths, Ordering::Relaxed);
     }
 
     /// Returns the factor on all times.
     pub fn slowness(&self) -> f64 {
-        f64::from(self.slowness.load(Ordering::Relaxed)) / 1000.0
+        f64::from(self.slowness.load(Ordering::Relaxed)) / WHOLE as f64
     }
 
-    /// Damages this share of replies.
+    /// Damages this share of replies, from 0 to 1.
     pub fn damage(&self, damage: Damage, share: f64) {
-        let code = DAMAGES.iter().position(|d| *d == damage).unwrap_or(0);
-        self.damage.store(code as u32, Ordering::Relaxed);
-        self.rate.store((share * 1000.0) as u32, Ordering::Relaxed);
+        let thousandths = (share * WHOLE as f64) as u64;
+        let mut plan = self.damage.lock().expect("no panic while held");
+        let draws = plan.as_ref().map_or(0, |plan| plan.draws);
+        *plan = Some(DamagePlan {
+            damage,
+            thousandths,
+            draws,
+        });
     }
 
     /// Draws whether the next reply is damaged. Draws are spread evenly, not at random, so that a
     /// share of 0.5 damages every other reply in every run.
     pub fn draw(&self) -> Option<Damage> {
-        let rate = u64::from(self.rate.load(Ordering::Relaxed));
-        if rate == 0 {
-            return None;
-        }
-        let n = self.draws.fetch_add(1, Ordering::Relaxed);
-        let due = (n + 1) * rate / 1000 > n * rate / 1000;
-        due.then(|| DAMAGES[self.damage.load(Ordering::Relaxed) as usize])
+        let mut plan = self.damage.lock().expect("no panic while held");
+        let plan = plan.as_mut().filter(|plan| plan.thousandths > 0)?;
+        let before = plan.draws * plan.thousandths / WHOLE;
+        plan.draws += 1;
+        let after = plan.draws * plan.thousandths / WHOLE;
+        (after > before).then_some(plan.damage)
     }
 
     /// Freezes the load report, or thaws it.
--- a/lib/testutils/src/fixture.rs
+++ b/lib/testutils/src/fixture.rs
@@ -1,4 +1,6 @@
 //! A whole small installation on loopback: configuration service, endpoints, daemons.
+//!
+//! Everything panics where it can't be started, since only tests and the bench use it.
 
 use {
     crate::{
@@ -7,7 +9,7 @@
         engine::{self, EngineModel},
         expect::Step,
         http_client::Caller,
-        plain::{self, PlainModel},
+        plain::{self, Answers, PlainModel},
     },
     hazelyoke_lib::{
         api::ApiLimits,
@@ -18,7 +20,7 @@
     std::{collections::BTreeMap, net::SocketAddr, time::Duration},
 };
 
-/// Longest wait for something that has to happen.
+/// Longest wait for something that has to happen; chosen, not measured: far above what it takes.
 const PATIENCE: Duration = Duration::from_secs(20);
 
 /// Model that the fixture's engines serve.
@@ -30,6 +32,30 @@
 /// Name of the tree's root value.
 pub const TREE: &str = "tree.jsonc";
 
+/// Customers of the tree; one of them has a rate that a second request exceeds.
+const CUSTOMERS: &str = r#"  "customers": {
+    "market": {},
+    "tiny": { "settings": { "rate": "1/s" } }
+  }"#;
+
+/// Pipelines of the tree.
+const PIPELINES: &str = r#"  "pipelines": {
+    "summary": {
+      "stages": [
+        { "name": "encode", "service": "encoder" },
+        { "name": "retrieve", "service": "retriever" },
+        { "name": "rerank", "service": "reranker" },
+        { "name": "generate", "service": "llm" }
+      ]
+    },
+    "checkout": {
+      "stages": [
+        { "name": "encode", "service": "encoder" },
+        { "name": "pay", "service": "pay" }
+      ]
+    }
+  }"#;
+
 /// A small installation: two endpoints a service, one pipeline of four stages.
 pub struct Fixture {
     /// The configuration service.
@@ -60,16 +86,7 @@
             };
             endpoints.insert(service, start_plain(service, model).await);
         }
-        let model = EngineModel {
-            tokens: TOKENS,
-            ..Default::default()
-        };
-        let mut engines = Vec::new();
-        for _ in 0..2 {
-            let engine = engine::start(MODEL, any_address(), model).await;
-            engines.push(engine.expect("loopback has free ports"));
-        }
-        endpoints.insert("llm", engines);
+        endpoints.insert("llm", start_engines().await);
         let config = ConfigService::start().await;
         let mut fixture = Self {
             config: config.expect("loopback has free ports"),
@@ -89,43 +106,25 @@
 
     /// Writes the tree with the endpoints that run now.
     pub fn tree(&self, version: u64) -> String {
+        let settings = &self.root_settings;
         let services: Vec<_> = self
             .endpoints
             .iter()
             .map(|(service, endpoints)| service_json(service, endpoints))
             .collect();
+        let services = services.join(",\n");
         format!(
             r#"{{
   "version": {version},
   "name": "small",
   "data_centres": ["north", "south"],
-  "settings": {{ {} }},
+  "settings": {{ {settings} }},
   "services": {{
-{}
+{services}
   }},
-  "customers": {{
-    "market": {{}},
-    "tiny": {{ "settings": {{ "rate": "1/s" }} }}
-  }},
-  "pipelines": {{
-    "summary": {{
-      "stages": [
-        {{ "name": "encode", "service": "encoder" }},
-        {{ "name": "retrieve", "service": "retriever" }},
-        {{ "name": "rerank", "service": "reranker" }},
-        {{ "name": "generate", "service": "llm" }}
-      ]
-    }},
-    "checkout": {{
-      "stages": [
-        {{ "name": "encode", "service": "encoder" }},
-        {{ "name": "pay", "service": "pay" }}
-      ]
-    }}
-  }}
-}}"#,
-            self.root_settings,
-            services.join(",\n")
+{CUSTOMERS},
+{PIPELINES}
+}}"#
         )
     }
 
@@ -206,19 +205,27 @@
 
 async fn start_plain(service: &str, model: PlainModel) -> Vec<EndpointServer> {
     let mut servers = Vec::new();
-    let answers = std::sync::Arc::default();
+    let answers = Answers::default();
     for _ in 0..2 {
-        let server = plain::start_sharing(
-            service,
-            any_address(),
-            model,
-            std::sync::Arc::clone(&answers),
-        );
-        servers.push(server.await.expect("loopback has free ports"));
+        let server = plain::start_sharing(service, any_address(), model, answers.clone()).await;
+        servers.push(server.expect("loopback has free ports"));
     }
     servers
 }
 
+async fn start_engines() -> Vec<EndpointServer> {
+    let model = EngineModel {
+        tokens: TOKENS,
+        ..Default::default()
+    };
+    let mut engines = Vec::new();
+    for _ in 0..2 {
+        let engine = engine::start(MODEL, any_address(), model).await;
+        engines.push(engine.expect("loopback has free ports"));
+    }
+    engines
+}
+
 fn service_json(service: &str, endpoints: &[EndpointServer]) -> String {
     let kind = match service {
         "llm" => format!(r#""kind": "engine", "model": "{MODEL}""#),
--- a/lib/testutils/src/http_server.rs
+++ b/lib/testutils/src/http_server.rs
@@ -7,7 +7,10 @@
     hyper::{body::Incoming, server::conn::http1, service::service_fn},
     hyper_util::rt::TokioIo,
     std::{convert::Infallible, future::Future, io, net::SocketAddr},
-    tokio::{net::TcpListener, task::JoinSet},
+    tokio::{
+        net::TcpListener,
+        task::{AbortHandle, JoinSet},
+    },
 };
 
 /// Body of a stand-in's response; an error breaks the connection off.
@@ -31,7 +34,7 @@
 #[derive(Debug)]
 pub struct Server {
     address: SocketAddr,
-    task: tokio::task::AbortHandle,
+    task: AbortHandle,
 }
 
 impl Server {
@@ -74,9 +77,11 @@
     let mut connections = JoinSet::new();
     loop {
         while connections.try_join_next().is_some() {}
+        // A connection that broke before it was accepted concerns nobody; its caller sees it.
         let Ok((socket, _)) = listener.accept().await else {
             continue;
         };
+        // Only slows replies down, and fails only where the connection has broken already.
         let _ = socket.set_nodelay(true);
         let handle = handle.clone();
         let service = service_fn(move |request| {
--- a/lib/testutils/src/seeds.rs
+++ b/lib/testutils/src/seeds.rs
@@ -11,9 +11,10 @@
 /// Set to a number to run so many times as many seeds.
 const FACTOR: &str = "HAZELYOKE_SEEDS_FACTOR";
 
+/// Returns the factor on the number of seeds; 1 where it isn't set.
 fn factor() -> u64 {
-    let text = std::env::var(FACTOR).ok();
-    text.and_then(|text| text.parse().ok()).unwrap_or(1)
+    let text = std::env::var(FACTOR);
+    text.map_or(1, |text| text.parse().expect("a factor is a whole number"))
 }
 
 /// Runs `property` once for each of `count` seeds, with `size` bytes of choices each.
