--- a/bench/src/caller.rs
+++ b/bench/src/caller.rs
@@ -5,7 +5,7 @@
 
 use {
     bytes::Bytes,
-    hazelyoke_lib::wire::{DEADLINE_HEADER, KEY_HEADER, REQUEST_HEADER},
+    hazelyoke_lib::pipeline::endpoints::wire::{DEADLINE_HEADER, KEY_HEADER, REQUEST_HEADER},
     hazelyoke_testutils::{
         expect::{self, Step},
         http_client::{Caller, CallerReply, CallerRequest},
--- a/bench/src/experiment/mod.rs
+++ b/bench/src/experiment/mod.rs
@@ -11,9 +11,11 @@
 use {
     crate::fault_plan::Fault,
     hazelyoke_lib::{
-        findings::Findings,
-        settings::PolicyKind,
-        units::{Count, Rate, UnitError},
+        settings::values::PolicyKind,
+        shared::{
+            findings::Findings,
+            units::{Count, Rate, UnitError},
+        },
     },
     std::{fmt, str::FromStr, time::Duration},
 };
--- a/bench/src/experiment/reader.rs
+++ b/bench/src/experiment/reader.rs
@@ -10,12 +10,16 @@
         fault_plan::{EndpointFault, Fault, FaultKind, parse_damage},
     },
     hazelyoke_lib::{
-        document::{self, Field, ObjectReader, Value},
-        findings::{Findings, Place},
-        ids::{DataCentreId, ServiceId},
-        settings::PolicyKind,
-        tree::Tree,
-        units::{Count, Millis, Share},
+        settings::{
+            document::{self, Field, ObjectReader, Value},
+            tree::Tree,
+            values::PolicyKind,
+        },
+        shared::{
+            findings::{Findings, Place},
+            ids::{DataCentreId, ServiceId},
+            units::{Count, Millis, Share},
+        },
     },
     std::{fmt::Display, str::FromStr},
 };
--- a/bench/src/fault_injector.rs
+++ b/bench/src/fault_injector.rs
@@ -10,7 +10,7 @@
         replica::Replica,
     },
     anyhow::Result,
-    hazelyoke_lib::units::Share,
+    hazelyoke_lib::shared::units::Share,
     std::time::Duration,
     tokio::time::{Instant, sleep_until},
 };
--- a/bench/src/fault_plan.rs
+++ b/bench/src/fault_plan.rs
@@ -1,7 +1,7 @@
 //! The faults that an experiment names: what goes wrong, where and when.
 
 use {
-    hazelyoke_lib::{
+    hazelyoke_lib::shared::{
         ids::{DataCentreId, ServiceId},
         units::{Count, Share},
     },
--- a/bench/src/installation.rs
+++ b/bench/src/installation.rs
@@ -11,11 +11,13 @@
     },
     anyhow::Result,
     hazelyoke_lib::{
-        api::ApiLimits,
-        daemon::Daemon,
-        daemon_settings::{ConfigSettings, DaemonSettings},
-        tree::{Service, Tree},
-        units::{ByteSize, Count, Millis},
+        pipeline::{
+            api::server::ApiLimits,
+            daemon::Daemon,
+            daemon_settings::{ConfigSettings, DaemonSettings},
+        },
+        settings::tree::{Service, Tree},
+        shared::units::{ByteSize, Count, Millis},
     },
     hazelyoke_testutils::{
         config_service::ConfigService,
--- a/bench/src/load.rs
+++ b/bench/src/load.rs
@@ -10,8 +10,8 @@
         model,
     },
     hazelyoke_lib::{
-        tree::{Pipeline, Tree},
-        units::Rate,
+        settings::tree::{Pipeline, Tree},
+        shared::units::Rate,
     },
     hazelyoke_testutils::{expect::Step, http_client::Caller},
     rand::{RngExt, SeedableRng, rngs::SmallRng},
--- a/bench/src/model.rs
+++ b/bench/src/model.rs
@@ -5,9 +5,11 @@
 use {
     crate::experiment::Weights,
     hazelyoke_lib::{
-        settings::Guard,
-        tree::{Pipeline, Service, ServiceKind, Stage, Tree},
-        units::Rate,
+        settings::{
+            tree::{Pipeline, Service, ServiceKind, Stage, Tree},
+            values::Guard,
+        },
+        shared::units::Rate,
     },
     hazelyoke_testutils::{engine::EngineModel, expect::Step, plain::PlainModel},
     std::{collections::BTreeMap, time::Duration},
--- a/bench/src/replica.rs
+++ b/bench/src/replica.rs
@@ -6,7 +6,7 @@
 use {
     crate::model::{engine_model, plain_model},
     anyhow::{Context, Result},
-    hazelyoke_lib::tree::{EndpointSpec, Service, ServiceKind},
+    hazelyoke_lib::settings::tree::{EndpointSpec, Service, ServiceKind},
     hazelyoke_testutils::{
         endpoint::{Endpoint, EndpointServer},
         engine::{self, SharedCache},
--- a/bench/src/report.rs
+++ b/bench/src/report.rs
@@ -9,7 +9,7 @@
         runner::{Results, Run},
         tally::Tally,
     },
-    hazelyoke_lib::{tree::Tree, units::WorkMillis},
+    hazelyoke_lib::{settings::tree::Tree, shared::units::WorkMillis},
     hazelyoke_testutils::endpoint::PromptBytes,
     serde::Serialize,
     std::{collections::BTreeMap, time::Duration},
--- a/bench/src/runner.rs
+++ b/bench/src/runner.rs
@@ -12,7 +12,7 @@
         tally::Tally,
     },
     anyhow::{Error, Result, anyhow},
-    hazelyoke_lib::settings::PolicyKind,
+    hazelyoke_lib::settings::values::PolicyKind,
     std::{collections::BTreeMap, future, time::Duration},
     tokio::{
         sync::mpsc::{self, UnboundedReceiver},
--- a/lib/testutils/src/core_run/calls.rs
+++ b/lib/testutils/src/core_run/calls.rs
@@ -5,9 +5,9 @@
     crate::expect,
     arbtest::arbitrary::Result,
     hazelyoke_lib::{
-        endpoint::{AttemptEnd, Call, FailCause, NotRunCause, Reply},
-        tree::ServiceKind,
-        units::{Time, WorkMillis},
+        pipeline::decision::endpoint::{AttemptEnd, Call, FailCause, NotRunCause, Reply},
+        settings::tree::ServiceKind,
+        shared::units::{Time, WorkMillis},
     },
 };
 
--- a/lib/testutils/src/core_run/mod.rs
+++ b/lib/testutils/src/core_run/mod.rs
@@ -14,12 +14,16 @@
     arbtest::arbitrary::{Result, Unstructured},
     bytes::Bytes,
     hazelyoke_lib::{
-        core::{Action, Core, CoreConfig, Event},
-        endpoint::{AttemptEnd, LoadReport},
-        ids::{AttemptId, RequestId},
-        request::{Arrival, Target},
-        tree::{ServiceKind, Tree},
-        units::{Millis, Time, WorkMillis},
+        pipeline::decision::{
+            core::{Action, Core, CoreConfig, Event},
+            endpoint::{AttemptEnd, LoadReport},
+            request::{Arrival, Target},
+        },
+        settings::tree::{ServiceKind, Tree},
+        shared::{
+            ids::{AttemptId, RequestId},
+            units::{Millis, Time, WorkMillis},
+        },
     },
     observer::Observer,
     std::{
--- a/lib/testutils/src/core_run/observer.rs
+++ b/lib/testutils/src/core_run/observer.rs
@@ -4,11 +4,11 @@
     super::body,
     crate::expect::{self, Step},
     hazelyoke_lib::{
-        core::Core,
-        endpoint::Call,
-        ids::{AttemptId, RequestId, StageId},
-        problem::{Outcome, Problem},
-        request::Answer,
+        pipeline::decision::{core::Core, endpoint::Call, request::Answer},
+        shared::{
+            ids::{AttemptId, RequestId, StageId},
+            problem::{Outcome, Problem},
+        },
     },
     std::collections::BTreeMap,
 };
