--- a/lib/testutils/src/core_run/calls.rs
+++ b/lib/testutils/src/core_run/calls.rs
@@ -5,7 +5,9 @@
     crate::expect,
     arbtest::arbitrary::Result,
     hazelyoke_lib::{
-        pipeline::decision::endpoint::{AttemptEnd, Call, FailCause, NotRunCause, Reply},
+        pipeline::decision::endpoint::{
+            AttemptEnd, EndpointCall, EndpointReply, FailCause, NotRunCause,
+        },
         settings::tree::ServiceKind,
         shared::units::{Time, WorkMillis},
     },
@@ -16,7 +18,7 @@
 
 impl CoreRun<'_, '_> {
     /// Draws how a call ends, and plans it.
-    pub(super) fn send(&mut self, call: Call) -> Result<()> {
+    pub(super) fn send(&mut self, call: EndpointCall) -> Result<()> {
         let attempt = call.ids.attempt;
         let at = self.now.0 + self.choices.int_in_range(1..=MAX_SERVICE)?;
         let end = self.draw_end(&call, at)?;
@@ -29,7 +31,7 @@
     }
 
     /// Draws a call's end; none if the endpoint never answers.
-    fn draw_end(&mut self, call: &Call, at: u64) -> Result<Option<AttemptEnd>> {
+    fn draw_end(&mut self, call: &EndpointCall, at: u64) -> Result<Option<AttemptEnd>> {
         if !self.options.faults {
             return self.good_end(call, at).map(Some);
         }
@@ -44,10 +46,10 @@
         })
     }
 
-    fn good_end(&mut self, call: &Call, at: u64) -> Result<AttemptEnd> {
+    fn good_end(&mut self, call: &EndpointCall, at: u64) -> Result<AttemptEnd> {
         let ServiceKind::Engine { model } = &call.kind else {
             let service = self.service_of(call);
-            return Ok(AttemptEnd::Answered(Reply {
+            return Ok(AttemptEnd::Answered(EndpointReply {
                 status: 200,
                 body: expect::plain_output(&service, &call.input),
                 served: Some(SERVED),
@@ -80,7 +82,7 @@
         Ok(Some(if disordered { early } else { Time(end) }))
     }
 
-    fn service_of(&self, call: &Call) -> String {
+    fn service_of(&self, call: &EndpointCall) -> String {
         let services = self.tree.services.values();
         let mut owners = services.filter(|service| {
             let mut endpoints = service.endpoints.iter();
--- a/lib/testutils/src/core_run/observer.rs
+++ b/lib/testutils/src/core_run/observer.rs
@@ -4,7 +4,7 @@
     super::body,
     crate::expect::{self, Step},
     hazelyoke_lib::{
-        pipeline::decision::{core::Core, endpoint::Call, request::Answer},
+        pipeline::decision::{core::Core, endpoint::EndpointCall, request::Answer},
         shared::{
             ids::{AttemptId, RequestId, StageId},
             problem::{Outcome, Problem},
@@ -103,7 +103,7 @@
     }
 
     /// Notes a call, and whether its endpoint runs it.
-    pub(super) fn sent(&mut self, call: &Call, ran: bool) {
+    pub(super) fn sent(&mut self, call: &EndpointCall, ran: bool) {
         let request = call.ids.request;
         let seen = self.seen(request);
         seen.ran |= ran;
