--- a/bench/src/commands/decide.rs
+++ b/bench/src/commands/decide.rs
@@ -5,9 +5,9 @@
     anyhow::{Context, Result},
     argh::FromArgs,
     hazelyoke_lib::{
-        core::{Action, Core, CoreConfig, Event},
-        tree::Tree,
-        units::{Millis, Time},
+        pipeline::decision::core::{Action, Core, CoreConfig, Event},
+        settings::tree::Tree,
+        shared::units::{Millis, Time},
     },
     std::{sync::Arc, time::Instant},
 };
--- a/bench/src/commands/forwarding.rs
+++ b/bench/src/commands/forwarding.rs
@@ -5,18 +5,22 @@
     argh::FromArgs,
     hazelyoke_lib::{
         gateway::{
-            budget::{BudgetLimits, WindowBudget},
-            catalogue::EndpointEntry,
             dialect::{Prompt, PromptPart},
-            fleet::{Demand, Fleet},
-            peer_message::{Heartbeat, LoadNote, Phase, QueueNote, WorkNote, decode, encode},
-            peers::{Beliefs, Identity, Peers},
-            stage_batch::BatchQueue,
-            stage_calls::CallEnd,
-            stage_job::{Handle, Job, JobId, PieceEnd, PieceInput},
+            directory::catalogue::EndpointEntry,
+            peers::{
+                membership::{Beliefs, Identity, Peers},
+                message::{Heartbeat, LoadNote, Phase, QueueNote, WorkNote, decode, encode},
+            },
+            routing::endpoint_state::{Demand, Fleet},
+            rules::retry_budget::{BudgetLimits, WindowBudget},
+            stages::{
+                batch_call::CallEnd,
+                batch_queue::BatchQueue,
+                job::{Handle, Job, JobId, PieceEnd, PieceInput},
+            },
             table::BatchLimits,
         },
-        units::{ByteSize, Capacity, Millis, Share, Time},
+        shared::units::{ByteSize, Capacity, Millis, Share, Time},
     },
     std::{
         net::SocketAddr,
--- a/bench/src/commands/overhead.rs
+++ b/bench/src/commands/overhead.rs
@@ -4,7 +4,7 @@
     anyhow::{Result, anyhow},
     argh::FromArgs,
     bytes::Bytes,
-    hazelyoke_lib::wire,
+    hazelyoke_lib::pipeline::endpoints::wire,
     hazelyoke_testutils::{
         fixture::{Fixture, any_address},
         http_client::{Caller, CallerRequest},
--- a/bench/src/commands/run.rs
+++ b/bench/src/commands/run.rs
@@ -7,7 +7,7 @@
     },
     anyhow::{Context, Result, bail},
     argh::FromArgs,
-    hazelyoke_lib::settings::PolicyKind,
+    hazelyoke_lib::settings::values::PolicyKind,
     std::{fs, io::Write, path::PathBuf},
 };
 
--- a/bench/src/commands/scale.rs
+++ b/bench/src/commands/scale.rs
@@ -8,10 +8,12 @@
     anyhow::Result,
     argh::FromArgs,
     hazelyoke_lib::{
-        core::{Action, Core, CoreConfig, Event},
-        ids::CustomerId,
-        tree::Tree,
-        units::{Millis, Time},
+        pipeline::decision::core::{Action, Core, CoreConfig, Event},
+        settings::tree::Tree,
+        shared::{
+            ids::CustomerId,
+            units::{Millis, Time},
+        },
     },
     std::{fmt::Write, sync::Arc, time::Instant},
 };
--- a/bench/src/commands/tokens.rs
+++ b/bench/src/commands/tokens.rs
@@ -4,7 +4,7 @@
     crate::process::processor_time,
     anyhow::{Result, anyhow},
     argh::FromArgs,
-    hazelyoke_lib::{sse::EventReader, wire},
+    hazelyoke_lib::{pipeline::endpoints::wire, shared::sse::EventReader},
     hazelyoke_testutils::{
         engine::{self, EngineModel},
         fixture::{Fixture, MODEL, any_address},
--- a/bench/src/core_load.rs
+++ b/bench/src/core_load.rs
@@ -4,13 +4,16 @@
     anyhow::Result,
     bytes::Bytes,
     hazelyoke_lib::{
-        core::{Core, Event},
-        endpoint::{AttemptEnd, LoadReport, Reply},
-        ids::{CustomerId, RequestId},
-        raw_tree::RawTree,
-        request::{Arrival, Target},
-        tree::Tree,
-        units::{Millis, Time, WorkMillis},
+        pipeline::decision::{
+            core::{Core, Event},
+            endpoint::{AttemptEnd, LoadReport, Reply},
+            request::{Arrival, Target},
+        },
+        settings::{raw_tree::RawTree, tree::Tree},
+        shared::{
+            ids::{CustomerId, RequestId},
+            units::{Millis, Time, WorkMillis},
+        },
     },
     hazelyoke_testutils::one_value::OneValue,
 };
--- a/bench/src/experiment.rs
+++ b/bench/src/experiment.rs
@@ -7,11 +7,15 @@
         trees::{User, Values},
     },
     hazelyoke_lib::{
-        document::{self, Field, ObjectReader, Value},
-        findings::{Findings, Place},
-        settings::PolicyKind,
-        tree::Tree,
-        units::{Count, Millis, Rate},
+        settings::{
+            document::{self, Field, ObjectReader, Value},
+            tree::Tree,
+            values::PolicyKind,
+        },
+        shared::{
+            findings::{Findings, Place},
+            units::{Count, Millis, Rate},
+        },
     },
     std::{collections::BTreeMap, time::Duration},
 };
--- a/bench/src/installation.rs
+++ b/bench/src/installation.rs
@@ -8,11 +8,13 @@
     },
     anyhow::{Context, Result},
     hazelyoke_lib::{
-        api::ApiLimits,
-        daemon::Daemon,
-        daemon_settings::{ConfigSettings, DaemonSettings},
-        tree::{EndpointSpec, Service, ServiceKind, Tree},
-        units::{ByteSize, Count, Millis},
+        pipeline::{
+            api::server::ApiLimits,
+            daemon::Daemon,
+            daemon_settings::{ConfigSettings, DaemonSettings},
+        },
+        settings::tree::{EndpointSpec, Service, ServiceKind, Tree},
+        shared::units::{ByteSize, Count, Millis},
     },
     hazelyoke_testutils::{
         config_service::ConfigService,
--- a/bench/src/load.rs
+++ b/bench/src/load.rs
@@ -6,7 +6,7 @@
         experiment::{Context, Experiment},
         model,
     },
-    hazelyoke_lib::tree::{Pipeline, Tree},
+    hazelyoke_lib::settings::tree::{Pipeline, Tree},
     hazelyoke_testutils::{expect::Step, http_client::Caller},
     rand::{RngExt, SeedableRng, rngs::SmallRng},
     std::{sync::Arc, time::Duration},
--- a/bench/src/model.rs
+++ b/bench/src/model.rs
@@ -1,7 +1,7 @@
 //! Times of the stand-ins, taken from the tree, and the capacity that follows from them.
 
 use {
-    hazelyoke_lib::tree::{Pipeline, Service, ServiceKind, Stage, Tree},
+    hazelyoke_lib::settings::tree::{Pipeline, Service, ServiceKind, Stage, Tree},
     hazelyoke_testutils::{engine::EngineModel, expect::Step, plain::PlainModel},
     std::{collections::BTreeMap, time::Duration},
 };
@@ -28,7 +28,7 @@
     PlainModel {
         usual: settings.floor.value.to_duration().mul_f64(USUAL),
         slots: settings.slots.value.0,
-        checks_keys: settings.guard.value == hazelyoke_lib::settings::Guard::Endpoint,
+        checks_keys: settings.guard.value == hazelyoke_lib::settings::values::Guard::Endpoint,
     }
 }
 
--- a/bench/src/report.rs
+++ b/bench/src/report.rs
@@ -11,7 +11,7 @@
     },
     anyhow::{Result, bail},
     comfy_table::{Table, presets},
-    hazelyoke_lib::{settings::PolicyKind, tree::Tree},
+    hazelyoke_lib::settings::{tree::Tree, values::PolicyKind},
     serde::{Deserialize, Serialize},
     std::{collections::BTreeMap, time::Duration},
     tokio::{sync::mpsc, time::Instant},
--- a/bench/src/trees.rs
+++ b/bench/src/trees.rs
@@ -2,9 +2,11 @@
 
 use {
     hazelyoke_lib::{
-        findings::Findings,
-        raw_tree::{RawTree, ValueSource},
-        tree::Tree,
+        settings::{
+            raw_tree::{RawTree, ValueSource},
+            tree::Tree,
+        },
+        shared::findings::Findings,
     },
     std::{collections::BTreeMap, net::SocketAddr, str::FromStr},
 };
--- a/cli/src/commands/check.rs
+++ b/cli/src/commands/check.rs
@@ -7,7 +7,7 @@
     },
     anyhow::{Result, bail},
     argh::FromArgs,
-    hazelyoke_lib::findings::Findings,
+    hazelyoke_lib::shared::findings::Findings,
     std::path::PathBuf,
 };
 
--- a/cli/src/commands/diff.rs
+++ b/cli/src/commands/diff.rs
@@ -7,7 +7,7 @@
     },
     anyhow::Result,
     argh::FromArgs,
-    hazelyoke_lib::{diff::diff, findings::Findings},
+    hazelyoke_lib::{settings::diff::diff, shared::findings::Findings},
     std::path::PathBuf,
 };
 
--- a/cli/src/commands/explain.rs
+++ b/cli/src/commands/explain.rs
@@ -7,7 +7,7 @@
     },
     anyhow::{Result, bail},
     argh::FromArgs,
-    hazelyoke_lib::settings::Entry,
+    hazelyoke_lib::settings::values::Entry,
     serde::Serialize,
     std::path::PathBuf,
 };
--- a/cli/src/commands/status.rs
+++ b/cli/src/commands/status.rs
@@ -4,7 +4,7 @@
     crate::output::{Exit, Format, plain_table, print_json},
     anyhow::Result,
     argh::FromArgs,
-    hazelyoke_lib::status::{StatusBody, fetch},
+    hazelyoke_lib::shared::status::{StatusBody, fetch},
     std::net::SocketAddr,
 };
 
--- a/cli/src/output.rs
+++ b/cli/src/output.rs
@@ -3,7 +3,7 @@
 use {
     anyhow::Result,
     comfy_table::{Table, presets},
-    hazelyoke_lib::findings::Findings,
+    hazelyoke_lib::shared::findings::Findings,
     serde::Serialize,
     std::{process::ExitCode, str::FromStr},
 };
--- a/cli/src/tree_file.rs
+++ b/cli/src/tree_file.rs
@@ -2,10 +2,12 @@
 
 use {
     hazelyoke_lib::{
-        config_service::is_value_name,
-        findings::Findings,
-        raw_tree::{RawTree, ValueSource},
-        tree::Tree,
+        pipeline::config_service::is_value_name,
+        settings::{
+            raw_tree::{RawTree, ValueSource},
+            tree::Tree,
+        },
+        shared::findings::Findings,
     },
     std::{
         fs,
--- a/daemon/src/main.rs
+++ b/daemon/src/main.rs
@@ -6,9 +6,11 @@
     anyhow::{Context, Result},
     argh::FromArgs,
     hazelyoke_lib::{
-        daemon::Daemon,
-        daemon_settings::{DaemonSettings, RawDaemonSettings},
-        gateway::server::Server,
+        gateway::serving::server::Server,
+        pipeline::{
+            daemon::Daemon,
+            daemon_settings::{DaemonSettings, RawDaemonSettings},
+        },
     },
     hazelyoke_platform::{PlatformDialect, Store, read_settings, settings_path},
     log_lines::LogGuard,
--- a/lib/src/gateway/dialect.rs
+++ b/lib/src/gateway/dialect.rs
@@ -3,12 +3,14 @@
 use {
     crate::{
         gateway::{
-            catalogue::EndpointEntry,
-            stage_job::{Handle, PieceEnd, PieceTask},
+            directory::catalogue::EndpointEntry,
+            stages::job::{Handle, PieceEnd, PieceTask},
             table::Table,
         },
-        ids::{CustomerId, EndpointId},
-        units::Millis,
+        shared::{
+            ids::{CustomerId, EndpointId},
+            units::Millis,
+        },
     },
     bytes::Bytes,
     http::{HeaderMap, request, response},
--- a/lib/src/gateway/catalogue.rs
+++ b/lib/src/gateway/directory/catalogue.rs
@@ -1,7 +1,7 @@
 //! The endpoints there are, as the directory and peers tell, and which of them may get work.
 
 use {
-    crate::{
+    crate::shared::{
         ids::{DataCentreId, EndpointId, ServiceId},
         units::{Millis, Time},
     },
--- a/lib/src/gateway/contact.rs
+++ b/lib/src/gateway/directory/contact.rs
@@ -1,8 +1,8 @@
 //! How far a daemon can read the directory.
 
 use crate::{
-    gateway::directory::TOPICS,
-    units::{Millis, Time},
+    gateway::directory::source::TOPICS,
+    shared::units::{Millis, Time},
 };
 
 /// Time without a failed read after which the directory counts as steady for this daemon.
--- a/lib/src/gateway/follow.rs
+++ b/lib/src/gateway/directory/follow.rs
@@ -3,9 +3,11 @@
 
 use {
     crate::gateway::{
-        catalogue::EndpointEntry,
         dialect::Dialect,
-        directory::{Directory, DirectoryError, Item, Items, Topic},
+        directory::{
+            catalogue::EndpointEntry,
+            source::{Directory, DirectoryError, Item, Items, Topic},
+        },
         state::Gateway,
     },
     std::{rc::Rc, time::Duration},
--- /dev/null
+++ b/lib/src/gateway/directory/mod.rs
@@ -0,0 +1,6 @@
+//! Follows the directory that publishes the table and the endpoints.
+
+pub mod catalogue;
+pub mod contact;
+pub mod follow;
+pub mod source;
--- a/lib/src/gateway/links.rs
+++ b/lib/src/gateway/peers/links.rs
@@ -5,9 +5,11 @@
 
 use {
     crate::gateway::{
-        egress,
-        peer_message::{Ask, Frame, MAX_MESSAGE, Reply, decode, encode},
-        peers::HEARTBEAT,
+        peers::{
+            membership::HEARTBEAT,
+            message::{Ask, Frame, MAX_MESSAGE, Reply, decode, encode},
+        },
+        wire::egress,
     },
     bytes::Bytes,
     foldhash::HashMap,
--- a/lib/src/gateway/load_sums.rs
+++ b/lib/src/gateway/peers/load_sums.rs
@@ -2,8 +2,8 @@
 
 use {
     crate::{
-        gateway::{fleet::PeerLoad, peer_message::LoadNote},
-        units::{Millis, Time},
+        gateway::{peers::message::LoadNote, routing::endpoint_state::PeerLoad},
+        shared::units::{Millis, Time},
     },
     foldhash::HashMap,
 };
--- a/lib/src/gateway/peers.rs
+++ b/lib/src/gateway/peers/membership.rs
@@ -12,12 +12,16 @@
 use {
     crate::{
         gateway::{
-            peer_message::{Heartbeat, LoadNote, PROTOCOL, PeerNote, Phase, QueueNote, WorkNote},
-            peer_record::{FORGET, Peer},
+            peers::{
+                message::{Heartbeat, LoadNote, PROTOCOL, PeerNote, Phase, QueueNote, WorkNote},
+                record::{FORGET, Peer},
+            },
             table::Version,
         },
-        ids::{DataCentreId, HostId, ServiceId},
-        units::{Capacity, Millis, Time},
+        shared::{
+            ids::{DataCentreId, HostId, ServiceId},
+            units::{Capacity, Millis, Time},
+        },
     },
     foldhash::HashMap,
     rand::{SeedableRng, rngs::SmallRng, seq::IndexedRandom},
@@ -25,7 +29,7 @@
     xxhash_rust::xxh3::xxh3_64_with_seed,
 };
 
-pub use crate::gateway::peer_record::PeerChange;
+pub use crate::gateway::peers::record::PeerChange;
 
 /// Time between two heartbeats.
 pub const HEARTBEAT: Millis = Millis(200);
--- a/lib/src/gateway/peer_message.rs
+++ b/lib/src/gateway/peers/message.rs
@@ -3,12 +3,14 @@
 use {
     crate::{
         gateway::{
-            catalogue::{EndpointChanges, EndpointEntry},
-            stage_job::{Handle, JobEnd, PieceInput},
+            directory::catalogue::{EndpointChanges, EndpointEntry},
+            stages::job::{Handle, JobEnd, PieceInput},
             table::Version,
         },
-        ids::{DataCentreId, HostId, ServiceId},
-        units::Capacity,
+        shared::{
+            ids::{DataCentreId, HostId, ServiceId},
+            units::Capacity,
+        },
     },
     serde::{Deserialize, Serialize, de::DeserializeOwned},
     std::{net::SocketAddr, sync::Arc},
--- a/lib/src/gateway/pause.rs
+++ b/lib/src/gateway/peers/pause.rs
@@ -1,7 +1,7 @@
 //! Notices that the process stood still: what it believed before may be long out of date.
 
 use {
-    crate::units::{Millis, Time},
+    crate::shared::units::{Millis, Time},
     std::time::Duration,
 };
 
--- a/lib/src/gateway/peer_record.rs
+++ b/lib/src/gateway/peers/record.rs
@@ -2,9 +2,11 @@
 
 use {
     crate::{
-        gateway::peer_message::{Heartbeat, PeerNote, Phase},
-        ids::HostId,
-        units::{Capacity, Millis, Time},
+        gateway::peers::message::{Heartbeat, PeerNote, Phase},
+        shared::{
+            ids::HostId,
+            units::{Capacity, Millis, Time},
+        },
     },
     std::net::SocketAddr,
 };
--- a/lib/src/gateway/relay.rs
+++ b/lib/src/gateway/peers/relay.rs
@@ -4,19 +4,23 @@
     crate::{
         gateway::{
             dialect::Dialect,
-            links::{FETCH_LIMIT, LINK_LIMIT, QUEUE, config, read, send},
-            listen::accept_each,
-            pause::PauseDetector,
-            peer_message::{
-                Ask, Datagram, Frame, Heartbeat, JobOrder, LoadDigest, PROTOCOL, Phase, Reply,
-                Roster, decode, encode,
+            peers::{
+                links::{FETCH_LIMIT, LINK_LIMIT, QUEUE, config, read, send},
+                membership::{HEARTBEAT, PeerChange},
+                message::{
+                    Ask, Datagram, Frame, Heartbeat, JobOrder, LoadDigest, PROTOCOL, Phase, Reply,
+                    Roster, decode, encode,
+                },
+                pause::PauseDetector,
             },
-            peers::{HEARTBEAT, PeerChange},
-            stage_job::{Job, JobEnd},
+            stages::job::{Job, JobEnd},
             state::Gateway,
+            wire::listen::accept_each,
+        },
+        shared::{
+            ids::ServiceId,
+            units::{ByteSize, Millis},
         },
-        ids::ServiceId,
-        units::{ByteSize, Millis},
     },
     bytes::Bytes,
     foldhash::HashMap,
@@ -154,7 +158,7 @@
     let objective = if order.objective_ms >= 0 {
         now + Millis(order.objective_ms as u64)
     } else {
-        crate::units::Time(
+        crate::shared::units::Time(
             now.0
                 .saturating_sub(order.objective_ms.unsigned_abs() * 1000),
         )
--- a/lib/src/gateway/coordination.rs
+++ b/lib/src/gateway/peers/self_report.rs
@@ -4,13 +4,14 @@
     crate::{
         gateway::{
             dialect::Dialect,
-            fleet::{PeerLoad, short_hash, short_hash_of},
-            peer_message::{LoadNote, Phase, QueueNote},
-            peers::{Beliefs, Coordinator},
+            peers::{
+                membership::{Beliefs, Coordinator},
+                message::{LoadNote, Phase, QueueNote},
+            },
+            routing::endpoint_state::{PeerLoad, short_hash, short_hash_of},
             state::{Gateway, State},
         },
-        ids::ServiceId,
-        units::Time,
+        shared::{ids::ServiceId, units::Time},
     },
     foldhash::HashMap,
 };
--- a/lib/src/gateway/peer_sums.rs
+++ b/lib/src/gateway/peers/sums.rs
@@ -2,9 +2,11 @@
 
 use {
     crate::gateway::{
-        fleet::PeerLoad,
-        peer_message::LoadNote,
-        peers::{Coordinator, Peers},
+        peers::{
+            membership::{Coordinator, Peers},
+            message::LoadNote,
+        },
+        routing::endpoint_state::PeerLoad,
     },
     foldhash::HashMap,
 };
--- a/lib/src/gateway/accept.rs
+++ b/lib/src/gateway/routing/accept.rs
@@ -3,15 +3,16 @@
 use {
     crate::{
         gateway::{
-            call::Call,
             dialect::{Dialect, Inbound},
-            fleet::weighted,
+            routing::{call::Call, endpoint_state::weighted},
             state::{Gateway, Published},
             table::{CustomerEntry, Route},
         },
-        ids::ServiceId,
-        problem::{Code, Problem},
-        units::{Millis, Time},
+        shared::{
+            ids::ServiceId,
+            problem::{Code, Problem},
+            units::{Millis, Time},
+        },
     },
     bytes::Bytes,
     http::{Request, header, request::Parts},
--- a/lib/src/gateway/attempt.rs
+++ b/lib/src/gateway/routing/attempt.rs
@@ -3,16 +3,20 @@
 use {
     crate::{
         gateway::{
-            call::{Call, Ticket},
             dialect::{Dialect, Outbound},
-            egress::{self, ConnectionGuard, SendError},
-            fleet::{Choice, Demand, Ending},
-            headers::strip_connection_headers,
-            progress::Progress,
-            stage_chain::Results,
+            routing::{
+                call::{Call, Ticket},
+                endpoint_state::{Choice, Demand, Ending},
+            },
+            rules::progress::Progress,
+            stages::chain::Results,
             state::Gateway,
+            wire::{
+                egress::{self, ConnectionGuard, SendError},
+                headers::strip_connection_headers,
+            },
         },
-        ids::EndpointId,
+        shared::ids::EndpointId,
     },
     bytes::Bytes,
     http::{HeaderMap, Request, StatusCode, Uri, header, response},
--- a/lib/src/gateway/call.rs
+++ b/lib/src/gateway/routing/call.rs
@@ -4,12 +4,14 @@
     crate::{
         gateway::{
             dialect::{Dialect, Inbound},
-            fleet::{Choice, Ending},
+            routing::endpoint_state::{Choice, Ending},
             state::Gateway,
             table::{CustomerEntry, Route, RouteKind},
         },
-        ids::ServiceId,
-        units::{Millis, Time},
+        shared::{
+            ids::ServiceId,
+            units::{Millis, Time},
+        },
     },
     bytes::Bytes,
     http::request::Parts,
--- a/lib/src/gateway/fleet.rs
+++ b/lib/src/gateway/routing/endpoint_state.rs
@@ -3,13 +3,15 @@
 use {
     crate::{
         gateway::{
-            catalogue::EndpointEntry,
             dialect::{Prompt, ReplyLoad},
-            fleet_score::{agreed_endpoint, distance_ms, expected_ms},
+            directory::catalogue::EndpointEntry,
+            rules::endpoint_score::{agreed_endpoint, distance_ms, expected_ms},
+        },
+        shared::{
+            health::{Health, State},
+            ids::{DataCentreId, EndpointId, ServiceId},
+            units::{ByteSize, Millis, Time},
         },
-        health::{Health, State},
-        ids::{DataCentreId, EndpointId, ServiceId},
-        units::{ByteSize, Millis, Time},
     },
     foldhash::HashMap,
     std::{
--- /dev/null
+++ b/lib/src/gateway/routing/mod.rs
@@ -0,0 +1,9 @@
+//! Forwards a request: accept it, choose endpoints, send attempts, pass on the reply.
+
+pub(crate) mod accept;
+pub(crate) mod attempt;
+pub(crate) mod call;
+pub mod endpoint_state;
+pub mod forward;
+pub(crate) mod reply_stream;
+pub(crate) mod stages;
--- a/lib/src/gateway/stage_admit.rs
+++ b/lib/src/gateway/routing/stages.rs
@@ -3,18 +3,18 @@
 use {
     crate::{
         gateway::{
-            admission::{self, AdmissionRequest, PlannedStage, StageService, Verdict},
-            attempt::choose_endpoint,
-            call::Call,
             dialect::{Dialect, Inbound},
-            fleet::short_hash_of,
-            stage_chain::{self, ChainError, ChainRequest, Results},
+            routing::{attempt::choose_endpoint, call::Call, endpoint_state::short_hash_of},
+            rules::admission::{self, AdmissionRequest, PlannedStage, StageService, Verdict},
+            stages::chain::{self, ChainError, ChainRequest, Results},
             state::Gateway,
             table::Route,
         },
-        ids::ServiceId,
-        problem::{Code, Problem},
-        units::{ByteSize, Millis},
+        shared::{
+            ids::ServiceId,
+            problem::{Code, Problem},
+            units::{ByteSize, Millis},
+        },
     },
     std::rc::Rc,
 };
@@ -65,7 +65,7 @@
     );
     let probable = choose_endpoint(gateway, call, &[], None);
     let request = request.near(probable.map(|choice| choice.entry.data_centre.clone()));
-    match stage_chain::run(gateway, &request).await {
+    match chain::run(gateway, &request).await {
         Ok(results) => Ok(Some(results)),
         Err(ChainError::Late) => {
             Err(Problem::not_run(Code::NoTime, "the stages take too long").retry_after(RETRY))
--- a/lib/src/gateway/admission.rs
+++ b/lib/src/gateway/rules/admission.rs
@@ -4,7 +4,7 @@
 //! What all daemons have taken on and not finished yet is told in heartbeats; with the pace of each
 //! service it tells when a new request would be done.
 
-use crate::units::Millis;
+use crate::shared::units::Millis;
 
 /// Time that a request needs beside its stages and its prompt, in milliseconds.
 const OWN_MS: f64 = 80.0;
--- a/lib/src/gateway/fleet_score.rs
+++ b/lib/src/gateway/rules/endpoint_score.rs
@@ -4,10 +4,12 @@
     crate::{
         gateway::{
             dialect::Prompt,
-            fleet::{Demand, Member},
+            routing::endpoint_state::{Demand, Member},
+        },
+        shared::{
+            ids::{DataCentreId, EndpointId},
+            units::Time,
         },
-        ids::{DataCentreId, EndpointId},
-        units::Time,
     },
     xxhash_rust::xxh3::xxh3_64,
 };
--- a/lib/src/gateway/stage_order.rs
+++ b/lib/src/gateway/rules/piece_order.rs
@@ -6,13 +6,15 @@
 
 use {
     crate::{
-        gateway::{
-            stage_calls::JobState,
-            stage_job::{Job, JobId},
-            stage_worker::Worker,
+        gateway::stages::{
+            batch_call::JobState,
+            job::{Job, JobId},
+            worker::Worker,
+        },
+        shared::{
+            ids::DataCentreId,
+            units::{Millis, Time},
         },
-        ids::DataCentreId,
-        units::{Millis, Time},
     },
     foldhash::HashMap,
     std::collections::BTreeMap,
--- a/lib/src/gateway/progress.rs
+++ b/lib/src/gateway/rules/progress.rs
@@ -7,9 +7,11 @@
 use {
     crate::{
         gateway::table::RouteKind,
-        ids::EndpointId,
-        problem::{Code, Outcome, Problem},
-        units::Millis,
+        shared::{
+            ids::EndpointId,
+            problem::{Code, Outcome, Problem},
+            units::Millis,
+        },
     },
     bytes::Bytes,
     http::response,
--- a/lib/src/gateway/budget.rs
+++ b/lib/src/gateway/rules/retry_budget.rs
@@ -6,7 +6,7 @@
 //! alone, since the process before it may have spent it.
 
 use {
-    crate::units::{Millis, Share, Time},
+    crate::shared::units::{Millis, Share, Time},
     std::collections::VecDeque,
 };
 
--- a/lib/src/gateway/ingress.rs
+++ b/lib/src/gateway/serving/ingress.rs
@@ -2,7 +2,10 @@
 
 use {
     crate::gateway::{
-        dialect::Dialect, forward, listen::accept_each, reply::ReplyBody, state::Gateway,
+        dialect::Dialect,
+        routing::forward,
+        state::Gateway,
+        wire::{listen::accept_each, reply::ReplyBody},
     },
     http::{HeaderValue, Request, Response, header},
     hyper::{body::Incoming, server::conn::http1, service::service_fn},
--- a/lib/src/gateway/metrics.rs
+++ b/lib/src/gateway/serving/metrics.rs
@@ -1,7 +1,7 @@
 //! Counters and latency histograms of a forwarding daemon.
 
 use {
-    crate::{
+    crate::shared::{
         problem::{Code, Outcome},
         status::ProblemCount,
     },
--- /dev/null
+++ b/lib/src/gateway/serving/mod.rs
@@ -0,0 +1,7 @@
+//! Starts and stops the forwarding daemon, and its listeners, settings and metrics.
+
+pub mod ingress;
+pub mod metrics;
+pub mod operator;
+pub mod server;
+pub mod settings;
--- a/lib/src/gateway/operator.rs
+++ b/lib/src/gateway/serving/operator.rs
@@ -3,10 +3,12 @@
 use {
     crate::{
         gateway::{
-            dialect::Dialect, listen::accept_each, peer_message::Phase, reply::ReplyBody,
+            dialect::Dialect,
+            peers::message::Phase,
             state::Gateway,
+            wire::{listen::accept_each, reply::ReplyBody},
         },
-        status::{EndpointStatus, StatusBody},
+        shared::status::{EndpointStatus, StatusBody},
     },
     http::{HeaderValue, Method, Request, Response, StatusCode, header},
     hyper::{body::Incoming, server::conn::http1, service::service_fn},
--- a/lib/src/gateway/server.rs
+++ b/lib/src/gateway/serving/server.rs
@@ -4,15 +4,20 @@
     crate::{
         gateway::{
             dialect::Dialect,
-            directory::{Directory, Topic},
-            follow::follow,
-            ingress::{self, Admission},
-            operator, relay,
-            settings::GatewaySettings,
-            stage_owner::{run_planner, run_releases},
+            directory::{
+                follow::follow,
+                source::{Directory, Topic},
+            },
+            peers::relay,
+            serving::{
+                ingress::{self, Admission},
+                operator,
+                settings::GatewaySettings,
+            },
+            stages::planner::{run_planner, run_releases},
             state::Gateway,
         },
-        units::Millis,
+        shared::units::Millis,
     },
     std::{future::Future, io, net::SocketAddr, rc::Rc, time::Duration},
     thiserror::Error,
--- a/lib/src/gateway/settings.rs
+++ b/lib/src/gateway/serving/settings.rs
@@ -2,9 +2,11 @@
 
 use {
     crate::{
-        gateway::budget::BudgetLimits,
-        ids::{DataCentreId, HostId},
-        units::{Capacity, Millis},
+        gateway::rules::retry_budget::BudgetLimits,
+        shared::{
+            ids::{DataCentreId, HostId},
+            units::{Capacity, Millis},
+        },
     },
     std::{net::SocketAddr, time::Duration},
 };
--- a/lib/src/gateway/stage_calls.rs
+++ b/lib/src/gateway/stages/batch_call.rs
@@ -3,11 +3,13 @@
 use {
     crate::{
         gateway::{
-            catalogue::EndpointEntry,
-            stage_job::{Handle, Job, JobId, PieceEnd, PieceTask},
+            directory::catalogue::EndpointEntry,
+            stages::job::{Handle, Job, JobId, PieceEnd, PieceTask},
+        },
+        shared::{
+            ids::EndpointId,
+            units::{ByteSize, Millis, Time},
         },
-        ids::EndpointId,
-        units::{ByteSize, Millis, Time},
     },
     std::sync::Arc,
 };
--- a/lib/src/gateway/stage_batch.rs
+++ b/lib/src/gateway/stages/batch_queue.rs
@@ -8,16 +8,22 @@
 use {
     crate::{
         gateway::{
-            budget::WindowBudget,
-            catalogue::EndpointEntry,
-            stage_calls::{BatchCall, CallEnd, JobState, PieceState, RunningCall, made, task},
-            stage_job::{Handle, Job, JobEnd, JobId, PieceEnd, PieceInput},
-            stage_order::{Served, WaitingOrder, served},
-            stage_worker::Worker,
+            directory::catalogue::EndpointEntry,
+            rules::{
+                piece_order::{Served, WaitingOrder, served},
+                retry_budget::WindowBudget,
+            },
+            stages::{
+                batch_call::{BatchCall, CallEnd, JobState, PieceState, RunningCall, made, task},
+                job::{Handle, Job, JobEnd, JobId, PieceEnd, PieceInput},
+                worker::Worker,
+            },
             table::BatchLimits,
         },
-        ids::EndpointId,
-        units::{ByteSize, Millis, Time},
+        shared::{
+            ids::EndpointId,
+            units::{ByteSize, Millis, Time},
+        },
     },
     foldhash::HashMap,
     std::{collections::BTreeMap, sync::Arc},
--- a/lib/src/gateway/stage_chain.rs
+++ b/lib/src/gateway/stages/chain.rs
@@ -3,19 +3,21 @@
 use {
     crate::{
         gateway::{
-            admission,
             dialect::{Dialect, Inbound},
-            peer_message::Ask,
-            peers::Coordinator,
-            relay,
-            release::release,
-            stage_job::{Handle, Job, JobEnd, PieceInput},
+            peers::{membership::Coordinator, message::Ask, relay},
+            rules::admission,
+            stages::{
+                job::{Handle, Job, JobEnd, PieceInput},
+                release::release,
+                work_claim::WorkClaim,
+            },
             state::Gateway,
             table::{Route, RouteStage},
-            work_claim::WorkClaim,
         },
-        ids::{DataCentreId, ServiceId},
-        units::{ByteSize, Millis, Time},
+        shared::{
+            ids::{DataCentreId, ServiceId},
+            units::{ByteSize, Millis, Time},
+        },
     },
     futures_util::{StreamExt, stream::FuturesUnordered},
     std::{net::SocketAddr, rc::Rc, sync::Arc, time::Duration},
--- a/lib/src/gateway/stage_job.rs
+++ b/lib/src/gateway/stages/job.rs
@@ -1,7 +1,7 @@
 //! The work before a request: pieces, jobs of pieces, and the names of results.
 
 use {
-    crate::{
+    crate::shared::{
         ids::DataCentreId,
         units::{ByteSize, Millis, Time},
     },
--- a/lib/src/gateway/stage_owner.rs
+++ b/lib/src/gateway/stages/planner.rs
@@ -4,16 +4,20 @@
     crate::{
         gateway::{
             dialect::Dialect,
-            egress,
-            fleet::short_hash_of,
-            planning::JobTicket,
-            release::release,
-            stage_calls::{BatchCall, CallEnd},
-            stage_job::{Handle, Job, JobEnd, JobId, PieceEnd},
+            routing::endpoint_state::short_hash_of,
+            stages::{
+                batch_call::{BatchCall, CallEnd},
+                job::{Handle, Job, JobEnd, JobId, PieceEnd},
+                queues::JobTicket,
+                release::release,
+            },
             state::Gateway,
+            wire::egress,
+        },
+        shared::{
+            ids::{EndpointId, ServiceId},
+            units::Time,
         },
-        ids::{EndpointId, ServiceId},
-        units::Time,
     },
     bytes::Bytes,
     foldhash::{HashMap, HashSet},
--- a/lib/src/gateway/planning.rs
+++ b/lib/src/gateway/stages/queues.rs
@@ -3,16 +3,17 @@
 use {
     crate::{
         gateway::{
-            budget::{BudgetLimits, WindowBudget},
-            fleet::{Fleet, short_hash_of},
-            peer_message::QueueNote,
-            stage_batch::BatchQueue,
-            stage_calls::{BatchCall, CallEnd},
-            stage_job::{Handle, Job, JobEnd, JobId},
+            peers::message::QueueNote,
+            routing::endpoint_state::{Fleet, short_hash_of},
+            rules::retry_budget::{BudgetLimits, WindowBudget},
+            stages::{
+                batch_call::{BatchCall, CallEnd},
+                batch_queue::BatchQueue,
+                job::{Handle, Job, JobEnd, JobId},
+            },
             table::{BatchLimits, Table},
         },
-        ids::ServiceId,
-        units::Time,
+        shared::{ids::ServiceId, units::Time},
     },
     foldhash::{HashMap, HashSet},
     std::{collections::BTreeMap, net::SocketAddr},
--- a/lib/src/gateway/release.rs
+++ b/lib/src/gateway/stages/release.rs
@@ -2,9 +2,12 @@
 
 use crate::{
     gateway::{
-        dialect::Dialect, peer_message::Ask, peers::Coordinator, stage_job::Handle, state::Gateway,
+        dialect::Dialect,
+        peers::{membership::Coordinator, message::Ask},
+        stages::job::Handle,
+        state::Gateway,
     },
-    ids::ServiceId,
+    shared::ids::ServiceId,
 };
 
 /// Tells the planner of a service that results are no longer needed.
--- a/lib/src/gateway/work_claim.rs
+++ b/lib/src/gateway/stages/work_claim.rs
@@ -3,7 +3,7 @@
 use {
     crate::{
         gateway::{dialect::Dialect, state::Gateway, table::Route},
-        ids::ServiceId,
+        shared::ids::ServiceId,
     },
     std::rc::Rc,
 };
--- a/lib/src/gateway/stage_worker.rs
+++ b/lib/src/gateway/stages/worker.rs
@@ -2,8 +2,8 @@
 
 use {
     crate::{
-        gateway::{catalogue::EndpointEntry, stage_job::Handle, table::BatchLimits},
-        units::{ByteSize, Millis, Time},
+        gateway::{directory::catalogue::EndpointEntry, stages::job::Handle, table::BatchLimits},
+        shared::units::{ByteSize, Millis, Time},
     },
     foldhash::HashMap,
     std::sync::Arc,
--- a/lib/src/gateway/workload.rs
+++ b/lib/src/gateway/stages/workload.rs
@@ -2,8 +2,8 @@
 
 use {
     crate::{
-        gateway::{fleet::short_hash_of, peer_message::WorkNote},
-        ids::ServiceId,
+        gateway::{peers::message::WorkNote, routing::endpoint_state::short_hash_of},
+        shared::ids::ServiceId,
     },
     foldhash::HashMap,
 };
--- a/lib/src/gateway/table.rs
+++ b/lib/src/gateway/table.rs
@@ -1,7 +1,7 @@
 //! The routes, services and customers in force: one immutable value for each version.
 
 use {
-    crate::{
+    crate::shared::{
         ids::{CustomerId, ServiceId},
         units::{ByteSize, Millis},
     },
--- a/lib/src/gateway/reply.rs
+++ b/lib/src/gateway/wire/reply.rs
@@ -1,7 +1,7 @@
 //! Answers to callers: an endpoint's own, or a problem of this daemon.
 
 use {
-    crate::{gateway::dialect::Dialect, problem::Problem},
+    crate::{gateway::dialect::Dialect, shared::problem::Problem},
     bytes::Bytes,
     http::{HeaderValue, Response, StatusCode, header},
     hyper::body::{Body, Frame, SizeHint},
--- a/lib/src/api_headers.rs
+++ b/lib/src/pipeline/api/headers.rs
@@ -2,11 +2,15 @@
 
 use {
     crate::{
-        api_problem::{ApiProblem, bad_request},
-        ids::{CustomerId, IdempotencyKey},
-        settings::Priority,
-        units::Millis,
-        wire,
+        pipeline::{
+            api::problem::{ApiProblem, bad_request},
+            endpoints::wire,
+        },
+        settings::values::Priority,
+        shared::{
+            ids::{CustomerId, IdempotencyKey},
+            units::Millis,
+        },
     },
     async_trait::async_trait,
     dropshot::{
--- a/lib/src/api_problem.rs
+++ b/lib/src/pipeline/api/problem.rs
@@ -1,7 +1,7 @@
 //! Problems as callers see them: `application/problem+json` (RFC 9457).
 
 use {
-    crate::{
+    crate::shared::{
         ids::RequestId,
         problem::{Code, Outcome, Problem},
         units::Millis,
@@ -156,7 +156,10 @@
     Response::builder()
         .status(status)
         .header(header::CONTENT_TYPE, "application/json")
-        .header(crate::wire::REQUEST_HEADER, request.to_string())
+        .header(
+            crate::pipeline::endpoints::wire::REQUEST_HEADER,
+            request.to_string(),
+        )
         .body(body.into())
         .map_err(|error| {
             let problem = Problem {
--- a/lib/src/api.rs
+++ b/lib/src/pipeline/api/server.rs
@@ -2,19 +2,25 @@
 
 use {
     crate::{
-        api_headers::{CallHeaders, CallOptions, parse_header},
-        api_problem::{ApiProblem, ProblemBody, bad_request, json_response, respond},
-        api_stream::stream_response,
-        http_call::HttpTransport,
-        ids::RequestId,
-        json,
-        metrics::Metrics,
-        node::{Delivery, Node, Ticket},
-        problem::{Code, Outcome, Problem},
-        request::{Arrival, Target},
-        status::StatusBody,
-        trace::Hop,
-        units::{ByteSize, Count, Millis},
+        pipeline::{
+            api::{
+                headers::{CallHeaders, CallOptions, parse_header},
+                problem::{ApiProblem, ProblemBody, bad_request, json_response, respond},
+                stream::stream_response,
+            },
+            decision::request::{Arrival, Target},
+            endpoints::http_call::HttpTransport,
+            metrics::Metrics,
+            node::{Delivery, Node, Ticket},
+            trace::Hop,
+        },
+        shared::{
+            ids::RequestId,
+            json,
+            problem::{Code, Outcome, Problem},
+            status::StatusBody,
+            units::{ByteSize, Count, Millis},
+        },
     },
     bytes::{Bytes, BytesMut},
     dropshot::{
@@ -198,7 +204,7 @@
     let dropped = context.node.tracing().dropped();
     let text = context.metrics.encode(&context.node.snapshot(), dropped);
     let response = Response::builder()
-        .header(header::CONTENT_TYPE, crate::metrics::CONTENT_TYPE)
+        .header(header::CONTENT_TYPE, crate::pipeline::metrics::CONTENT_TYPE)
         .body(text.into())
         .map_err(|error| bad_request(error.to_string()));
     respond(response)
--- a/lib/src/api_stream.rs
+++ b/lib/src/pipeline/api/stream.rs
@@ -2,13 +2,13 @@
 
 use {
     crate::{
-        api_problem::ApiProblem,
-        http_call::HttpTransport,
-        ids::RequestId,
-        node::{Delivery, Ticket},
-        sse::write_event,
-        trace::Hop,
-        wire,
+        pipeline::{
+            api::problem::ApiProblem,
+            endpoints::{http_call::HttpTransport, wire},
+            node::{Delivery, Ticket},
+            trace::Hop,
+        },
+        shared::{ids::RequestId, sse::write_event},
     },
     bytes::Bytes,
     dropshot::Body,
@@ -109,5 +109,5 @@
         .header(header::CACHE_CONTROL, "no-store")
         .header(wire::REQUEST_HEADER, id.to_string())
         .body(Body::wrap(StreamBody::new(events)))
-        .map_err(|error| crate::api_problem::bad_request(error.to_string()))
+        .map_err(|error| crate::pipeline::api::problem::bad_request(error.to_string()))
 }
--- a/lib/src/config_service.rs
+++ b/lib/src/pipeline/config_service.rs
@@ -2,11 +2,15 @@
 
 use {
     crate::{
-        findings::Findings,
-        http_call::get,
-        raw_tree::{RawTree, ValueSource},
-        tree::Tree,
-        units::{ByteSize, Millis},
+        pipeline::endpoints::http_call::get,
+        settings::{
+            raw_tree::{RawTree, ValueSource},
+            tree::Tree,
+        },
+        shared::{
+            findings::Findings,
+            units::{ByteSize, Millis},
+        },
     },
     bytes::Bytes,
     http::StatusCode,
--- a/lib/src/daemon.rs
+++ b/lib/src/pipeline/daemon.rs
@@ -2,14 +2,16 @@
 
 use {
     crate::{
-        adoption::{TreeMark, Verdict, judge},
-        api::{self, ApiContext, BODY_CAP},
-        config_service::{ConfigClient, ConfigError, FetchedTree},
-        core::CoreConfig,
-        daemon_settings::{ConfigSettings, DaemonSettings},
-        http_call::HttpTransport,
-        node::{Node, TaskGuard, spawn_guarded},
-        trace::{TraceError, Tracing},
+        pipeline::{
+            api::server::{self, ApiContext, BODY_CAP},
+            config_service::{ConfigClient, ConfigError, FetchedTree},
+            daemon_settings::{ConfigSettings, DaemonSettings},
+            decision::core::CoreConfig,
+            endpoints::http_call::HttpTransport,
+            node::{Node, TaskGuard, spawn_guarded},
+            trace::{TraceError, Tracing},
+        },
+        shared::adoption::{TreeMark, Verdict, judge},
     },
     dropshot::{ConfigDropshot, HandlerTaskMode, HttpServer, ServerBuilder},
     slog::Drain,
@@ -120,7 +122,7 @@
     };
     let host = settings.host.to_string();
     let context = ApiContext::new(node.clone(), host, settings.limits);
-    let description = api::describe().map_err(|error| failed(error.to_string()))?;
+    let description = server::describe().map_err(|error| failed(error.to_string()))?;
     let log = slog::Logger::root(slog_stdlog::StdLog.fuse(), slog::o!());
     let config = ConfigDropshot {
         bind_address: settings.listen,
--- a/lib/src/daemon_settings.rs
+++ b/lib/src/pipeline/daemon_settings.rs
@@ -2,11 +2,13 @@
 
 use {
     crate::{
-        api::ApiLimits,
-        document::{self, ObjectReader},
-        findings::{Findings, Place},
-        ids::{DataCentreId, HostId},
-        units::{ByteSize, Count, Millis, Share},
+        pipeline::api::server::ApiLimits,
+        settings::document::{self, ObjectReader},
+        shared::{
+            findings::{Findings, Place},
+            ids::{DataCentreId, HostId},
+            units::{ByteSize, Count, Millis, Share},
+        },
     },
     std::net::SocketAddr,
 };
--- a/lib/src/core_admit.rs
+++ b/lib/src/pipeline/decision/admit.rs
@@ -2,14 +2,20 @@
 
 use {
     crate::{
-        core::Core,
-        policy::{Needs, Policy},
-        policy_choice::AnyPolicy,
-        problem::{Code, Problem},
-        request::{Arrival, Request, Target},
-        settings::{Guard, Settings},
-        tree::{Customer, Pipeline, ServiceKind, Tree},
-        units::{Millis, Time, WorkMillis},
+        pipeline::decision::{
+            core::Core,
+            policy::{Needs, Policy},
+            policy_choice::AnyPolicy,
+            request::{Arrival, Request, Target},
+        },
+        settings::{
+            tree::{Customer, Pipeline, ServiceKind, Tree},
+            values::{Guard, Settings},
+        },
+        shared::{
+            problem::{Code, Problem},
+            units::{Millis, Time, WorkMillis},
+        },
     },
     std::sync::Arc,
 };
--- a/lib/src/core_attempt.rs
+++ b/lib/src/pipeline/decision/attempt.rs
@@ -2,16 +2,20 @@
 
 use {
     crate::{
-        core::{Action, Core},
-        core_state::Timer,
-        endpoint::{AttemptEnd, Call, FailCause, NotRunCause, Reply},
-        ids::{AttemptId, CallIds, RequestId},
-        policy::Policy,
-        policy_choice::AnyPolicy,
-        problem::Code,
-        request::{Answer, Attempt},
-        tree::{ServiceKind, Stage},
-        units::{Time, WorkMillis},
+        pipeline::decision::{
+            core::{Action, Core},
+            endpoint::{AttemptEnd, Call, FailCause, NotRunCause, Reply},
+            policy::Policy,
+            policy_choice::AnyPolicy,
+            request::{Answer, Attempt},
+            state::Timer,
+        },
+        settings::tree::{ServiceKind, Stage},
+        shared::{
+            ids::{AttemptId, CallIds, RequestId},
+            problem::Code,
+            units::{Time, WorkMillis},
+        },
     },
     bytes::Bytes,
 };
--- a/lib/src/core.rs
+++ b/lib/src/pipeline/decision/core.rs
@@ -2,16 +2,20 @@
 
 use {
     crate::{
-        core_state::{Costs, Counters, Fleet, Timer, Timers},
-        endpoint::{AttemptEnd, Call, LoadReport},
-        fair::FairShares,
-        ids::{AttemptId, CustomerId, DataCentreId, EndpointId, RequestId, ServiceId},
-        limit::CustomerUse,
-        prefix::CacheEvent,
-        problem::{Code, Outcome, Problem},
-        request::{Answer, Arrival, Request},
-        tree::{Pipeline, Tree},
-        units::{Millis, Time, WorkMillis},
+        pipeline::decision::{
+            endpoint::{AttemptEnd, Call, LoadReport},
+            fair::FairShares,
+            limit::CustomerUse,
+            prefix::CacheEvent,
+            request::{Answer, Arrival, Request},
+            state::{Costs, Counters, Fleet, Timer, Timers},
+        },
+        settings::tree::{Pipeline, Tree},
+        shared::{
+            ids::{AttemptId, CustomerId, DataCentreId, EndpointId, RequestId, ServiceId},
+            problem::{Code, Outcome, Problem},
+            units::{Millis, Time, WorkMillis},
+        },
     },
     foldhash::HashMap,
     rand::{RngExt, SeedableRng, rngs::SmallRng},
--- a/lib/src/endpoint.rs
+++ b/lib/src/pipeline/decision/endpoint.rs
@@ -2,11 +2,12 @@
 
 use {
     crate::{
-        ids::{CallIds, EndpointId, IdempotencyKey},
-        prefix::CacheEvents,
-        settings::Priority,
-        tree::ServiceKind,
-        units::{ByteSize, Millis, WorkMillis},
+        pipeline::decision::prefix::CacheEvents,
+        settings::{tree::ServiceKind, values::Priority},
+        shared::{
+            ids::{CallIds, EndpointId, IdempotencyKey},
+            units::{ByteSize, Millis, WorkMillis},
+        },
     },
     bytes::Bytes,
     serde::{Deserialize, Serialize},
--- a/lib/src/estimate.rs
+++ b/lib/src/pipeline/decision/estimate.rs
@@ -6,8 +6,8 @@
 
 use {
     crate::{
-        endpoint::LoadReport,
-        units::{Millis, Time, WorkMillis},
+        pipeline::decision::endpoint::LoadReport,
+        shared::units::{Millis, Time, WorkMillis},
     },
     std::collections::VecDeque,
 };
--- a/lib/src/fair.rs
+++ b/lib/src/pipeline/decision/fair.rs
@@ -1,7 +1,7 @@
 //! Shares of the customers: who is shed first when there isn't room for all.
 
 use {
-    crate::{
+    crate::shared::{
         ids::CustomerId,
         units::{Millis, Time, WorkMillis},
     },
--- a/lib/src/limit.rs
+++ b/lib/src/pipeline/decision/limit.rs
@@ -1,8 +1,8 @@
 //! Limits of one customer at one daemon: a rate and a number in flight.
 
 use crate::{
-    settings::Settings,
-    units::{Millis, Rate, Time},
+    settings::values::Settings,
+    shared::units::{Millis, Rate, Time},
 };
 
 /// Seconds of its rate that a customer may use at once.
--- a/lib/src/policy.rs
+++ b/lib/src/pipeline/decision/policy.rs
@@ -2,10 +2,12 @@
 
 use {
     crate::{
-        ids::MemberSerial,
-        pool::{Job, Pool},
-        settings::Priority,
-        units::{Millis, Share, Time, WorkMillis},
+        pipeline::decision::pool::{Job, Pool},
+        settings::values::Priority,
+        shared::{
+            ids::MemberSerial,
+            units::{Millis, Share, Time, WorkMillis},
+        },
     },
     rand::rngs::SmallRng,
 };
--- a/lib/src/policy_choice.rs
+++ b/lib/src/pipeline/decision/policy_choice.rs
@@ -2,13 +2,17 @@
 
 use {
     crate::{
-        ids::MemberSerial,
-        policy::{Needs, Policy},
-        policy_estimated::Estimated,
-        policy_naive::Naive,
-        pool::{Job, Pool},
-        settings::{PolicyKind, Priority},
-        units::{Millis, Share, Time},
+        pipeline::decision::{
+            policy::{Needs, Policy},
+            policy_estimated::Estimated,
+            policy_naive::Naive,
+            pool::{Job, Pool},
+        },
+        settings::values::{PolicyKind, Priority},
+        shared::{
+            ids::MemberSerial,
+            units::{Millis, Share, Time},
+        },
     },
     rand::rngs::SmallRng,
 };
--- a/lib/src/policy_estimated.rs
+++ b/lib/src/pipeline/decision/policy_estimated.rs
@@ -2,11 +2,15 @@
 
 use {
     crate::{
-        ids::MemberSerial,
-        policy::{Needs, Policy},
-        pool::{Job, Pool},
-        settings::Priority,
-        units::{Millis, Share, Time},
+        pipeline::decision::{
+            policy::{Needs, Policy},
+            pool::{Job, Pool},
+        },
+        settings::values::Priority,
+        shared::{
+            ids::MemberSerial,
+            units::{Millis, Share, Time},
+        },
     },
     rand::{RngExt, rngs::SmallRng},
 };
--- a/lib/src/pool.rs
+++ b/lib/src/pipeline/decision/pool.rs
@@ -2,14 +2,18 @@
 
 use {
     crate::{
-        endpoint::Prefill,
-        estimate::{Average, LoadEstimate},
-        health::{Health, State},
-        ids::{DataCentreId, EndpointId, MemberSerial},
-        prefix::{BLOCK, CacheEvent, Holder, Prefix, PrefixIndex},
-        retry::RetryBudget,
-        tree::{EndpointSpec, Service, ServiceKind},
-        units::{Millis, Share, Time, WorkMillis},
+        pipeline::decision::{
+            endpoint::Prefill,
+            estimate::{Average, LoadEstimate},
+            prefix::{BLOCK, CacheEvent, Holder, Prefix, PrefixIndex},
+            retry::RetryBudget,
+        },
+        settings::tree::{EndpointSpec, Service, ServiceKind},
+        shared::{
+            health::{Health, State},
+            ids::{DataCentreId, EndpointId, MemberSerial},
+            units::{Millis, Share, Time, WorkMillis},
+        },
     },
     foldhash::HashMap,
     std::sync::Arc,
--- a/lib/src/prefix.rs
+++ b/lib/src/pipeline/decision/prefix.rs
@@ -4,7 +4,7 @@
 //! events and from what was sent to them, and it is forgotten after a while.
 
 use {
-    crate::{
+    crate::shared::{
         ids::MemberSerial,
         units::{Millis, Time},
     },
--- a/lib/src/request.rs
+++ b/lib/src/pipeline/decision/request.rs
@@ -2,13 +2,16 @@
 
 use {
     crate::{
-        endpoint::Resume,
-        ids::{AttemptId, CustomerId, EndpointId, IdempotencyKey, MemberSerial, RequestId},
-        pool::CallSize,
-        problem::{Code, Outcome, Problem},
-        settings::{Priority, Settings},
-        tree::{Pipeline, Stage},
-        units::{Millis, Time, WorkMillis},
+        pipeline::decision::{endpoint::Resume, pool::CallSize},
+        settings::{
+            tree::{Pipeline, Stage},
+            values::{Priority, Settings},
+        },
+        shared::{
+            ids::{AttemptId, CustomerId, EndpointId, IdempotencyKey, MemberSerial, RequestId},
+            problem::{Code, Outcome, Problem},
+            units::{Millis, Time, WorkMillis},
+        },
     },
     bytes::Bytes,
     std::sync::Arc,
@@ -41,9 +44,9 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Target {
     /// Run a pipeline.
-    Pipeline(crate::ids::PipelineId),
+    Pipeline(crate::shared::ids::PipelineId),
     /// Call a plain service.
-    Service(crate::ids::ServiceId),
+    Service(crate::shared::ids::ServiceId),
 }
 
 /// A whole answer.
--- a/lib/src/retry.rs
+++ b/lib/src/pipeline/decision/retry.rs
@@ -1,6 +1,6 @@
 //! Budget of retries and hedges as a share of first attempts.
 
-use crate::units::Share;
+use crate::shared::units::Share;
 
 /// Retries that a quiet service may make before any traffic has paid for them.
 const RESERVE: f64 = 10.0;
--- a/lib/src/core_state.rs
+++ b/lib/src/pipeline/decision/state.rs
@@ -2,17 +2,21 @@
 
 use {
     crate::{
-        endpoint::{AttemptEnd, LoadReport, NotRunCause},
-        ids::{
-            AttemptId, DataCentreId, EndpointId, MemberSerial, PipelineId, RequestId, ServiceId,
-            StageId,
+        pipeline::decision::{
+            endpoint::{AttemptEnd, LoadReport, NotRunCause},
+            pool::Pool,
+            prefix::CacheEvent,
+            request::{Attempt, Request},
+        },
+        settings::tree::{ServiceKind, Tree},
+        shared::{
+            ids::{
+                AttemptId, DataCentreId, EndpointId, MemberSerial, PipelineId, RequestId,
+                ServiceId, StageId,
+            },
+            problem::{Code, Problem},
+            units::{Time, WorkMillis},
         },
-        pool::Pool,
-        prefix::CacheEvent,
-        problem::{Code, Problem},
-        request::{Attempt, Request},
-        tree::{ServiceKind, Tree},
-        units::{Time, WorkMillis},
     },
     foldhash::HashMap,
     std::{
@@ -229,7 +233,7 @@
     /// Requests answered late or to a caller that had left.
     pub late: u64,
     /// Problems by code and outcome.
-    pub problems: BTreeMap<(Code, crate::problem::Outcome), u64>,
+    pub problems: BTreeMap<(Code, crate::shared::problem::Outcome), u64>,
     /// First attempts at a stage.
     pub attempts: u64,
     /// Attempts beyond the first: retries, hedges and resumes.
@@ -241,7 +245,7 @@
 impl Counters {
     /// Counts a refusal before anything was sent.
     pub fn refused(&mut self, code: Code) {
-        let key = (code, crate::problem::Outcome::NotRun);
+        let key = (code, crate::shared::problem::Outcome::NotRun);
         *self.problems.entry(key).or_default() += 1;
     }
 
--- a/lib/src/engine_client.rs
+++ b/lib/src/pipeline/endpoints/engine_client.rs
@@ -2,12 +2,15 @@
 
 use {
     crate::{
-        endpoint::{AttemptEnd, Call, FailCause, TokenSink},
-        http_call::{Body, HttpTransport, call_request, check_head},
-        sse::EventReader,
-        tree::ServiceKind,
-        units::WorkMillis,
-        wire::{self, GenerateBody, StreamEvent},
+        pipeline::{
+            decision::endpoint::{AttemptEnd, Call, FailCause, TokenSink},
+            endpoints::{
+                http_call::{Body, HttpTransport, call_request, check_head},
+                wire::{self, GenerateBody, StreamEvent},
+            },
+        },
+        settings::tree::ServiceKind,
+        shared::{sse::EventReader, units::WorkMillis},
     },
     bytes::Bytes,
     http_body_util::BodyExt,
--- a/lib/src/http_call.rs
+++ b/lib/src/pipeline/endpoints/http_call.rs
@@ -2,9 +2,11 @@
 
 use {
     crate::{
-        endpoint::{AttemptEnd, Call, FailCause, NotRunCause},
-        units::{ByteSize, Millis},
-        wire,
+        pipeline::{
+            decision::endpoint::{AttemptEnd, Call, FailCause, NotRunCause},
+            endpoints::wire,
+        },
+        shared::units::{ByteSize, Millis},
     },
     bytes::Bytes,
     http::{HeaderValue, Method, Request, Response, request::Builder},
--- a/lib/src/http_transport.rs
+++ b/lib/src/pipeline/endpoints/http_transport.rs
@@ -2,14 +2,15 @@
 
 use {
     crate::{
-        endpoint::{AttemptEnd, Call, LoadReport, TokenSink, Transport},
-        engine_client,
-        http_call::HttpTransport,
-        plain_client,
-        prefix::CacheEvents,
-        tree::ServiceKind,
-        units::ByteSize,
-        wire,
+        pipeline::{
+            decision::{
+                endpoint::{AttemptEnd, Call, LoadReport, TokenSink, Transport},
+                prefix::CacheEvents,
+            },
+            endpoints::{engine_client, http_call::HttpTransport, plain_client, wire},
+        },
+        settings::tree::ServiceKind,
+        shared::units::ByteSize,
     },
     std::net::SocketAddr,
 };
--- /dev/null
+++ b/lib/src/pipeline/endpoints/mod.rs
@@ -0,0 +1,7 @@
+//! Clients for the endpoints of pipelines.
+
+pub(crate) mod engine_client;
+pub mod http_call;
+pub(crate) mod http_transport;
+pub(crate) mod plain_client;
+pub mod wire;
--- a/lib/src/plain_client.rs
+++ b/lib/src/pipeline/endpoints/plain_client.rs
@@ -1,9 +1,14 @@
 //! Adapter for plain services: one POST, one whole reply.
 
 use crate::{
-    endpoint::{AttemptEnd, Call, FailCause, Reply},
-    http_call::{Body, HttpTransport, call_request, check_head, read_body},
-    json, wire,
+    pipeline::{
+        decision::endpoint::{AttemptEnd, Call, FailCause, Reply},
+        endpoints::{
+            http_call::{Body, HttpTransport, call_request, check_head, read_body},
+            wire,
+        },
+    },
+    shared::json,
 };
 
 /// Runs one call of a plain service.
--- a/lib/src/wire.rs
+++ b/lib/src/pipeline/endpoints/wire.rs
@@ -1,7 +1,10 @@
 //! Names and forms of the endpoints' protocol; `docs/PROTOCOLS.md` states each assumption.
 
 use {
-    crate::{endpoint::Prefill, ids::CallIds, units::WorkMillis},
+    crate::{
+        pipeline::decision::endpoint::Prefill,
+        shared::{ids::CallIds, units::WorkMillis},
+    },
     http::{HeaderMap, HeaderValue},
     serde::{Deserialize, Serialize},
     serde_json::value::RawValue,
--- a/lib/src/metrics.rs
+++ b/lib/src/pipeline/metrics.rs
@@ -1,7 +1,7 @@
 //! Metrics in the OpenMetrics text form.
 
 use {
-    crate::node::Snapshot,
+    crate::pipeline::node::Snapshot,
     prometheus_client::{
         encoding::{EncodeLabelSet, text::encode},
         metrics::{
--- /dev/null
+++ b/lib/src/pipeline/mod.rs
@@ -0,0 +1,11 @@
+//! The daemon that runs a settings tree's pipelines: its interface, decisions, and endpoint clients.
+
+pub mod api;
+pub mod config_service;
+pub mod daemon;
+pub mod daemon_settings;
+pub mod decision;
+pub mod endpoints;
+pub mod metrics;
+pub mod node;
+pub mod trace;
--- a/lib/src/node.rs
+++ b/lib/src/pipeline/node.rs
@@ -2,15 +2,21 @@
 
 use {
     crate::{
-        core::{Action, Core, CoreConfig, Event},
-        core_state::{Counters, StageCost},
-        endpoint::{AttemptEnd, Call, TokenSink, Transport},
-        ids::{AttemptId, EndpointId, PipelineId, RequestId, StageId},
-        problem::Problem,
-        request::{Answer, Arrival},
-        trace::Tracing,
-        tree::{EndpointSpec, ServiceKind, Tree},
-        units::{Millis, Time},
+        pipeline::{
+            decision::{
+                core::{Action, Core, CoreConfig, Event},
+                endpoint::{AttemptEnd, Call, TokenSink, Transport},
+                request::{Answer, Arrival},
+                state::{Counters, StageCost},
+            },
+            trace::Tracing,
+        },
+        settings::tree::{EndpointSpec, ServiceKind, Tree},
+        shared::{
+            ids::{AttemptId, EndpointId, PipelineId, RequestId, StageId},
+            problem::Problem,
+            units::{Millis, Time},
+        },
     },
     foldhash::HashMap,
     opentelemetry::trace::SpanKind,
@@ -228,12 +234,14 @@
             .stages()
             .map(|(pipeline, stage, cost)| (pipeline.clone(), stage.clone(), cost))
             .collect();
-        let view = |pool: &crate::pool::Pool, member: &crate::pool::Member| EndpointView {
-            service: pool.service.id.to_string(),
-            endpoint: member.spec.id.to_string(),
-            open: member.is_open(now),
-            in_flight: member.load.in_flight(),
-        };
+        let view =
+            |pool: &crate::pipeline::decision::pool::Pool,
+             member: &crate::pipeline::decision::pool::Member| EndpointView {
+                service: pool.service.id.to_string(),
+                endpoint: member.spec.id.to_string(),
+                open: member.is_open(now),
+                in_flight: member.load.in_flight(),
+            };
         let mut endpoints: Vec<_> = core
             .fleet()
             .pools()
--- a/lib/src/diff.rs
+++ b/lib/src/settings/diff.rs
@@ -1,9 +1,9 @@
 //! What a change of the settings tree reaches, and how.
 
 use {
-    crate::{
-        settings::{Scope, Settings},
+    crate::settings::{
         tree::{Pipeline, Service, ServiceKind, Tree},
+        values::{Scope, Settings},
     },
     serde::Serialize,
     std::{collections::BTreeMap, fmt},
--- a/lib/src/document.rs
+++ b/lib/src/settings/document.rs
@@ -1,7 +1,7 @@
 //! JSON with comments as values that know their places, and a reader for objects.
 
 use {
-    crate::findings::{Findings, Place},
+    crate::shared::findings::{Findings, Place},
     jsonc_parser::{
         CollectOptions, ParseOptions,
         ast::{ObjectProp, Value as AstValue},
--- a/lib/src/raw_tree.rs
+++ b/lib/src/settings/raw_tree.rs
@@ -2,9 +2,11 @@
 
 use {
     crate::{
-        document::{self, Field, Kind, ObjectReader, Value},
-        findings::{Findings, Place},
-        ids::{CustomerId, DataCentreId, EndpointId, PipelineId, ServiceId, StageId},
+        settings::document::{self, Field, Kind, ObjectReader, Value},
+        shared::{
+            findings::{Findings, Place},
+            ids::{CustomerId, DataCentreId, EndpointId, PipelineId, ServiceId, StageId},
+        },
     },
     std::{fmt::Display, net::SocketAddr, str::FromStr},
 };
--- a/lib/src/tree.rs
+++ b/lib/src/settings/tree.rs
@@ -2,9 +2,11 @@
 
 use {
     crate::{
-        findings::Place,
-        ids::{CustomerId, DataCentreId, EndpointId, PipelineId, ServiceId, StageId},
-        settings::Settings,
+        settings::values::Settings,
+        shared::{
+            findings::Place,
+            ids::{CustomerId, DataCentreId, EndpointId, PipelineId, ServiceId, StageId},
+        },
     },
     std::{collections::BTreeMap, net::SocketAddr, sync::Arc},
 };
--- a/lib/src/tree_check.rs
+++ b/lib/src/settings/tree_check.rs
@@ -2,13 +2,18 @@
 
 use {
     crate::{
-        findings::{Findings, Place},
-        ids::{DataCentreId, EndpointId, StageId},
-        raw_tree::{
-            Named, RawCustomer, RawEndpoint, RawGroup, RawPipeline, RawService, RawStage, RawTree,
+        settings::{
+            raw_tree::{
+                Named, RawCustomer, RawEndpoint, RawGroup, RawPipeline, RawService, RawStage,
+                RawTree,
+            },
+            tree::{Customer, EndpointSpec, Node, Pipeline, Service, ServiceKind, Stage, Tree},
+            values::{Guard, Settings, check_combination, override_settings},
+        },
+        shared::{
+            findings::{Findings, Place},
+            ids::{DataCentreId, EndpointId, StageId},
         },
-        settings::{Guard, Settings, check_combination, override_settings},
-        tree::{Customer, EndpointSpec, Node, Pipeline, Service, ServiceKind, Stage, Tree},
     },
     std::{
         collections::{BTreeMap, BTreeSet},
--- a/lib/src/settings.rs
+++ b/lib/src/settings/values.rs
@@ -2,9 +2,11 @@
 
 use {
     crate::{
-        document::{Field, Kind, scalar_text},
-        findings::{Findings, Place},
-        units::{ByteSize, Count, Maybe, Millis, NONE_TEXT, Rate, Share},
+        settings::document::{Field, Kind, scalar_text},
+        shared::{
+            findings::{Findings, Place},
+            units::{ByteSize, Count, Maybe, Millis, NONE_TEXT, Rate, Share},
+        },
     },
     serde::{Deserialize, Serialize},
     std::{fmt, str::FromStr, sync::Arc},
--- a/lib/src/adoption.rs
+++ b/lib/src/shared/adoption.rs
@@ -1,6 +1,6 @@
 //! Decides whether a tree that was read comes into force: upward only, one content a version.
 
-use crate::tree::TreeVersion;
+use crate::settings::tree::TreeVersion;
 
 /// Version and fingerprint of a tree.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
--- a/lib/src/health.rs
+++ b/lib/src/shared/health.rs
@@ -1,6 +1,6 @@
 //! Ejection of endpoints that fail, and probing them back.
 
-use crate::units::{Millis, Time};
+use crate::shared::units::{Millis, Time};
 
 /// Failures in a row after which an endpoint is ejected.
 const EJECT_AFTER: u32 = 3;
--- /dev/null
+++ b/lib/src/shared/mod.rs
@@ -0,0 +1,14 @@
+//! Types and rules that both daemons use: ids, units, problems, health of endpoints, findings.
+//!
+//! Nothing here imports from the other folders.
+
+pub mod adoption;
+pub mod findings;
+pub mod health;
+pub mod ids;
+pub(crate) mod invariant;
+pub(crate) mod json;
+pub mod problem;
+pub mod sse;
+pub mod status;
+pub mod units;
--- a/lib/src/problem.rs
+++ b/lib/src/shared/problem.rs
@@ -1,7 +1,7 @@
 //! What a caller is told when a request isn't answered.
 
 use {
-    crate::units::Millis,
+    crate::shared::units::Millis,
     serde::{Deserialize, Serialize},
     std::fmt,
 };
--- a/lib/src/status.rs
+++ b/lib/src/shared/status.rs
@@ -2,9 +2,8 @@
 
 use {
     crate::{
-        http_call::get,
-        node::Snapshot,
-        units::{ByteSize, Millis},
+        pipeline::{endpoints::http_call::get, node::Snapshot},
+        shared::units::{ByteSize, Millis},
     },
     hyper_util::{client::legacy::Client, rt::TokioExecutor},
     schemars::JsonSchema,
--- a/lib/tests/test_api.rs
+++ b/lib/tests/test_api.rs
@@ -3,7 +3,7 @@
 #![allow(clippy::unwrap_used, reason = "a failed unwrap fails the test")]
 
 use {
-    hazelyoke_lib::{api, status},
+    hazelyoke_lib::{pipeline::api::server, shared::status},
     hazelyoke_testutils::{
         fixture::{Fixture, wait_for},
         http_client::{Caller, CallerRequest},
@@ -16,7 +16,7 @@
 #[test]
 fn current_document() {
     let path = concat!(env!("CARGO_MANIFEST_DIR"), "/../docs/openapi.json");
-    let current = serde_json::to_string_pretty(&api::openapi()).unwrap() + "\n";
+    let current = serde_json::to_string_pretty(&server::openapi()).unwrap() + "\n";
     if std::env::var_os(UPDATE).is_some() {
         std::fs::write(path, &current).unwrap();
     }
@@ -31,7 +31,8 @@
 async fn live_and_ready() {
     let fixture = Fixture::start().await;
     fixture.config.silence(true);
-    let daemon = hazelyoke_lib::daemon::Daemon::start(fixture.daemon_settings("entry-1")).unwrap();
+    let daemon =
+        hazelyoke_lib::pipeline::daemon::Daemon::start(fixture.daemon_settings("entry-1")).unwrap();
     let caller = Caller::new(daemon.address());
     assert_eq!(caller.get("/v1/live").await.unwrap().status, 200);
     let reply = caller.get("/v1/ready").await.unwrap();
--- a/lib/tests/test_bad_callers.rs
+++ b/lib/tests/test_bad_callers.rs
@@ -3,7 +3,7 @@
 #![allow(clippy::unwrap_used, reason = "a failed unwrap fails the test")]
 
 use {
-    hazelyoke_lib::daemon::Daemon,
+    hazelyoke_lib::pipeline::daemon::Daemon,
     hazelyoke_testutils::{
         fixture::{Fixture, start_daemon, wait_for},
         http_client::{Caller, CallerReply, CallerRequest},
--- a/lib/tests/test_batch_queue.rs
+++ b/lib/tests/test_batch_queue.rs
@@ -6,14 +6,16 @@
     arbtest::arbitrary::{Result, Unstructured},
     hazelyoke_lib::{
         gateway::{
-            budget::{BudgetLimits, WindowBudget},
-            catalogue::EndpointEntry,
-            stage_batch::BatchQueue,
-            stage_calls::{BatchCall, CallEnd},
-            stage_job::{Handle, Job, JobEnd, JobId, PieceEnd, PieceInput},
+            directory::catalogue::EndpointEntry,
+            rules::retry_budget::{BudgetLimits, WindowBudget},
+            stages::{
+                batch_call::{BatchCall, CallEnd},
+                batch_queue::BatchQueue,
+                job::{Handle, Job, JobEnd, JobId, PieceEnd, PieceInput},
+            },
             table::BatchLimits,
         },
-        units::{ByteSize, Millis, Share, Time},
+        shared::units::{ByteSize, Millis, Share, Time},
     },
     hazelyoke_testutils::seeds::for_seeds,
     std::{
--- a/lib/tests/test_catalogue.rs
+++ b/lib/tests/test_catalogue.rs
@@ -4,9 +4,11 @@
 
 use {
     hazelyoke_lib::{
-        gateway::catalogue::{Catalogue, EndpointEntry, Learnt},
-        ids::EndpointId,
-        units::{Millis, Time},
+        gateway::directory::catalogue::{Catalogue, EndpointEntry, Learnt},
+        shared::{
+            ids::EndpointId,
+            units::{Millis, Time},
+        },
     },
     hazelyoke_testutils::seeds::for_seeds,
 };
--- a/lib/tests/test_config_watch.rs
+++ b/lib/tests/test_config_watch.rs
@@ -4,8 +4,8 @@
 
 use {
     hazelyoke_lib::{
-        adoption::{TreeMark, Verdict, judge},
-        tree::TreeVersion,
+        settings::tree::TreeVersion,
+        shared::adoption::{TreeMark, Verdict, judge},
     },
     hazelyoke_testutils::fixture::{Fixture, TREE, wait_for},
     std::time::Duration,
@@ -96,7 +96,7 @@
     // The root was published before its part: that is refused, and read again until it is whole.
     let root = r#"{ "version": 1, "name": "top", "groups": { "g": { "include": "part" } } }"#;
     fixture.config.publish(TREE, root);
-    let daemon = hazelyoke_lib::daemon::Daemon::start(fixture.daemon_settings("entry-1"));
+    let daemon = hazelyoke_lib::pipeline::daemon::Daemon::start(fixture.daemon_settings("entry-1"));
     let daemon = daemon.unwrap();
     let reads = fixture.config.reads();
     wait_for("more reads", async || fixture.config.reads() >= reads + 5).await;
--- a/lib/tests/test_core_random.rs
+++ b/lib/tests/test_core_random.rs
@@ -4,7 +4,10 @@
 
 use {
     arbtest::arbitrary::Unstructured,
-    hazelyoke_lib::{problem::Outcome, raw_tree::RawTree, tree::Tree},
+    hazelyoke_lib::{
+        settings::{raw_tree::RawTree, tree::Tree},
+        shared::problem::Outcome,
+    },
     hazelyoke_testutils::{
         core_run::{CoreRun, RunOptions, TOKENS, Told},
         one_value::OneValue,
--- a/lib/tests/test_daemon_settings.rs
+++ b/lib/tests/test_daemon_settings.rs
@@ -3,9 +3,11 @@
 #![allow(clippy::unwrap_used, reason = "a failed unwrap fails the test")]
 
 use hazelyoke_lib::{
-    daemon_settings::{DaemonSettings, RawDaemonSettings},
-    findings::Findings,
-    units::{Millis, Share},
+    pipeline::daemon_settings::{DaemonSettings, RawDaemonSettings},
+    shared::{
+        findings::Findings,
+        units::{Millis, Share},
+    },
 };
 
 const EXAMPLE: &str = include_str!("../../examples/daemon.jsonc");
--- a/lib/tests/test_diff.rs
+++ b/lib/tests/test_diff.rs
@@ -3,7 +3,7 @@
 #![allow(clippy::unwrap_used, reason = "a failed unwrap fails the test")]
 
 use {
-    hazelyoke_lib::{diff::diff, raw_tree::RawTree, tree::Tree},
+    hazelyoke_lib::settings::{diff::diff, raw_tree::RawTree, tree::Tree},
     hazelyoke_testutils::one_value::OneValue,
 };
 
--- a/lib/tests/test_event_splitter.rs
+++ b/lib/tests/test_event_splitter.rs
@@ -1,6 +1,9 @@
 //! Events are passed on whole and in order, however their bytes arrive.
 
-use {hazelyoke_lib::gateway::event_stream::EventSplitter, hazelyoke_testutils::seeds::for_seeds};
+use {
+    hazelyoke_lib::gateway::wire::event_stream::EventSplitter,
+    hazelyoke_testutils::seeds::for_seeds,
+};
 
 fn event(id: u64) -> Vec<u8> {
     format!("id: {id}\ndata: word {id}\n\n").into_bytes()
--- a/lib/tests/test_fair_shares.rs
+++ b/lib/tests/test_fair_shares.rs
@@ -3,9 +3,11 @@
 #![allow(clippy::unwrap_used, reason = "a failed unwrap fails the test")]
 
 use hazelyoke_lib::{
-    fair::FairShares,
-    ids::CustomerId,
-    units::{Time, WorkMillis},
+    pipeline::decision::fair::FairShares,
+    shared::{
+        ids::CustomerId,
+        units::{Time, WorkMillis},
+    },
 };
 
 const SECOND: u64 = 1_000_000;
--- a/lib/tests/test_fleet_choice.rs
+++ b/lib/tests/test_fleet_choice.rs
@@ -5,12 +5,14 @@
 use {
     hazelyoke_lib::{
         gateway::{
-            catalogue::EndpointEntry,
             dialect::{Prompt, PromptPart},
-            fleet::{Choice, Demand, Ending, Fleet, PeerLoad, short_hash},
+            directory::catalogue::EndpointEntry,
+            routing::endpoint_state::{Choice, Demand, Ending, Fleet, PeerLoad, short_hash},
+        },
+        shared::{
+            ids::{DataCentreId, EndpointId, ServiceId},
+            units::{ByteSize, Millis, Time},
         },
-        ids::{DataCentreId, EndpointId, ServiceId},
-        units::{ByteSize, Millis, Time},
     },
     std::sync::Arc,
 };
--- a/lib/tests/test_gateway_bounds.rs
+++ b/lib/tests/test_gateway_bounds.rs
@@ -1,7 +1,7 @@
 //! Times of a daemon's own follow from what its installation allows.
 
 use {
-    hazelyoke_lib::{gateway::settings::Bounds, units::Millis},
+    hazelyoke_lib::{gateway::serving::settings::Bounds, shared::units::Millis},
     std::time::Duration,
 };
 
--- a/lib/tests/test_health.rs
+++ b/lib/tests/test_health.rs
@@ -1,6 +1,6 @@
 //! Ejection of endpoints that fail, and probing them back.
 
-use hazelyoke_lib::{
+use hazelyoke_lib::shared::{
     health::{Health, State},
     units::{Millis, Time},
 };
--- a/lib/tests/test_large_fleet.rs
+++ b/lib/tests/test_large_fleet.rs
@@ -4,12 +4,14 @@
 
 use {
     hazelyoke_lib::{
-        gateway::{
-            peer_message::{Heartbeat, LoadNote, Phase, QueueNote, WorkNote},
-            peers::{Beliefs, Coordinator, HEARTBEAT, Identity, Peers},
+        gateway::peers::{
+            membership::{Beliefs, Coordinator, HEARTBEAT, Identity, Peers},
+            message::{Heartbeat, LoadNote, Phase, QueueNote, WorkNote},
+        },
+        shared::{
+            ids::ServiceId,
+            units::{Capacity, Millis, Time},
         },
-        ids::ServiceId,
-        units::{Capacity, Millis, Time},
     },
     hazelyoke_testutils::seeds::for_seeds,
     std::net::SocketAddr,
--- a/lib/tests/test_peers.rs
+++ b/lib/tests/test_peers.rs
@@ -5,15 +5,19 @@
 use {
     hazelyoke_lib::{
         gateway::{
-            peer_message::{
-                Frame, Heartbeat, JobOrder, LoadNote, PROTOCOL, Phase, QueueNote, Reply, WorkNote,
-                decode, encode,
+            peers::{
+                membership::{Beliefs, Coordinator, Identity, PeerChange, Peers},
+                message::{
+                    Frame, Heartbeat, JobOrder, LoadNote, PROTOCOL, Phase, QueueNote, Reply,
+                    WorkNote, decode, encode,
+                },
             },
-            peers::{Beliefs, Coordinator, Identity, PeerChange, Peers},
-            stage_job::{Handle, JobEnd, PieceInput},
+            stages::job::{Handle, JobEnd, PieceInput},
+        },
+        shared::{
+            ids::ServiceId,
+            units::{Capacity, Millis, Time},
         },
-        ids::ServiceId,
-        units::{Capacity, Millis, Time},
     },
     hazelyoke_testutils::seeds::for_seeds,
     std::net::SocketAddr,
--- a/lib/tests/test_prefix.rs
+++ b/lib/tests/test_prefix.rs
@@ -4,9 +4,11 @@
 
 use {
     hazelyoke_lib::{
-        ids::MemberSerial,
-        prefix::{BLOCK, CacheEvent, Prefix, PrefixIndex},
-        units::{Millis, Time},
+        pipeline::decision::prefix::{BLOCK, CacheEvent, Prefix, PrefixIndex},
+        shared::{
+            ids::MemberSerial,
+            units::{Millis, Time},
+        },
     },
     hazelyoke_testutils::{
         expect::{Step, answer},
--- a/lib/tests/test_progress.rs
+++ b/lib/tests/test_progress.rs
@@ -2,9 +2,11 @@
 
 use {
     hazelyoke_lib::{
-        gateway::{progress::Progress, table::RouteKind},
-        problem::{Code, Outcome},
-        units::Millis,
+        gateway::{rules::progress::Progress, table::RouteKind},
+        shared::{
+            problem::{Code, Outcome},
+            units::Millis,
+        },
     },
     hazelyoke_testutils::seeds::for_seeds,
 };
--- a/lib/tests/test_reply_body.rs
+++ b/lib/tests/test_reply_body.rs
@@ -2,7 +2,7 @@
 
 use {
     bytes::Bytes,
-    hazelyoke_lib::gateway::reply::{BrokenOff, ReplyBody, StreamPart},
+    hazelyoke_lib::gateway::wire::reply::{BrokenOff, ReplyBody, StreamPart},
     http_body_util::BodyExt,
     tokio::sync::mpsc,
 };
--- a/lib/tests/test_route_table.rs
+++ b/lib/tests/test_route_table.rs
@@ -7,7 +7,7 @@
         gateway::table::{
             Backend, CustomerEntry, IngressLimits, Route, RouteKind, ServiceEntry, Table,
         },
-        units::{ByteSize, Millis},
+        shared::units::{ByteSize, Millis},
     },
     std::sync::Arc,
 };
--- a/lib/tests/test_settings_tree.rs
+++ b/lib/tests/test_settings_tree.rs
@@ -4,11 +4,15 @@
 
 use {
     hazelyoke_lib::{
-        findings::Findings,
-        raw_tree::{RawTree, ValueSource},
-        settings::{Guard, Settings},
-        tree::Tree,
-        units::{Millis, Share},
+        settings::{
+            raw_tree::{RawTree, ValueSource},
+            tree::Tree,
+            values::{Guard, Settings},
+        },
+        shared::{
+            findings::Findings,
+            units::{Millis, Share},
+        },
     },
     std::collections::BTreeMap,
 };
@@ -93,7 +97,10 @@
 #[test]
 fn built_in_defaults() {
     let entries = Settings::built_in().entries();
-    assert_eq!(entries.len(), hazelyoke_lib::settings::CATALOGUE.len());
+    assert_eq!(
+        entries.len(),
+        hazelyoke_lib::settings::values::CATALOGUE.len()
+    );
 }
 
 #[test]
@@ -190,6 +197,7 @@
 
 #[test]
 fn invalid_utf8() {
-    let error = hazelyoke_lib::document::parse_bytes("f", b"{\n \"a\xff\": 1}").unwrap_err();
+    let error =
+        hazelyoke_lib::settings::document::parse_bytes("f", b"{\n \"a\xff\": 1}").unwrap_err();
     insta::assert_snapshot!(error.to_string());
 }
--- a/lib/tests/test_stage_admission.rs
+++ b/lib/tests/test_stage_admission.rs
@@ -1,10 +1,10 @@
 //! Requests whose stages can't be made in time are refused at once.
 
 use hazelyoke_lib::{
-    gateway::admission::{
+    gateway::rules::admission::{
         AdmissionRequest, PlannedStage, StageService, Verdict, decide, expected_ms,
     },
-    units::Millis,
+    shared::units::Millis,
 };
 
 fn service(outstanding: f64) -> StageService {
--- a/lib/tests/test_tree_fuzz.rs
+++ b/lib/tests/test_tree_fuzz.rs
@@ -3,10 +3,9 @@
 use {
     arbtest::arbitrary::{Result, Unstructured},
     hazelyoke_lib::{
-        daemon_settings::{DaemonSettings, RawDaemonSettings},
-        findings::Findings,
-        raw_tree::RawTree,
-        tree::Tree,
+        pipeline::daemon_settings::{DaemonSettings, RawDaemonSettings},
+        settings::{raw_tree::RawTree, tree::Tree},
+        shared::findings::Findings,
     },
     hazelyoke_testutils::{one_value::OneValue, seeds::for_seeds},
 };
--- a/lib/tests/test_window_budget.rs
+++ b/lib/tests/test_window_budget.rs
@@ -2,8 +2,8 @@
 
 use {
     hazelyoke_lib::{
-        gateway::budget::{BudgetLimits, WindowBudget},
-        units::{Millis, Share, Time},
+        gateway::rules::retry_budget::{BudgetLimits, WindowBudget},
+        shared::units::{Millis, Share, Time},
     },
     hazelyoke_testutils::seeds::for_seeds,
 };
--- a/lib/testutils/src/core_run.rs
+++ b/lib/testutils/src/core_run.rs
@@ -8,13 +8,17 @@
     arbtest::arbitrary::{Result, Unstructured},
     bytes::Bytes,
     hazelyoke_lib::{
-        core::{Action, Core, CoreConfig, Event},
-        endpoint::{AttemptEnd, Call, FailCause, LoadReport, NotRunCause, Reply},
-        ids::{AttemptId, RequestId},
-        problem::Outcome,
-        request::{Arrival, Target},
-        tree::{ServiceKind, Tree},
-        units::{Millis, Time, WorkMillis},
+        pipeline::decision::{
+            core::{Action, Core, CoreConfig, Event},
+            endpoint::{AttemptEnd, Call, FailCause, LoadReport, NotRunCause, Reply},
+            request::{Arrival, Target},
+        },
+        settings::tree::{ServiceKind, Tree},
+        shared::{
+            ids::{AttemptId, RequestId},
+            problem::Outcome,
+            units::{Millis, Time, WorkMillis},
+        },
     },
     std::{
         cmp::Reverse,
@@ -401,8 +405,8 @@
         &mut self,
         request: RequestId,
         result: std::result::Result<
-            hazelyoke_lib::request::Answer,
-            hazelyoke_lib::problem::Problem,
+            hazelyoke_lib::pipeline::decision::request::Answer,
+            hazelyoke_lib::shared::problem::Problem,
         >,
     ) {
         if !self.finished.insert(request) {
--- a/lib/testutils/src/endpoint.rs
+++ b/lib/testutils/src/endpoint.rs
@@ -7,9 +7,8 @@
     },
     bytes::Bytes,
     hazelyoke_lib::{
-        endpoint::LoadReport,
-        units::{Millis, WorkMillis},
-        wire,
+        pipeline::{decision::endpoint::LoadReport, endpoints::wire},
+        shared::units::{Millis, WorkMillis},
     },
     http::{HeaderMap, Response, StatusCode, response::Builder},
     std::{
--- a/lib/testutils/src/engine.rs
+++ b/lib/testutils/src/engine.rs
@@ -11,9 +11,11 @@
     bytes::Bytes,
     futures_util::stream,
     hazelyoke_lib::{
-        endpoint::Prefill,
-        units::WorkMillis,
-        wire::{self, GenerateBody, StreamEvent},
+        pipeline::{
+            decision::endpoint::Prefill,
+            endpoints::wire::{self, GenerateBody, StreamEvent},
+        },
+        shared::units::WorkMillis,
     },
     http::{HeaderMap, Request, Response, StatusCode},
     http_body_util::{BodyExt, StreamBody},
--- a/lib/testutils/src/expect.rs
+++ b/lib/testutils/src/expect.rs
@@ -50,7 +50,7 @@
             Step::Plain(service) => plain_output(service, &value),
             Step::Engine(model, tokens) => {
                 let text = generation(model, &value, *tokens);
-                hazelyoke_lib::core_attempt::generated_body(&text, *tokens)
+                hazelyoke_lib::pipeline::decision::attempt::generated_body(&text, *tokens)
             }
         };
     }
--- a/lib/testutils/src/fixture.rs
+++ b/lib/testutils/src/fixture.rs
@@ -10,10 +10,12 @@
         plain::{self, PlainModel},
     },
     hazelyoke_lib::{
-        api::ApiLimits,
-        daemon::Daemon,
-        daemon_settings::{ConfigSettings, DaemonSettings, TraceSettings},
-        units::{ByteSize, Count, Millis, Share},
+        pipeline::{
+            api::server::ApiLimits,
+            daemon::Daemon,
+            daemon_settings::{ConfigSettings, DaemonSettings, TraceSettings},
+        },
+        shared::units::{ByteSize, Count, Millis, Share},
     },
     std::{collections::BTreeMap, net::SocketAddr, time::Duration},
 };
--- a/lib/testutils/src/one_value.rs
+++ b/lib/testutils/src/one_value.rs
@@ -1,6 +1,6 @@
 //! A tree that stands in one value, whatever its name.
 
-use hazelyoke_lib::raw_tree::ValueSource;
+use hazelyoke_lib::settings::raw_tree::ValueSource;
 
 /// The only value, given for every name.
 #[derive(Debug, Clone)]
--- a/lib/testutils/src/plain.rs
+++ b/lib/testutils/src/plain.rs
@@ -8,7 +8,7 @@
         http_server::{ReplyBody, Server, whole_body},
     },
     bytes::Bytes,
-    hazelyoke_lib::wire,
+    hazelyoke_lib::pipeline::endpoints::wire,
     http::{HeaderMap, Request, Response},
     http_body_util::BodyExt,
     hyper::body::Incoming,
--- a/lib/testutils/src/prefix_cache.rs
+++ b/lib/testutils/src/prefix_cache.rs
@@ -1,7 +1,7 @@
 //! A stand-in engine's prefix cache: limited, and told of late and with gaps.
 
 use {
-    hazelyoke_lib::prefix::{BLOCK, CacheEvent, CacheEvents, Prefix},
+    hazelyoke_lib::pipeline::decision::prefix::{BLOCK, CacheEvent, CacheEvents, Prefix},
     std::{
         collections::{BTreeMap, HashMap, VecDeque},
         time::Duration,
