--- a/bench/src/commands/forwarding.rs
+++ b/bench/src/commands/forwarding.rs
@@ -8,15 +8,15 @@
             dialect::{Prompt, PromptPart},
             directory::catalogue::EndpointEntry,
             peers::{
-                membership::{Beliefs, Identity, Peers},
+                membership::{Identity, Peers, SelfReport},
                 message::{Heartbeat, LoadNote, Phase, QueueNote, WorkNote, decode, encode},
             },
-            routing::endpoint_state::{Demand, Fleet},
+            routing::endpoint_state::{EndpointStates, Placement},
             rules::retry_budget::{BudgetLimits, WindowBudget},
             stages::{
                 batch_call::CallEnd,
                 batch_queue::BatchQueue,
-                job::{Handle, Job, JobId, PieceEnd, PieceInput},
+                job::{JobId, PieceEnd, PieceInput, ResultHandle, StageJob},
             },
             table::BatchLimits,
         },
@@ -87,7 +87,7 @@
 }
 
 fn choice_us(endpoints: usize) -> Result<f64> {
-    let mut fleet = Fleet::default();
+    let mut fleet = EndpointStates::default();
     for number in 0..endpoints {
         fleet.put(entry(number, "llm")?);
     }
@@ -105,7 +105,7 @@
             tokens_in: 11_992,
             tokens_out: 300,
         };
-        let demand = Demand {
+        let demand = Placement {
             prompt: &prompt,
             affinity: true,
             tried: &[],
@@ -150,9 +150,10 @@
             queue.add(now, JobId(next), job(next, now));
         }
         for call in queue.plan(now) {
-            let made = |n| PieceEnd::Made(Handle(format!("10.1.0.1:80/{}-{n}", call.id).into()));
+            let made =
+                |n| PieceEnd::Made(ResultHandle(format!("10.1.0.1:80/{}-{n}", call.id).into()));
             let ends: Vec<PieceEnd> = (0..call.pieces.len()).map(made).collect();
-            let handles: Vec<Handle> = ends
+            let handles: Vec<ResultHandle> = ends
                 .iter()
                 .filter_map(|end| match end {
                     PieceEnd::Made(handle) => Some(handle.clone()),
@@ -169,8 +170,8 @@
     Ok(turn_us * turns / pieces as f64)
 }
 
-fn job(number: u64, now: Time) -> Job {
-    Job {
+fn job(number: u64, now: Time) -> StageJob {
+    StageJob {
         request: format!("request-{number}").into(),
         stage: 1,
         pieces: 4,
@@ -194,12 +195,12 @@
             capacity: Capacity(250),
         })
     };
-    let beliefs = Beliefs {
+    let beliefs = SelfReport {
         phase: Phase::Ready,
         table: 7,
         fingerprint: u64::MAX,
         catalogue: 100_000,
-        calm: true,
+        steady: true,
         read_ms: Some(40),
         loads: (0..40).map(|n| LoadNote(n * 7_019_777, 9, 9_000)).collect(),
         queues: (0..2)
--- a/bench/src/core_load.rs
+++ b/bench/src/core_load.rs
@@ -6,7 +6,7 @@
     hazelyoke_lib::{
         pipeline::decision::{
             core::{Core, Event},
-            endpoint::{AttemptEnd, LoadReport, Reply},
+            endpoint::{AttemptEnd, EndpointReply, LoadReport},
             request::{Arrival, Target},
         },
         settings::{raw_tree::RawTree, tree::Tree},
@@ -65,7 +65,7 @@
 
 /// Builds the good end of a plain call.
 pub fn good_end() -> AttemptEnd {
-    AttemptEnd::Answered(Reply {
+    AttemptEnd::Answered(EndpointReply {
         status: 200,
         body: Bytes::from_static(b"{}"),
         served: Some(WorkMillis(5.0)),
--- a/cli/src/commands/explain.rs
+++ b/cli/src/commands/explain.rs
@@ -7,7 +7,7 @@
     },
     anyhow::{Result, bail},
     argh::FromArgs,
-    hazelyoke_lib::settings::values::Entry,
+    hazelyoke_lib::settings::values::SettingEntry,
     serde::Serialize,
     std::path::PathBuf,
 };
@@ -37,8 +37,8 @@
     place: Option<String>,
 }
 
-impl From<Entry> for Row {
-    fn from(entry: Entry) -> Self {
+impl From<SettingEntry> for Row {
+    fn from(entry: SettingEntry) -> Self {
         Self {
             setting: entry.name,
             value: entry.value,
--- a/lib/src/gateway/dialect.rs
+++ b/lib/src/gateway/dialect.rs
@@ -4,7 +4,7 @@
     crate::{
         gateway::{
             directory::catalogue::EndpointEntry,
-            stages::job::{Handle, PieceEnd, PieceTask},
+            stages::job::{PieceEnd, PieceTask, ResultHandle},
             table::Table,
         },
         shared::{
@@ -89,7 +89,7 @@
     /// Order among the endpoint's requests; 0 goes first.
     pub urgency: u32,
     /// Results of the stages before.
-    pub inputs: &'a [Handle],
+    pub inputs: &'a [ResultHandle],
     /// Event after which the stream goes on.
     pub resume_after: Option<u64>,
 }
@@ -154,7 +154,7 @@
     fn read_pieces(body: &[u8]) -> Result<Vec<PieceEnd>, FormError>;
 
     /// Writes which results are no longer needed.
-    fn write_release(handles: &[Handle]) -> Bytes;
+    fn write_release(handles: &[ResultHandle]) -> Bytes;
 
     /// Returns the time after which a caller may come back, as headers.
     fn write_retry_after(headers: &mut HeaderMap, wait: Duration);
--- a/lib/src/gateway/directory/catalogue.rs
+++ b/lib/src/gateway/directory/catalogue.rs
@@ -56,7 +56,7 @@
 
 /// Why a catalogue changed.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Learnt {
+pub enum EndpointChange {
     /// An endpoint is new.
     Added(Arc<EndpointEntry>),
     /// An endpoint said that it is leaving.
@@ -161,7 +161,7 @@
     }
 
     /// Takes in one changed entry.
-    pub fn put(&mut self, entry: EndpointEntry) -> Option<Learnt> {
+    pub fn put(&mut self, entry: EndpointEntry) -> Option<EndpointChange> {
         let old = self.entries.get(&entry.id);
         if old.is_some_and(|old| old.revision > entry.revision) {
             return None;
@@ -176,8 +176,8 @@
         self.doubted.remove(&entry.id);
         self.entries.insert(entry.id.clone(), entry.clone());
         match (known, entry.draining) {
-            (false, _) => Some(Learnt::Added(entry)),
-            (true, true) if was_open => Some(Learnt::Draining(entry)),
+            (false, _) => Some(EndpointChange::Added(entry)),
+            (true, true) if was_open => Some(EndpointChange::Draining(entry)),
             _ => None,
         }
     }
@@ -190,7 +190,7 @@
         id: &EndpointId,
         revision: u64,
         doubt: bool,
-    ) -> Option<Learnt> {
+    ) -> Option<EndpointChange> {
         let known = self.entries.get(id);
         if known.is_some_and(|entry| entry.revision > revision) {
             return None;
@@ -199,18 +199,18 @@
         self.take_out(now, id, doubt)
     }
 
-    fn take_out(&mut self, now: Time, id: &EndpointId, doubt: bool) -> Option<Learnt> {
+    fn take_out(&mut self, now: Time, id: &EndpointId, doubt: bool) -> Option<EndpointChange> {
         let entry = self.entries.get(id)?.clone();
         if doubt && !entry.draining {
             if self.doubted.contains_key(id) {
                 return None;
             }
             self.doubted.insert(id.clone(), now + self.doubt);
-            return Some(Learnt::Doubted(entry));
+            return Some(EndpointChange::Doubted(entry));
         }
         self.doubted.remove(id);
         self.entries.remove(id);
-        Some(Learnt::Gone(entry))
+        Some(EndpointChange::Gone(entry))
     }
 
     /// Notes that all changes up to a revision were taken in.
@@ -225,7 +225,7 @@
         revision: u64,
         list: Vec<EndpointEntry>,
         doubt: bool,
-    ) -> Vec<Learnt> {
+    ) -> Vec<EndpointChange> {
         let listed: HashSet<EndpointId> = list.iter().map(|entry| entry.id.clone()).collect();
         let missing: Vec<EndpointId> = self
             .entries
@@ -233,7 +233,7 @@
             .filter(|entry| !listed.contains(&entry.id) && entry.revision <= revision)
             .map(|entry| entry.id.clone())
             .collect();
-        let mut learnt: Vec<Learnt> = list
+        let mut learnt: Vec<EndpointChange> = list
             .into_iter()
             .filter_map(|entry| self.put(entry))
             .collect();
@@ -251,7 +251,7 @@
     }
 
     /// Drops the endpoints whose time of doubt is over.
-    pub fn settle(&mut self, now: Time) -> Vec<Learnt> {
+    pub fn settle(&mut self, now: Time) -> Vec<EndpointChange> {
         let due: Vec<EndpointId> = self
             .doubted
             .iter()
--- a/lib/src/gateway/directory/contact.rs
+++ b/lib/src/gateway/directory/contact.rs
@@ -30,7 +30,7 @@
     }
 
     /// Returns whether the directory has been read without a failure for a while.
-    pub(crate) fn is_calm(&self, now: Time) -> bool {
+    pub(crate) fn is_steady(&self, now: Time) -> bool {
         let since = self.failed.unwrap_or_default();
         let heard = self.heard.unwrap_or_default();
         let reads = now.since(heard) < CALM.to_duration();
--- a/lib/src/gateway/directory/follow.rs
+++ b/lib/src/gateway/directory/follow.rs
@@ -64,7 +64,7 @@
                 since = Some(items.revision);
                 take(&gateway, topic, items, whole);
                 pause = FIRST_PAUSE;
-                if topic == Topic::Endpoints && gateway.is_directory_calm() {
+                if topic == Topic::Endpoints && gateway.is_directory_steady() {
                     tokio::time::sleep(ENDPOINTS_PAUSE).await;
                 }
             }
@@ -145,7 +145,7 @@
 fn take_entry<D: Dialect>(gateway: &Gateway<D>, item: &Item) {
     if item.value.is_some() {
         if let Some(entry) = read_entry::<D>(item) {
-            gateway.put_endpoint(entry, "directory");
+            gateway.upsert_endpoint(entry, "directory");
         }
     } else if let Ok(id) = item.name.parse() {
         gateway.remove_endpoint(&id, item.revision, false, "directory");
--- a/lib/src/gateway/peers/links.rs
+++ b/lib/src/gateway/peers/links.rs
@@ -7,7 +7,7 @@
     crate::gateway::{
         peers::{
             membership::HEARTBEAT,
-            message::{Ask, Frame, MAX_MESSAGE, Reply, decode, encode},
+            message::{Frame, LinkReply, LinkRequest, MAX_MESSAGE, decode, encode},
         },
         wire::egress,
     },
@@ -43,13 +43,13 @@
 
 #[derive(Debug, Clone)]
 struct Link {
-    asks: mpsc::Sender<(Ask, oneshot::Sender<Reply>)>,
+    asks: mpsc::Sender<(LinkRequest, oneshot::Sender<LinkReply>)>,
     task: AbortHandle,
 }
 
 impl Links {
     /// Asks another daemon; nothing if there is no answer. Dropping it stops waiting.
-    pub async fn ask(&self, peer: SocketAddr, ask: Ask) -> Option<Reply> {
+    pub async fn ask(&self, peer: SocketAddr, ask: LinkRequest) -> Option<LinkReply> {
         let asks = self.link(peer).asks;
         let (sender, receiver) = oneshot::channel();
         asks.try_send((ask, sender)).ok()?;
@@ -57,7 +57,7 @@
     }
 
     /// Tells another daemon something that needs no answer.
-    pub fn tell(&self, peer: SocketAddr, ask: Ask) {
+    pub fn tell(&self, peer: SocketAddr, ask: LinkRequest) {
         let (sender, _) = oneshot::channel();
         // A full or closed link loses it; whoever tells has to bear that.
         let _ = self.link(peer).asks.try_send((ask, sender));
@@ -98,7 +98,7 @@
         .max_frame_size(Some(MAX_MESSAGE))
 }
 
-type Asks = mpsc::Receiver<(Ask, oneshot::Sender<Reply>)>;
+type Asks = mpsc::Receiver<(LinkRequest, oneshot::Sender<LinkReply>)>;
 
 /// Carries asks to one daemon until the link breaks; all that wait are dropped with it.
 async fn run_link(peer: SocketAddr, mut asks: Asks) -> Result<(), String> {
@@ -111,7 +111,7 @@
         .await
         .map_err(|_| "no upgrade in time".to_owned())?
         .map_err(|error| error.to_string())?;
-    let mut waiting: HashMap<u64, oneshot::Sender<Reply>> = HashMap::default();
+    let mut waiting: HashMap<u64, oneshot::Sender<LinkReply>> = HashMap::default();
     let mut number = 0;
     let mut sweep = tokio::time::interval(HEARTBEAT.to_duration());
     loop {
@@ -128,7 +128,7 @@
             message = socket.next() => {
                 let bytes = read(message)?;
                 let Some(bytes) = bytes else { continue };
-                let frame: Frame<Reply> = decode(&bytes).map_err(|error| error.to_string())?;
+                let frame: Frame<LinkReply> = decode(&bytes).map_err(|error| error.to_string())?;
                 if let Some(sender) = waiting.remove(&frame.number) {
                     // Whoever asked may have left.
                     let _ = sender.send(frame.content);
@@ -143,7 +143,7 @@
                 for job in left {
                     waiting.remove(&job);
                     number += 1;
-                    let content = Ask::Cancel(job);
+                    let content = LinkRequest::Cancel(job);
                     send(&mut socket, encode(&Frame { number, content })).await?;
                 }
             }
--- a/lib/src/gateway/peers/membership.rs
+++ b/lib/src/gateway/peers/membership.rs
@@ -61,7 +61,7 @@
 
 /// What this daemon tells of itself.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Beliefs {
+pub struct SelfReport {
     /// How far it is.
     pub phase: Phase,
     /// Version of its table; 0 for none.
@@ -71,7 +71,7 @@
     /// Revision of the last change in its list of endpoints.
     pub catalogue: u64,
     /// Whether it has reached the directory without a failure for a while.
-    pub calm: bool,
+    pub steady: bool,
     /// Milliseconds since the directory last answered it for every topic.
     pub read_ms: Option<u32>,
     /// What it has in flight.
@@ -161,7 +161,7 @@
     }
 
     /// Builds the next heartbeat and returns where it goes.
-    pub fn heartbeat(&mut self, now: Time, beliefs: Beliefs) -> (Heartbeat, Vec<SocketAddr>) {
+    pub fn heartbeat(&mut self, now: Time, beliefs: SelfReport) -> (Heartbeat, Vec<SocketAddr>) {
         self.sequence += 1;
         let ready = beliefs.phase == Phase::Ready;
         let coordinators: Vec<Coordinator> = beliefs
@@ -192,7 +192,7 @@
             table: beliefs.table,
             fingerprint: beliefs.fingerprint,
             catalogue: beliefs.catalogue,
-            calm: beliefs.calm,
+            steady: beliefs.steady,
             read_ms: beliefs.read_ms,
             broadcasts: coordinates,
             capacity: self.me.capacity,
@@ -388,8 +388,8 @@
 
     /// Returns whether any daemon has reached the directory without a failure for a while, so that
     /// a failure here is this daemon's own.
-    pub fn is_any_calm(&self) -> bool {
-        self.alive().any(|heartbeat| heartbeat.calm)
+    pub fn has_steady_peer(&self) -> bool {
+        self.alive().any(|heartbeat| heartbeat.steady)
     }
 
     /// Returns the time since the directory last answered the daemon that read it last, among those
--- a/lib/src/gateway/peers/message.rs
+++ b/lib/src/gateway/peers/message.rs
@@ -4,7 +4,7 @@
     crate::{
         gateway::{
             directory::catalogue::{EndpointChanges, EndpointEntry},
-            stages::job::{Handle, JobEnd, PieceInput},
+            stages::job::{JobEnd, PieceInput, ResultHandle},
             table::Version,
         },
         shared::{
@@ -130,7 +130,7 @@
     pub catalogue: u64,
     /// Whether it has reached the directory without a failure for a while.
     #[serde(rename = "k")]
-    pub calm: bool,
+    pub steady: bool,
     /// Milliseconds since the directory last answered it for every topic; nothing if it doesn't read
     /// the directory itself.
     #[serde(rename = "e")]
@@ -235,7 +235,7 @@
 
 /// What is asked on a link.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Ask {
+pub enum LinkRequest {
     /// Send the table.
     Table,
     /// Send the list of endpoints.
@@ -247,12 +247,12 @@
     /// Forget a job: the number of its frame.
     Cancel(u64),
     /// Results that are no longer needed.
-    Release(ServiceId, Vec<Handle>),
+    Release(ServiceId, Vec<ResultHandle>),
 }
 
 /// What is answered on a link.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Reply {
+pub enum LinkReply {
     /// The table as it was published.
     Table {
         /// Its bytes.
--- a/lib/src/gateway/peers/relay.rs
+++ b/lib/src/gateway/peers/relay.rs
@@ -8,12 +8,12 @@
                 links::{FETCH_LIMIT, LINK_LIMIT, QUEUE, config, read, send},
                 membership::{HEARTBEAT, PeerChange},
                 message::{
-                    Ask, Datagram, Frame, Heartbeat, JobOrder, LoadDigest, PROTOCOL, Phase, Reply,
-                    Roster, decode, encode,
+                    Datagram, Frame, Heartbeat, JobOrder, LinkReply, LinkRequest, LoadDigest,
+                    PROTOCOL, Phase, Roster, decode, encode,
                 },
                 pause::PauseDetector,
             },
-            stages::job::{Job, JobEnd},
+            stages::job::{JobEnd, StageJob},
             state::Gateway,
             wire::listen::accept_each,
         },
@@ -71,7 +71,7 @@
         .await
         .map_err(|_| "no upgrade in time".to_owned())?
         .map_err(|error| error.to_string())?;
-    let (replies, mut done) = mpsc::channel::<Frame<Reply>>(QUEUE);
+    let (replies, mut done) = mpsc::channel::<Frame<LinkReply>>(QUEUE);
     let mut jobs = tokio::task::JoinSet::new();
     let mut tasks: HashMap<u64, AbortHandle> = HashMap::default();
     loop {
@@ -83,8 +83,8 @@
             Some(_) = jobs.join_next() => {}
             message = socket.next() => {
                 let Some(bytes) = read(message)? else { continue };
-                let frame: Frame<Ask> = decode(&bytes).map_err(|error| error.to_string())?;
-                if let Ask::Cancel(job) = frame.content {
+                let frame: Frame<LinkRequest> = decode(&bytes).map_err(|error| error.to_string())?;
+                if let LinkRequest::Cancel(job) = frame.content {
                     if let Some(task) = tasks.remove(&job) {
                         task.abort();
                     }
@@ -103,57 +103,57 @@
     }
 }
 
-async fn answer<D: Dialect>(gateway: &Gateway<D>, ask: Ask) -> Reply {
+async fn answer<D: Dialect>(gateway: &Gateway<D>, ask: LinkRequest) -> LinkReply {
     match ask {
-        Ask::Table => match gateway.published() {
-            Some(published) => Reply::Table {
+        LinkRequest::Table => match gateway.published() {
+            Some(published) => LinkReply::Table {
                 bytes: published.bytes.to_vec(),
             },
-            None => Reply::Unable,
+            None => LinkReply::Unable,
         },
-        Ask::Endpoints => endpoints(gateway),
-        Ask::Changes(revision) => {
+        LinkRequest::Endpoints => endpoints(gateway),
+        LinkRequest::Changes(revision) => {
             let changes = gateway.state.borrow().catalogue.changes_since(revision);
             match changes {
-                Some(changes) => Reply::Changes(changes),
+                Some(changes) => LinkReply::Changes(changes),
                 None => endpoints(gateway),
             }
         }
-        Ask::Job(order) => {
+        LinkRequest::Job(order) => {
             if gateway.phase() == Phase::Starting {
-                return Reply::Unable;
+                return LinkReply::Unable;
             }
             let service = order.service.clone();
             let job = job_of(gateway, order);
-            Reply::Job(gateway.make_here(&service, job).await)
+            LinkReply::Job(gateway.make_here(&service, job).await)
         }
-        Ask::Release(service, handles) => {
+        LinkRequest::Release(service, handles) => {
             gateway
                 .state
                 .borrow_mut()
                 .planning
                 .release(&service, handles);
             gateway.work.notify_one();
-            Reply::Done
+            LinkReply::Done
         }
-        Ask::Cancel(_) => Reply::Done,
+        LinkRequest::Cancel(_) => LinkReply::Done,
     }
 }
 
 /// Tells the whole list of endpoints.
-fn endpoints<D: Dialect>(gateway: &Gateway<D>) -> Reply {
+fn endpoints<D: Dialect>(gateway: &Gateway<D>) -> LinkReply {
     let state = gateway.state.borrow();
     if !state.listed {
-        return Reply::Unable;
+        return LinkReply::Unable;
     }
     let entries = state.catalogue.entries();
-    Reply::Endpoints {
+    LinkReply::Endpoints {
         revision: state.catalogue.revision(),
         entries: entries.map(|entry| (**entry).clone()).collect(),
     }
 }
 
-fn job_of<D: Dialect>(gateway: &Gateway<D>, order: JobOrder) -> Job {
+fn job_of<D: Dialect>(gateway: &Gateway<D>, order: JobOrder) -> StageJob {
     let now = gateway.now();
     let objective = if order.objective_ms >= 0 {
         now + Millis(order.objective_ms as u64)
@@ -163,7 +163,7 @@
                 .saturating_sub(order.objective_ms.unsigned_abs() * 1000),
         )
     };
-    Job {
+    StageJob {
         request: order.request,
         stage: order.stage,
         pieces: order.pieces,
@@ -178,7 +178,7 @@
 }
 
 /// Turns a job into an order for another daemon; times become relative.
-pub fn order_of<D: Dialect>(gateway: &Gateway<D>, service: &ServiceId, job: &Job) -> JobOrder {
+pub fn order_of<D: Dialect>(gateway: &Gateway<D>, service: &ServiceId, job: &StageJob) -> JobOrder {
     let now = gateway.now();
     let objective_us = job.objective.0 as i64 - now.0 as i64;
     JobOrder {
@@ -197,9 +197,9 @@
 }
 
 /// Reads how a job ended at another daemon; nothing if that daemon can't tell.
-pub fn job_end(reply: Option<Reply>) -> Option<JobEnd> {
+pub fn job_end(reply: Option<LinkReply>) -> Option<JobEnd> {
     match reply {
-        Some(Reply::Job(end)) => Some(end),
+        Some(LinkReply::Job(end)) => Some(end),
         _ => None,
     }
 }
@@ -388,8 +388,9 @@
     let version = gateway.published().map_or(0, |p| p.table.version);
     let newer = gateway.state.borrow().peers.newer_table(version);
     let Some((peer, _)) = newer else { return };
-    let asked = tokio::time::timeout(FETCH_LIMIT, gateway.links.ask(peer, Ask::Table)).await;
-    if let Ok(Some(Reply::Table { bytes })) = asked {
+    let asked =
+        tokio::time::timeout(FETCH_LIMIT, gateway.links.ask(peer, LinkRequest::Table)).await;
+    if let Ok(Some(LinkReply::Table { bytes })) = asked {
         let source = format!("peer {peer}");
         gateway.adopt_table(&Bytes::from(bytes), &source);
     }
@@ -415,14 +416,14 @@
         newer.map(|(peer, _)| (peer, state.listed.then_some(known)))
     };
     let Some((peer, known)) = newer else { return };
-    let ask = known.map_or(Ask::Endpoints, Ask::Changes);
+    let ask = known.map_or(LinkRequest::Endpoints, LinkRequest::Changes);
     let asked = tokio::time::timeout(FETCH_LIMIT, gateway.links.ask(peer, ask)).await;
     let source = format!("peer {peer}");
     match asked {
-        Ok(Some(Reply::Endpoints { revision, entries })) => {
+        Ok(Some(LinkReply::Endpoints { revision, entries })) => {
             gateway.replace_endpoints(revision, entries, &source);
         }
-        Ok(Some(Reply::Changes(changes))) => gateway.take_changes(changes, &source),
+        Ok(Some(LinkReply::Changes(changes))) => gateway.apply_changes(changes, &source),
         _ => {}
     }
 }
--- a/lib/src/gateway/peers/self_report.rs
+++ b/lib/src/gateway/peers/self_report.rs
@@ -5,25 +5,25 @@
         gateway::{
             dialect::Dialect,
             peers::{
-                membership::{Beliefs, Coordinator},
+                membership::{Coordinator, SelfReport},
                 message::{LoadNote, Phase, QueueNote},
             },
-            routing::endpoint_state::{PeerLoad, short_hash, short_hash_of},
-            state::{Gateway, State},
+            routing::endpoint_state::{PeerLoad, endpoint_hash, service_hash},
+            state::{Gateway, GatewayState},
         },
         shared::{ids::ServiceId, units::Time},
     },
     foldhash::HashMap,
 };
 
-impl State {
+impl GatewayState {
     /// Returns what others should know of the stage services that this daemon coordinates.
     fn queue_notes(&self, now: Time, ready: bool) -> Vec<QueueNote> {
         let mine = |service: &ServiceId| {
             self.peers.coordinator(now, service, ready, &[]) == Coordinator::Me
         };
         let total = |service: &ServiceId| {
-            let told = self.peers.told_outstanding(short_hash_of(service));
+            let told = self.peers.told_outstanding(service_hash(service));
             self.workload.outstanding(service).saturating_add(told)
         };
         self.planning.notes(now, mine, total)
@@ -42,9 +42,9 @@
             .filter(|service| {
                 self.peers.coordinator(now, &service.id, ready, &[]) == Coordinator::Me
             })
-            .flat_map(|service| self.fleet.service(&service.id))
+            .flat_map(|service| self.endpoints.service(&service.id))
             .map(|member| {
-                let id = short_hash(&member.entry.id);
+                let id = endpoint_hash(&member.entry.id);
                 let others = told.get(&id).copied().unwrap_or_default();
                 let prefill = member.prefill + others.prefill;
                 LoadNote(id, member.running + others.running, prefill as u32)
@@ -57,28 +57,28 @@
     pub fn update_peer_loads(&mut self, now: Time) {
         if self.peers.is_small() {
             let loads = self.peers.loads();
-            self.fleet.set_peer_loads(&loads);
+            self.endpoints.set_peer_loads(&loads);
             return;
         }
         self.sums.expire(now);
         let loads: HashMap<u32, PeerLoad> = self.sums.all().collect();
-        self.fleet.set_total_loads(&loads);
+        self.endpoints.set_total_loads(&loads);
     }
 }
 
 impl<D: Dialect> Gateway<D> {
     /// Returns what this daemon tells others of itself.
-    pub fn beliefs(&self) -> Beliefs {
+    pub fn beliefs(&self) -> SelfReport {
         let now = self.now();
         let phase = self.phase();
         let state = self.state.borrow();
         let published = state.published.as_ref();
         let loads = state
-            .fleet
+            .endpoints
             .members()
             .filter(|member| member.running > 0)
             .map(|member| {
-                let id = short_hash(&member.entry.id);
+                let id = endpoint_hash(&member.entry.id);
                 LoadNote(id, member.running, member.prefill as u32)
             })
             .collect();
@@ -97,12 +97,12 @@
         } else {
             Phase::Starting
         };
-        Beliefs {
+        SelfReport {
             phase,
             table: published.map_or(0, |published| published.table.version),
             fingerprint: published.map_or(0, |published| published.fingerprint),
             catalogue: state.catalogue.changed(),
-            calm: state.contact.is_calm(now),
+            steady: state.contact.is_steady(now),
             read_ms: read_age.map(|age| u32::try_from(age.0).unwrap_or(u32::MAX)),
             loads,
             queues,
--- a/lib/src/gateway/peers/sums.rs
+++ b/lib/src/gateway/peers/sums.rs
@@ -24,7 +24,7 @@
     }
 
     /// Returns the endpoints of a service that take calls, as the daemon says that plans for it.
-    pub fn sound_endpoints(&self, service: u32) -> Option<usize> {
+    pub fn available_endpoints(&self, service: u32) -> Option<usize> {
         let notes = self.alive().flat_map(|heartbeat| &heartbeat.queues);
         notes
             .filter(|note| note.0 == service)
--- a/lib/src/gateway/routing/accept.rs
+++ b/lib/src/gateway/routing/accept.rs
@@ -4,8 +4,8 @@
     crate::{
         gateway::{
             dialect::{Dialect, Inbound},
-            routing::{call::Call, endpoint_state::weighted},
-            state::{Gateway, Published},
+            routing::{call::ForwardedCall, endpoint_state::weighted},
+            state::{Gateway, PublishedTable},
             table::{CustomerEntry, Route},
         },
         shared::{
@@ -35,7 +35,7 @@
     gateway: &Rc<Gateway<D>>,
     request: Request<Incoming>,
     arrived: Time,
-) -> Result<Call, Refusal> {
+) -> Result<ForwardedCall, Refusal> {
     let (head, body) = request.into_parts();
     let unnamed = |problem| (Arc::from("-"), problem);
     let inbound = D::read_request(&head)
@@ -71,7 +71,7 @@
         "request.accepted"
     );
     let urgency = (rank * 3 + route.rank).min(9);
-    Ok(Call {
+    Ok(ForwardedCall {
         inbound,
         route,
         customer,
@@ -85,7 +85,7 @@
 }
 
 fn find(
-    published: &Published,
+    published: &PublishedTable,
     head: &Parts,
     inbound: &Inbound,
 ) -> Result<(Arc<Route>, Option<Arc<CustomerEntry>>), Problem> {
--- a/lib/src/gateway/routing/attempt.rs
+++ b/lib/src/gateway/routing/attempt.rs
@@ -5,8 +5,8 @@
         gateway::{
             dialect::{Dialect, Outbound},
             routing::{
-                call::{Call, Ticket},
-                endpoint_state::{Choice, Demand, Ending},
+                call::{AttemptGuard, ForwardedCall},
+                endpoint_state::{EndpointChoice, EndpointOutcome, Placement},
             },
             rules::progress::Progress,
             stages::chain::Results,
@@ -32,26 +32,26 @@
 const GATHERED: usize = 8 << 20;
 
 /// How one attempt ended.
-pub(crate) enum AttemptEnd<D: Dialect> {
+pub(crate) enum AttemptOutcome<D: Dialect> {
     /// A whole reply, to be passed on unless another attempt is worth it.
     Reply(response::Parts, Bytes),
     /// The head of a reply whose body is still coming.
-    Coming(Box<Coming<D>>),
+    Coming(Box<StreamingReply<D>>),
     /// It certainly didn't run.
-    NotRun(NotRunCause),
+    NotRun(NotRunReason),
     /// It may have run.
     Unknown,
 }
 
-pub(crate) struct Coming<D: Dialect> {
+pub(crate) struct StreamingReply<D: Dialect> {
     pub(crate) head: response::Parts,
     pub(crate) body: Incoming,
     pub(crate) guard: ConnectionGuard,
-    pub(crate) ticket: Ticket<D>,
+    pub(crate) ticket: AttemptGuard<D>,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum NotRunCause {
+pub(crate) enum NotRunReason {
     Unreachable,
     Refused,
     Replaced,
@@ -61,12 +61,12 @@
 /// Chooses an endpoint for a request, beside those that it was sent to before.
 pub(crate) fn choose_endpoint<D: Dialect>(
     gateway: &Gateway<D>,
-    call: &Call,
+    call: &ForwardedCall,
     tried: &[EndpointId],
     results: Option<&Results<D>>,
-) -> Option<Choice> {
+) -> Option<EndpointChoice> {
     let sites = results.map(Results::sites).unwrap_or_default();
-    let demand = Demand {
+    let demand = Placement {
         prompt: &call.inbound.prompt,
         affinity: call.route.affinity,
         tried,
@@ -76,15 +76,15 @@
     let here = &gateway.settings.data_centre;
     let state = gateway.state.borrow();
     state
-        .fleet
+        .endpoints
         .choose(gateway.now(), here, &call.service, &demand)
 }
 
 /// Builds a request as it goes to an endpoint.
 pub(crate) fn outbound_request<D: Dialect>(
     gateway: &Gateway<D>,
-    call: &Call,
-    choice: &Choice,
+    call: &ForwardedCall,
+    choice: &EndpointChoice,
     results: Option<&Results<D>>,
     resume_after: Option<u64>,
 ) -> Request<Full<Bytes>> {
@@ -122,13 +122,13 @@
 
 pub(crate) async fn attempt<D: Dialect>(
     gateway: &Rc<Gateway<D>>,
-    call: &Rc<Call>,
-    choice: Choice,
+    call: &Rc<ForwardedCall>,
+    choice: EndpointChoice,
     request: Request<Full<Bytes>>,
     patience: Option<Duration>,
     progress: &mut Progress,
-) -> AttemptEnd<D> {
-    let ticket = Ticket::new(gateway, call, choice);
+) -> AttemptOutcome<D> {
+    let ticket = AttemptGuard::new(gateway, call, choice);
     let address = ticket.choice.entry.address;
     let connection = match egress::connect(address, CONNECT_LIMIT).await {
         Ok(connection) => connection,
@@ -136,8 +136,8 @@
             progress.last = error.to_string();
             progress.unreachable();
             note_end(call, &ticket, "unreachable", &progress.last);
-            ticket.end(Ending::Unreachable);
-            return AttemptEnd::NotRun(NotRunCause::Unreachable);
+            ticket.end(EndpointOutcome::Unreachable);
+            return AttemptOutcome::NotRun(NotRunReason::Unreachable);
         }
     };
     progress.sending();
@@ -154,45 +154,58 @@
     };
     let (end, ending) = match judged {
         Ok(Ok(judged)) => judged,
-        Ok(Err(error)) => (Judged::Unknown(error.to_string()), Ending::Failed),
-        Err(_) => (Judged::Unknown("no answer in time".into()), Ending::Failed),
+        Ok(Err(error)) => (
+            ReplyVerdict::Unknown(error.to_string()),
+            EndpointOutcome::Failed,
+        ),
+        Err(_) => (
+            ReplyVerdict::Unknown("no answer in time".into()),
+            EndpointOutcome::Failed,
+        ),
     };
     match end {
-        Judged::Whole(head, body) => {
+        ReplyVerdict::Whole(head, body) => {
             progress.last = format!("status {}", head.status.as_u16());
             note_end(call, &ticket, "answered", &progress.last);
-            let served = matches!(ending, Ending::Served(_));
+            let served = matches!(ending, EndpointOutcome::Served(_));
             let took = ticket.took_ms();
             ticket.end(if served {
-                Ending::Served(Some(took))
+                EndpointOutcome::Served(Some(took))
             } else {
                 ending
             });
-            AttemptEnd::Reply(head, body)
+            AttemptOutcome::Reply(head, body)
         }
-        Judged::Coming(head, body, guard) => AttemptEnd::Coming(Box::new(Coming {
-            head,
-            body,
-            guard,
-            ticket,
-        })),
-        Judged::NotRun(cause) => {
+        ReplyVerdict::Coming(head, body, guard) => {
+            AttemptOutcome::Coming(Box::new(StreamingReply {
+                head,
+                body,
+                guard,
+                ticket,
+            }))
+        }
+        ReplyVerdict::NotRun(cause) => {
             progress.proven_not_run();
             progress.last = format!("{cause:?}");
             note_end(call, &ticket, "not_run", &progress.last);
             ticket.end(ending);
-            AttemptEnd::NotRun(cause)
+            AttemptOutcome::NotRun(cause)
         }
-        Judged::Unknown(error) => {
+        ReplyVerdict::Unknown(error) => {
             progress.last = error;
             note_end(call, &ticket, "unknown", &progress.last);
             ticket.end(ending);
-            AttemptEnd::Unknown
+            AttemptOutcome::Unknown
         }
     }
 }
 
-fn note_end<D: Dialect>(call: &Call, ticket: &Ticket<D>, outcome: &str, detail: &str) {
+fn note_end<D: Dialect>(
+    call: &ForwardedCall,
+    ticket: &AttemptGuard<D>,
+    outcome: &str,
+    detail: &str,
+) {
     log::info!(
         request = call.id(),
         endpoint:% = ticket.choice.entry.id,
@@ -203,56 +216,75 @@
     );
 }
 
-enum Judged {
+enum ReplyVerdict {
     Whole(response::Parts, Bytes),
     Coming(response::Parts, Incoming, ConnectionGuard),
-    NotRun(NotRunCause),
+    NotRun(NotRunReason),
     Unknown(String),
 }
 
 /// Judges a reply: whose it is, whether the request ran, and whether it is whole.
 async fn judge<D: Dialect>(
     gateway: &Gateway<D>,
-    call: &Call,
+    call: &ForwardedCall,
     endpoint: &EndpointId,
     (head, body, guard): (response::Parts, Incoming, ConnectionGuard),
-) -> Result<(Judged, Ending), SendError> {
+) -> Result<(ReplyVerdict, EndpointOutcome), SendError> {
     let facts = D::read_reply(&head);
     if let Some(load) = facts.load {
         let now = gateway.now();
-        gateway.state.borrow_mut().fleet.told(now, endpoint, load);
+        gateway
+            .state
+            .borrow_mut()
+            .endpoints
+            .told(now, endpoint, load);
     }
     if head.status == StatusCode::MISDIRECTED_REQUEST {
-        return Ok((Judged::NotRun(NotRunCause::Replaced), Ending::Replaced));
+        return Ok((
+            ReplyVerdict::NotRun(NotRunReason::Replaced),
+            EndpointOutcome::Replaced,
+        ));
     }
     if facts.not_run {
         let gone = head.status == StatusCode::CONFLICT;
         return Ok(if gone {
-            (Judged::NotRun(NotRunCause::InputsGone), Ending::Neutral)
+            (
+                ReplyVerdict::NotRun(NotRunReason::InputsGone),
+                EndpointOutcome::Neutral,
+            )
         } else {
-            (Judged::NotRun(NotRunCause::Refused), Ending::Full)
+            (
+                ReplyVerdict::NotRun(NotRunReason::Refused),
+                EndpointOutcome::Full,
+            )
         });
     }
     if facts.request.as_deref() != Some(call.id()) {
         let error = format!("a reply to request {:?}", facts.request);
-        return Ok((Judged::Unknown(error), Ending::Failed));
+        return Ok((ReplyVerdict::Unknown(error), EndpointOutcome::Failed));
     }
     if !facts.signed {
         let error = format!("an unsigned reply with status {}", head.status.as_u16());
-        return Ok((Judged::Unknown(error), Ending::Failed));
+        return Ok((ReplyVerdict::Unknown(error), EndpointOutcome::Failed));
     }
     if call.route.kind.is_stream() && head.status.is_success() {
-        return Ok((Judged::Coming(head, body, guard), Ending::Neutral));
+        return Ok((
+            ReplyVerdict::Coming(head, body, guard),
+            EndpointOutcome::Neutral,
+        ));
     }
     let collected = Limited::new(body, GATHERED).collect().await;
     drop(guard);
     let ending = if head.status.is_server_error() {
-        Ending::Failed
+        EndpointOutcome::Failed
     } else {
-        Ending::Served(None)
+        EndpointOutcome::Served(None)
     };
     match collected {
-        Ok(body) => Ok((Judged::Whole(head, body.to_bytes()), ending)),
-        Err(error) => Ok((Judged::Unknown(format!("body: {error}")), Ending::Failed)),
+        Ok(body) => Ok((ReplyVerdict::Whole(head, body.to_bytes()), ending)),
+        Err(error) => Ok((
+            ReplyVerdict::Unknown(format!("body: {error}")),
+            EndpointOutcome::Failed,
+        )),
     }
 }
--- a/lib/src/gateway/routing/call.rs
+++ b/lib/src/gateway/routing/call.rs
@@ -4,7 +4,7 @@
     crate::{
         gateway::{
             dialect::{Dialect, Inbound},
-            routing::endpoint_state::{Choice, Ending},
+            routing::endpoint_state::{EndpointChoice, EndpointOutcome},
             state::Gateway,
             table::{CustomerEntry, Route, RouteKind},
         },
@@ -24,7 +24,7 @@
 const WAIT_GAPS: u64 = 8;
 
 /// One request, as far as it doesn't change.
-pub(crate) struct Call {
+pub(crate) struct ForwardedCall {
     pub(crate) inbound: Inbound,
     pub(crate) route: Arc<Route>,
     pub(crate) customer: Option<Arc<CustomerEntry>>,
@@ -36,7 +36,7 @@
     pub(crate) urgency: u32,
 }
 
-impl Call {
+impl ForwardedCall {
     pub(crate) fn id(&self) -> &str {
         &self.inbound.id
     }
@@ -64,21 +64,25 @@
 }
 
 /// Counts a request in flight at an endpoint until it is told how that ended.
-pub(crate) struct Ticket<D: Dialect> {
+pub(crate) struct AttemptGuard<D: Dialect> {
     gateway: Rc<Gateway<D>>,
-    pub(crate) choice: Choice,
+    pub(crate) choice: EndpointChoice,
     sent: Time,
     prefill: bool,
     ended: bool,
 }
 
-impl<D: Dialect> Ticket<D> {
-    pub(crate) fn new(gateway: &Rc<Gateway<D>>, call: &Call, choice: Choice) -> Self {
+impl<D: Dialect> AttemptGuard<D> {
+    pub(crate) fn new(
+        gateway: &Rc<Gateway<D>>,
+        call: &ForwardedCall,
+        choice: EndpointChoice,
+    ) -> Self {
         let now = gateway.now();
         let mut state = gateway.state.borrow_mut();
         let prompt = &call.inbound.prompt;
         state
-            .fleet
+            .endpoints
             .sent(now, &choice.entry.id, prompt, choice.uncached);
         drop(state);
         Self {
@@ -95,11 +99,11 @@
             let now = self.gateway.now();
             let waited = now.millis_since(self.sent);
             let mut state = self.gateway.state.borrow_mut();
-            state.fleet.first_event(now, &self.choice, waited);
+            state.endpoints.first_event(now, &self.choice, waited);
         }
     }
 
-    pub(crate) fn end(mut self, ending: Ending) {
+    pub(crate) fn end(mut self, ending: EndpointOutcome) {
         self.settle(ending);
     }
 
@@ -107,7 +111,7 @@
         self.gateway.now().millis_since(self.sent)
     }
 
-    fn settle(&mut self, ending: Ending) {
+    fn settle(&mut self, ending: EndpointOutcome) {
         if std::mem::replace(&mut self.ended, true) {
             return;
         }
@@ -115,9 +119,9 @@
         let id = &self.choice.entry.id;
         let mut state = self.gateway.state.borrow_mut();
         if self.prefill {
-            state.fleet.forget_prefill(id, self.choice.uncached);
+            state.endpoints.forget_prefill(id, self.choice.uncached);
         }
-        let set_aside = state.fleet.ended(now, id, ending);
+        let set_aside = state.endpoints.ended(now, id, ending);
         drop(state);
         if set_aside {
             log::info!(endpoint:% = id, ending:? = ending; "endpoint.set_aside");
@@ -125,18 +129,18 @@
     }
 }
 
-impl<D: Dialect> Drop for Ticket<D> {
+impl<D: Dialect> Drop for AttemptGuard<D> {
     fn drop(&mut self) {
-        self.settle(Ending::Neutral);
+        self.settle(EndpointOutcome::Neutral);
     }
 }
 
 /// Counts a request of this daemon until its answer is whole.
-pub(crate) struct InFlight<D: Dialect> {
+pub(crate) struct RequestGuard<D: Dialect> {
     gateway: Rc<Gateway<D>>,
 }
 
-impl<D: Dialect> InFlight<D> {
+impl<D: Dialect> RequestGuard<D> {
     pub(crate) fn new(gateway: &Rc<Gateway<D>>) -> Self {
         gateway.in_flight.set(gateway.in_flight.get() + 1);
         Self {
@@ -145,7 +149,7 @@
     }
 }
 
-impl<D: Dialect> Drop for InFlight<D> {
+impl<D: Dialect> Drop for RequestGuard<D> {
     fn drop(&mut self) {
         let left = self.gateway.in_flight.get().saturating_sub(1);
         self.gateway.in_flight.set(left);
@@ -153,14 +157,14 @@
 }
 
 /// Notes a caller that left: the request's future is dropped before its end.
-pub(crate) struct LeftEarly<'a, D: Dialect> {
+pub(crate) struct CallerLeftGuard<'a, D: Dialect> {
     gateway: &'a Gateway<D>,
-    call: &'a Call,
+    call: &'a ForwardedCall,
     armed: bool,
 }
 
-impl<'a, D: Dialect> LeftEarly<'a, D> {
-    pub(crate) fn new(gateway: &'a Gateway<D>, call: &'a Call) -> Self {
+impl<'a, D: Dialect> CallerLeftGuard<'a, D> {
+    pub(crate) fn new(gateway: &'a Gateway<D>, call: &'a ForwardedCall) -> Self {
         Self {
             gateway,
             call,
@@ -173,7 +177,7 @@
     }
 }
 
-impl<D: Dialect> Drop for LeftEarly<'_, D> {
+impl<D: Dialect> Drop for CallerLeftGuard<'_, D> {
     fn drop(&mut self) {
         if self.armed {
             let took = self.gateway.now().since(self.call.arrived);
--- a/lib/src/gateway/routing/endpoint_state.rs
+++ b/lib/src/gateway/routing/endpoint_state.rs
@@ -8,7 +8,7 @@
             rules::endpoint_score::{agreed_endpoint, distance_ms, expected_ms},
         },
         shared::{
-            health::{Health, State},
+            health::{Health, HealthState},
             ids::{DataCentreId, EndpointId, ServiceId},
             units::{ByteSize, Millis, Time},
         },
@@ -59,7 +59,7 @@
 
 /// One endpoint.
 #[derive(Debug)]
-pub struct Member {
+pub struct EndpointState {
     /// Its entry.
     pub entry: Arc<EndpointEntry>,
     /// Requests in flight from this daemon.
@@ -82,7 +82,7 @@
     parts: HashMap<u64, Time>,
 }
 
-impl Member {
+impl EndpointState {
     fn new(entry: Arc<EndpointEntry>) -> Self {
         Self {
             entry,
@@ -110,12 +110,12 @@
         self.running + self.peers.running
     }
 
-    fn is_sound(&self, now: Time) -> bool {
+    fn is_available(&self, now: Time) -> bool {
         let reachable = self.unreachable_until.is_none_or(|until| until <= now);
         let healthy = match self.health.state(now) {
-            State::Healthy => true,
-            State::Ejected => false,
-            State::Probing => self.running == 0,
+            HealthState::Healthy => true,
+            HealthState::Ejected => false,
+            HealthState::Probing => self.running == 0,
         };
         reachable && healthy
     }
@@ -145,7 +145,7 @@
 
 /// What is to be placed.
 #[derive(Debug, Clone, Copy)]
-pub struct Demand<'a> {
+pub struct Placement<'a> {
     /// Its prompt; empty for a plain call.
     pub prompt: &'a Prompt,
     /// Whether endpoints holding its beginning are preferred.
@@ -161,7 +161,7 @@
 
 /// An endpoint chosen, with what decided.
 #[derive(Debug, Clone)]
-pub struct Choice {
+pub struct EndpointChoice {
     /// The endpoint.
     pub entry: Arc<EndpointEntry>,
     /// Expected time, in milliseconds.
@@ -176,7 +176,7 @@
 
 /// How a request at an endpoint ended, for what is believed of the endpoint.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum Ending {
+pub enum EndpointOutcome {
     /// It was served; for a plain call, within this many milliseconds.
     Served(Option<f64>),
     /// The endpoint failed.
@@ -193,12 +193,12 @@
 
 /// The endpoints of all services.
 #[derive(Debug, Default)]
-pub struct Fleet {
-    members: HashMap<EndpointId, Member>,
+pub struct EndpointStates {
+    members: HashMap<EndpointId, EndpointState>,
     services: HashMap<ServiceId, Vec<EndpointId>>,
 }
 
-impl Fleet {
+impl EndpointStates {
     /// Takes in an entry.
     pub fn put(&mut self, entry: Arc<EndpointEntry>) {
         let id = entry.id.clone();
@@ -207,7 +207,7 @@
             None => {
                 let ids = self.services.entry(entry.service.clone()).or_default();
                 ids.push(id.clone());
-                self.members.insert(id, Member::new(entry));
+                self.members.insert(id, EndpointState::new(entry));
             }
         }
     }
@@ -222,18 +222,18 @@
     }
 
     /// Returns the endpoints of a service.
-    pub fn service(&self, id: &ServiceId) -> impl Iterator<Item = &Member> {
+    pub fn service(&self, id: &ServiceId) -> impl Iterator<Item = &EndpointState> {
         let ids = self.services.get(id).into_iter().flatten();
         ids.filter_map(|id| self.members.get(id))
     }
 
     /// Returns all endpoints.
-    pub fn members(&self) -> impl Iterator<Item = &Member> {
+    pub fn members(&self) -> impl Iterator<Item = &EndpointState> {
         self.members.values()
     }
 
     /// Returns an endpoint.
-    pub fn get(&self, id: &EndpointId) -> Option<&Member> {
+    pub fn get(&self, id: &EndpointId) -> Option<&EndpointState> {
         self.members.get(id)
     }
 
@@ -251,21 +251,25 @@
         now: Time,
         here: &DataCentreId,
         service: &ServiceId,
-        demand: &Demand<'_>,
-    ) -> Option<Choice> {
-        let open: Vec<&Member> = self
+        demand: &Placement<'_>,
+    ) -> Option<EndpointChoice> {
+        let open: Vec<&EndpointState> = self
             .service(service)
             .filter(|member| member.is_open() && member.running < demand.most)
             .filter(|member| !demand.tried.contains(&member.entry.id))
             .collect();
-        let sound: Vec<&Member> = open
+        let available: Vec<&EndpointState> = open
             .iter()
             .copied()
-            .filter(|member| member.is_sound(now))
+            .filter(|member| member.is_available(now))
             .collect();
-        let among = if sound.is_empty() { &open } else { &sound };
+        let among = if available.is_empty() {
+            &open
+        } else {
+            &available
+        };
         let agreed = agreed_endpoint(among, demand.prompt);
-        let score = |member: &Member| {
+        let score = |member: &EndpointState| {
             let (expected, uncached) = expected_ms(now, member, demand, agreed);
             (expected + distance_ms(member, here, demand), uncached)
         };
@@ -273,7 +277,7 @@
             .iter()
             .map(|member| (*member, score(member)))
             .min_by(|(_, a), (_, b)| a.0.total_cmp(&b.0))?;
-        Some(Choice {
+        Some(EndpointChoice {
             entry: member.entry.clone(),
             expected_ms,
             uncached,
@@ -298,7 +302,7 @@
     }
 
     /// Notes that a prompt was read: its first event came after `waited_ms`.
-    pub fn first_event(&mut self, now: Time, choice: &Choice, waited_ms: f64) {
+    pub fn first_event(&mut self, now: Time, choice: &EndpointChoice, waited_ms: f64) {
         let Some(member) = self.members.get_mut(&choice.entry.id) else {
             return;
         };
@@ -318,14 +322,14 @@
     }
 
     /// Notes that a request left an endpoint; returns whether the endpoint was ejected for it.
-    pub fn ended(&mut self, now: Time, id: &EndpointId, ending: Ending) -> bool {
+    pub fn ended(&mut self, now: Time, id: &EndpointId, ending: EndpointOutcome) -> bool {
         let may_eject = self.may_eject(now, id);
         let Some(member) = self.members.get_mut(id) else {
             return false;
         };
         member.running = member.running.saturating_sub(1);
         match ending {
-            Ending::Served(call_ms) => {
+            EndpointOutcome::Served(call_ms) => {
                 member.health.succeeded();
                 member.unreachable_until = None;
                 if let Some(call_ms) = call_ms {
@@ -333,16 +337,16 @@
                 }
                 false
             }
-            Ending::Failed => member.health.failed(now, may_eject),
-            Ending::Unreachable => {
+            EndpointOutcome::Failed => member.health.failed(now, may_eject),
+            EndpointOutcome::Unreachable => {
                 member.unreachable_until = Some(now + UNREACHABLE);
                 true
             }
-            Ending::Replaced => {
+            EndpointOutcome::Replaced => {
                 member.replaced = Some(now);
                 true
             }
-            Ending::Full | Ending::Neutral => false,
+            EndpointOutcome::Full | EndpointOutcome::Neutral => false,
         }
     }
 
@@ -356,7 +360,7 @@
     /// Takes in the sums of what other daemons have in flight.
     pub fn set_peer_loads(&mut self, loads: &HashMap<u32, PeerLoad>) {
         for member in self.members.values_mut() {
-            let key = short_hash(&member.entry.id);
+            let key = endpoint_hash(&member.entry.id);
             member.peers = loads.get(&key).copied().unwrap_or_default();
         }
     }
@@ -364,7 +368,7 @@
     /// Takes in the sums of what all daemons, this one included, have in flight.
     pub fn set_total_loads(&mut self, loads: &HashMap<u32, PeerLoad>) {
         for member in self.members.values_mut() {
-            let key = short_hash(&member.entry.id);
+            let key = endpoint_hash(&member.entry.id);
             let total = loads.get(&key).copied().unwrap_or_default();
             member.peers = PeerLoad {
                 running: total.running.saturating_sub(member.running),
@@ -391,19 +395,19 @@
         let Some(member) = self.members.get(id) else {
             return false;
         };
-        let pool: Vec<&Member> = self.service(&member.entry.service).collect();
-        let out = pool.iter().filter(|other| !other.is_sound(now)).count();
+        let pool: Vec<&EndpointState> = self.service(&member.entry.service).collect();
+        let out = pool.iter().filter(|other| !other.is_available(now)).count();
         (out as f64 + 1.0) <= pool.len() as f64 * MAX_EJECTED
     }
 }
 
 /// Returns a short name of an endpoint for messages between daemons.
-pub fn short_hash(id: &EndpointId) -> u32 {
+pub fn endpoint_hash(id: &EndpointId) -> u32 {
     xxh3_64(id.as_str().as_bytes()) as u32
 }
 
 /// Returns a short name of a service for messages between daemons.
-pub fn short_hash_of(service: &ServiceId) -> u32 {
+pub fn service_hash(service: &ServiceId) -> u32 {
     xxh3_64(service.as_str().as_bytes()) as u32
 }
 
--- a/lib/src/gateway/routing/forward.rs
+++ b/lib/src/gateway/routing/forward.rs
@@ -7,15 +7,16 @@
             routing::{
                 accept::accept,
                 attempt::{
-                    AttemptEnd, Coming, NotRunCause, attempt, choose_endpoint, outbound_request,
+                    AttemptOutcome, NotRunReason, StreamingReply, attempt, choose_endpoint,
+                    outbound_request,
                 },
-                call::{Call, InFlight, LeftEarly},
-                endpoint_state::Choice,
+                call::{CallerLeftGuard, ForwardedCall, RequestGuard},
+                endpoint_state::EndpointChoice,
                 reply_stream::{self, StreamSource},
                 stages::{check_admission, run_stages},
             },
             rules::progress::Progress,
-            serving::metrics::Repeat,
+            serving::metrics::RetryReason,
             stages::chain::Results,
             state::Gateway,
             table::RouteKind,
@@ -52,7 +53,7 @@
     request: Request<Incoming>,
 ) -> Response<ReplyBody> {
     let arrived = gateway.now();
-    let guard = InFlight::new(&gateway);
+    let guard = RequestGuard::new(&gateway);
     let (id, problem) = match accept(&gateway, request, arrived).await {
         Ok(call) => {
             let id = call.inbound.id.clone();
@@ -80,10 +81,10 @@
 /// Runs the stages and the attempts of a request.
 async fn forward<D: Dialect>(
     gateway: &Rc<Gateway<D>>,
-    call: Rc<Call>,
-    in_flight: InFlight<D>,
+    call: Rc<ForwardedCall>,
+    in_flight: RequestGuard<D>,
 ) -> Result<Response<ReplyBody>, Problem> {
-    let left = LeftEarly::new(gateway, &call);
+    let left = CallerLeftGuard::new(gateway, &call);
     let deadline = gateway.instant(call.deadline);
     let mut progress = Progress::default();
     let work = attempts(gateway, &call, &mut progress, in_flight);
@@ -103,7 +104,7 @@
 /// Builds the problem that ends a request without an answer.
 fn problem<D: Dialect>(
     gateway: &Gateway<D>,
-    call: &Call,
+    call: &ForwardedCall,
     progress: &Progress,
     why: &str,
 ) -> Problem {
@@ -115,7 +116,7 @@
 fn retry_after<D: Dialect>(gateway: &Gateway<D>, service: &ServiceId) -> Millis {
     let state = gateway.state.borrow();
     let usual = state
-        .fleet
+        .endpoints
         .service(service)
         .filter_map(|member| {
             let (_, load) = member.told?;
@@ -127,9 +128,9 @@
 
 async fn attempts<D: Dialect>(
     gateway: &Rc<Gateway<D>>,
-    call: &Rc<Call>,
+    call: &Rc<ForwardedCall>,
     progress: &mut Progress,
-    in_flight: InFlight<D>,
+    in_flight: RequestGuard<D>,
 ) -> Result<Response<ReplyBody>, Problem> {
     check_admission(gateway, call)?;
     let mut results = run_stages(gateway, call).await?;
@@ -154,21 +155,21 @@
         let outbound = outbound_request(gateway, call, &choice, results.as_ref(), resume_after);
         let end = attempt(gateway, call, choice, outbound, patience, progress).await;
         match end {
-            AttemptEnd::Reply(head, body) => {
+            AttemptOutcome::Reply(head, body) => {
                 if head.status.is_server_error()
-                    && may_repeat(gateway, call, progress, Repeat::Failed)
+                    && may_repeat(gateway, call, progress, RetryReason::Failed)
                 {
                     progress.failure = Some((head, body));
                     continue;
                 }
                 return Ok(pass_whole(gateway, call, head, body));
             }
-            AttemptEnd::Coming(coming) => {
+            AttemptOutcome::Coming(coming) => {
                 return Ok(pass_stream(
                     gateway, call, *coming, progress, results, in_flight,
                 ));
             }
-            AttemptEnd::NotRun(NotRunCause::InputsGone) => {
+            AttemptOutcome::NotRun(NotRunReason::InputsGone) => {
                 if !gateway.withdraw(&call.service) {
                     return finish_failed(gateway, call, progress, "its inputs are gone");
                 }
@@ -176,18 +177,18 @@
                 results = run_stages(gateway, call).await?;
                 progress.tried.clear();
             }
-            AttemptEnd::NotRun(NotRunCause::Unreachable) => {
+            AttemptOutcome::NotRun(NotRunReason::Unreachable) => {
                 if progress.not_reached() >= CONNECT_TRIES {
                     return finish_failed(gateway, call, progress, "endpoints can't be reached");
                 }
             }
-            AttemptEnd::NotRun(NotRunCause::Refused | NotRunCause::Replaced) => {
-                if !may_repeat(gateway, call, progress, Repeat::NotRun) {
+            AttemptOutcome::NotRun(NotRunReason::Refused | NotRunReason::Replaced) => {
+                if !may_repeat(gateway, call, progress, RetryReason::NotRun) {
                     return finish_failed(gateway, call, progress, "no other attempt is allowed");
                 }
             }
-            AttemptEnd::Unknown => {
-                if !may_repeat(gateway, call, progress, Repeat::Failed) {
+            AttemptOutcome::Unknown => {
+                if !may_repeat(gateway, call, progress, RetryReason::Failed) {
                     return finish_failed(gateway, call, progress, "the attempt broke off");
                 }
             }
@@ -198,14 +199,19 @@
 /// Returns how long the attempt may take before another one is worth it.
 fn patience<D: Dialect>(
     gateway: &Gateway<D>,
-    call: &Call,
+    call: &ForwardedCall,
     progress: &Progress,
-    choice: &Choice,
+    choice: &EndpointChoice,
 ) -> Option<Duration> {
-    if !call.route.kind.is_repeatable() || progress.sent() + 1 >= call.route.attempts {
+    if !call.route.kind.is_retryable() || progress.sent() + 1 >= call.route.attempts {
         return None;
     }
-    let others = gateway.state.borrow().fleet.service(&call.service).count();
+    let others = gateway
+        .state
+        .borrow()
+        .endpoints
+        .service(&call.service)
+        .count();
     if others <= progress.tried.len() + 1 {
         return None;
     }
@@ -223,9 +229,9 @@
 /// Pays for another attempt; returns whether there may be one.
 fn may_repeat<D: Dialect>(
     gateway: &Gateway<D>,
-    call: &Call,
+    call: &ForwardedCall,
     progress: &Progress,
-    why: Repeat,
+    why: RetryReason,
 ) -> bool {
     let may_send = progress.may_send(call.route.kind, call.route.attempts);
     let allowed = may_send && gateway.withdraw(&call.service);
@@ -246,7 +252,7 @@
 /// Ends a request without a usable answer: with the endpoint's own failure if there is one.
 fn finish_failed<D: Dialect>(
     gateway: &Gateway<D>,
-    call: &Call,
+    call: &ForwardedCall,
     progress: &mut Progress,
     why: &str,
 ) -> Result<Response<ReplyBody>, Problem> {
@@ -258,7 +264,7 @@
 
 fn pass_whole<D: Dialect>(
     gateway: &Gateway<D>,
-    call: &Call,
+    call: &ForwardedCall,
     head: response::Parts,
     body: Bytes,
 ) -> Response<ReplyBody> {
@@ -289,11 +295,11 @@
 
 fn pass_stream<D: Dialect>(
     gateway: &Rc<Gateway<D>>,
-    call: &Rc<Call>,
-    coming: Coming<D>,
+    call: &Rc<ForwardedCall>,
+    coming: StreamingReply<D>,
     progress: &mut Progress,
     results: Option<Results<D>>,
-    in_flight: InFlight<D>,
+    in_flight: RequestGuard<D>,
 ) -> Response<ReplyBody> {
     let took = gateway.now().since(call.arrived);
     gateway.metrics.head(took);
--- a/lib/src/gateway/routing/reply_stream.rs
+++ b/lib/src/gateway/routing/reply_stream.rs
@@ -6,11 +6,11 @@
             dialect::Dialect,
             routing::{
                 attempt::{CONNECT_LIMIT, choose_endpoint, outbound_request},
-                call::{Call, InFlight, Ticket},
-                endpoint_state::Ending,
+                call::{AttemptGuard, ForwardedCall, RequestGuard},
+                endpoint_state::EndpointOutcome,
                 stages::run_stages,
             },
-            serving::metrics::Repeat,
+            serving::metrics::RetryReason,
             stages::chain::Results,
             state::Gateway,
             table::RouteKind,
@@ -41,19 +41,19 @@
 pub(crate) struct StreamSource<D: Dialect> {
     pub(crate) body: Incoming,
     pub(crate) guard: ConnectionGuard,
-    pub(crate) ticket: Ticket<D>,
+    pub(crate) ticket: AttemptGuard<D>,
 }
 
-struct Pump<D: Dialect> {
+struct StreamRelay<D: Dialect> {
     gateway: Rc<Gateway<D>>,
-    call: Rc<Call>,
+    call: Rc<ForwardedCall>,
     tried: Vec<EndpointId>,
     sent: u32,
     results: Option<Results<D>>,
     splitter: EventSplitter,
     events_begun: bool,
     sink: mpsc::Sender<StreamPart>,
-    _in_flight: InFlight<D>,
+    _in_flight: RequestGuard<D>,
 }
 
 /// How a source ended.
@@ -67,16 +67,16 @@
 /// Starts to pass a stream on; returns its body.
 pub(crate) fn start<D: Dialect>(
     gateway: Rc<Gateway<D>>,
-    call: Rc<Call>,
+    call: Rc<ForwardedCall>,
     source: StreamSource<D>,
     tried: Vec<EndpointId>,
     sent: u32,
     results: Option<Results<D>>,
-    in_flight: InFlight<D>,
+    in_flight: RequestGuard<D>,
 ) -> mpsc::Receiver<StreamPart> {
     let (sink, receiver) = mpsc::channel(QUEUE);
     let splitter = EventSplitter::after(call.inbound.last_event);
-    let pump = Pump {
+    let pump = StreamRelay {
         gateway,
         call,
         tried,
@@ -91,7 +91,7 @@
     receiver
 }
 
-impl<D: Dialect> Pump<D> {
+impl<D: Dialect> StreamRelay<D> {
     async fn run(mut self, source: StreamSource<D>) {
         let mut source = source;
         loop {
@@ -122,7 +122,7 @@
             );
             match end {
                 SourceEnd::Whole => {
-                    ticket.end(Ending::Served(None));
+                    ticket.end(EndpointOutcome::Served(None));
                     return self.finish().await;
                 }
                 SourceEnd::CallerLeft => {
@@ -131,7 +131,7 @@
                 }
                 SourceEnd::TimeOver => return self.break_off("the request's time is over"),
                 SourceEnd::Broken(why) => {
-                    ticket.end(Ending::Failed);
+                    ticket.end(EndpointOutcome::Failed);
                     match self.resume(&why).await {
                         Some(next) => source = next,
                         None => return self.break_off(&why),
@@ -142,9 +142,9 @@
     }
 
     /// Passes events on until the source ends.
-    async fn pass(&mut self, body: &mut Incoming, ticket: &mut Ticket<D>) -> SourceEnd {
+    async fn pass(&mut self, body: &mut Incoming, ticket: &mut AttemptGuard<D>) -> SourceEnd {
         let deadline = self.gateway.instant(self.call.deadline);
-        let resumable = self.call.route.kind.is_repeatable();
+        let resumable = self.call.route.kind.is_retryable();
         loop {
             let silence = if self.events_begun {
                 SILENCE
@@ -233,21 +233,21 @@
         );
         let results = self.results.as_ref();
         let request = outbound_request(&self.gateway, &self.call, &choice, results, last);
-        let mut ticket = Ticket::new(&self.gateway, &self.call, choice);
+        let mut ticket = AttemptGuard::new(&self.gateway, &self.call, choice);
         let Ok(connection) = egress::connect(ticket.choice.entry.address, CONNECT_LIMIT).await
         else {
-            ticket.end(Ending::Unreachable);
+            ticket.end(EndpointOutcome::Unreachable);
             return None;
         };
         self.sent += 1;
-        self.gateway.metrics.repeat(Repeat::Resume);
+        self.gateway.metrics.repeat(RetryReason::Resume);
         let deadline = self.gateway.instant(self.call.deadline);
         let sent = tokio::select! {
             () = self.sink.closed() => return None,
             sent = tokio::time::timeout_at(deadline, connection.send(request)) => sent,
         };
         let Ok(Ok((response, guard))) = sent else {
-            ticket.end(Ending::Failed);
+            ticket.end(EndpointOutcome::Failed);
             return None;
         };
         let (head, body) = response.into_parts();
@@ -257,9 +257,9 @@
             && facts.request.as_deref() == Some(self.call.id());
         if !fits {
             ticket.end(if facts.not_run {
-                Ending::Full
+                EndpointOutcome::Full
             } else {
-                Ending::Failed
+                EndpointOutcome::Failed
             });
             return None;
         }
--- a/lib/src/gateway/routing/stages.rs
+++ b/lib/src/gateway/routing/stages.rs
@@ -4,8 +4,12 @@
     crate::{
         gateway::{
             dialect::{Dialect, Inbound},
-            routing::{attempt::choose_endpoint, call::Call, endpoint_state::short_hash_of},
-            rules::admission::{self, AdmissionRequest, PlannedStage, StageService, Verdict},
+            routing::{
+                attempt::choose_endpoint, call::ForwardedCall, endpoint_state::service_hash,
+            },
+            rules::admission::{
+                self, AdmissionDecision, AdmissionRequest, PlannedStage, StageService,
+            },
             stages::chain::{self, ChainError, ChainRequest, Results},
             state::Gateway,
             table::Route,
@@ -25,17 +29,17 @@
 /// Refuses a request at once whose stages can't be made in time.
 pub(crate) fn check_admission<D: Dialect>(
     gateway: &Gateway<D>,
-    call: &Call,
+    call: &ForwardedCall,
 ) -> Result<(), Problem> {
     if !call.has_stages() {
         return Ok(());
     }
     match admit(gateway, &call.route, &call.inbound) {
-        Verdict::Take(expected_ms) => {
+        AdmissionDecision::Take(expected_ms) => {
             log::info!(request = call.id(), expected_ms, objective_ms = call.route.objective.0; "request.admitted");
             Ok(())
         }
-        Verdict::Refuse {
+        AdmissionDecision::Refuse {
             expected_ms,
             retry_after,
         } => {
@@ -50,7 +54,7 @@
 /// Runs the stages before the request, if there are any.
 pub(crate) async fn run_stages<D: Dialect>(
     gateway: &Rc<Gateway<D>>,
-    call: &Call,
+    call: &ForwardedCall,
 ) -> Result<Option<Results<D>>, Problem> {
     if !call.has_stages() {
         return Ok(None);
@@ -77,7 +81,11 @@
 }
 
 /// Decides whether a request with stages is taken.
-pub fn admit<D: Dialect>(gateway: &Gateway<D>, route: &Route, inbound: &Inbound) -> Verdict {
+pub fn admit<D: Dialect>(
+    gateway: &Gateway<D>,
+    route: &Route,
+    inbound: &Inbound,
+) -> AdmissionDecision {
     let stages = route
         .stages
         .iter()
@@ -108,15 +116,15 @@
         .and_then(|published| published.table.service(service)?.batch);
     let state = gateway.state.borrow();
     let endpoints = state
-        .fleet
+        .endpoints
         .service(service)
         .filter(|member| member.is_open())
         .count();
-    let hash = short_hash_of(service);
+    let hash = service_hash(service);
     let coordinator = state.peers.coordinator(now, service, true, &[]);
     let elsewhere = state.peers.outstanding(hash, coordinator);
-    let ready = state.planning.sound_endpoints(now, service);
-    let reported = state.peers.sound_endpoints(hash);
+    let ready = state.planning.available_endpoints(now, service);
+    let reported = state.peers.available_endpoints(hash);
     let outstanding = f64::from(state.workload.outstanding(service)) + f64::from(elsewhere);
     let (batch, call_ms, piece_ms, room) = limits.map_or((1, 0.0, 0.0, f64::MAX), |limits| {
         let results = limits.room.0 as f64 / result.0.max(1) as f64;
--- a/lib/src/gateway/rules/admission.rs
+++ b/lib/src/gateway/rules/admission.rs
@@ -97,7 +97,7 @@
 
 /// What was decided.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum Verdict {
+pub enum AdmissionDecision {
     /// It is taken; it should take this many milliseconds.
     Take(f64),
     /// It is refused.
@@ -135,15 +135,15 @@
 }
 
 /// Decides whether a request is taken.
-pub fn decide(request: &AdmissionRequest) -> Verdict {
+pub fn decide(request: &AdmissionRequest) -> AdmissionDecision {
     let expected_ms = expected_ms(&request.stages) + own_ms(request.tokens).min(MOST_OWN_MS);
     let objective = request.objective.0 as f64;
     let allowed = objective * (MARGIN - RANK_MARGIN * f64::from(request.rank));
     if expected_ms <= allowed {
-        return Verdict::Take(expected_ms);
+        return AdmissionDecision::Take(expected_ms);
     }
     let wait = (expected_ms - allowed * 0.9).clamp(LEAST_RETURN_MS, LONGEST_RETURN_MS);
-    Verdict::Refuse {
+    AdmissionDecision::Refuse {
         expected_ms,
         retry_after: Millis(wait as u64),
     }
--- a/lib/src/gateway/rules/endpoint_score.rs
+++ b/lib/src/gateway/rules/endpoint_score.rs
@@ -4,7 +4,7 @@
     crate::{
         gateway::{
             dialect::Prompt,
-            routing::endpoint_state::{Demand, Member},
+            routing::endpoint_state::{EndpointState, Placement},
         },
         shared::{
             ids::{DataCentreId, EndpointId},
@@ -30,10 +30,13 @@
 
 /// Returns the endpoint that all daemons prefer for a prompt's deepest shared part, by rendezvous
 /// hashing.
-pub(crate) fn agreed_endpoint<'a>(among: &[&'a Member], prompt: &Prompt) -> Option<&'a EndpointId> {
+pub(crate) fn agreed_endpoint<'a>(
+    among: &[&'a EndpointState],
+    prompt: &Prompt,
+) -> Option<&'a EndpointId> {
     let shared = prompt.parts.len().checked_sub(2)?;
     let part = prompt.parts[shared].id;
-    let weight = |member: &&&Member| {
+    let weight = |member: &&&EndpointState| {
         let mut bytes = part.to_le_bytes().to_vec();
         bytes.extend_from_slice(member.entry.id.as_str().as_bytes());
         xxh3_64(&bytes)
@@ -43,8 +46,8 @@
 
 pub(crate) fn expected_ms(
     now: Time,
-    member: &Member,
-    demand: &Demand<'_>,
+    member: &EndpointState,
+    demand: &Placement<'_>,
     agreed: Option<&EndpointId>,
 ) -> (f64, u32) {
     let outstanding = f64::from(member.outstanding());
@@ -83,7 +86,11 @@
     prompt.parts[..parts].iter().map(|part| part.tokens).sum()
 }
 
-pub(crate) fn distance_ms(member: &Member, here: &DataCentreId, demand: &Demand<'_>) -> f64 {
+pub(crate) fn distance_ms(
+    member: &EndpointState,
+    here: &DataCentreId,
+    demand: &Placement<'_>,
+) -> f64 {
     let there = &member.entry.data_centre;
     let far: u64 = demand
         .inputs
--- a/lib/src/gateway/rules/piece_order.rs
+++ b/lib/src/gateway/rules/piece_order.rs
@@ -8,7 +8,7 @@
     crate::{
         gateway::stages::{
             batch_call::JobState,
-            job::{Job, JobId},
+            job::{JobId, StageJob},
             worker::Worker,
         },
         shared::{
@@ -101,7 +101,7 @@
 
 /// Returns the time for which a piece waits for one of so many endpoints: the fewer there are, the
 /// longer it takes until one is free, and the less the wait is worth.
-fn wait_of(job: &Job, endpoints: usize) -> Millis {
+fn wait_of(job: &StageJob, endpoints: usize) -> Millis {
     let chance = (endpoints as f64 / MANY_ENDPOINTS).min(1.0);
     let wait = job.moved.0 as f64 / 1e6 * WAIT_MS_PER_MB;
     let wait = wait.min(LONGEST_WAIT.0 as f64) * chance;
--- a/lib/src/gateway/rules/progress.rs
+++ b/lib/src/gateway/rules/progress.rs
@@ -61,7 +61,7 @@
 
     /// Returns whether another attempt may be sent, apart from what the budget has.
     pub fn may_send(&self, kind: RouteKind, attempts: u32) -> bool {
-        self.sent < attempts && (kind.is_repeatable() || self.exposed == 0)
+        self.sent < attempts && (kind.is_retryable() || self.exposed == 0)
     }
 
     /// Builds the problem that ends the request, with what can be promised of it.
--- a/lib/src/gateway/serving/ingress.rs
+++ b/lib/src/gateway/serving/ingress.rs
@@ -26,7 +26,7 @@
 
 /// How far a stop of this daemon is, for its connections.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Admission {
+pub enum ListenerState {
     /// Connections are taken and kept.
     Open,
     /// No connection is taken; those that rest are closed.
@@ -37,7 +37,7 @@
 pub async fn serve<D: Dialect>(
     gateway: Rc<Gateway<D>>,
     listener: TcpListener,
-    mut admission: watch::Receiver<Admission>,
+    mut admission: watch::Receiver<ListenerState>,
 ) {
     let connections = admission.clone();
     let accepting = accept_each(listener, "ingress.accept_failed", |stream, _| {
@@ -53,7 +53,7 @@
 async fn serve_connection<D: Dialect>(
     gateway: Rc<Gateway<D>>,
     stream: TcpStream,
-    mut admission: watch::Receiver<Admission>,
+    mut admission: watch::Receiver<ListenerState>,
 ) {
     // Latency only; a stream without it still works.
     let _ = stream.set_nodelay(true);
@@ -74,7 +74,7 @@
     let closing = async {
         // The sender lives as long as the daemon does.
         let _ = admission
-            .wait_for(|state| *state == Admission::Closing)
+            .wait_for(|state| *state == ListenerState::Closing)
             .await;
     };
     tokio::select! {
--- a/lib/src/gateway/serving/metrics.rs
+++ b/lib/src/gateway/serving/metrics.rs
@@ -31,7 +31,7 @@
 
 /// Why a request was sent again.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Repeat {
+pub enum RetryReason {
     /// The endpoint before didn't run it.
     NotRun,
     /// The endpoint before failed or was silent, and the request may be repeated.
@@ -209,11 +209,11 @@
     }
 
     /// Counts a repeated send.
-    pub fn repeat(&self, repeat: Repeat) {
+    pub fn repeat(&self, repeat: RetryReason) {
         let kind = match repeat {
-            Repeat::NotRun => "not_run",
-            Repeat::Failed => "failed",
-            Repeat::Resume => "resume",
+            RetryReason::NotRun => "not_run",
+            RetryReason::Failed => "failed",
+            RetryReason::Resume => "resume",
         };
         self.repeats.get_or_create(&KindLabels { kind }).inc();
     }
--- a/lib/src/gateway/serving/operator.rs
+++ b/lib/src/gateway/serving/operator.rs
@@ -118,7 +118,7 @@
         table: peer.table,
         catalogue: peer.catalogue,
     });
-    let endpoints = state.fleet.members().map(|member| EndpointStatus {
+    let endpoints = state.endpoints.members().map(|member| EndpointStatus {
         service: member.entry.service.to_string(),
         endpoint: member.entry.id.to_string(),
         open: member.is_open(),
--- a/lib/src/gateway/serving/server.rs
+++ b/lib/src/gateway/serving/server.rs
@@ -10,7 +10,7 @@
             },
             peers::relay,
             serving::{
-                ingress::{self, Admission},
+                ingress::{self, ListenerState},
                 operator,
                 settings::GatewaySettings,
             },
@@ -36,7 +36,7 @@
 /// Why a daemon can't start.
 #[derive(Debug, Error)]
 #[error("can't serve {purpose} on {address}: {source}; is the address free and this host's own?")]
-pub struct StartError {
+pub struct ServerStartError {
     /// What the address is for.
     pub purpose: &'static str,
     /// The address from the settings.
@@ -49,7 +49,7 @@
 #[derive(Debug)]
 pub struct Server<D: Dialect> {
     gateway: Rc<Gateway<D>>,
-    admission: watch::Sender<Admission>,
+    admission: watch::Sender<ListenerState>,
     tasks: Vec<AbortHandle>,
     listen: SocketAddr,
     ready: SocketAddr,
@@ -73,8 +73,8 @@
     pub async fn start(
         mut settings: GatewaySettings,
         directory: impl Directory,
-    ) -> Result<Self, StartError> {
-        let peer_error = |source| StartError {
+    ) -> Result<Self, ServerStartError> {
+        let peer_error = |source| ServerStartError {
             purpose: "peers",
             address: settings.peer,
             source,
@@ -93,7 +93,7 @@
         let gateway: Rc<Gateway<D>> = Gateway::new(settings);
         let directory = Rc::new(directory);
         let datagrams = Rc::new(datagrams);
-        let (admission, watched) = watch::channel(Admission::Open);
+        let (admission, watched) = watch::channel(ListenerState::Open);
         let mut server = Self {
             gateway: gateway.clone(),
             admission,
@@ -162,7 +162,7 @@
         log::info!(in_flight = self.gateway.in_flight.get(); "daemon.stopping");
         let noticed = begun + NOTICE.to_duration();
         tokio::time::sleep_until(noticed.min(end)).await;
-        self.admission.send_replace(Admission::Closing);
+        self.admission.send_replace(ListenerState::Closing);
         while Instant::now() < end && self.is_busy() {
             tokio::time::sleep(LOOK).await;
         }
@@ -177,10 +177,10 @@
     }
 }
 
-async fn bind(purpose: &'static str, address: SocketAddr) -> Result<TcpListener, StartError> {
+async fn bind(purpose: &'static str, address: SocketAddr) -> Result<TcpListener, ServerStartError> {
     TcpListener::bind(address)
         .await
-        .map_err(|source| StartError {
+        .map_err(|source| ServerStartError {
             purpose,
             address,
             source,
--- a/lib/src/gateway/stages/batch_call.rs
+++ b/lib/src/gateway/stages/batch_call.rs
@@ -4,7 +4,7 @@
     crate::{
         gateway::{
             directory::catalogue::EndpointEntry,
-            stages::job::{Handle, Job, JobId, PieceEnd, PieceTask},
+            stages::job::{JobId, PieceEnd, PieceTask, ResultHandle, StageJob},
         },
         shared::{
             ids::EndpointId,
@@ -59,7 +59,7 @@
     pub(crate) endpoint: EndpointId,
     pub(crate) sent: Time,
     pub(crate) expected_ms: f64,
-    /// Job, place within it, and usual size of its result.
+    /// StageJob, place within it, and usual size of its result.
     pub(crate) pieces: Vec<(JobId, usize, ByteSize)>,
     pub(crate) reserved: u64,
     pub(crate) overdue: bool,
@@ -69,12 +69,12 @@
 pub(crate) enum PieceState {
     Waiting,
     Running,
-    Made(Handle),
+    Made(ResultHandle),
 }
 
 #[derive(Debug)]
 pub(crate) struct JobState {
-    pub(crate) job: Job,
+    pub(crate) job: StageJob,
     /// When it was taken in.
     pub(crate) added: Time,
     /// When its last piece was sent.
@@ -106,14 +106,14 @@
     }
 }
 
-pub(crate) fn made(state: JobState) -> impl Iterator<Item = Handle> {
+pub(crate) fn made(state: JobState) -> impl Iterator<Item = ResultHandle> {
     state.pieces.into_iter().filter_map(|piece| match piece {
         PieceState::Made(handle) => Some(handle),
         PieceState::Waiting | PieceState::Running => None,
     })
 }
 
-pub(crate) fn task(now: Time, job: &Job, piece: usize) -> PieceTask {
+pub(crate) fn task(now: Time, job: &StageJob, piece: usize) -> PieceTask {
     PieceTask {
         request: job.request.clone(),
         stage: job.stage,
--- a/lib/src/gateway/stages/batch_queue.rs
+++ b/lib/src/gateway/stages/batch_queue.rs
@@ -15,7 +15,7 @@
             },
             stages::{
                 batch_call::{BatchCall, CallEnd, JobState, PieceState, RunningCall, made, task},
-                job::{Handle, Job, JobEnd, JobId, PieceEnd, PieceInput},
+                job::{JobEnd, JobId, PieceEnd, PieceInput, ResultHandle, StageJob},
                 worker::Worker,
             },
             table::BatchLimits,
@@ -60,7 +60,7 @@
     next_call: u64,
     ended: Vec<(JobId, JobEnd)>,
     /// Results that nobody waits for any more.
-    surplus: Vec<Handle>,
+    surplus: Vec<ResultHandle>,
     /// When a call was last kept small for lack of room for results.
     short_of_room: Option<Time>,
 }
@@ -105,7 +105,7 @@
     }
 
     /// Takes in a job.
-    pub fn add(&mut self, now: Time, id: JobId, job: Job) {
+    pub fn add(&mut self, now: Time, id: JobId, job: StageJob) {
         for _ in 0..job.pieces {
             self.budget.deposit(now);
         }
@@ -130,7 +130,7 @@
     }
 
     /// Notes that results are no longer kept.
-    pub fn released(&mut self, handles: &[Handle]) {
+    pub fn released(&mut self, handles: &[ResultHandle]) {
         for worker in self.workers.values_mut() {
             for handle in handles {
                 worker.kept.remove(handle);
@@ -149,7 +149,7 @@
     }
 
     /// Returns the number of endpoints that take calls and are about as fast as usual.
-    pub fn sound_workers(&self, now: Time) -> usize {
+    pub fn available_workers(&self, now: Time) -> usize {
         self.workers
             .values()
             .filter(|worker| worker.is_ready(now) && worker.pace(now) < SLOW_PACE)
@@ -239,7 +239,7 @@
     }
 
     /// Returns the results that nobody waits for any more, since the last call.
-    pub fn take_surplus(&mut self) -> Vec<Handle> {
+    pub fn take_surplus(&mut self) -> Vec<ResultHandle> {
         std::mem::take(&mut self.surplus)
     }
 
@@ -252,7 +252,11 @@
     /// Returns inputs whose makers are short of room and that aren't needed any more: an endpoint
     /// fetches them when it begins a call. A piece that has to be made again then finds them gone,
     /// and its request's stages start over, so that this is done only where room is short.
-    pub fn take_fetched(&mut self, now: Time, is_short: impl Fn(&Handle) -> bool) -> Vec<Handle> {
+    pub fn take_fetched(
+        &mut self,
+        now: Time,
+        is_short: impl Fn(&ResultHandle) -> bool,
+    ) -> Vec<ResultHandle> {
         let mut fetched = Vec::new();
         for state in self.jobs.values_mut() {
             let begun = state.waiting == 0 && now.since(state.last_sent) >= FETCH.to_duration();
@@ -271,13 +275,13 @@
 
     /// Returns endpoints that may take a call, the fastest first.
     fn free_workers(&self, now: Time) -> Vec<EndpointId> {
-        let any_sound = self.sound_workers(now) > 0;
+        let any_available = self.available_workers(now) > 0;
         let mut free: Vec<&Worker> = self
             .workers
             .values()
             .filter(|worker| worker.calls < self.limits.slots.max(1))
             .filter(|worker| worker.is_ready(now))
-            .filter(|worker| !any_sound || worker.pace(now) < SLOW_PACE)
+            .filter(|worker| !any_available || worker.pace(now) < SLOW_PACE)
             .collect();
         free.sort_by(|a, b| {
             let pace = a.pace(now).total_cmp(&b.pace(now));
@@ -464,7 +468,7 @@
     fn piece_made(
         &mut self,
         (id, piece): (JobId, usize),
-        handle: Handle,
+        handle: ResultHandle,
         size: ByteSize,
         endpoint: &EndpointId,
         until: Time,
--- a/lib/src/gateway/stages/chain.rs
+++ b/lib/src/gateway/stages/chain.rs
@@ -4,10 +4,10 @@
     crate::{
         gateway::{
             dialect::{Dialect, Inbound},
-            peers::{membership::Coordinator, message::Ask, relay},
+            peers::{membership::Coordinator, message::LinkRequest, relay},
             rules::admission,
             stages::{
-                job::{Handle, Job, JobEnd, PieceInput},
+                job::{JobEnd, PieceInput, ResultHandle, StageJob},
                 release::release,
                 work_claim::WorkClaim,
             },
@@ -129,7 +129,7 @@
 /// The results of a request's stages; those still held are released when this is dropped.
 pub struct Results<D: Dialect> {
     gateway: Rc<Gateway<D>>,
-    stages: Vec<(ServiceId, Option<Vec<Handle>>)>,
+    stages: Vec<(ServiceId, Option<Vec<ResultHandle>>)>,
     /// Size of each stage's results.
     sizes: Vec<ByteSize>,
     /// Stages that no other one comes after.
@@ -155,7 +155,7 @@
     }
 
     /// Returns the results that the request itself takes.
-    pub fn inputs(&self) -> Vec<Handle> {
+    pub fn inputs(&self) -> Vec<ResultHandle> {
         self.last
             .iter()
             .filter_map(|stage| self.stages[*stage].1.clone())
@@ -172,7 +172,7 @@
             for handle in self.stages[*stage].1.iter().flatten() {
                 let address = handle.address();
                 let member = state
-                    .fleet
+                    .endpoints
                     .service(&self.stages[*stage].0)
                     .find(|member| Some(member.entry.address) == address);
                 if let Some(member) = member {
@@ -292,7 +292,7 @@
     results: &Results<D>,
     stage: &RouteStage,
 ) -> PieceInput {
-    let handles: Vec<Handle> = stage
+    let handles: Vec<ResultHandle> = stage
         .after
         .iter()
         .filter_map(|before| results.stages[*before].1.clone())
@@ -313,7 +313,7 @@
 ) -> (usize, JobEnd) {
     let service = request.route.stages[stage].service.clone();
     let reserve = LATER_STAGE.0 * request.later(stage) + request.own_time.0;
-    let job = Job {
+    let job = StageJob {
         request: request.id.clone(),
         stage: stage as u32,
         pieces: request.count(stage),
@@ -351,7 +351,7 @@
 async fn make_somewhere<D: Dialect>(
     gateway: &Rc<Gateway<D>>,
     service: &ServiceId,
-    job: Job,
+    job: StageJob,
 ) -> JobEnd {
     let mut failed: Vec<SocketAddr> = Vec::new();
     while failed.len() + 1 < PLANNERS {
@@ -371,7 +371,7 @@
             continue;
         };
         let order = relay::order_of(gateway, service, &job);
-        let reply = gateway.links.ask(peer, Ask::Job(order)).await;
+        let reply = gateway.links.ask(peer, LinkRequest::Job(order)).await;
         if let Some(end) = relay::job_end(reply) {
             return end;
         }
--- a/lib/src/gateway/stages/job.rs
+++ b/lib/src/gateway/stages/job.rs
@@ -12,16 +12,16 @@
 /// Names a result at the endpoint that made it: its address and an id of its own.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
-pub struct Handle(pub Arc<str>);
+pub struct ResultHandle(pub Arc<str>);
 
-impl Handle {
+impl ResultHandle {
     /// Returns the address of the endpoint that keeps the result.
     pub fn address(&self) -> Option<SocketAddr> {
         self.0.split_once('/')?.0.parse().ok()
     }
 }
 
-impl fmt::Display for Handle {
+impl fmt::Display for ResultHandle {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(&self.0)
     }
@@ -33,7 +33,7 @@
     /// The key that the caller gave.
     Key(Arc<str>),
     /// Results of earlier stages.
-    Results(Vec<Handle>),
+    Results(Vec<ResultHandle>),
 }
 
 /// One piece as it is sent to an endpoint.
@@ -55,7 +55,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum PieceEnd {
     /// Its result is kept under this name.
-    Made(Handle),
+    Made(ResultHandle),
     /// Its time was over.
     Late,
     /// An input is gone.
@@ -72,7 +72,7 @@
 
 /// All pieces of one stage of one request.
 #[derive(Debug, Clone)]
-pub struct Job {
+pub struct StageJob {
     /// Request it belongs to.
     pub request: Arc<str>,
     /// Place of its stage in the route.
@@ -100,7 +100,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum JobEnd {
     /// All results, in the order of their pieces.
-    Made(Vec<Handle>),
+    Made(Vec<ResultHandle>),
     /// It can't be made in time.
     Late,
     /// An input is gone, and the stage before has to be made again.
--- a/lib/src/gateway/stages/planner.rs
+++ b/lib/src/gateway/stages/planner.rs
@@ -4,10 +4,10 @@
     crate::{
         gateway::{
             dialect::Dialect,
-            routing::endpoint_state::short_hash_of,
+            routing::endpoint_state::service_hash,
             stages::{
                 batch_call::{BatchCall, CallEnd},
-                job::{Handle, Job, JobEnd, JobId, PieceEnd},
+                job::{JobEnd, JobId, PieceEnd, ResultHandle, StageJob},
                 queues::JobTicket,
                 release::release,
             },
@@ -58,7 +58,7 @@
 
 impl<D: Dialect> Gateway<D> {
     /// Makes the pieces of a job through this daemon's own planner; dropping it cancels the job.
-    pub async fn make_here(&self, service: &ServiceId, job: Job) -> JobEnd {
+    pub async fn make_here(&self, service: &ServiceId, job: StageJob) -> JobEnd {
         let now = self.now();
         let ticket = self.state.borrow_mut().planning.add(now, service, job);
         let Some(JobTicket { id, receiver }) = ticket else {
@@ -79,10 +79,12 @@
             return;
         }
         let fetched = self.state.borrow_mut().planning.take_fetched(now, &short);
-        let mut by_service: BTreeMap<ServiceId, Vec<Handle>> = BTreeMap::new();
+        let mut by_service: BTreeMap<ServiceId, Vec<ResultHandle>> = BTreeMap::new();
         let state = self.state.borrow();
         for handle in fetched {
-            let maker = handle.address().and_then(|at| state.fleet.service_at(at));
+            let maker = handle
+                .address()
+                .and_then(|at| state.endpoints.service_at(at));
             if let Some(service) = maker {
                 by_service.entry(service.clone()).or_default().push(handle);
             }
@@ -103,11 +105,11 @@
         let state = self.state.borrow();
         let is_short = |service: &ServiceId| {
             state.planning.is_short_of_room(now, service)
-                || state.peers.is_short_of_room(short_hash_of(service))
+                || state.peers.is_short_of_room(service_hash(service))
         };
         let services = state.planning.limits.keys().filter(|id| is_short(id));
         services
-            .flat_map(|service| state.fleet.service(service))
+            .flat_map(|service| state.endpoints.service(service))
             .map(|member| member.entry.address)
             .collect()
     }
@@ -165,7 +167,7 @@
         tokio::time::sleep(GATHER).await;
         let releases = gateway.state.borrow_mut().planning.take_releases();
         for (service, handles) in releases {
-            let mut by_maker: HashMap<SocketAddr, Vec<Handle>> = HashMap::default();
+            let mut by_maker: HashMap<SocketAddr, Vec<ResultHandle>> = HashMap::default();
             for handle in handles {
                 if let Some(address) = handle.address() {
                     by_maker.entry(address).or_default().push(handle);
@@ -187,7 +189,7 @@
     gateway: &Gateway<D>,
     service: &ServiceId,
     address: SocketAddr,
-    handles: &[Handle],
+    handles: &[ResultHandle],
 ) {
     let body = D::write_release(handles);
     let told = post::<D>(address, D::RELEASE_PATH, None, body, CONNECT_LIMIT).await;
--- a/lib/src/gateway/stages/queues.rs
+++ b/lib/src/gateway/stages/queues.rs
@@ -4,12 +4,12 @@
     crate::{
         gateway::{
             peers::message::QueueNote,
-            routing::endpoint_state::{Fleet, short_hash_of},
+            routing::endpoint_state::{EndpointStates, service_hash},
             rules::retry_budget::{BudgetLimits, WindowBudget},
             stages::{
                 batch_call::{BatchCall, CallEnd},
                 batch_queue::BatchQueue,
-                job::{Handle, Job, JobEnd, JobId},
+                job::{JobEnd, JobId, ResultHandle, StageJob},
             },
             table::{BatchLimits, Table},
         },
@@ -27,7 +27,7 @@
     pub(crate) limits: BTreeMap<ServiceId, BatchLimits>,
     waiters: HashMap<JobId, oneshot::Sender<JobEnd>>,
     services: HashMap<JobId, ServiceId>,
-    releases: HashMap<ServiceId, Vec<Handle>>,
+    releases: HashMap<ServiceId, Vec<ResultHandle>>,
     last_job: u64,
 }
 
@@ -44,13 +44,13 @@
     }
 
     /// Takes in which endpoints may be called.
-    pub fn sync(&mut self, fleet: &Fleet, budget: BudgetLimits, daemons: usize) {
+    pub fn sync(&mut self, endpoints: &EndpointStates, budget: BudgetLimits, daemons: usize) {
         for (service, limits) in &self.limits {
             let queue = self.queues.entry(service.clone()).or_insert_with(|| {
                 BatchQueue::new(*limits, WindowBudget::new(budget, Time::default()))
             });
             queue.set_limits(*limits, daemons);
-            let open: Vec<_> = fleet
+            let open: Vec<_> = endpoints
                 .service(service)
                 .filter(|member| member.is_open())
                 .map(|member| member.entry.clone())
@@ -71,9 +71,9 @@
             .iter()
             .filter(|(id, queue)| queue.jobs() > 0 || mine(id))
             .map(|(id, queue)| {
-                let endpoints = queue.sound_workers(now) as u32;
+                let endpoints = queue.available_workers(now) as u32;
                 let short = queue.is_short_of_room(now);
-                QueueNote(short_hash_of(id), endpoints, short, total(id))
+                QueueNote(service_hash(id), endpoints, short, total(id))
             })
             .collect()
     }
@@ -84,9 +84,9 @@
     }
 
     /// Returns the endpoints of a service that take calls, if this daemon has jobs for it in hand.
-    pub fn sound_endpoints(&self, now: Time, service: &ServiceId) -> Option<usize> {
+    pub fn available_endpoints(&self, now: Time, service: &ServiceId) -> Option<usize> {
         let queue = self.queues.get(service)?;
-        (queue.jobs() > 0).then(|| queue.sound_workers(now))
+        (queue.jobs() > 0).then(|| queue.available_workers(now))
     }
 
     /// Returns the number of jobs in hand.
@@ -94,7 +94,12 @@
         self.services.len()
     }
 
-    pub(crate) fn add(&mut self, now: Time, service: &ServiceId, job: Job) -> Option<JobTicket> {
+    pub(crate) fn add(
+        &mut self,
+        now: Time,
+        service: &ServiceId,
+        job: StageJob,
+    ) -> Option<JobTicket> {
         let queue = self.queues.get_mut(service)?;
         self.last_job += 1;
         let id = JobId(self.last_job);
@@ -115,13 +120,13 @@
     }
 
     /// Notes results that are no longer needed.
-    pub fn release(&mut self, service: &ServiceId, handles: Vec<Handle>) {
+    pub fn release(&mut self, service: &ServiceId, handles: Vec<ResultHandle>) {
         let gathered = self.releases.entry(service.clone()).or_default();
         gathered.extend(handles);
     }
 
     /// Notes that an endpoint dropped results, so that it has room again.
-    pub(crate) fn released(&mut self, service: &ServiceId, handles: &[Handle]) {
+    pub(crate) fn released(&mut self, service: &ServiceId, handles: &[ResultHandle]) {
         if let Some(queue) = self.queues.get_mut(service) {
             queue.released(handles);
         }
@@ -164,8 +169,13 @@
     }
 
     /// Returns inputs that endpoints have fetched and whose makers are short of room.
-    pub(crate) fn take_fetched(&mut self, now: Time, short: &HashSet<SocketAddr>) -> Vec<Handle> {
-        let is_short = |handle: &Handle| handle.address().is_some_and(|at| short.contains(&at));
+    pub(crate) fn take_fetched(
+        &mut self,
+        now: Time,
+        short: &HashSet<SocketAddr>,
+    ) -> Vec<ResultHandle> {
+        let is_short =
+            |handle: &ResultHandle| handle.address().is_some_and(|at| short.contains(&at));
         self.queues
             .values_mut()
             .flat_map(|queue| queue.take_fetched(now, is_short))
@@ -179,7 +189,7 @@
         self.settle();
     }
 
-    pub(crate) fn take_releases(&mut self) -> HashMap<ServiceId, Vec<Handle>> {
+    pub(crate) fn take_releases(&mut self) -> HashMap<ServiceId, Vec<ResultHandle>> {
         std::mem::take(&mut self.releases)
     }
 }
--- a/lib/src/gateway/stages/release.rs
+++ b/lib/src/gateway/stages/release.rs
@@ -3,15 +3,15 @@
 use crate::{
     gateway::{
         dialect::Dialect,
-        peers::{membership::Coordinator, message::Ask},
-        stages::job::Handle,
+        peers::{membership::Coordinator, message::LinkRequest},
+        stages::job::ResultHandle,
         state::Gateway,
     },
     shared::ids::ServiceId,
 };
 
 /// Tells the planner of a service that results are no longer needed.
-pub fn release<D: Dialect>(gateway: &Gateway<D>, service: &ServiceId, handles: Vec<Handle>) {
+pub fn release<D: Dialect>(gateway: &Gateway<D>, service: &ServiceId, handles: Vec<ResultHandle>) {
     if handles.is_empty() {
         return;
     }
@@ -30,6 +30,6 @@
             .release(service, handles),
         Coordinator::Peer(peer) => gateway
             .links
-            .tell(peer, Ask::Release(service.clone(), handles)),
+            .tell(peer, LinkRequest::Release(service.clone(), handles)),
     }
 }
--- a/lib/src/gateway/stages/worker.rs
+++ b/lib/src/gateway/stages/worker.rs
@@ -2,7 +2,9 @@
 
 use {
     crate::{
-        gateway::{directory::catalogue::EndpointEntry, stages::job::Handle, table::BatchLimits},
+        gateway::{
+            directory::catalogue::EndpointEntry, stages::job::ResultHandle, table::BatchLimits,
+        },
         shared::units::{ByteSize, Millis, Time},
     },
     foldhash::HashMap,
@@ -26,7 +28,7 @@
     /// Whether it may get calls at all.
     pub(crate) open: bool,
     /// Results believed to be kept there: their size, and when the endpoint drops them itself.
-    pub(crate) kept: HashMap<Handle, (ByteSize, Time)>,
+    pub(crate) kept: HashMap<ResultHandle, (ByteSize, Time)>,
     pub(crate) reserved: u64,
 }
 
--- a/lib/src/gateway/stages/workload.rs
+++ b/lib/src/gateway/stages/workload.rs
@@ -2,7 +2,7 @@
 
 use {
     crate::{
-        gateway::{peers::message::WorkNote, routing::endpoint_state::short_hash_of},
+        gateway::{peers::message::WorkNote, routing::endpoint_state::service_hash},
         shared::ids::ServiceId,
     },
     foldhash::HashMap,
@@ -18,7 +18,7 @@
     /// Returns what is told to other daemons.
     pub fn notes(&self) -> Vec<WorkNote> {
         let some = self.outstanding.iter().filter(|(_, pieces)| **pieces > 0);
-        some.map(|(service, pieces)| WorkNote(short_hash_of(service), *pieces))
+        some.map(|(service, pieces)| WorkNote(service_hash(service), *pieces))
             .collect()
     }
 
--- a/lib/src/gateway/state.rs
+++ b/lib/src/gateway/state.rs
@@ -5,7 +5,7 @@
         gateway::{
             dialect::Dialect,
             directory::{
-                catalogue::{Catalogue, EndpointChanges, EndpointEntry, Learnt},
+                catalogue::{Catalogue, EndpointChange, EndpointChanges, EndpointEntry},
                 contact::DirectoryContact,
                 source::Topic,
             },
@@ -15,7 +15,7 @@
                 membership::{Identity, Peers},
                 message::Phase,
             },
-            routing::endpoint_state::Fleet,
+            routing::endpoint_state::EndpointStates,
             rules::retry_budget::WindowBudget,
             serving::{metrics::GatewayMetrics, settings::GatewaySettings},
             stages::{queues::Planning, workload::Workload},
@@ -50,7 +50,7 @@
 
 /// A table together with the bytes it was read from.
 #[derive(Debug)]
-pub struct Published {
+pub struct PublishedTable {
     /// The table.
     pub table: Table,
     /// Its bytes, to be passed on to other daemons.
@@ -61,13 +61,13 @@
 
 /// What a daemon believes.
 #[derive(Debug)]
-pub struct State {
+pub struct GatewayState {
     /// The table in force.
-    pub published: Option<Rc<Published>>,
+    pub published: Option<Rc<PublishedTable>>,
     /// The endpoints there are.
     pub catalogue: Catalogue,
     /// The endpoints as they serve.
-    pub fleet: Fleet,
+    pub endpoints: EndpointStates,
     /// The other daemons.
     pub peers: Peers,
     /// Jobs of services that this daemon plans for.
@@ -85,11 +85,11 @@
     budgets: HashMap<ServiceId, WindowBudget>,
 }
 
-impl State {
+impl GatewayState {
     /// Returns whether entries that vanish now may have lapsed although their endpoints live: the
     /// directory failed lately, and not for this daemon alone.
     fn is_doubtful(&self, now: Time) -> bool {
-        self.contact.is_doubtful(now) && !self.peers.is_any_calm()
+        self.contact.is_doubtful(now) && !self.peers.has_steady_peer()
     }
 
     /// Returns whether peers tell this daemon in time what the directory holds, so that it needn't
@@ -115,7 +115,7 @@
     /// What it was told at its start.
     pub settings: GatewaySettings,
     /// What it believes.
-    pub state: RefCell<State>,
+    pub state: RefCell<GatewayState>,
     /// Links to other daemons.
     pub links: Links,
     /// Counters and histograms.
@@ -134,7 +134,7 @@
 
 /// What came of a table.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Adoption {
+pub enum TableAdoption {
     /// It is in force now.
     Adopted,
     /// It is the one in force, or an older one.
@@ -158,10 +158,10 @@
         let catalogue = Catalogue::new(settings.bounds.doubt());
         Rc::new(Self {
             settings,
-            state: RefCell::new(State {
+            state: RefCell::new(GatewayState {
                 published: None,
                 catalogue,
-                fleet: Fleet::default(),
+                endpoints: EndpointStates::default(),
                 peers,
                 planning: Planning::default(),
                 contact: DirectoryContact::default(),
@@ -215,43 +215,43 @@
     }
 
     /// Returns the table in force.
-    pub fn published(&self) -> Option<Rc<Published>> {
+    pub fn published(&self) -> Option<Rc<PublishedTable>> {
         self.state.borrow().published.clone()
     }
 
     /// Takes in a table from `source` if it is newer than the one in force.
-    pub fn adopt_table(&self, bytes: &Bytes, source: &str) -> Adoption {
+    pub fn adopt_table(&self, bytes: &Bytes, source: &str) -> TableAdoption {
         let fingerprint = xxh3_64(bytes);
         let current = self.published();
         if current
             .as_ref()
             .is_some_and(|current| current.fingerprint == fingerprint)
         {
-            return Adoption::Known;
+            return TableAdoption::Known;
         }
         let table = match D::read_table(bytes) {
             Ok(table) => table,
             Err(error) => {
                 log::error!(source, error:%; "table.refused");
                 self.metrics.table_refused();
-                return Adoption::Refused;
+                return TableAdoption::Refused;
             }
         };
         let old: Version = current.map_or(0, |current| current.table.version);
         let version = table.version;
         if version < old {
             log::info!(source, version, current = old; "table.older");
-            return Adoption::Known;
+            return TableAdoption::Known;
         }
         if version == old {
             log::error!(source, version; "table.conflict");
             self.metrics.table_refused();
-            return Adoption::Refused;
+            return TableAdoption::Refused;
         }
         let routes = table.routes().count();
         let mut state = self.state.borrow_mut();
         state.planning.set_services(&table);
-        state.published = Some(Rc::new(Published {
+        state.published = Some(Rc::new(PublishedTable {
             table,
             bytes: bytes.clone(),
             fingerprint,
@@ -259,11 +259,11 @@
         drop(state);
         self.sync_planning();
         log::info!(source, version, before = old, routes; "table.adopted");
-        Adoption::Adopted
+        TableAdoption::Adopted
     }
 
     /// Takes in one changed entry of the directory.
-    pub fn put_endpoint(&self, entry: EndpointEntry, source: &str) {
+    pub fn upsert_endpoint(&self, entry: EndpointEntry, source: &str) {
         let mut state = self.state.borrow_mut();
         let learnt = state.catalogue.put(entry.clone());
         if state
@@ -271,10 +271,10 @@
             .get(&entry.id)
             .is_some_and(|kept| kept.revision == entry.revision)
         {
-            state.fleet.put(Arc::new(entry));
+            state.endpoints.put(Arc::new(entry));
         }
         drop(state);
-        self.note_learnt(learnt, source);
+        self.apply_change(learnt, source);
     }
 
     /// Takes in that an entry vanished from the directory at a revision; `doubted` tells that who
@@ -285,13 +285,13 @@
         let doubt = doubted || state.is_doubtful(now);
         let learnt = state.catalogue.remove(now, id, revision, doubt);
         drop(state);
-        self.note_learnt(learnt, source);
+        self.apply_change(learnt, source);
     }
 
     /// Takes in what a peer knows to have changed in the list of endpoints.
-    pub fn take_changes(&self, changes: EndpointChanges, source: &str) {
+    pub fn apply_changes(&self, changes: EndpointChanges, source: &str) {
         for entry in changes.entries {
-            self.put_endpoint(entry, source);
+            self.upsert_endpoint(entry, source);
         }
         for gone in changes.gone {
             self.remove_endpoint(&gone.id, gone.revision, gone.doubted, source);
@@ -310,23 +310,23 @@
                 .get(&entry.id)
                 .is_none_or(|old| old.revision <= entry.revision);
             if newer {
-                state.fleet.put(Arc::new(entry.clone()));
+                state.endpoints.put(Arc::new(entry.clone()));
             }
         }
         let learnt = state.catalogue.replace(now, revision, list, doubt);
         state.listed = true;
         drop(state);
         for one in learnt {
-            self.note_learnt(Some(one), source);
+            self.apply_change(Some(one), source);
         }
         self.sync_planning();
     }
 
     /// Returns whether the directory has answered this daemon without a failure for a while.
-    pub fn is_directory_calm(&self) -> bool {
+    pub fn is_directory_steady(&self) -> bool {
         let now = self.now();
         let state = self.state.borrow();
-        state.contact.is_calm(now) && state.catalogue.doubted() == 0
+        state.contact.is_steady(now) && state.catalogue.doubted() == 0
     }
 
     /// Returns the revision up to which this daemon knows a topic.
@@ -354,22 +354,22 @@
         let now = self.now();
         let learnt = self.state.borrow_mut().catalogue.settle(now);
         for one in learnt {
-            self.note_learnt(Some(one), "doubt over");
+            self.apply_change(Some(one), "doubt over");
         }
-        if self.state.borrow_mut().fleet.forgive_replaced(now) {
+        if self.state.borrow_mut().endpoints.forgive_replaced(now) {
             self.sync_planning();
         }
     }
 
-    fn note_learnt(&self, learnt: Option<Learnt>, source: &str) {
+    fn apply_change(&self, learnt: Option<EndpointChange>, source: &str) {
         let Some(learnt) = learnt else {
             return;
         };
         let (event, entry) = match &learnt {
-            Learnt::Added(entry) => ("endpoint.added", entry),
-            Learnt::Draining(entry) => ("endpoint.draining", entry),
-            Learnt::Gone(entry) => ("endpoint.gone", entry),
-            Learnt::Doubted(entry) => ("endpoint.doubted", entry),
+            EndpointChange::Added(entry) => ("endpoint.added", entry),
+            EndpointChange::Draining(entry) => ("endpoint.draining", entry),
+            EndpointChange::Gone(entry) => ("endpoint.gone", entry),
+            EndpointChange::Doubted(entry) => ("endpoint.doubted", entry),
         };
         log::info!(
             endpoint:% = entry.id,
@@ -379,8 +379,8 @@
             source;
             "{event}"
         );
-        if let Learnt::Gone(entry) = &learnt {
-            self.state.borrow_mut().fleet.remove(&entry.id);
+        if let EndpointChange::Gone(entry) = &learnt {
+            self.state.borrow_mut().endpoints.remove(&entry.id);
         }
         self.sync_planning();
     }
@@ -454,7 +454,7 @@
         let mut guard = self.state.borrow_mut();
         let state = &mut *guard;
         let daemons = state.peers.daemons();
-        state.planning.sync(&state.fleet, limits, daemons);
+        state.planning.sync(&state.endpoints, limits, daemons);
         self.work.notify_one();
     }
 }
--- a/lib/src/gateway/table.rs
+++ b/lib/src/gateway/table.rs
@@ -30,7 +30,7 @@
 
 impl RouteKind {
     /// Returns whether a request may be sent again although it may have run.
-    pub fn is_repeatable(self) -> bool {
+    pub fn is_retryable(self) -> bool {
         match self {
             RouteKind::Repeatable => true,
             RouteKind::Guarded => false,
--- a/lib/src/gateway/wire/reply.rs
+++ b/lib/src/gateway/wire/reply.rs
@@ -79,7 +79,7 @@
 }
 
 #[derive(Debug, Serialize)]
-struct ProblemBody<'a> {
+struct ForwardProblem<'a> {
     title: &'static str,
     code: &'static str,
     outcome: &'static str,
@@ -88,7 +88,7 @@
 
 /// Builds the answer that tells a problem.
 pub fn problem_reply<D: Dialect>(problem: &Problem) -> Response<ReplyBody> {
-    let body = ProblemBody {
+    let body = ForwardProblem {
         title: "the request was not answered",
         code: problem.code.as_str(),
         outcome: problem.outcome.as_str(),
--- a/lib/src/pipeline/api/server.rs
+++ b/lib/src/pipeline/api/server.rs
@@ -11,7 +11,7 @@
             decision::request::{Arrival, Target},
             endpoints::http_call::HttpTransport,
             metrics::Metrics,
-            node::{Delivery, Node, Ticket},
+            node::{Delivery, Node, RequestHandle},
             trace::Hop,
         },
         shared::{
@@ -257,7 +257,11 @@
     answer
 }
 
-fn admit(node: &Node<HttpTransport>, arrival: Arrival, receive: &Hop) -> Ticket<HttpTransport> {
+fn admit(
+    node: &Node<HttpTransport>,
+    arrival: Arrival,
+    receive: &Hop,
+) -> RequestHandle<HttpTransport> {
     let parent = receive.trace_parent();
     let mut admit = node
         .tracing()
@@ -267,7 +271,7 @@
 }
 
 async fn answer(
-    mut ticket: Ticket<HttpTransport>,
+    mut ticket: RequestHandle<HttpTransport>,
     id: RequestId,
     stream: bool,
     permit: OwnedSemaphorePermit,
--- a/lib/src/pipeline/api/stream.rs
+++ b/lib/src/pipeline/api/stream.rs
@@ -5,7 +5,7 @@
         pipeline::{
             api::problem::ApiProblem,
             endpoints::{http_call::HttpTransport, wire},
-            node::{Delivery, Ticket},
+            node::{Delivery, RequestHandle},
             trace::Hop,
         },
         shared::{ids::RequestId, sse::write_event},
@@ -42,7 +42,7 @@
 
 /// An answer in the course of being streamed; dropping it tells the daemon that the caller left.
 struct Streaming {
-    ticket: Ticket<HttpTransport>,
+    ticket: RequestHandle<HttpTransport>,
     id: RequestId,
     first: Option<Delivery>,
     // Held until the stream ends: the request counts as in hand, and its span goes on.
@@ -90,7 +90,7 @@
 ///
 /// Returns a problem if the response can't be built.
 pub fn stream_response(
-    ticket: Ticket<HttpTransport>,
+    ticket: RequestHandle<HttpTransport>,
     id: RequestId,
     first: Delivery,
     permit: OwnedSemaphorePermit,
--- a/lib/src/pipeline/daemon.rs
+++ b/lib/src/pipeline/daemon.rs
@@ -11,7 +11,7 @@
             node::{Node, TaskGuard, spawn_guarded},
             trace::{TraceError, Tracing},
         },
-        shared::adoption::{TreeMark, Verdict, judge},
+        shared::adoption::{TreeMark, VersionVerdict, judge},
     },
     dropshot::{ConfigDropshot, HandlerTaskMode, HttpServer, ServerBuilder},
     slog::Drain,
@@ -24,7 +24,7 @@
 
 /// Why a daemon can't start.
 #[derive(Debug, Error)]
-pub enum StartError {
+pub enum DaemonStartError {
     /// The interface for callers can't be served.
     #[error("can't serve on {address}: {reason}; is the address free and this host's own?")]
     Serve {
@@ -53,7 +53,7 @@
     /// # Errors
     ///
     /// Returns an error when the address can't be served or traces can't be exported.
-    pub fn start(settings: DaemonSettings) -> Result<Self, StartError> {
+    pub fn start(settings: DaemonSettings) -> Result<Self, DaemonStartError> {
         let tracing = match &settings.traces {
             Some(traces) => {
                 Tracing::export_to(&traces.collector, traces.sample.0, settings.host.as_str())?
@@ -115,8 +115,8 @@
 fn serve(
     settings: &DaemonSettings,
     node: &Node<HttpTransport>,
-) -> Result<HttpServer<Arc<ApiContext>>, StartError> {
-    let failed = |reason: String| StartError::Serve {
+) -> Result<HttpServer<Arc<ApiContext>>, DaemonStartError> {
+    let failed = |reason: String| DaemonStartError::Serve {
         address: settings.listen,
         reason,
     };
@@ -170,17 +170,17 @@
         hash: fetched.hash,
     };
     match judge(*current, read) {
-        Verdict::Adopt => {
+        VersionVerdict::Adopt => {
             context.node.adopt(Arc::new(fetched.tree));
             *current = Some(read);
             context.ready.store(true, Ordering::Release);
             log::info!(version = read.version.0; "settings tree in force");
         }
-        Verdict::Same => {}
-        Verdict::Older => {
+        VersionVerdict::Same => {}
+        VersionVerdict::Older => {
             log::warn!(version = read.version.0; "the configuration service is stale");
         }
-        Verdict::Conflict => {
+        VersionVerdict::Conflict => {
             context.metrics.tree_refused();
             log::error!(version = read.version.0; "this version came with other content before");
         }
--- a/lib/src/pipeline/decision/attempt.rs
+++ b/lib/src/pipeline/decision/attempt.rs
@@ -4,7 +4,7 @@
     crate::{
         pipeline::decision::{
             core::{Action, Core},
-            endpoint::{AttemptEnd, Call, FailCause, NotRunCause, Reply},
+            endpoint::{AttemptEnd, EndpointCall, EndpointReply, FailCause, NotRunCause},
             policy::Policy,
             policy_choice::AnyPolicy,
             request::{Answer, Attempt},
@@ -63,7 +63,7 @@
             size,
             extra,
         };
-        let call = Call {
+        let call = EndpointCall {
             ids: CallIds {
                 request: id,
                 stage: stage.id.clone(),
@@ -174,7 +174,7 @@
         }
     }
 
-    fn answered(&mut self, now: Time, id: RequestId, reply: Reply) {
+    fn answered(&mut self, now: Time, id: RequestId, reply: EndpointReply) {
         let request = &self.requests[&id];
         let rejected = reply.status >= 400;
         if rejected && !request.plain {
--- a/lib/src/pipeline/decision/core.rs
+++ b/lib/src/pipeline/decision/core.rs
@@ -3,12 +3,12 @@
 use {
     crate::{
         pipeline::decision::{
-            endpoint::{AttemptEnd, Call, LoadReport},
+            endpoint::{AttemptEnd, EndpointCall, LoadReport},
             fair::FairShares,
             limit::CustomerUse,
             prefix::CacheEvent,
             request::{Answer, Arrival, Request},
-            state::{Costs, Counters, Fleet, Timer, Timers},
+            state::{Costs, Counters, Pools, Timer, Timers},
         },
         settings::tree::{Pipeline, Tree},
         shared::{
@@ -80,7 +80,7 @@
 #[derive(Debug, Clone)]
 pub enum Action {
     /// Send a call.
-    Send(Box<Call>),
+    Send(Box<EndpointCall>),
     /// Stop an attempt; its end is no longer of interest.
     Cancel(AttemptId),
     /// Pass a token on to the caller.
@@ -106,7 +106,7 @@
 pub struct Core {
     pub(crate) config: CoreConfig,
     pub(crate) tree: Arc<Tree>,
-    pub(crate) fleet: Fleet,
+    pub(crate) fleet: Pools,
     pub(crate) requests: HashMap<RequestId, Request>,
     pub(crate) attempts: HashMap<AttemptId, RequestId>,
     pub(crate) shares: FairShares,
@@ -127,7 +127,7 @@
         Self {
             config,
             tree: Arc::default(),
-            fleet: Fleet::default(),
+            fleet: Pools::default(),
             requests: HashMap::default(),
             attempts: HashMap::default(),
             shares: FairShares::default(),
@@ -172,7 +172,7 @@
     }
 
     /// Returns the endpoints as this daemon sees them.
-    pub fn fleet(&self) -> &Fleet {
+    pub fn fleet(&self) -> &Pools {
         &self.fleet
     }
 
--- a/lib/src/pipeline/decision/endpoint.rs
+++ b/lib/src/pipeline/decision/endpoint.rs
@@ -16,7 +16,7 @@
 
 /// One call of one endpoint.
 #[derive(Debug, Clone)]
-pub struct Call {
+pub struct EndpointCall {
     /// Ids that the reply must carry.
     pub ids: CallIds,
     /// Endpoint that is called.
@@ -56,7 +56,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum AttemptEnd {
     /// The endpoint answered whole, with matching ids.
-    Answered(Reply),
+    Answered(EndpointReply),
     /// The stream of tokens ended as the engine announced, after this many tokens in all.
     StreamEnded {
         /// Tokens in all, those before a resume included.
@@ -83,7 +83,7 @@
 
 /// A whole reply.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Reply {
+pub struct EndpointReply {
     /// HTTP status, 200 to 499.
     pub status: u16,
     /// Body, a JSON value.
@@ -177,12 +177,12 @@
     /// Runs one call to its end.
     fn call(
         &self,
-        call: Call,
+        call: EndpointCall,
         sink: impl TokenSink + 'static,
     ) -> impl Future<Output = AttemptEnd> + Send;
 
     /// Tells an endpoint that nobody waits for a call any more; best effort.
-    fn cancel(&self, call: Call) -> impl Future<Output = ()> + Send;
+    fn cancel(&self, call: EndpointCall) -> impl Future<Output = ()> + Send;
 
     /// Reads the changes of an engine's cache from a number on.
     fn cache_events(
--- a/lib/src/pipeline/decision/policy.rs
+++ b/lib/src/pipeline/decision/policy.rs
@@ -2,7 +2,7 @@
 
 use {
     crate::{
-        pipeline::decision::pool::{Job, Pool},
+        pipeline::decision::pool::{CallPlacement, Pool},
         settings::values::Priority,
         shared::{
             ids::MemberSerial,
@@ -30,7 +30,7 @@
         &self,
         now: Time,
         pool: &mut Pool,
-        job: &Job,
+        job: &CallPlacement,
         tried: &[MemberSerial],
         rng: &mut SmallRng,
     ) -> Option<usize>;
--- a/lib/src/pipeline/decision/policy_choice.rs
+++ b/lib/src/pipeline/decision/policy_choice.rs
@@ -6,7 +6,7 @@
             policy::{Needs, Policy},
             policy_estimated::Estimated,
             policy_naive::Naive,
-            pool::{Job, Pool},
+            pool::{CallPlacement, Pool},
         },
         settings::values::{PolicyKind, Priority},
         shared::{
@@ -50,7 +50,7 @@
         &self,
         now: Time,
         pool: &mut Pool,
-        job: &Job,
+        job: &CallPlacement,
         tried: &[MemberSerial],
         rng: &mut SmallRng,
     ) -> Option<usize> {
--- a/lib/src/pipeline/decision/policy_estimated.rs
+++ b/lib/src/pipeline/decision/policy_estimated.rs
@@ -4,7 +4,7 @@
     crate::{
         pipeline::decision::{
             policy::{Needs, Policy},
-            pool::{Job, Pool},
+            pool::{CallPlacement, Pool},
         },
         settings::values::Priority,
         shared::{
@@ -57,7 +57,7 @@
 struct Search<'s> {
     now: Time,
     pool: &'s Pool,
-    job: &'s Job,
+    job: &'s CallPlacement,
     tried: &'s [MemberSerial],
     best: Best,
 }
@@ -103,7 +103,7 @@
         &self,
         now: Time,
         pool: &mut Pool,
-        job: &Job,
+        job: &CallPlacement,
         tried: &[MemberSerial],
         rng: &mut SmallRng,
     ) -> Option<usize> {
--- a/lib/src/pipeline/decision/policy_naive.rs
+++ b/lib/src/pipeline/decision/policy_naive.rs
@@ -4,7 +4,7 @@
     crate::{
         pipeline::decision::{
             policy::{Needs, Policy},
-            pool::{Job, Pool},
+            pool::{CallPlacement, Pool},
         },
         settings::values::Priority,
         shared::{
@@ -24,7 +24,7 @@
         &self,
         _now: Time,
         pool: &mut Pool,
-        _job: &Job,
+        _job: &CallPlacement,
         _tried: &[MemberSerial],
         _rng: &mut SmallRng,
     ) -> Option<usize> {
--- a/lib/src/pipeline/decision/pool.rs
+++ b/lib/src/pipeline/decision/pool.rs
@@ -10,7 +10,7 @@
         },
         settings::tree::{EndpointSpec, Service, ServiceKind},
         shared::{
-            health::{Health, State},
+            health::{Health, HealthState},
             ids::{DataCentreId, EndpointId, MemberSerial},
             units::{Millis, Share, Time, WorkMillis},
         },
@@ -40,7 +40,7 @@
 
 /// A call about to be placed: its size, and who probably holds its beginning.
 #[derive(Debug, Clone)]
-pub struct Job {
+pub struct CallPlacement {
     /// Work of the call where nothing is cached.
     pub work: WorkMillis,
     /// Work saved by each cached block.
@@ -49,7 +49,7 @@
     pub holders: Vec<Holder>,
 }
 
-impl Job {
+impl CallPlacement {
     /// Estimates the work of the call at one endpoint.
     pub fn work_at(&self, serial: MemberSerial) -> WorkMillis {
         let held = self.holders.iter().find(|holder| holder.serial == serial);
@@ -60,7 +60,7 @@
 
 /// One endpoint of a pool.
 #[derive(Debug, Clone)]
-pub struct Member {
+pub struct PoolMember {
     /// The endpoint as the tree has it.
     pub spec: Arc<EndpointSpec>,
     /// This stay in the pool.
@@ -73,16 +73,16 @@
     pub leaving: bool,
 }
 
-impl Member {
+impl PoolMember {
     /// Returns whether new work may be sent to the endpoint.
     pub fn is_open(&self, now: Time) -> bool {
         if self.leaving || self.spec.leaving {
             return false;
         }
         match self.health.state(now) {
-            State::Healthy => true,
-            State::Ejected => false,
-            State::Probing => self.load.in_flight() == 0,
+            HealthState::Healthy => true,
+            HealthState::Ejected => false,
+            HealthState::Probing => self.load.in_flight() == 0,
         }
     }
 }
@@ -137,7 +137,7 @@
     /// The service as the tree has it.
     pub service: Arc<Service>,
     /// Its endpoints, in the tree's order.
-    pub members: Vec<Member>,
+    pub members: Vec<PoolMember>,
     /// Indexes of the endpoints by name, so that a reply costs the same in a pool of any size.
     index: HashMap<EndpointId, usize>,
     /// Indexes of the endpoints in this daemon's data centre.
@@ -172,14 +172,15 @@
             .unwrap_or_default();
         let mut members = Vec::with_capacity(service.endpoints.len());
         for spec in &service.endpoints {
-            let stays =
-                |member: &Member| member.spec.id == spec.id && member.spec.address == spec.address;
+            let stays = |member: &PoolMember| {
+                member.spec.id == spec.id && member.spec.address == spec.address
+            };
             let member = match old_members.iter().position(stays) {
-                Some(i) => Member {
+                Some(i) => PoolMember {
                     spec: spec.clone(),
                     ..old_members.swap_remove(i)
                 },
-                None => Member {
+                None => PoolMember {
                     spec: spec.clone(),
                     serial: next_serial(),
                     load: LoadEstimate::new(slots),
@@ -240,7 +241,7 @@
     }
 
     /// Prepares the placing of a call.
-    pub fn job(&self, now: Time, size: &CallSize) -> Job {
+    pub fn job(&self, now: Time, size: &CallSize) -> CallPlacement {
         let byte = self.costs.byte.get();
         let work = match self.service.kind {
             ServiceKind::Plain => self.costs.call.get(),
@@ -248,7 +249,7 @@
                 self.costs.token.get() * f64::from(size.tokens) + byte * size.bytes as f64
             }
         };
-        Job {
+        CallPlacement {
             work: WorkMillis(work),
             block_saving: WorkMillis(byte * BLOCK as f64),
             holders: self.prefixes.holders(now, &size.prefix),
@@ -289,13 +290,17 @@
     }
 
     /// Returns an endpoint by its name.
-    pub fn member_named(&mut self, endpoint: &EndpointId) -> Option<&mut Member> {
+    pub fn member_named(&mut self, endpoint: &EndpointId) -> Option<&mut PoolMember> {
         let index = self.index.get(endpoint)?;
         self.members.get_mut(*index)
     }
 
     /// Returns the member that an attempt was sent to, if it is still the same one.
-    pub fn member(&mut self, endpoint: &EndpointId, serial: MemberSerial) -> Option<&mut Member> {
+    pub fn member(
+        &mut self,
+        endpoint: &EndpointId,
+        serial: MemberSerial,
+    ) -> Option<&mut PoolMember> {
         self.member_named(endpoint)
             .filter(|member| member.serial == serial)
     }
@@ -314,7 +319,7 @@
     ///
     /// Returns whether it was ejected now.
     pub fn failed(&mut self, now: Time, endpoint: &EndpointId, serial: MemberSerial) -> bool {
-        let out = |member: &&Member| member.health.state(now) != State::Healthy;
+        let out = |member: &&PoolMember| member.health.state(now) != HealthState::Healthy;
         let ejected = self.members.iter().filter(out).count() as f64;
         let may_eject = ejected + 1.0 <= self.members.len() as f64 * MAX_EJECTED.0;
         match self.member(endpoint, serial) {
--- a/lib/src/pipeline/decision/prefix.rs
+++ b/lib/src/pipeline/decision/prefix.rs
@@ -87,14 +87,14 @@
     since: Time,
 }
 
-type Beliefs = HashMap<u64, Vec<Belief>>;
+type HolderMap = HashMap<u64, Vec<Belief>>;
 
-/// Beliefs about the caches of one pool's engines, in bounded memory: when the newer generation
+/// HolderMap about the caches of one pool's engines, in bounded memory: when the newer generation
 /// is full, the older one is dropped.
 #[derive(Debug, Clone, Default)]
 pub struct PrefixIndex {
-    newer: Beliefs,
-    older: Beliefs,
+    newer: HolderMap,
+    older: HolderMap,
 }
 
 impl PrefixIndex {
--- a/lib/src/pipeline/decision/state.rs
+++ b/lib/src/pipeline/decision/state.rs
@@ -27,13 +27,13 @@
 
 /// All pools of one daemon.
 #[derive(Debug, Default)]
-pub struct Fleet {
+pub struct Pools {
     pools: HashMap<ServiceId, Pool>,
     homes: HashMap<EndpointId, ServiceId>,
     last_serial: u64,
 }
 
-impl Fleet {
+impl Pools {
     /// Returns a service's pool.
     pub fn pool(&self, service: &ServiceId) -> Option<&Pool> {
         self.pools.get(service)
--- a/lib/src/pipeline/endpoints/engine_client.rs
+++ b/lib/src/pipeline/endpoints/engine_client.rs
@@ -3,7 +3,7 @@
 use {
     crate::{
         pipeline::{
-            decision::endpoint::{AttemptEnd, Call, FailCause, TokenSink},
+            decision::endpoint::{AttemptEnd, EndpointCall, FailCause, TokenSink},
             endpoints::{
                 http_call::{Body, HttpTransport, call_request, check_head},
                 wire::{self, GenerateBody, StreamEvent},
@@ -28,7 +28,7 @@
 /// Runs one generation and hands each token to `sink`.
 pub async fn generate(
     transport: &HttpTransport,
-    call: Call,
+    call: EndpointCall,
     sink: impl TokenSink + 'static,
 ) -> AttemptEnd {
     match exchange(transport, &call, sink).await {
@@ -38,7 +38,7 @@
 
 async fn exchange(
     transport: &HttpTransport,
-    call: &Call,
+    call: &EndpointCall,
     sink: impl TokenSink,
 ) -> Result<AttemptEnd, AttemptEnd> {
     let garbage = AttemptEnd::Failed(FailCause::Garbage);
@@ -54,7 +54,7 @@
     Ok(read_stream(response.into_body(), call, sink).await)
 }
 
-fn generate_body(call: &Call) -> Option<Body> {
+fn generate_body(call: &EndpointCall) -> Option<Body> {
     let ServiceKind::Engine { model } = &call.kind else {
         return None;
     };
@@ -70,7 +70,11 @@
     Some(Body::new(Bytes::from(json)))
 }
 
-async fn read_stream(mut body: Incoming, call: &Call, mut sink: impl TokenSink) -> AttemptEnd {
+async fn read_stream(
+    mut body: Incoming,
+    call: &EndpointCall,
+    mut sink: impl TokenSink,
+) -> AttemptEnd {
     let mut events = EventReader::default();
     let mut size = 0u64;
     loop {
@@ -119,7 +123,7 @@
 }
 
 /// Tells an engine that nobody waits for a generation any more.
-pub async fn cancel(transport: &HttpTransport, call: Call) {
+pub async fn cancel(transport: &HttpTransport, call: EndpointCall) {
     let Ok(request) = call_request(&call, wire::CANCEL_PATH).body(Body::default()) else {
         return;
     };
--- a/lib/src/pipeline/endpoints/http_call.rs
+++ b/lib/src/pipeline/endpoints/http_call.rs
@@ -3,7 +3,7 @@
 use {
     crate::{
         pipeline::{
-            decision::endpoint::{AttemptEnd, Call, FailCause, NotRunCause},
+            decision::endpoint::{AttemptEnd, EndpointCall, FailCause, NotRunCause},
             endpoints::wire,
         },
         shared::units::{ByteSize, Millis},
@@ -106,7 +106,7 @@
 }
 
 /// Starts the request of a call, with all of its headers.
-pub fn call_request(call: &Call, path: &str) -> Builder {
+pub fn call_request(call: &EndpointCall, path: &str) -> Builder {
     let mut builder = Request::builder()
         .method(Method::POST)
         .uri(format!("http://{}{path}", call.address))
@@ -130,7 +130,7 @@
 /// # Errors
 ///
 /// Returns how the attempt ended when the body doesn't matter any more.
-pub fn check_head<B>(call: &Call, response: &Response<B>) -> Result<(), AttemptEnd> {
+pub fn check_head<B>(call: &EndpointCall, response: &Response<B>) -> Result<(), AttemptEnd> {
     let headers = response.headers();
     if !wire::ids_match(headers, &call.ids) {
         return Err(AttemptEnd::Failed(FailCause::WrongIds));
--- a/lib/src/pipeline/endpoints/http_transport.rs
+++ b/lib/src/pipeline/endpoints/http_transport.rs
@@ -4,7 +4,7 @@
     crate::{
         pipeline::{
             decision::{
-                endpoint::{AttemptEnd, Call, LoadReport, TokenSink, Transport},
+                endpoint::{AttemptEnd, EndpointCall, LoadReport, TokenSink, Transport},
                 prefix::CacheEvents,
             },
             endpoints::{engine_client, http_call::HttpTransport, plain_client, wire},
@@ -22,14 +22,14 @@
 const EVENTS_SIZE: ByteSize = ByteSize(256 * 1024);
 
 impl Transport for HttpTransport {
-    async fn call(&self, call: Call, sink: impl TokenSink + 'static) -> AttemptEnd {
+    async fn call(&self, call: EndpointCall, sink: impl TokenSink + 'static) -> AttemptEnd {
         match call.kind {
             ServiceKind::Plain => plain_client::call(self, call).await,
             ServiceKind::Engine { .. } => engine_client::generate(self, call, sink).await,
         }
     }
 
-    async fn cancel(&self, call: Call) {
+    async fn cancel(&self, call: EndpointCall) {
         if matches!(call.kind, ServiceKind::Engine { .. }) {
             engine_client::cancel(self, call).await;
         }
--- a/lib/src/pipeline/endpoints/plain_client.rs
+++ b/lib/src/pipeline/endpoints/plain_client.rs
@@ -2,7 +2,7 @@
 
 use crate::{
     pipeline::{
-        decision::endpoint::{AttemptEnd, Call, FailCause, Reply},
+        decision::endpoint::{AttemptEnd, EndpointCall, EndpointReply, FailCause},
         endpoints::{
             http_call::{Body, HttpTransport, call_request, check_head, read_body},
             wire,
@@ -12,14 +12,17 @@
 };
 
 /// Runs one call of a plain service.
-pub async fn call(transport: &HttpTransport, call: Call) -> AttemptEnd {
+pub async fn call(transport: &HttpTransport, call: EndpointCall) -> AttemptEnd {
     match exchange(transport, &call).await {
         Ok(reply) => AttemptEnd::Answered(reply),
         Err(end) => end,
     }
 }
 
-async fn exchange(transport: &HttpTransport, call: &Call) -> Result<Reply, AttemptEnd> {
+async fn exchange(
+    transport: &HttpTransport,
+    call: &EndpointCall,
+) -> Result<EndpointReply, AttemptEnd> {
     let request = call_request(call, wire::CALL_PATH)
         .body(Body::new(call.input.clone()))
         .map_err(|_| AttemptEnd::Failed(FailCause::Garbage))?;
@@ -35,7 +38,7 @@
     if !is_json || !usable {
         return Err(AttemptEnd::Failed(FailCause::Garbage));
     }
-    Ok(Reply {
+    Ok(EndpointReply {
         status,
         body,
         served,
--- a/lib/src/pipeline/node.rs
+++ b/lib/src/pipeline/node.rs
@@ -5,7 +5,7 @@
         pipeline::{
             decision::{
                 core::{Action, Core, CoreConfig, Event},
-                endpoint::{AttemptEnd, Call, TokenSink, Transport},
+                endpoint::{AttemptEnd, EndpointCall, TokenSink, Transport},
                 request::{Answer, Arrival},
                 state::{Counters, StageCost},
             },
@@ -61,7 +61,7 @@
 
 #[derive(Debug)]
 struct Shared<T> {
-    state: Mutex<State>,
+    state: Mutex<NodeState>,
     transport: T,
     start: Instant,
     timer_changed: Notify,
@@ -69,7 +69,7 @@
 }
 
 #[derive(Debug)]
-struct State {
+struct NodeState {
     core: Core,
     callers: HashMap<RequestId, mpsc::UnboundedSender<Delivery>>,
     tasks: HashMap<AttemptId, Task>,
@@ -78,19 +78,19 @@
 #[derive(Debug)]
 struct Task {
     abort: AbortHandle,
-    call: Call,
+    call: EndpointCall,
 }
 
 /// A caller's hold on its request; dropping it tells the daemon that the caller has left.
 #[derive(Debug)]
-pub struct Ticket<T: Transport> {
+pub struct RequestHandle<T: Transport> {
     node: Node<T>,
     id: RequestId,
     deliveries: mpsc::UnboundedReceiver<Delivery>,
     finished: bool,
 }
 
-impl<T: Transport> Ticket<T> {
+impl<T: Transport> RequestHandle<T> {
     /// Waits for the next delivery; none after the final one.
     pub async fn next(&mut self) -> Option<Delivery> {
         if self.finished {
@@ -112,7 +112,7 @@
     }
 }
 
-impl<T: Transport> Drop for Ticket<T> {
+impl<T: Transport> Drop for RequestHandle<T> {
     fn drop(&mut self) {
         if !self.finished {
             self.node.apply(Event::Left(self.id));
@@ -167,7 +167,7 @@
 impl<T: Transport> Node<T> {
     /// Builds a daemon without a tree.
     pub fn new(config: CoreConfig, transport: T, tracing: Tracing) -> Self {
-        let state = State {
+        let state = NodeState {
             core: Core::new(config),
             callers: HashMap::default(),
             tasks: HashMap::default(),
@@ -194,14 +194,14 @@
     }
 
     /// Hands in a request.
-    pub fn submit(&self, arrival: Arrival) -> Ticket<T> {
+    pub fn submit(&self, arrival: Arrival) -> RequestHandle<T> {
         let id = arrival.id;
         let (sender, deliveries) = mpsc::unbounded_channel();
         let mut state = self.lock();
         state.callers.insert(id, sender);
         self.step(&mut state, Event::Arrived(arrival));
         drop(state);
-        Ticket {
+        RequestHandle {
             node: self.clone(),
             id,
             deliveries,
@@ -236,7 +236,7 @@
             .collect();
         let view =
             |pool: &crate::pipeline::decision::pool::Pool,
-             member: &crate::pipeline::decision::pool::Member| EndpointView {
+             member: &crate::pipeline::decision::pool::PoolMember| EndpointView {
                 service: pool.service.id.to_string(),
                 endpoint: member.spec.id.to_string(),
                 open: member.is_open(now),
@@ -327,7 +327,7 @@
     }
 
     /// Actions are carried out under the lock, so that a cancel can't overtake its send.
-    fn step(&self, state: &mut State, event: Event) {
+    fn step(&self, state: &mut NodeState, event: Event) {
         let before = state.core.next_timer();
         let actions = state.core.step(self.now(), event);
         for action in actions {
@@ -339,7 +339,7 @@
         }
     }
 
-    fn perform(&self, state: &mut State, action: Action) {
+    fn perform(&self, state: &mut NodeState, action: Action) {
         match action {
             Action::Send(call) => self.spawn_call(state, *call),
             Action::Cancel(attempt) => self.cancel_call(state, attempt),
@@ -361,7 +361,7 @@
         }
     }
 
-    fn spawn_call(&self, state: &mut State, mut call: Call) {
+    fn spawn_call(&self, state: &mut NodeState, mut call: EndpointCall) {
         let attempt = call.ids.attempt;
         let parent = call.trace_parent.as_deref();
         let mut hop = self.tracing().hop("attempt", SpanKind::Client, parent);
@@ -391,7 +391,7 @@
         state.tasks.insert(attempt, task);
     }
 
-    fn cancel_call(&self, state: &mut State, attempt: AttemptId) {
+    fn cancel_call(&self, state: &mut NodeState, attempt: AttemptId) {
         let Some(task) = state.tasks.remove(&attempt) else {
             return;
         };
@@ -406,7 +406,7 @@
         Time(self.shared.start.elapsed().as_micros() as u64)
     }
 
-    fn lock(&self) -> MutexGuard<'_, State> {
+    fn lock(&self) -> MutexGuard<'_, NodeState> {
         // A broken invariant leaves nothing to rely on, so the panic goes on to all users.
         self.shared.state.lock().expect("core is intact")
     }
--- a/lib/src/settings/tree.rs
+++ b/lib/src/settings/tree.rs
@@ -35,12 +35,12 @@
     /// Pipelines by name.
     pub pipelines: BTreeMap<PipelineId, Arc<Pipeline>>,
     /// Effective settings of every node by its path, groups included.
-    pub nodes: BTreeMap<Arc<str>, Node>,
+    pub nodes: BTreeMap<Arc<str>, TreeNode>,
 }
 
 /// A node of the tree as reports show it.
 #[derive(Debug, Clone)]
-pub struct Node {
+pub struct TreeNode {
     /// Where the node starts; absent for groups.
     pub place: Option<Place>,
     /// Its effective settings.
@@ -154,7 +154,7 @@
     /// # Errors
     ///
     /// Returns the paths that fit when there are several, and none when there is none.
-    pub fn find_node(&self, name: &str) -> Result<(&Arc<str>, &Node), Vec<Arc<str>>> {
+    pub fn find_node(&self, name: &str) -> Result<(&Arc<str>, &TreeNode), Vec<Arc<str>>> {
         if let Some(found) = self.nodes.get_key_value(name) {
             return Ok(found);
         }
--- a/lib/src/settings/tree_check.rs
+++ b/lib/src/settings/tree_check.rs
@@ -7,7 +7,7 @@
                 Named, RawCustomer, RawEndpoint, RawGroup, RawPipeline, RawService, RawStage,
                 RawTree,
             },
-            tree::{Customer, EndpointSpec, Node, Pipeline, Service, ServiceKind, Stage, Tree},
+            tree::{Customer, EndpointSpec, Pipeline, Service, ServiceKind, Stage, Tree, TreeNode},
             values::{Guard, Settings, check_combination, override_settings},
         },
         shared::{
@@ -26,7 +26,7 @@
     type Error = Findings;
 
     fn try_from(raw: RawTree) -> Result<Self, Findings> {
-        let mut check = Check::new(raw.version, raw.findings);
+        let mut check = TreeCheck::new(raw.version, raw.findings);
         check.add_data_centres(&raw.data_centres);
         let built_in = Arc::new(Settings::built_in());
         check.add_providers(&raw.root, &built_in);
@@ -36,14 +36,14 @@
     }
 }
 
-struct Check {
+struct TreeCheck {
     tree: Tree,
     findings: Findings,
     endpoints: BTreeSet<EndpointId>,
     addresses: BTreeMap<std::net::SocketAddr, EndpointId>,
 }
 
-impl Check {
+impl TreeCheck {
     fn new(version: u64, findings: Findings) -> Self {
         let mut tree = Tree::default();
         tree.version.0 = version;
@@ -56,7 +56,7 @@
     }
 
     fn add_node(&mut self, path: &str, place: Option<&Place>, settings: &Arc<Settings>) {
-        let node = Node {
+        let node = TreeNode {
             place: place.cloned(),
             settings: settings.clone(),
         };
--- a/lib/src/settings/values.rs
+++ b/lib/src/settings/values.rs
@@ -51,7 +51,7 @@
 
 /// One effective value as text, for people.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Entry {
+pub struct SettingEntry {
     /// Name of the setting.
     pub name: &'static str,
     /// From which parent a stage takes it.
@@ -162,9 +162,9 @@
             }
 
             /// Returns each effective value as text with its origin.
-            pub fn entries(&self) -> Vec<Entry> {
+            pub fn entries(&self) -> Vec<SettingEntry> {
                 vec![
-                    $(Entry {
+                    $(SettingEntry {
                         name: stringify!($name),
                         scope: Scope::$scope,
                         value: self.$name.value.to_string(),
--- a/lib/src/shared/adoption.rs
+++ b/lib/src/shared/adoption.rs
@@ -13,7 +13,7 @@
 
 /// What to do with a tree that was read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Verdict {
+pub enum VersionVerdict {
     /// It is newer: put it in force.
     Adopt,
     /// It is the one in force.
@@ -25,14 +25,14 @@
 }
 
 /// Judges a tree against the one in force.
-pub fn judge(current: Option<TreeMark>, read: TreeMark) -> Verdict {
+pub fn judge(current: Option<TreeMark>, read: TreeMark) -> VersionVerdict {
     let Some(current) = current else {
-        return Verdict::Adopt;
+        return VersionVerdict::Adopt;
     };
     match read.version.cmp(&current.version) {
-        std::cmp::Ordering::Greater => Verdict::Adopt,
-        std::cmp::Ordering::Less => Verdict::Older,
-        std::cmp::Ordering::Equal if read.hash == current.hash => Verdict::Same,
-        std::cmp::Ordering::Equal => Verdict::Conflict,
+        std::cmp::Ordering::Greater => VersionVerdict::Adopt,
+        std::cmp::Ordering::Less => VersionVerdict::Older,
+        std::cmp::Ordering::Equal if read.hash == current.hash => VersionVerdict::Same,
+        std::cmp::Ordering::Equal => VersionVerdict::Conflict,
     }
 }
--- a/lib/src/shared/health.rs
+++ b/lib/src/shared/health.rs
@@ -32,7 +32,7 @@
 
 /// Whether an endpoint may get work.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum State {
+pub enum HealthState {
     /// In service.
     Healthy,
     /// Ejected for the time being.
@@ -43,11 +43,11 @@
 
 impl Health {
     /// Returns the state at `now`.
-    pub fn state(&self, now: Time) -> State {
+    pub fn state(&self, now: Time) -> HealthState {
         match self.until {
-            None => State::Healthy,
-            Some(until) if now < until => State::Ejected,
-            Some(_) => State::Probing,
+            None => HealthState::Healthy,
+            Some(until) if now < until => HealthState::Ejected,
+            Some(_) => HealthState::Probing,
         }
     }
 
@@ -70,7 +70,7 @@
         self.failures += 1;
         self.successes = 0;
         self.count(1.0);
-        let probe_failed = self.state(now) == State::Probing;
+        let probe_failed = self.state(now) == HealthState::Probing;
         let often = self.rate > EJECT_RATE && self.calls >= RATE_CALLS;
         let failing = self.failures >= EJECT_AFTER || often;
         let due = probe_failed || (failing && self.until.is_none());
--- a/lib/src/story.rs
+++ b/lib/src/story.rs
@@ -65,7 +65,7 @@
 }
 
 #[derive(Debug)]
-struct Entry {
+struct LogEntry {
     at_ms: u64,
     /// Latest time that the host told up to here, so that a clock that steps back changes no order.
     order: u64,
@@ -75,7 +75,7 @@
 
 /// Tells the story of a request, in order; empty if no log names it.
 pub fn story(request: &str, logs: &[HostLog]) -> Vec<StoryLine> {
-    let parsed: Vec<(&str, Vec<Entry>)> = logs
+    let parsed: Vec<(&str, Vec<LogEntry>)> = logs
         .iter()
         .map(|log| (log.host.as_str(), parse_all(&log.text)))
         .collect();
@@ -103,9 +103,9 @@
     lines.into_iter().map(|(_, line)| line).collect()
 }
 
-fn parse_all(text: &str) -> Vec<Entry> {
+fn parse_all(text: &str) -> Vec<LogEntry> {
     let mut latest = 0;
-    let mut entries: Vec<Entry> = text.lines().filter_map(parse).collect();
+    let mut entries: Vec<LogEntry> = text.lines().filter_map(parse).collect();
     for entry in &mut entries {
         latest = entry.at_ms.max(latest);
         entry.order = latest;
@@ -113,7 +113,7 @@
     entries
 }
 
-fn parse(line: &str) -> Option<Entry> {
+fn parse(line: &str) -> Option<LogEntry> {
     let start = line.find('{')?;
     let Value::Object(mut fields) = serde_json::from_str(line[start..].trim()).ok()? else {
         return None;
@@ -121,7 +121,7 @@
     let at_ms = fields.remove("at_ms")?.as_u64()?;
     let event = fields.remove("event")?.as_str()?.to_owned();
     fields.remove("level");
-    Some(Entry {
+    Some(LogEntry {
         at_ms,
         order: at_ms,
         event,
@@ -130,7 +130,7 @@
 }
 
 /// Returns the names of the calls that carried a request's pieces.
-fn calls_of(request: &str, entries: &[Entry]) -> BTreeSet<String> {
+fn calls_of(request: &str, entries: &[LogEntry]) -> BTreeSet<String> {
     entries
         .iter()
         .filter(|entry| names(entry, request))
@@ -138,19 +138,19 @@
         .collect()
 }
 
-fn names(entry: &Entry, request: &str) -> bool {
+fn names(entry: &LogEntry, request: &str) -> bool {
     let is_it = |name: &str| entry.fields.get(name).and_then(Value::as_str);
     let listed = is_it("requests").is_some_and(|list| list.contains(&format!("\"{request}\"")));
     is_it("request") == Some(request) || listed
 }
 
-fn concerns(request: &str, calls: &BTreeSet<String>, entry: &Entry) -> bool {
+fn concerns(request: &str, calls: &BTreeSet<String>, entry: &LogEntry) -> bool {
     let call = entry.fields.get("call").and_then(Value::as_str);
     names(entry, request) || call.is_some_and(|call| calls.contains(call))
 }
 
 /// Returns whether a line tells a belief that may matter: of endpoints, only those of the story.
-fn is_belief(entry: &Entry, endpoints: &BTreeSet<String>) -> bool {
+fn is_belief(entry: &LogEntry, endpoints: &BTreeSet<String>) -> bool {
     let endpoint = entry.fields.get(ENDPOINT).and_then(Value::as_str);
     BELIEFS.iter().any(|begin| entry.event.starts_with(begin))
         && endpoint.is_none_or(|endpoint| endpoints.contains(endpoint))
@@ -171,7 +171,7 @@
     Some(first.saturating_sub(BEFORE_MS)..=last)
 }
 
-fn line(host: &str, entry: &Entry, belief: bool) -> StoryLine {
+fn line(host: &str, entry: &LogEntry, belief: bool) -> StoryLine {
     let text = |value: &Value| match value {
         Value::String(text) => text.clone(),
         other => other.to_string(),
--- a/lib/tests/test_batch_queue.rs
+++ b/lib/tests/test_batch_queue.rs
@@ -11,7 +11,7 @@
             stages::{
                 batch_call::{BatchCall, CallEnd},
                 batch_queue::BatchQueue,
-                job::{Handle, Job, JobEnd, JobId, PieceEnd, PieceInput},
+                job::{JobEnd, JobId, PieceEnd, PieceInput, ResultHandle, StageJob},
             },
             table::BatchLimits,
         },
@@ -61,12 +61,12 @@
     (0..count).map(|i| Arc::new(entry(i))).collect()
 }
 
-fn job(request: &str, pieces: u32, now: Time) -> Job {
-    Job {
+fn job(request: &str, pieces: u32, now: Time) -> StageJob {
+    StageJob {
         request: request.into(),
         stage: 1,
         pieces,
-        input: PieceInput::Results(vec![Handle("10.0.0.9:80/in".into())]),
+        input: PieceInput::Results(vec![ResultHandle("10.0.0.9:80/in".into())]),
         deadline: now + Millis(10_000),
         objective: now + Millis(2_000),
         rank: 0,
@@ -76,13 +76,13 @@
     }
 }
 
-fn handle(call: &BatchCall, piece: usize) -> Handle {
+fn handle(call: &BatchCall, piece: usize) -> ResultHandle {
     let task = &call.pieces[piece];
     let name = format!(
         "{}/{}-{}-{}",
         call.entry.address, task.request, task.piece, call.id
     );
-    Handle(name.into())
+    ResultHandle(name.into())
 }
 
 fn all_made(call: &BatchCall) -> CallEnd {
@@ -149,7 +149,7 @@
     queue.call_ended(now + Millis(250), calls[0].id, all_made(&calls[0]));
     // The results are kept until their endpoint was told to drop them.
     assert!(queue.plan(now + Millis(251)).is_empty());
-    let kept: Vec<Handle> = (0..4).map(|piece| handle(&calls[0], piece)).collect();
+    let kept: Vec<ResultHandle> = (0..4).map(|piece| handle(&calls[0], piece)).collect();
     queue.released(&kept);
     assert_eq!(queue.plan(now + Millis(252))[0].pieces.len(), 4);
 }
@@ -178,7 +178,7 @@
 fn a_job_that_cannot_end_in_time_ends_at_once() {
     let now = start();
     let mut queue = queue(LIMITS, 1);
-    let late = Job {
+    let late = StageJob {
         deadline: now + Millis(150),
         ..job("a", 1, now)
     };
@@ -381,8 +381,8 @@
     queue
 }
 
-fn job_at(request: &str, home: &str, moved: u64, now: Time) -> Job {
-    Job {
+fn job_at(request: &str, home: &str, moved: u64, now: Time) -> StageJob {
+    StageJob {
         home: Some(home.parse().unwrap()),
         moved: ByteSize(moved),
         ..job(request, 1, now)
@@ -449,7 +449,7 @@
     let mut queue = two_centres();
     queue.add(now, JobId(1), job_at("a", "z", 500_000, now));
     queue.plan(now);
-    let late = Job {
+    let late = StageJob {
         objective: now + Millis(10),
         ..job_at("b", "z", 500_000, now)
     };
--- a/lib/tests/test_catalogue.rs
+++ b/lib/tests/test_catalogue.rs
@@ -4,7 +4,7 @@
 
 use {
     hazelyoke_lib::{
-        gateway::directory::catalogue::{Catalogue, EndpointEntry, Learnt},
+        gateway::directory::catalogue::{Catalogue, EndpointChange, EndpointEntry},
         shared::{
             ids::EndpointId,
             units::{Millis, Time},
@@ -47,7 +47,7 @@
     let mut catalogue = catalogue();
     catalogue.put(entry("a", 1, false));
     let learnt = catalogue.remove(Time(0), &id("a"), 9, false);
-    assert!(matches!(learnt, Some(Learnt::Gone(_))));
+    assert!(matches!(learnt, Some(EndpointChange::Gone(_))));
     assert!(names(&catalogue).is_empty());
 }
 
@@ -56,11 +56,11 @@
     let mut catalogue = catalogue();
     catalogue.put(entry("a", 1, false));
     let learnt = catalogue.remove(Time(0), &id("a"), 9, true);
-    assert!(matches!(learnt, Some(Learnt::Doubted(_))));
+    assert!(matches!(learnt, Some(EndpointChange::Doubted(_))));
     assert_eq!(names(&catalogue), ["a"]);
     assert!(catalogue.settle(Time(0) + Millis(1_000)).is_empty());
     let settled = catalogue.settle(Time(0) + Millis(1_401));
-    assert!(matches!(settled[..], [Learnt::Gone(_)]));
+    assert!(matches!(settled[..], [EndpointChange::Gone(_)]));
     assert!(names(&catalogue).is_empty());
 }
 
@@ -89,9 +89,9 @@
     let mut catalogue = catalogue();
     catalogue.put(entry("a", 1, false));
     let learnt = catalogue.put(entry("a", 2, true));
-    assert!(matches!(learnt, Some(Learnt::Draining(_))));
+    assert!(matches!(learnt, Some(EndpointChange::Draining(_))));
     let learnt = catalogue.remove(Time(0), &id("a"), 9, true);
-    assert!(matches!(learnt, Some(Learnt::Gone(_))));
+    assert!(matches!(learnt, Some(EndpointChange::Gone(_))));
 }
 
 #[test]
--- a/lib/tests/test_config_watch.rs
+++ b/lib/tests/test_config_watch.rs
@@ -5,7 +5,7 @@
 use {
     hazelyoke_lib::{
         settings::tree::TreeVersion,
-        shared::adoption::{TreeMark, Verdict, judge},
+        shared::adoption::{TreeMark, VersionVerdict, judge},
     },
     hazelyoke_testutils::fixture::{Fixture, TREE, wait_for},
     std::time::Duration,
@@ -20,12 +20,12 @@
 
 #[test]
 fn upward_only() {
-    assert_eq!(judge(None, mark(5, 1)), Verdict::Adopt);
+    assert_eq!(judge(None, mark(5, 1)), VersionVerdict::Adopt);
     let current = Some(mark(5, 1));
-    assert_eq!(judge(current, mark(6, 2)), Verdict::Adopt);
-    assert_eq!(judge(current, mark(5, 1)), Verdict::Same);
-    assert_eq!(judge(current, mark(4, 1)), Verdict::Older);
-    assert_eq!(judge(current, mark(5, 2)), Verdict::Conflict);
+    assert_eq!(judge(current, mark(6, 2)), VersionVerdict::Adopt);
+    assert_eq!(judge(current, mark(5, 1)), VersionVerdict::Same);
+    assert_eq!(judge(current, mark(4, 1)), VersionVerdict::Older);
+    assert_eq!(judge(current, mark(5, 2)), VersionVerdict::Conflict);
 }
 
 #[tokio::test]
--- a/lib/tests/test_fleet_choice.rs
+++ b/lib/tests/test_fleet_choice.rs
@@ -7,7 +7,9 @@
         gateway::{
             dialect::{Prompt, PromptPart},
             directory::catalogue::EndpointEntry,
-            routing::endpoint_state::{Choice, Demand, Ending, Fleet, PeerLoad, short_hash},
+            routing::endpoint_state::{
+                EndpointChoice, EndpointOutcome, EndpointStates, PeerLoad, Placement, endpoint_hash,
+            },
         },
         shared::{
             ids::{DataCentreId, EndpointId, ServiceId},
@@ -31,8 +33,8 @@
     })
 }
 
-fn fleet(count: u8) -> Fleet {
-    let mut fleet = Fleet::default();
+fn fleet(count: u8) -> EndpointStates {
+    let mut fleet = EndpointStates::default();
     for number in 1..=count {
         fleet.put(entry(number, "near", false));
     }
@@ -51,8 +53,8 @@
     format!("e{number}").parse().unwrap()
 }
 
-fn plain(prompt: &Prompt) -> Demand<'_> {
-    Demand {
+fn plain(prompt: &Prompt) -> Placement<'_> {
+    Placement {
         prompt,
         affinity: false,
         tried: &[],
@@ -61,7 +63,7 @@
     }
 }
 
-fn choose(fleet: &Fleet, demand: &Demand<'_>) -> Option<Choice> {
+fn choose(fleet: &EndpointStates, demand: &Placement<'_>) -> Option<EndpointChoice> {
     fleet.choose(NOW, &near(), &service(), demand)
 }
 
@@ -86,7 +88,7 @@
     let prompt = Prompt::default();
     let choice = choose(&fleet, &plain(&prompt)).unwrap();
     assert_eq!(choice.entry.id, id(2));
-    let demand = Demand {
+    let demand = Placement {
         tried: &[id(2)],
         ..plain(&prompt)
     };
@@ -98,7 +100,7 @@
     let mut fleet = fleet(2);
     let prompt = Prompt::default();
     let loads = [(
-        short_hash(&id(1)),
+        endpoint_hash(&id(1)),
         PeerLoad {
             running: 4,
             prefill: 0.0,
@@ -113,7 +115,7 @@
     let mut fleet = fleet(2);
     let prompt = Prompt::default();
     fleet.sent(NOW, &id(1), &prompt, 0);
-    fleet.ended(NOW, &id(1), Ending::Replaced);
+    fleet.ended(NOW, &id(1), EndpointOutcome::Replaced);
     for _ in 0..4 {
         assert_eq!(choose(&fleet, &plain(&prompt)).unwrap().entry.id, id(2));
     }
@@ -124,9 +126,9 @@
     let mut fleet = fleet(2);
     let prompt = Prompt::default();
     fleet.sent(NOW, &id(1), &prompt, 0);
-    fleet.ended(NOW, &id(1), Ending::Unreachable);
+    fleet.ended(NOW, &id(1), EndpointOutcome::Unreachable);
     assert_eq!(choose(&fleet, &plain(&prompt)).unwrap().entry.id, id(2));
-    let demand = Demand {
+    let demand = Placement {
         tried: &[id(2)],
         ..plain(&prompt)
     };
@@ -140,7 +142,7 @@
     for number in 1..=4 {
         for _ in 0..3 {
             fleet.sent(NOW, &id(number), &prompt, 0);
-            fleet.ended(NOW, &id(number), Ending::Failed);
+            fleet.ended(NOW, &id(number), EndpointOutcome::Failed);
         }
     }
     let choice = choose(&fleet, &plain(&prompt)).unwrap();
@@ -152,7 +154,7 @@
     let (one, other) = (fleet(9), fleet(9));
     for part in 1..50 {
         let prompt = prompt(&[(part, 4_000), (1_000 + part, 500)]);
-        let demand = Demand {
+        let demand = Placement {
             affinity: true,
             ..plain(&prompt)
         };
@@ -167,7 +169,7 @@
 fn a_crowded_endpoint_loses_its_shared_part_to_another() {
     let mut fleet = fleet(3);
     let prompt = prompt(&[(7, 2_000), (8, 500)]);
-    let demand = Demand {
+    let demand = Placement {
         affinity: true,
         ..plain(&prompt)
     };
@@ -184,7 +186,7 @@
     fleet.put(entry(2, "far", false));
     let prompt = Prompt::default();
     let inputs = [("far".parse().unwrap(), ByteSize(1_000_000))];
-    let demand = Demand {
+    let demand = Placement {
         inputs: &inputs,
         ..plain(&prompt)
     };
@@ -211,7 +213,7 @@
 fn an_endpoint_gets_no_more_than_its_connections_allow() {
     let mut fleet = fleet(1);
     let prompt = Prompt::default();
-    let demand = Demand {
+    let demand = Placement {
         most: 2,
         ..plain(&prompt)
     };
@@ -219,7 +221,7 @@
     assert!(choose(&fleet, &demand).is_some());
     fleet.sent(NOW, &id(1), &prompt, 0);
     assert!(choose(&fleet, &demand).is_none());
-    fleet.ended(NOW, &id(1), Ending::Served(Some(5.0)));
+    fleet.ended(NOW, &id(1), EndpointOutcome::Served(Some(5.0)));
     assert!(choose(&fleet, &demand).is_some());
 }
 
@@ -228,7 +230,7 @@
 fn an_endpoint_that_called_itself_another_is_tried_again_while_its_entry_stays() {
     let mut fleet = fleet(1);
     fleet.sent(NOW, &id(1), &Prompt::default(), 0);
-    fleet.ended(NOW, &id(1), Ending::Replaced);
+    fleet.ended(NOW, &id(1), EndpointOutcome::Replaced);
     assert!(!fleet.forgive_replaced(NOW + Millis(4_000)));
     assert!(choose(&fleet, &plain(&Prompt::default())).is_none());
     assert!(fleet.forgive_replaced(NOW + Millis(5_000)));
--- a/lib/tests/test_health.rs
+++ b/lib/tests/test_health.rs
@@ -1,7 +1,7 @@
 //! Ejection of endpoints that fail, and probing them back.
 
 use hazelyoke_lib::shared::{
-    health::{Health, State},
+    health::{Health, HealthState},
     units::{Millis, Time},
 };
 
@@ -12,16 +12,16 @@
     assert!(!health.failed(now, true));
     assert!(!health.failed(now, true));
     assert!(health.failed(now, true));
-    assert_eq!(health.state(now), State::Ejected);
+    assert_eq!(health.state(now), HealthState::Ejected);
     let later = now + Millis(500);
-    assert_eq!(health.state(later), State::Probing);
+    assert_eq!(health.state(later), HealthState::Probing);
     // A failed probe doubles the time; a good one ends it.
     assert!(health.failed(later, true));
-    assert_eq!(health.state(later + Millis(999)), State::Ejected);
+    assert_eq!(health.state(later + Millis(999)), HealthState::Ejected);
     let later = later + Millis(1_000);
-    assert_eq!(health.state(later), State::Probing);
+    assert_eq!(health.state(later), HealthState::Probing);
     health.succeeded();
-    assert_eq!(health.state(later), State::Healthy);
+    assert_eq!(health.state(later), HealthState::Healthy);
 }
 
 #[test]
@@ -30,7 +30,7 @@
     for _ in 0..10 {
         assert!(!health.failed(Time(1), false));
     }
-    assert_eq!(health.state(Time(1)), State::Healthy);
+    assert_eq!(health.state(Time(1)), HealthState::Healthy);
 }
 
 #[test]
--- a/lib/tests/test_large_fleet.rs
+++ b/lib/tests/test_large_fleet.rs
@@ -5,7 +5,7 @@
 use {
     hazelyoke_lib::{
         gateway::peers::{
-            membership::{Beliefs, Coordinator, HEARTBEAT, Identity, Peers},
+            membership::{Coordinator, HEARTBEAT, Identity, Peers, SelfReport},
             message::{Heartbeat, LoadNote, Phase, QueueNote, WorkNote},
         },
         shared::{
@@ -30,13 +30,13 @@
     SERVICES.iter().map(|name| name.parse().unwrap()).collect()
 }
 
-fn beliefs(read_ms: Option<u32>) -> Beliefs {
-    Beliefs {
+fn beliefs(read_ms: Option<u32>) -> SelfReport {
+    SelfReport {
         phase: Phase::Ready,
         table: 1,
         fingerprint: 0,
         catalogue: 0,
-        calm: true,
+        steady: true,
         read_ms,
         loads: vec![LoadNote(1, 2, 300)],
         queues: Vec::new(),
@@ -292,7 +292,7 @@
     let coordinator = fleet.coordinator(7, service);
     assert_ne!(coordinator, 7);
     let now = fleet.now + HEARTBEAT;
-    let summed = Beliefs {
+    let summed = SelfReport {
         queues: vec![QueueNote(9, 5, false, 240)],
         ..beliefs(Some(40))
     };
--- a/lib/tests/test_peers.rs
+++ b/lib/tests/test_peers.rs
@@ -6,13 +6,13 @@
     hazelyoke_lib::{
         gateway::{
             peers::{
-                membership::{Beliefs, Coordinator, Identity, PeerChange, Peers},
+                membership::{Coordinator, Identity, PeerChange, Peers, SelfReport},
                 message::{
-                    Frame, Heartbeat, JobOrder, LoadNote, PROTOCOL, Phase, QueueNote, Reply,
+                    Frame, Heartbeat, JobOrder, LinkReply, LoadNote, PROTOCOL, Phase, QueueNote,
                     WorkNote, decode, encode,
                 },
             },
-            stages::job::{Handle, JobEnd, PieceInput},
+            stages::job::{JobEnd, PieceInput, ResultHandle},
         },
         shared::{
             ids::ServiceId,
@@ -38,13 +38,13 @@
     Peers::new(me, seeds)
 }
 
-fn beliefs(table: u64) -> Beliefs {
-    Beliefs {
+fn beliefs(table: u64) -> SelfReport {
+    SelfReport {
         phase: Phase::Ready,
         table,
         fingerprint: 0,
         catalogue: 0,
-        calm: true,
+        steady: true,
         read_ms: None,
         loads: vec![LoadNote(1, 2, 300)],
         queues: vec![QueueNote(9, 3, true, 70)],
@@ -146,7 +146,7 @@
 fn a_daemon_that_stops_coordinates_nothing() {
     let mut me = peers(1, 1, &[]);
     let mut other = peers(2, 2, &[]);
-    let stopping = Beliefs {
+    let stopping = SelfReport {
         phase: Phase::Stopping,
         ..beliefs(1)
     };
@@ -167,7 +167,7 @@
     }
     assert_eq!(me.loads()[&1].running, 6);
     assert_eq!(me.outstanding(9, Coordinator::Me), 120);
-    assert_eq!(me.sound_endpoints(9), Some(3));
+    assert_eq!(me.available_endpoints(9), Some(3));
     assert!(me.is_short_of_room(9));
     me.tick(Time(0) + Millis(2_000));
     assert!(me.loads().is_empty());
@@ -178,16 +178,16 @@
 fn only_a_living_daemon_that_reaches_the_directory_counts_as_calm() {
     let mut me = peers(1, 1, &[]);
     let mut other = peers(2, 2, &[]);
-    let troubled = Beliefs {
-        calm: false,
+    let troubled = SelfReport {
+        steady: false,
         ..beliefs(1)
     };
     me.heard(Time(0), other.heartbeat(Time(0), troubled).0);
-    assert!(!me.is_any_calm());
+    assert!(!me.has_steady_peer());
     me.heard(Time(1), beat(&mut other, Time(1)));
-    assert!(me.is_any_calm());
+    assert!(me.has_steady_peer());
     me.tick(Time(0) + Millis(2_000));
-    assert!(!me.is_any_calm());
+    assert!(!me.has_steady_peer());
 }
 
 #[test]
@@ -197,7 +197,7 @@
         let mut other = peers(n, u64::from(n), &[]);
         me.heard(Time(0), beat(&mut other, Time(0)));
     }
-    let full = Beliefs {
+    let full = SelfReport {
         loads: (0..600)
             .map(|n| LoadNote(n * 7_019_777, 60, 90_000))
             .collect(),
@@ -221,7 +221,7 @@
         request: "r".into(),
         stage: 1,
         pieces: 3,
-        input: PieceInput::Results(vec![Handle("10.0.0.1:80/x".into())]),
+        input: PieceInput::Results(vec![ResultHandle("10.0.0.1:80/x".into())]),
         remaining_ms: 900,
         objective_ms: -20,
         rank: 2,
@@ -235,14 +235,14 @@
     };
     assert_eq!(decode::<Frame<JobOrder>>(&encode(&frame)).unwrap(), frame);
     for content in [
-        Reply::Table {
+        LinkReply::Table {
             bytes: vec![0, 255, 7],
         },
-        Reply::Job(JobEnd::Made(vec![Handle("a/b".into())])),
-        Reply::Unable,
+        LinkReply::Job(JobEnd::Made(vec![ResultHandle("a/b".into())])),
+        LinkReply::Unable,
     ] {
         let frame = Frame { number: 1, content };
-        assert_eq!(decode::<Frame<Reply>>(&encode(&frame)).unwrap(), frame);
+        assert_eq!(decode::<Frame<LinkReply>>(&encode(&frame)).unwrap(), frame);
     }
 }
 
--- a/lib/tests/test_progress.rs
+++ b/lib/tests/test_progress.rs
@@ -76,7 +76,7 @@
             }
         }
         assert!(progress.sent() <= attempts);
-        if !kind.is_repeatable() {
+        if !kind.is_retryable() {
             assert!(runs <= 1);
         }
         let problem = progress.problem("end", false, Millis(100));
--- a/lib/tests/test_stage_admission.rs
+++ b/lib/tests/test_stage_admission.rs
@@ -2,7 +2,7 @@
 
 use hazelyoke_lib::{
     gateway::rules::admission::{
-        AdmissionRequest, PlannedStage, StageService, Verdict, decide, expected_ms,
+        AdmissionDecision, AdmissionRequest, PlannedStage, StageService, decide, expected_ms,
     },
     shared::units::Millis,
 };
@@ -56,13 +56,13 @@
 #[test]
 fn an_idle_fleet_takes_a_request() {
     let verdict = decide(&request(vec![stage(0.0, 1, &[])]));
-    assert!(matches!(verdict, Verdict::Take(_)), "{verdict:?}");
+    assert!(matches!(verdict, AdmissionDecision::Take(_)), "{verdict:?}");
 }
 
 #[test]
 fn a_crowded_fleet_refuses_and_says_when_to_come_back() {
     let verdict = decide(&request(vec![stage(500.0, 1, &[])]));
-    let Verdict::Refuse { retry_after, .. } = verdict else {
+    let AdmissionDecision::Refuse { retry_after, .. } = verdict else {
         panic!("it was taken: {verdict:?}");
     };
     assert!(retry_after >= Millis(300));
@@ -85,5 +85,5 @@
         tokens: 50_000,
         ..request(vec![stage(0.0, 1, &[])])
     };
-    assert!(matches!(decide(&long), Verdict::Take(_)));
+    assert!(matches!(decide(&long), AdmissionDecision::Take(_)));
 }
--- a/lib/testutils/src/core_run.rs
+++ b/lib/testutils/src/core_run.rs
@@ -10,7 +10,9 @@
     hazelyoke_lib::{
         pipeline::decision::{
             core::{Action, Core, CoreConfig, Event},
-            endpoint::{AttemptEnd, Call, FailCause, LoadReport, NotRunCause, Reply},
+            endpoint::{
+                AttemptEnd, EndpointCall, EndpointReply, FailCause, LoadReport, NotRunCause,
+            },
             request::{Arrival, Target},
         },
         settings::tree::{ServiceKind, Tree},
@@ -79,7 +81,7 @@
 }
 
 struct Pending {
-    call: Call,
+    call: EndpointCall,
     ran: bool,
 }
 
@@ -320,7 +322,7 @@
     }
 
     /// Draws what becomes of a call, and plans it.
-    fn send(&mut self, call: Call) -> Result<()> {
+    fn send(&mut self, call: EndpointCall) -> Result<()> {
         let request = call.ids.request;
         if self.finished.contains(&request) {
             let broken = format!("{request}: sent after its end");
@@ -353,17 +355,17 @@
         Ok(())
     }
 
-    fn record(&mut self, call: &Call) {
+    fn record(&mut self, call: &EndpointCall) {
         self.ran.insert(call.ids.request);
         let stage = call.ids.stage.to_string();
         let count = self.guarded.entry((call.ids.request, stage)).or_default();
         *count += 1;
     }
 
-    fn good_end(&mut self, call: &Call, at: u64) -> Result<AttemptEnd> {
+    fn good_end(&mut self, call: &EndpointCall, at: u64) -> Result<AttemptEnd> {
         let ServiceKind::Engine { model } = &call.kind else {
             let service = self.service_of(call);
-            return Ok(AttemptEnd::Answered(Reply {
+            return Ok(AttemptEnd::Answered(EndpointReply {
                 status: 200,
                 body: expect::plain_output(&service, &call.input),
                 served: Some(WorkMillis(1.0)),
@@ -392,7 +394,7 @@
         })
     }
 
-    fn service_of(&self, call: &Call) -> String {
+    fn service_of(&self, call: &EndpointCall) -> String {
         let services = self.tree.services.values();
         let mut owners = services.filter(|service| {
             let mut endpoints = service.endpoints.iter();
