--- a/bench/src/commands/mod.rs
+++ b/bench/src/commands/mod.rs
@@ -1,13 +1,7 @@
 //! The commands, a file each.
 
-mod decide;
 mod demo;
-mod forwarding;
-mod overhead;
-mod plot;
 mod run;
-mod scale;
-mod tokens;
 
 use {anyhow::Result, argh::FromArgs};
 
@@ -18,19 +12,7 @@
     /// Ten seconds of mixed load.
     Demo(demo::Demo),
     /// Experiments from files.
-    Run(run::Run),
-    /// Results as a page.
-    Plot(plot::Plot),
-    /// Time of one decision.
-    Decide(decide::Decide),
-    /// Added time of the path.
-    Overhead(overhead::Overhead),
-    /// Processor time of a token.
-    Tokens(tokens::Tokens),
-    /// Decisions of a forwarding daemon.
-    Forwarding(forwarding::Forwarding),
-    /// Memory and time at larger sizes.
-    Scale(scale::Scale),
+    Run(run::RunExperiments),
 }
 
 /// Runs a command; returns whether every promise was kept.
@@ -42,11 +24,5 @@
     match command {
         Command::Demo(command) => command.run().await,
         Command::Run(command) => command.run().await,
-        Command::Plot(command) => command.run(),
-        Command::Decide(command) => command.run().await,
-        Command::Overhead(command) => command.run().await,
-        Command::Tokens(command) => command.run().await,
-        Command::Forwarding(command) => command.run(),
-        Command::Scale(command) => command.run().await,
     }
 }
--- a/lib/tests/test_core_random.rs
+++ b/lib/tests/test_core_random.rs
@@ -9,7 +9,7 @@
         shared::problem::Outcome,
     },
     hazelyoke_testutils::{
-        core_run::{CoreRun, RunOptions, TOKENS, Told},
+        core_run::{CoreRun, Reported, RunOptions, TOKENS},
         draws::Draws,
         one_value::OneValue,
         seeds::for_seeds,
@@ -125,7 +125,8 @@
         let one = CoreRun::new(estimated.clone(), calm, &mut one).run()?;
         let other = CoreRun::new(naive.clone(), calm, &mut other).run()?;
         assert_eq!(one, other);
-        assert!(one.told.iter().all(|told| *told == Some(Told::Answered)));
+        let mut reported = one.reported.iter();
+        assert!(reported.all(|end| *end == Some(Reported::Answered)));
         Ok(())
     });
 }
@@ -152,13 +153,13 @@
     let tree = tree("estimated", GUARDED, 8);
     let seen = Cell::new([false; 3]);
     for_seeds(FEW, CHOICES, |u| {
-        for told in CoreRun::new(tree.clone(), FAULTY, u).run()?.told {
+        for end in CoreRun::new(tree.clone(), FAULTY, u).run()?.reported {
             let mut now = seen.get();
-            match told {
-                Some(Told::Answered) => now[0] = true,
-                Some(Told::Problem(Outcome::NotRun)) => now[1] = true,
-                Some(Told::Problem(_)) => now[2] = true,
-                Some(Told::Wrong) | None => {}
+            match end {
+                Some(Reported::Answered) => now[0] = true,
+                Some(Reported::Problem(Outcome::NotRun)) => now[1] = true,
+                Some(Reported::Problem(_)) => now[2] = true,
+                Some(Reported::Wrong) | None => {}
             }
             seen.set(now);
         }
@@ -171,11 +172,11 @@
 /// `n` not run, `u` unknown, `-` its caller had left.
 #[test]
 fn outcomes_pinned() {
-    let letter = |told: &Option<Told>| match told {
-        Some(Told::Answered) => '+',
-        Some(Told::Wrong) => 'W',
-        Some(Told::Problem(Outcome::NotRun)) => 'n',
-        Some(Told::Problem(_)) => 'u',
+    let letter = |reported: &Option<Reported>| match reported {
+        Some(Reported::Answered) => '+',
+        Some(Reported::Wrong) => 'W',
+        Some(Reported::Problem(Outcome::NotRun)) => 'n',
+        Some(Reported::Problem(_)) => 'u',
         None => '-',
     };
     let mut lines = String::new();
@@ -186,7 +187,7 @@
             let bytes: Vec<u8> = (0..CHOICES).map(|_| draws.below(256) as u8).collect();
             let mut choices = Unstructured::new(&bytes);
             let run = CoreRun::new(tree.clone(), FAULTY, &mut choices).run();
-            let letters: String = run.unwrap().told.iter().map(letter).collect();
+            let letters: String = run.unwrap().reported.iter().map(letter).collect();
             writeln!(lines, "{policy} {slots} {seed:2}: {letters}").unwrap();
         }
     }
--- a/lib/tests/test_plan_pins.rs
+++ b/lib/tests/test_plan_pins.rs
@@ -223,7 +223,7 @@
                 "  {} jobs, {} waiting, {} sound, short of room {}",
                 self.queue.jobs(),
                 self.queue.waiting(),
-                self.queue.sound_workers(self.now),
+                self.queue.available_workers(self.now),
                 self.queue.is_short_of_room(self.now)
             );
             self.note(&text);
