--- a/lib/src/gateway/wire/egress.rs
+++ b/lib/src/gateway/wire/egress.rs
@@ -1,8 +1,9 @@
-//! Sends one request to one endpoint, on a connection of its own.
+//! Sends one request to one endpoint, on a connection of its own, and opens streams to other daemons.
 //!
 //! A connection serves one request, so that no late or extra answer can be taken for another
-//! request's, and no idle connection closes under a request that may not be repeated. What a
-//! new connection costs is in `docs/MEASUREMENTS.md`.
+//! request's, and no idle connection closes under a request that must not be sent twice. The price of
+//! new connections is in `docs/MEASUREMENTS.md`, "On the users' platform". It owns nothing beyond a
+//! connection, and relies on `hyper` for HTTP/1.1.
 
 use {
     bytes::Bytes,
@@ -16,23 +17,28 @@
     tokio::{net::TcpStream, task::AbortHandle},
 };
 
-/// Time without an answer to keep-alive probes after which a silent endpoint's connection breaks.
+/// Time of silence before the first keep-alive probe, and between two probes; the shortest that the
+/// system's interface takes.
 const KEEPALIVE_IDLE: Duration = Duration::from_secs(1);
+
+/// Unanswered probes after which a connection breaks: a silent peer is noticed within about three
+/// seconds. Chosen, not measured.
 const KEEPALIVE_PROBES: u32 = 2;
 
-/// Time after which unacknowledged bytes break a connection.
+/// Time after which unacknowledged bytes break a connection: several times a round trip between data
+/// centres with a lost packet. Chosen, not measured.
 const UNACKNOWLEDGED: Duration = Duration::from_millis(1_500);
 
-/// Why there is no reply.
+/// Why a request got no reply.
 #[derive(Debug, Error)]
 pub enum SendError {
     /// No connection came up, so no byte was sent.
     #[error("not connected: {0}")]
     NotSent(io::Error),
-    /// The connection broke after the request may have been sent.
+    /// The connection broke after the request may have been sent, so it may have run.
     #[error("broken off: {0}")]
     MaybeSent(hyper::Error),
-    /// The reply broke off or didn't come; the request was sent.
+    /// The reply broke off or didn't come. The request was sent, and may have run.
     #[error("no whole reply: {0}")]
     Broken(String),
 }
@@ -58,7 +64,7 @@
 ///
 /// # Errors
 ///
-/// Returns why there is none; no byte of a request was sent then.
+/// Returns [`SendError::NotSent`] if none comes up; no byte of a request was sent then.
 pub async fn connect(address: SocketAddr, limit: Duration) -> Result<FreshConnection, SendError> {
     let stream = open_stream(address, limit)
         .await
@@ -68,7 +74,7 @@
         .await
         .map_err(|error| SendError::NotSent(io::Error::other(error)))?;
     let task = tokio::task::spawn_local(async move {
-        // The reply's reader hears of an error too; nothing else is to be done about it.
+        // An error reaches whoever reads the reply as well, so it is handled there.
         let _ = connection.await;
     });
     Ok(FreshConnection {
@@ -77,11 +83,11 @@
     })
 }
 
-/// Opens a TCP connection that notices a silent peer within seconds.
+/// Opens a TCP connection that breaks within seconds when its peer falls silent.
 ///
 /// # Errors
 ///
-/// Returns an error when it doesn't come up within `limit`.
+/// Returns an error if it doesn't come up within `limit`.
 pub async fn open_stream(address: SocketAddr, limit: Duration) -> io::Result<TcpStream> {
     let stream = tokio::time::timeout(limit, TcpStream::connect(address))
         .await
@@ -92,7 +98,8 @@
         .with_time(KEEPALIVE_IDLE)
         .with_interval(KEEPALIVE_IDLE)
         .with_retries(KEEPALIVE_PROBES);
-    // Both are only ways to notice a dead peer sooner; a system without them still works.
+    // Both only make a dead peer noticed sooner. On a system without them, the time limits of the
+    // callers still end the wait, so a failure to set them is ignored.
     let _ = socket.set_tcp_keepalive(&keepalive);
     let _ = socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED));
     Ok(stream)
@@ -103,7 +110,7 @@
     ///
     /// # Errors
     ///
-    /// Returns an error when there is no head; the request may have been sent then.
+    /// Returns [`SendError::MaybeSent`] if no head comes; the request may have run then.
     pub async fn send(
         mut self,
         request: Request<Full<Bytes>>,
--- a/lib/src/gateway/wire/event_stream.rs
+++ b/lib/src/gateway/wire/event_stream.rs
@@ -1,8 +1,12 @@
-//! Passes a stream of events on in whole events, and knows which one came last.
+//! Splits a stream of server-sent events into whole events, and keeps the id of the last one.
+//!
+//! A stream that breaks off can be resumed after its last whole event, so only whole events are passed
+//! on. It owns the bytes of the unfinished event, and relies on ids that rise within a stream.
 
 use bytes::{Bytes, BytesMut};
 
-/// Longest event that is held back until it is whole, in bytes.
+/// Longest event that is buffered until it is whole, in bytes: far above any event of a generation.
+/// Chosen, not measured.
 const LONGEST_EVENT: usize = 256 * 1024;
 
 /// Splits a stream into whole events.
@@ -14,7 +18,7 @@
 }
 
 impl EventSplitter {
-    /// Starts after an event that was delivered before.
+    /// Starts after the event with the id `last`, which the reader already has.
     pub fn after(last: Option<u64>) -> Self {
         Self {
             last,
@@ -22,9 +26,9 @@
         }
     }
 
-    /// Takes in the next bytes and returns the whole events that they complete, as they came.
+    /// Appends the next bytes and returns the events that they complete, byte for byte.
     ///
-    /// An event that doesn't follow the one before ends the stream's use: see [`Self::is_broken`].
+    /// After an event whose id doesn't rise, nothing more is returned: see [`Self::is_broken`].
     pub fn feed(&mut self, bytes: &[u8]) -> Bytes {
         self.buffer.extend_from_slice(bytes);
         let mut end = 0;
@@ -32,7 +36,7 @@
             let Some(length) = event_length(&self.buffer[end..]) else {
                 break;
             };
-            if !self.take_id(end, length) {
+            if !self.record_id(end, length) {
                 self.broken = true;
                 break;
             }
@@ -44,8 +48,8 @@
         self.buffer.split_to(end).freeze()
     }
 
-    /// Notes the id of the event at `start`; returns whether it follows the one before.
-    fn take_id(&mut self, start: usize, length: usize) -> bool {
+    /// Records the id of the event at `start`; returns false if it doesn't rise.
+    fn record_id(&mut self, start: usize, length: usize) -> bool {
         let Some(id) = event_id(&self.buffer[start..start + length]) else {
             return true;
         };
@@ -61,12 +65,12 @@
         self.last
     }
 
-    /// Returns whether the stream has an event out of order or too long.
+    /// Returns whether an event was out of order or too long, so that the stream can't be used any more.
     pub fn is_broken(&self) -> bool {
         self.broken
     }
 
-    /// Returns whether bytes of an unfinished event are held.
+    /// Returns whether bytes of an unfinished event are buffered.
     pub fn is_partial(&self) -> bool {
         !self.buffer.is_empty()
     }
--- a/lib/src/gateway/wire/headers.rs
+++ b/lib/src/gateway/wire/headers.rs
@@ -1,8 +1,8 @@
-//! Which headers of a message belong to one connection only.
+//! Headers that belong to one connection and are never forwarded (RFC 9110, section 7.6.1).
 
 use http::{HeaderMap, HeaderName, header};
 
-/// Headers that are never passed on.
+/// Headers of one connection, beside those that `Connection` names.
 const PER_CONNECTION: &[HeaderName] = &[
     header::CONNECTION,
     header::PROXY_AUTHENTICATE,
@@ -13,7 +13,7 @@
     header::UPGRADE,
 ];
 
-/// Takes out all headers that concern one connection only, those that `Connection` names included.
+/// Removes all headers that belong to one connection, including those that `Connection` names.
 pub fn strip_connection_headers(headers: &mut HeaderMap) {
     let named: Vec<HeaderName> = headers
         .get_all(header::CONNECTION)
--- a/lib/src/gateway/wire/listen.rs
+++ b/lib/src/gateway/wire/listen.rs
@@ -1,22 +1,23 @@
-//! Accepts connections for as long as the process lives.
+//! Accepts connections for as long as the process lives, whatever single ones do.
 
 use {
     std::{net::SocketAddr, time::Duration},
     tokio::net::{TcpListener, TcpStream},
 };
 
-/// Pause after a connection couldn't be accepted, for lack of descriptors for example.
+/// Pause after a connection couldn't be accepted, for example for lack of descriptors: short against
+/// any deadline, long enough not to spin. Chosen, not measured.
 const PAUSE: Duration = Duration::from_millis(50);
 
-/// Hands each connection to `take`; a failure is logged as `event`.
+/// Passes each connection to `handle`; logs a failure to accept one as `event`, and goes on.
 pub(crate) async fn accept_each(
     listener: TcpListener,
     event: &'static str,
-    mut take: impl FnMut(TcpStream, SocketAddr),
+    mut handle: impl FnMut(TcpStream, SocketAddr),
 ) {
     loop {
         match listener.accept().await {
-            Ok((stream, from)) => take(stream, from),
+            Ok((stream, from)) => handle(stream, from),
             Err(error) => {
                 log::warn!(error:%; "{event}");
                 tokio::time::sleep(PAUSE).await;
--- a/lib/src/gateway/wire/reply.rs
+++ b/lib/src/gateway/wire/reply.rs
@@ -1,4 +1,7 @@
-//! Answers to callers: an endpoint's own, or a problem of this daemon.
+//! Bodies of replies to callers, and the reply that reports a problem of this daemon.
+//!
+//! A body either is whole or comes in parts; one that ends without [`StreamPart::End`] breaks the
+//! connection, so that it can't look complete.
 
 use {
     crate::{gateway::dialect::Dialect, shared::problem::Problem},
@@ -14,22 +17,21 @@
     tokio::sync::mpsc,
 };
 
-/// Ends a body before it is whole, so that it can't look complete.
+/// Reports a body that ended before it was whole, so that the connection breaks.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
-#[error("the answer breaks off")]
+#[error("the reply breaks off")]
 pub struct BrokenOff;
 
-/// Body of an answer.
+/// Body of a reply.
 #[derive(Debug)]
 pub enum ReplyBody {
-    /// Whole.
+    /// The whole body; `None` if it is empty or was sent.
     Whole(Option<Bytes>),
-    /// Coming part by part.
+    /// A body that is received in parts.
     Stream(mpsc::Receiver<StreamPart>),
 }
 
-/// Part of a body that comes bit by bit. A body without [`StreamPart::End`] is broken off, whyever
-/// its sender went.
+/// Part of a body. A body without [`StreamPart::End`] counts as broken off, whatever ended its sender.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum StreamPart {
     /// Bytes of the body.
@@ -78,6 +80,8 @@
     }
 }
 
+/// JSON body of a problem. The forwarding daemon's form is shorter than the pipeline daemon's
+/// (`pipeline::api::problem`), and both are fixed by what callers read.
 #[derive(Debug, Serialize)]
 struct ForwardProblem<'a> {
     title: &'static str,
@@ -86,7 +90,7 @@
     detail: &'a str,
 }
 
-/// Builds the answer that tells a problem.
+/// Builds the reply that reports a problem to a caller, in the dialect `D`.
 pub fn problem_reply<D: Dialect>(problem: &Problem) -> Response<ReplyBody> {
     let body = ForwardProblem {
         title: "the request was not answered",
@@ -94,7 +98,7 @@
         outcome: problem.outcome.as_str(),
         detail: &problem.detail,
     };
-    let json = serde_json::to_vec(&body).unwrap_or_default();
+    let json = serde_json::to_vec(&body).expect("a struct of strings serialises");
     let mut response = Response::new(ReplyBody::whole(json));
     let status = StatusCode::from_u16(problem.code.status());
     *response.status_mut() = status.unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
