--- a/lib/src/gateway/routing/accept.rs
+++ b/lib/src/gateway/routing/accept.rs
@@ -4,7 +4,8 @@
     crate::{
         gateway::{
             dialect::{Dialect, Inbound},
-            routing::{call::ForwardedCall, endpoint_state::weighted},
+            routing::call::ForwardedCall,
+            rules::backend_choice::weighted,
             state::{Gateway, PublishedTable},
             table::{CustomerEntry, Route},
         },
--- a/lib/src/gateway/routing/attempt.rs
+++ b/lib/src/gateway/routing/attempt.rs
@@ -6,9 +6,12 @@
             dialect::{Dialect, Outbound},
             routing::{
                 call::{AttemptGuard, ForwardedCall},
-                endpoint_state::{EndpointChoice, EndpointOutcome, Placement},
+                endpoint_state::EndpointOutcome,
+            },
+            rules::{
+                endpoint_choice::{EndpointChoice, Placement},
+                progress::Progress,
             },
-            rules::progress::Progress,
             stages::chain::Results,
             state::Gateway,
             wire::{
@@ -65,19 +68,19 @@
     tried: &[EndpointId],
     results: Option<&Results<D>>,
 ) -> Option<EndpointChoice> {
-    let sites = results.map(Results::sites).unwrap_or_default();
-    let demand = Placement {
+    let inputs = results.map(Results::input_locations).unwrap_or_default();
+    let placement = Placement {
         prompt: &call.inbound.prompt,
         affinity: call.route.affinity,
         tried,
-        inputs: &sites,
-        most: gateway.connections_each(&call.service),
+        inputs: &inputs,
+        connection_limit: gateway.connections_each(&call.service),
     };
     let here = &gateway.settings.data_centre;
     let state = gateway.state.borrow();
     state
         .endpoints
-        .choose(gateway.now(), here, &call.service, &demand)
+        .choose(gateway.now(), here, &call.service, &placement)
 }
 
 /// Builds a request as it goes to an endpoint.
--- a/lib/src/gateway/routing/call.rs
+++ b/lib/src/gateway/routing/call.rs
@@ -4,7 +4,8 @@
     crate::{
         gateway::{
             dialect::{Dialect, Inbound},
-            routing::endpoint_state::{EndpointChoice, EndpointOutcome},
+            routing::endpoint_state::EndpointOutcome,
+            rules::endpoint_choice::EndpointChoice,
             state::Gateway,
             table::{CustomerEntry, Route, RouteKind},
         },
--- a/lib/src/gateway/routing/mod.rs
+++ b/lib/src/gateway/routing/mod.rs
@@ -4,6 +4,8 @@
 pub(crate) mod attempt;
 pub(crate) mod call;
 pub mod endpoint_state;
+pub mod endpoint_states;
 pub mod forward;
 pub(crate) mod reply_stream;
+pub(crate) mod sent_parts;
 pub(crate) mod stages;
--- a/lib/src/gateway/rules/admission.rs
+++ b/lib/src/gateway/rules/admission.rs
@@ -4,7 +4,7 @@
 //! What all daemons have taken on and not finished yet is told in heartbeats; with the pace of each
 //! service it tells when a new request would be done.
 
-use crate::shared::units::Millis;
+use crate::{gateway::rules::engine_pace::TOKENS_PER_MS, shared::units::Millis};
 
 /// Time that a request needs beside its stages and its prompt, in milliseconds.
 const OWN_MS: f64 = 80.0;
@@ -13,9 +13,6 @@
 /// stages no more than a short one, and refusing it for its length alone would starve its kind.
 const MOST_OWN_MS: f64 = 200.0;
 
-/// Prompt tokens that an engine reads in a millisecond.
-const TOKENS_PER_MS: f64 = 50.0;
-
 /// Part of a service's full pace that is reached.
 const EFFICIENCY: f64 = 0.85;
 
--- /dev/null
+++ b/lib/src/gateway/rules/backend_choice.rs
@@ -0,0 +1,24 @@
+//! Which of a route's services gets a request?
+//!
+//! **Inputs.** The request's id and the weights of the route's services.
+//!
+//! **Rule.** A hash of the id picks a point on the line of weights. The same id gives the same service on
+//! every daemon.
+//!
+//! **Reason.** A request that its caller sends again through another host must not change its service.
+
+use std::hash::{BuildHasher, Hash};
+
+/// Picks one of several weighted choices by a hash of `seed`; `None` only without choices.
+pub fn weighted<T>(seed: impl Hash, choices: &[T], weight: impl Fn(&T) -> f64) -> Option<&T> {
+    let total: f64 = choices.iter().map(&weight).sum();
+    let hash = foldhash::fast::FixedState::default().hash_one(seed);
+    let mut point = (hash as f64 / u64::MAX as f64) * total;
+    for choice in choices {
+        point -= weight(choice);
+        if point < 0.0 {
+            return Some(choice);
+        }
+    }
+    choices.last()
+}
--- /dev/null
+++ b/lib/src/gateway/rules/endpoint_choice.rs
@@ -0,0 +1,239 @@
+//! Which endpoint gets a request?
+//!
+//! **Inputs.** The candidates: endpoints of the service that may get work, are below their connection
+//! limit, and haven't been tried for this request. Of each: requests in flight, slots, the usual time of
+//! a call (ms), prompt tokens waiting to be read, pace and cached tokens. Of the request: its prompt
+//! (tokens), and the size of its inputs by data centre (bytes).
+//!
+//! **Rule.** Available candidates go first; the others are considered only where none is available. The
+//! candidate with the least expected time wins. For a plain call that is its usual time, more where
+//! calls have to queue. For a prompt it is the time to read what waits there and isn't cached, more for
+//! requests in flight, times the endpoint's pace. Both add the cost of inputs in another data centre.
+//!
+//! **Reason.** A request should begin where it begins soonest. Daemons share no state, so all prefer the
+//! same endpoint for a shared part of a prompt, chosen by rendezvous hashing: it is then read once.
+//!
+//! **Measured.** One endpoint for a shared part, and the price of reading it again: MEASUREMENTS.md, "On
+//! the users' platform" and "The second milestone". The other constants were chosen, not measured one by
+//! one; days of both sites were played with all of them together.
+
+use {
+    crate::{
+        gateway::{
+            dialect::Prompt, directory::catalogue::EndpointEntry, rules::engine_pace::TOKENS_PER_MS,
+        },
+        shared::{
+            ids::{DataCentreId, EndpointId},
+            units::ByteSize,
+        },
+    },
+    std::sync::Arc,
+    xxhash_rust::xxh3::xxh3_64,
+};
+
+/// Time to the first event that each generation in flight adds, in milliseconds. Chosen, not measured.
+const GENERATION_MS: f64 = 1.0;
+
+/// Time that each request beyond the slots of an engine adds, in milliseconds: enough to prefer any
+/// engine with a free slot. Chosen, not measured.
+const OVERFULL_MS: f64 = 100.0;
+
+/// Part of a plain call's usual time that a wholly busy endpoint adds before calls queue, so that equal
+/// endpoints get equal load. Chosen, not measured.
+const CROWDING: f64 = 0.5;
+
+/// Cost of each shared token of a prompt that has to be read again, in milliseconds beside the time it
+/// takes: reading it is a price of its own, and it displaces what others may still need. MEASUREMENTS.md,
+/// "The second milestone": 0.15 was kept against 0.06 and 0.3.
+const SHARED_TOKEN_MS: f64 = 0.15;
+
+/// Cost of a call into another data centre, in milliseconds: about the way there and back. Chosen, not
+/// measured.
+const HOP_MS: f64 = 1.0;
+
+/// Cost of each megabyte of inputs from another data centre, in milliseconds. Chosen, not measured.
+const INPUT_MB_MS: f64 = 100.0;
+
+/// Bytes of a megabyte.
+const MB: f64 = 1e6;
+
+/// Inputs of a request that lie in one data centre.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub struct InputLocation {
+    /// Data centre of the endpoint that holds them.
+    pub data_centre: DataCentreId,
+    /// Their size.
+    pub size: ByteSize,
+}
+
+/// A request that needs an endpoint.
+#[derive(Debug, Clone, Copy)]
+pub struct Placement<'a> {
+    /// Its prompt; empty for a plain call.
+    pub prompt: &'a Prompt,
+    /// Whether endpoints that cache the beginning of the prompt are preferred.
+    pub affinity: bool,
+    /// Endpoints that were tried for it before.
+    pub tried: &'a [EndpointId],
+    /// Results of earlier stages that it needs.
+    pub inputs: &'a [InputLocation],
+    /// Most requests that one endpoint may have in flight from this daemon.
+    pub connection_limit: u32,
+}
+
+/// What is known of an endpoint that may get a request.
+#[derive(Debug, Clone, Copy)]
+pub struct Candidate<'a> {
+    /// Its entry in the directory.
+    pub entry: &'a Arc<EndpointEntry>,
+    /// Whether it is healthy and could be reached lately.
+    pub available: bool,
+    /// Requests in flight there, from all daemons.
+    pub outstanding: u32,
+    /// Usual time of a plain call, in milliseconds.
+    pub call_ms: f64,
+    /// Prompt tokens that were sent there and aren't read yet, by all daemons.
+    pub waiting_tokens: f64,
+    /// Observed over expected time to the first event.
+    pub pace: f64,
+    /// Tokens of the prompt that it holds, as this daemon sent them; 0 without affinity.
+    pub cached_tokens: u32,
+}
+
+/// The endpoint that was chosen, with what decided.
+#[derive(Debug, Clone)]
+pub struct EndpointChoice {
+    /// Its entry in the directory.
+    pub entry: Arc<EndpointEntry>,
+    /// Expected time to the reply or the first event, in milliseconds, costs of distance included.
+    pub expected_ms: f64,
+    /// Prompt tokens that it probably has to read.
+    pub uncached: u32,
+    /// Requests in flight there, from all daemons.
+    pub outstanding: u32,
+    /// Endpoints that were compared.
+    pub candidates: usize,
+}
+
+/// Expected cost of a request at one endpoint.
+struct Estimate {
+    ms: f64,
+    uncached: u32,
+}
+
+/// Chooses the candidate with the least expected time, seen from the data centre `here`; `None` without
+/// candidates.
+pub fn choose(
+    candidates: &[Candidate<'_>],
+    here: &DataCentreId,
+    placement: &Placement<'_>,
+) -> Option<EndpointChoice> {
+    let any_available = candidates.iter().any(|candidate| candidate.available);
+    let compared: Vec<&Candidate<'_>> = candidates
+        .iter()
+        .filter(|candidate| candidate.available || !any_available)
+        .collect();
+    let preferred = preferred_endpoint(&compared, placement.prompt);
+    let (best, estimate) = compared
+        .iter()
+        .map(|candidate| {
+            let holds_shared = placement.affinity && preferred == Some(&candidate.entry.id);
+            let mut estimate = estimate(candidate, placement, holds_shared);
+            estimate.ms += distance_ms(candidate, here, placement);
+            (candidate, estimate)
+        })
+        .min_by(|(_, a), (_, b)| a.ms.total_cmp(&b.ms))?;
+    Some(EndpointChoice {
+        entry: best.entry.clone(),
+        expected_ms: estimate.ms,
+        uncached: estimate.uncached,
+        outstanding: best.outstanding,
+        candidates: compared.len(),
+    })
+}
+
+/// Returns the endpoint that all daemons prefer for the longest shared beginning of a prompt, by
+/// rendezvous hashing; `None` where the prompt has no shared part.
+fn preferred_endpoint<'a>(
+    candidates: &[&Candidate<'a>],
+    prompt: &Prompt,
+) -> Option<&'a EndpointId> {
+    let last_shared = prompt.parts.len().checked_sub(2)?;
+    let part = prompt.parts[last_shared].id;
+    let weight = |candidate: &&&Candidate<'a>| {
+        let mut bytes = part.to_le_bytes().to_vec();
+        bytes.extend_from_slice(candidate.entry.id.as_str().as_bytes());
+        xxh3_64(&bytes)
+    };
+    let best = candidates.iter().max_by_key(weight)?;
+    Some(&best.entry.id)
+}
+
+/// Estimates the time at an endpoint; `holds_shared` where it probably caches the shared beginning of
+/// the prompt, although this daemon may not have sent it.
+fn estimate(candidate: &Candidate<'_>, placement: &Placement<'_>, holds_shared: bool) -> Estimate {
+    let prompt = placement.prompt;
+    if prompt.tokens_in == 0 && prompt.parts.is_empty() {
+        return Estimate {
+            ms: plain_call_ms(candidate),
+            uncached: 0,
+        };
+    }
+    let shared = shared_tokens(prompt).min(prompt.tokens_in);
+    let held = if holds_shared {
+        candidate.cached_tokens.max(shared)
+    } else {
+        candidate.cached_tokens
+    };
+    let uncached = prompt.tokens_in.saturating_sub(held);
+    let read_again_ms = if placement.affinity {
+        f64::from(shared.saturating_sub(held)) * SHARED_TOKEN_MS
+    } else {
+        0.0
+    };
+    Estimate {
+        ms: first_event_ms(candidate, uncached) + read_again_ms,
+        uncached,
+    }
+}
+
+/// Estimates the time of a plain call, in milliseconds.
+fn plain_call_ms(candidate: &Candidate<'_>) -> f64 {
+    let outstanding = f64::from(candidate.outstanding);
+    let slots = slots(candidate);
+    let queued = (outstanding + 1.0 - slots).max(0.0) / slots;
+    let crowding = CROWDING * outstanding / slots;
+    candidate.call_ms * (1.0 + queued + crowding)
+}
+
+/// Estimates the time to the first event of a generation, in milliseconds.
+fn first_event_ms(candidate: &Candidate<'_>, uncached: u32) -> f64 {
+    let outstanding = f64::from(candidate.outstanding);
+    let waiting = candidate.waiting_tokens + f64::from(uncached);
+    let overfull = (outstanding + 1.0 - slots(candidate)).max(0.0) * OVERFULL_MS;
+    let ms = waiting / TOKENS_PER_MS + outstanding * GENERATION_MS + overfull;
+    ms * candidate.pace
+}
+
+fn slots(candidate: &Candidate<'_>) -> f64 {
+    f64::from(candidate.entry.slots.max(1))
+}
+
+/// Returns the tokens of a prompt that other requests may share: all but its last part.
+fn shared_tokens(prompt: &Prompt) -> u32 {
+    let parts = prompt.parts.len().saturating_sub(1);
+    prompt.parts[..parts].iter().map(|part| part.tokens).sum()
+}
+
+/// Returns the cost of the call's and its inputs' way, in milliseconds.
+fn distance_ms(candidate: &Candidate<'_>, here: &DataCentreId, placement: &Placement<'_>) -> f64 {
+    let there = &candidate.entry.data_centre;
+    let remote: u64 = placement
+        .inputs
+        .iter()
+        .filter(|input| input.data_centre != *there)
+        .map(|input| input.size.0)
+        .sum();
+    let hop = if there == here { 0.0 } else { HOP_MS };
+    hop + remote as f64 / MB * INPUT_MB_MS
+}
--- a/lib/src/gateway/stages/chain.rs
+++ b/lib/src/gateway/stages/chain.rs
@@ -5,7 +5,7 @@
         gateway::{
             dialect::{Dialect, Inbound},
             peers::{membership::Coordinator, message::LinkRequest, relay},
-            rules::admission,
+            rules::{admission, endpoint_choice::InputLocation},
             stages::{
                 job::{JobEnd, PieceInput, ResultHandle, StageJob},
                 release::release,
@@ -163,10 +163,10 @@
             .collect()
     }
 
-    /// Returns where those results lie, and how large they are.
-    pub fn sites(&self) -> Vec<(DataCentreId, ByteSize)> {
+    /// Returns where the results lie that the request itself needs.
+    pub fn input_locations(&self) -> Vec<InputLocation> {
         let state = self.gateway.state.borrow();
-        let mut sites = Vec::new();
+        let mut locations = Vec::new();
         for stage in &self.last {
             let size = self.sizes[*stage];
             for handle in self.stages[*stage].1.iter().flatten() {
@@ -176,11 +176,14 @@
                     .service(&self.stages[*stage].0)
                     .find(|member| Some(member.entry.address) == address);
                 if let Some(member) = member {
-                    sites.push((member.entry.data_centre.clone(), size));
+                    locations.push(InputLocation {
+                        data_centre: member.entry.data_centre.clone(),
+                        size,
+                    });
                 }
             }
         }
-        sites
+        locations
     }
 
     /// Gives all results up that are still held.
--- a/lib/src/gateway/stages/queues.rs
+++ b/lib/src/gateway/stages/queues.rs
@@ -4,7 +4,7 @@
     crate::{
         gateway::{
             peers::message::QueueNote,
-            routing::endpoint_state::{EndpointStates, service_hash},
+            routing::{endpoint_state::service_hash, endpoint_states::EndpointStates},
             rules::retry_budget::{BudgetLimits, WindowBudget},
             stages::{
                 batch_call::{BatchCall, CallEnd},
--- a/lib/src/gateway/state.rs
+++ b/lib/src/gateway/state.rs
@@ -15,7 +15,7 @@
                 membership::{Identity, Peers},
                 message::Phase,
             },
-            routing::endpoint_state::EndpointStates,
+            routing::endpoint_states::EndpointStates,
             rules::retry_budget::WindowBudget,
             serving::{metrics::GatewayMetrics, settings::GatewaySettings},
             stages::{queues::Planning, workload::Workload},
@@ -271,7 +271,7 @@
             .get(&entry.id)
             .is_some_and(|kept| kept.revision == entry.revision)
         {
-            state.endpoints.put(Arc::new(entry));
+            state.endpoints.upsert(Arc::new(entry));
         }
         drop(state);
         self.apply_change(learnt, source);
@@ -310,7 +310,7 @@
                 .get(&entry.id)
                 .is_none_or(|old| old.revision <= entry.revision);
             if newer {
-                state.endpoints.put(Arc::new(entry.clone()));
+                state.endpoints.upsert(Arc::new(entry.clone()));
             }
         }
         let learnt = state.catalogue.replace(now, revision, list, doubt);
@@ -356,7 +356,7 @@
         for one in learnt {
             self.apply_change(Some(one), "doubt over");
         }
-        if self.state.borrow_mut().endpoints.forgive_replaced(now) {
+        if self.state.borrow_mut().endpoints.reopen_replaced(now) {
             self.sync_planning();
         }
     }
--- a/lib/tests/test_fleet_choice.rs
+++ b/lib/tests/test_fleet_choice.rs
@@ -7,9 +7,11 @@
         gateway::{
             dialect::{Prompt, PromptPart},
             directory::catalogue::EndpointEntry,
-            routing::endpoint_state::{
-                EndpointChoice, EndpointOutcome, EndpointStates, PeerLoad, Placement, endpoint_hash,
+            routing::{
+                endpoint_state::{EndpointOutcome, PeerLoad, endpoint_hash},
+                endpoint_states::EndpointStates,
             },
+            rules::endpoint_choice::{EndpointChoice, InputLocation, Placement},
         },
         shared::{
             ids::{DataCentreId, EndpointId, ServiceId},
@@ -33,12 +35,12 @@
     })
 }
 
-fn fleet(count: u8) -> EndpointStates {
-    let mut fleet = EndpointStates::default();
+fn endpoints(count: u8) -> EndpointStates {
+    let mut endpoints = EndpointStates::default();
     for number in 1..=count {
-        fleet.put(entry(number, "near", false));
+        endpoints.upsert(entry(number, "near", false));
     }
-    fleet
+    endpoints
 }
 
 fn service() -> ServiceId {
@@ -59,12 +61,12 @@
         affinity: false,
         tried: &[],
         inputs: &[],
-        most: u32::MAX,
+        connection_limit: u32::MAX,
     }
 }
 
-fn choose(fleet: &EndpointStates, demand: &Placement<'_>) -> Option<EndpointChoice> {
-    fleet.choose(NOW, &near(), &service(), demand)
+fn choose(endpoints: &EndpointStates, placement: &Placement<'_>) -> Option<EndpointChoice> {
+    endpoints.choose(NOW, &near(), &service(), placement)
 }
 
 fn prompt(parts: &[(u64, u32)]) -> Prompt {
@@ -83,21 +85,21 @@
 
 #[test]
 fn leaving_and_tried_endpoints_get_nothing() {
-    let mut fleet = fleet(2);
-    fleet.put(entry(1, "near", true));
+    let mut endpoints = endpoints(2);
+    endpoints.upsert(entry(1, "near", true));
     let prompt = Prompt::default();
-    let choice = choose(&fleet, &plain(&prompt)).unwrap();
+    let choice = choose(&endpoints, &plain(&prompt)).unwrap();
     assert_eq!(choice.entry.id, id(2));
-    let demand = Placement {
+    let placement = Placement {
         tried: &[id(2)],
         ..plain(&prompt)
     };
-    assert!(choose(&fleet, &demand).is_none());
+    assert!(choose(&endpoints, &placement).is_none());
 }
 
 #[test]
 fn load_of_all_daemons_counts() {
-    let mut fleet = fleet(2);
+    let mut endpoints = endpoints(2);
     let prompt = Prompt::default();
     let loads = [(
         endpoint_hash(&id(1)),
@@ -106,60 +108,60 @@
             prefill: 0.0,
         },
     )];
-    fleet.set_peer_loads(&loads.into_iter().collect());
-    assert_eq!(choose(&fleet, &plain(&prompt)).unwrap().entry.id, id(2));
+    endpoints.set_peer_loads(&loads.into_iter().collect());
+    assert_eq!(choose(&endpoints, &plain(&prompt)).unwrap().entry.id, id(2));
 }
 
 #[test]
 fn an_endpoint_that_says_it_is_another_gets_nothing_more() {
-    let mut fleet = fleet(2);
+    let mut endpoints = endpoints(2);
     let prompt = Prompt::default();
-    fleet.sent(NOW, &id(1), &prompt, 0);
-    fleet.ended(NOW, &id(1), EndpointOutcome::Replaced);
+    endpoints.sent(NOW, &id(1), &prompt, 0);
+    endpoints.ended(NOW, &id(1), EndpointOutcome::Replaced);
     for _ in 0..4 {
-        assert_eq!(choose(&fleet, &plain(&prompt)).unwrap().entry.id, id(2));
+        assert_eq!(choose(&endpoints, &plain(&prompt)).unwrap().entry.id, id(2));
     }
 }
 
 #[test]
 fn an_endpoint_out_of_reach_is_tried_only_where_no_other_is() {
-    let mut fleet = fleet(2);
+    let mut endpoints = endpoints(2);
     let prompt = Prompt::default();
-    fleet.sent(NOW, &id(1), &prompt, 0);
-    fleet.ended(NOW, &id(1), EndpointOutcome::Unreachable);
-    assert_eq!(choose(&fleet, &plain(&prompt)).unwrap().entry.id, id(2));
-    let demand = Placement {
+    endpoints.sent(NOW, &id(1), &prompt, 0);
+    endpoints.ended(NOW, &id(1), EndpointOutcome::Unreachable);
+    assert_eq!(choose(&endpoints, &plain(&prompt)).unwrap().entry.id, id(2));
+    let placement = Placement {
         tried: &[id(2)],
         ..plain(&prompt)
     };
-    assert_eq!(choose(&fleet, &demand).unwrap().entry.id, id(1));
+    assert_eq!(choose(&endpoints, &placement).unwrap().entry.id, id(1));
 }
 
 #[test]
 fn failing_endpoints_are_set_aside_but_never_more_than_half() {
-    let mut fleet = fleet(4);
+    let mut endpoints = endpoints(4);
     let prompt = Prompt::default();
     for number in 1..=4 {
         for _ in 0..3 {
-            fleet.sent(NOW, &id(number), &prompt, 0);
-            fleet.ended(NOW, &id(number), EndpointOutcome::Failed);
+            endpoints.sent(NOW, &id(number), &prompt, 0);
+            endpoints.ended(NOW, &id(number), EndpointOutcome::Failed);
         }
     }
-    let choice = choose(&fleet, &plain(&prompt)).unwrap();
+    let choice = choose(&endpoints, &plain(&prompt)).unwrap();
     assert_eq!(choice.candidates, 2);
 }
 
 #[test]
 fn daemons_agree_where_a_shared_part_goes() {
-    let (one, other) = (fleet(9), fleet(9));
+    let (one, other) = (endpoints(9), endpoints(9));
     for part in 1..50 {
         let prompt = prompt(&[(part, 4_000), (1_000 + part, 500)]);
-        let demand = Placement {
+        let placement = Placement {
             affinity: true,
             ..plain(&prompt)
         };
-        let a = choose(&one, &demand).unwrap();
-        let b = choose(&other, &demand).unwrap();
+        let a = choose(&one, &placement).unwrap();
+        let b = choose(&other, &placement).unwrap();
         assert_eq!(a.entry.id, b.entry.id);
         assert_eq!(a.uncached, 500);
     }
@@ -167,73 +169,84 @@
 
 #[test]
 fn a_crowded_endpoint_loses_its_shared_part_to_another() {
-    let mut fleet = fleet(3);
+    let mut endpoints = endpoints(3);
     let prompt = prompt(&[(7, 2_000), (8, 500)]);
-    let demand = Placement {
+    let placement = Placement {
         affinity: true,
         ..plain(&prompt)
     };
-    let first = choose(&fleet, &demand).unwrap();
+    let first = choose(&endpoints, &placement).unwrap();
     for _ in 0..30 {
-        fleet.sent(NOW, &first.entry.id, &prompt, 2_000);
+        endpoints.sent(NOW, &first.entry.id, &prompt, 2_000);
     }
-    assert_ne!(choose(&fleet, &demand).unwrap().entry.id, first.entry.id);
+    assert_ne!(
+        choose(&endpoints, &placement).unwrap().entry.id,
+        first.entry.id
+    );
 }
 
 #[test]
 fn inputs_draw_a_request_to_their_data_centre() {
-    let mut fleet = fleet(1);
-    fleet.put(entry(2, "far", false));
+    let mut endpoints = endpoints(1);
+    endpoints.upsert(entry(2, "far", false));
     let prompt = Prompt::default();
-    let inputs = [("far".parse().unwrap(), ByteSize(1_000_000))];
-    let demand = Placement {
+    let inputs = [InputLocation {
+        data_centre: "far".parse().unwrap(),
+        size: ByteSize(1_000_000),
+    }];
+    let placement = Placement {
         inputs: &inputs,
         ..plain(&prompt)
     };
-    assert_eq!(choose(&fleet, &demand).unwrap().entry.id, id(2));
-    assert_eq!(choose(&fleet, &plain(&prompt)).unwrap().entry.id, id(1));
+    assert_eq!(choose(&endpoints, &placement).unwrap().entry.id, id(2));
+    assert_eq!(choose(&endpoints, &plain(&prompt)).unwrap().entry.id, id(1));
 }
 
 #[test]
 fn a_slow_endpoint_is_tried_again_later() {
-    let mut fleet = fleet(2);
+    let mut endpoints = endpoints(2);
     let prompt = prompt(&[(1, 500)]);
-    let demand = plain(&prompt);
-    let first = choose(&fleet, &demand).unwrap();
+    let placement = plain(&prompt);
+    let first = choose(&endpoints, &placement).unwrap();
     for _ in 0..20 {
-        fleet.first_event(NOW, &first, 2_000.0);
+        endpoints.first_event(NOW, &first, 2_000.0);
     }
-    assert_ne!(choose(&fleet, &demand).unwrap().entry.id, first.entry.id);
+    assert_ne!(
+        choose(&endpoints, &placement).unwrap().entry.id,
+        first.entry.id
+    );
     let later = NOW + Millis(5_000);
-    let choice = fleet.choose(later, &near(), &service(), &demand).unwrap();
+    let choice = endpoints
+        .choose(later, &near(), &service(), &placement)
+        .unwrap();
     assert_eq!(choice.entry.id, first.entry.id);
 }
 
 #[test]
 fn an_endpoint_gets_no_more_than_its_connections_allow() {
-    let mut fleet = fleet(1);
+    let mut endpoints = endpoints(1);
     let prompt = Prompt::default();
-    let demand = Placement {
-        most: 2,
+    let placement = Placement {
+        connection_limit: 2,
         ..plain(&prompt)
     };
-    fleet.sent(NOW, &id(1), &prompt, 0);
-    assert!(choose(&fleet, &demand).is_some());
-    fleet.sent(NOW, &id(1), &prompt, 0);
-    assert!(choose(&fleet, &demand).is_none());
-    fleet.ended(NOW, &id(1), EndpointOutcome::Served(Some(5.0)));
-    assert!(choose(&fleet, &demand).is_some());
+    endpoints.sent(NOW, &id(1), &prompt, 0);
+    assert!(choose(&endpoints, &placement).is_some());
+    endpoints.sent(NOW, &id(1), &prompt, 0);
+    assert!(choose(&endpoints, &placement).is_none());
+    endpoints.ended(NOW, &id(1), EndpointOutcome::Served(Some(5.0)));
+    assert!(choose(&endpoints, &placement).is_some());
 }
 
 /// Found by the soak: one odd answer took an endpoint out for the rest of a daemon's life.
 #[test]
 fn an_endpoint_that_called_itself_another_is_tried_again_while_its_entry_stays() {
-    let mut fleet = fleet(1);
-    fleet.sent(NOW, &id(1), &Prompt::default(), 0);
-    fleet.ended(NOW, &id(1), EndpointOutcome::Replaced);
-    assert!(!fleet.forgive_replaced(NOW + Millis(4_000)));
-    assert!(choose(&fleet, &plain(&Prompt::default())).is_none());
-    assert!(fleet.forgive_replaced(NOW + Millis(5_000)));
-    assert!(choose(&fleet, &plain(&Prompt::default())).is_some());
-    assert!(!fleet.forgive_replaced(NOW + Millis(6_000)));
+    let mut endpoints = endpoints(1);
+    endpoints.sent(NOW, &id(1), &Prompt::default(), 0);
+    endpoints.ended(NOW, &id(1), EndpointOutcome::Replaced);
+    assert!(!endpoints.reopen_replaced(NOW + Millis(4_000)));
+    assert!(choose(&endpoints, &plain(&Prompt::default())).is_none());
+    assert!(endpoints.reopen_replaced(NOW + Millis(5_000)));
+    assert!(choose(&endpoints, &plain(&Prompt::default())).is_some());
+    assert!(!endpoints.reopen_replaced(NOW + Millis(6_000)));
 }
--- a/lib/tests/test_fleet_pins.rs
+++ b/lib/tests/test_fleet_pins.rs
@@ -8,9 +8,13 @@
         gateway::{
             dialect::{Prompt, PromptPart, ReplyLoad},
             directory::catalogue::EndpointEntry,
-            routing::endpoint_state::{
-                EndpointChoice, EndpointOutcome, EndpointStates, PeerLoad, Placement,
-                endpoint_hash, service_hash, weighted,
+            routing::{
+                endpoint_state::{EndpointOutcome, PeerLoad, endpoint_hash, service_hash},
+                endpoint_states::EndpointStates,
+            },
+            rules::{
+                backend_choice::weighted,
+                endpoint_choice::{EndpointChoice, InputLocation, Placement},
             },
         },
         shared::{
@@ -61,7 +65,7 @@
     fn new(seed: u64) -> Self {
         let mut fleet = EndpointStates::default();
         for number in 0..ENDPOINTS {
-            fleet.put(entry(number, false));
+            fleet.upsert(entry(number, false));
         }
         Self {
             draws: Draws::new(seed),
@@ -88,7 +92,7 @@
                 17 => self.change_entry(),
                 18 => self.report(),
                 _ => {
-                    self.fleet.forgive_replaced(self.now);
+                    self.fleet.reopen_replaced(self.now);
                 }
             }
         }
@@ -121,26 +125,29 @@
     fn choose(&mut self) {
         let prompt = self.prompt();
         let here = *self.draws.pick(&CENTRES);
-        let inputs: Vec<(DataCentreId, ByteSize)> = (0..self.draws.below(3))
+        let inputs: Vec<InputLocation> = (0..self.draws.below(3))
             .map(|_| {
                 let name = *self.draws.pick(&CENTRES);
-                (centre(name), ByteSize(self.draws.below(900_000)))
+                InputLocation {
+                    data_centre: centre(name),
+                    size: ByteSize(self.draws.below(900_000)),
+                }
             })
             .collect();
         let tried: Vec<EndpointId> = (0..self.draws.below(3))
             .map(|_| format!("e{}", self.draws.below(ENDPOINTS)).parse().unwrap())
             .collect();
-        let demand = Placement {
+        let placement = Placement {
             prompt: &prompt,
             affinity: self.draws.percent(75),
             tried: &tried,
             inputs: &inputs,
-            most: *self.draws.pick(&[1, 3, u32::MAX, u32::MAX]),
+            connection_limit: *self.draws.pick(&[1, 3, u32::MAX, u32::MAX]),
         };
         let service = "s".parse().unwrap();
         let choice = self
             .fleet
-            .choose(self.now, &centre(here), &service, &demand);
+            .choose(self.now, &centre(here), &service, &placement);
         let parts: Vec<u64> = prompt.parts.iter().map(|part| part.id).collect();
         let at = self.now.0 / 1_000;
         write!(self.lines, "{at} {here} {parts:?}: ").unwrap();
@@ -230,7 +237,7 @@
         if self.draws.percent(25) {
             self.fleet.remove(&entry.id);
         } else {
-            self.fleet.put(entry);
+            self.fleet.upsert(entry);
         }
     }
 
