--- a/lib/tests/test_plan_pins.rs
+++ b/lib/tests/test_plan_pins.rs
@@ -133,7 +133,7 @@
             rank: self.draws.below(3) as u32,
             result: ByteSize(size),
             home: CENTRES.get(centre).map(|name| name.parse().unwrap()),
-            moved: ByteSize(size * 3),
+            moved: ByteSize(size * *self.draws.pick(&[1, 3, 20])),
         };
         self.queue.add(self.now, id, job);
     }
