--- a/lib/src/gateway/routing/endpoint_state.rs
+++ b/lib/src/gateway/routing/endpoint_state.rs
@@ -8,7 +8,7 @@
             rules::endpoint_score::{agreed_endpoint, distance_ms, expected_ms},
         },
         shared::{
-            health::{Health, HealthState},
+            health::{Health, HealthState, can_spare},
             ids::{DataCentreId, EndpointId, ServiceId},
             units::{ByteSize, Millis, Time},
         },
@@ -38,9 +38,6 @@
 /// Time after which a pace far from the usual is forgotten, so that the endpoint is tried again.
 const PACE_KEPT: Millis = Millis(4_000);
 
-/// Largest share of a service's endpoints that may be ejected.
-const MAX_EJECTED: f64 = 0.5;
-
 /// Time after which an endpoint is tried again that called itself another one although its entry
 /// stays: an address that was given to another endpoint costs an attempt that doesn't run.
 const REPLACED_KEPT: Millis = Millis(5_000);
@@ -397,7 +394,7 @@
         };
         let pool: Vec<&EndpointState> = self.service(&member.entry.service).collect();
         let out = pool.iter().filter(|other| !other.is_available(now)).count();
-        (out as f64 + 1.0) <= pool.len() as f64 * MAX_EJECTED
+        can_spare(out, pool.len())
     }
 }
 
