--- a/lib/src/pipeline/decision/admit.rs
+++ b/lib/src/pipeline/decision/admit.rs
@@ -1,29 +1,40 @@
-//! Admission: which requests are taken, and which are refused at once.
+//! Admission: checks a request that arrives, in the order in which refusals are reported.
+//!
+//! Carries out the rules: [`admission`](super::admission) compares need and time left,
+//! [`fair`](super::fair) gives the customer's room, [`limit`](super::limit) its limits,
+//! [`retry_after`](super::retry_after) the wait of one that is refused.
 
 use {
     crate::{
         pipeline::decision::{
+            admission::Needs,
             core::Core,
-            policy::{Needs, Policy},
-            policy_choice::AnyPolicy,
+            policy::Policy,
             request::{Arrival, Request, Target},
+            retry_after,
         },
         settings::{
-            tree::{Customer, Pipeline, ServiceKind, Tree},
+            tree::{Customer, Pipeline, Tree},
             values::{Guard, Settings},
         },
         shared::{
             problem::{Code, Problem},
-            units::{Millis, Time, WorkMillis},
+            units::{Time, WorkMillis},
         },
     },
     std::sync::Arc,
 };
 
-/// Endpoints looked at to estimate a stage that isn't sent yet.
+/// Endpoints looked at to estimate a stage that isn't sent yet. Chosen, not measured: as many as a
+/// choice looks at in the own data centre.
 const ESTIMATE_SAMPLE: usize = 4;
 
 impl Core {
+    /// Checks a request, and counts it as asked for and as in flight.
+    ///
+    /// # Errors
+    ///
+    /// Returns a problem with outcome `not_run`: nothing was sent for a request that is refused.
     pub(crate) fn admit(&mut self, now: Time, arrival: Arrival) -> Result<Request, Problem> {
         let tree = self.tree.clone();
         let customer = find_customer(&tree, &arrival)?;
@@ -43,6 +54,7 @@
         Ok(request)
     }
 
+    /// Finds the pipeline to run, and the settings that hold for the whole request.
     fn find_target(
         &self,
         tree: &Tree,
@@ -70,19 +82,23 @@
     /// Only a generation comes token by token.
     fn check_stream(&self, arrival: &Arrival, pipeline: &Pipeline) -> Result<(), Problem> {
         let last = pipeline.stages.last().map(|stage| &stage.service);
-        let kind = last.and_then(|service| self.fleet.kind(service));
-        if arrival.stream && !matches!(kind, Some(ServiceKind::Engine { .. })) {
+        let generates = last.is_some_and(|service| self.pools.generates(service));
+        if arrival.stream && !generates {
             let detail = format!("{} doesn't end in a generation", pipeline.id);
             return Err(Problem::not_run(Code::BadRequest, detail));
         }
         Ok(())
     }
 
-    /// Refuses a request at once that can't meet its deadline, by the estimate.
+    /// Refuses a request that can't meet its deadline, by the estimate.
+    ///
+    /// # Errors
+    ///
+    /// Returns [`Code::NoTime`] with the time after which to come back.
     pub(crate) fn check_time(&self, now: Time, request: &Request) -> Result<(), Problem> {
         let needs = self.needs(now, request);
         let stage = request.current();
-        let policy = self.policy(&stage.settings);
+        let policy = self.config.policy(&stage.settings);
         let remaining = request.remaining(now);
         let fits = if request.stage == 0 {
             let room = self.shares.room(now, &request.customer);
@@ -93,9 +109,9 @@
         if fits {
             return Ok(());
         }
-        let wait = match self.fleet.pool(&stage.service) {
+        let wait = match self.pools.pool(&stage.service) {
             Some(pool) => pool.retry_after(now),
-            None => Millis(1_000),
+            None => retry_after::UNKNOWN,
         };
         let Needs { work, wait: queue } = needs;
         let detail = format!("about {work} of work after a wait of {queue}, {remaining} left");
@@ -105,35 +121,29 @@
     /// Estimates the endpoint time of a whole request.
     fn usual_work(&self, request: &Request) -> WorkMillis {
         let stages = request.pipeline.stages.iter();
-        let pools = stages.filter_map(|stage| self.fleet.pool(&stage.service));
+        let pools = stages.filter_map(|stage| self.pools.pool(&stage.service));
         WorkMillis(pools.map(|pool| pool.usual_work().0).sum())
     }
 
     /// Estimates the time that the current and all later stages need.
     fn needs(&self, now: Time, request: &Request) -> Needs {
-        let mut needs = Needs {
-            work: WorkMillis(0.0),
-            wait: WorkMillis(0.0),
-        };
+        let mut needs = Needs::default();
         for stage in &request.pipeline.stages[request.stage..] {
-            let floor = stage.settings.floor.value.0 as f64;
-            let Some(pool) = self.fleet.pool(&stage.service) else {
-                needs.work.0 += floor;
-                continue;
-            };
-            let work = pool.usual_work();
-            let finish = pool.best_finish(now, work, ESTIMATE_SAMPLE);
-            needs.work.0 += work.0.max(floor);
-            needs.wait.0 += finish.map_or(0.0, |finish| (finish.0 - work.0).max(0.0));
+            let floor = stage.settings.floor.value;
+            match self.pools.pool(&stage.service) {
+                Some(pool) => {
+                    let work = pool.usual_work();
+                    let finish = pool.best_finish(now, work, ESTIMATE_SAMPLE);
+                    needs.add_stage(floor, work, finish);
+                }
+                None => needs.add_unknown(floor),
+            }
         }
         needs
     }
-
-    pub(crate) fn policy(&self, settings: &Settings) -> AnyPolicy {
-        AnyPolicy::new(settings.policy.value, self.config.hop)
-    }
 }
 
+/// Finds the customer that the caller names.
 fn find_customer<'t>(tree: &'t Tree, arrival: &Arrival) -> Result<&'t Customer, Problem> {
     match tree.customers.get(&arrival.customer) {
         Some(customer) => Ok(customer),
@@ -144,6 +154,7 @@
     }
 }
 
+/// Checks body and idempotency key against the settings.
 fn check_arrival(
     arrival: &Arrival,
     pipeline: &Pipeline,
--- a/lib/src/pipeline/decision/core.rs
+++ b/lib/src/pipeline/decision/core.rs
@@ -1,16 +1,36 @@
-//! The decisions of one daemon: a pure state machine without clock, socket or task.
+//! The decisions of one daemon, as a pure state machine: [`Core::step`] gets the time and one
+//! event, and returns the actions to carry out, in order.
+//!
+//! In go [`Event`]s: requests that arrive or are abandoned, tokens and ends of attempts, load
+//! reports and cache events of endpoints, settings trees, and due timers. Out come [`Action`]s:
+//! calls to send or cancel, tokens and final answers to deliver. The shell carries them out in
+//! their order, sends a tick when [`Core::next_timer`] is due, and reports the end of each attempt
+//! that wasn't cancelled.
+//!
+//! The core owns all requests, attempts and pools, and the only source of random numbers, seeded
+//! once: the same events at the same times give the same actions. Each request gets one final
+//! answer. This module holds the life of a request; `admit`, `send` and [`attempt`](super::attempt)
+//! extend it.
 
 use {
     crate::{
         pipeline::decision::{
+            counters::Counters,
             endpoint::{AttemptEnd, EndpointCall, LoadReport},
             fair::FairShares,
             limit::CustomerUse,
+            policy_choice::AnyPolicy,
+            pools::Pools,
             prefix::CacheEvent,
             request::{Answer, Arrival, Request},
-            state::{Costs, Counters, Pools, Timer, Timers},
+            retry::AttemptKind,
+            stage_costs::StageCosts,
+            timers::{Timer, Timers},
+        },
+        settings::{
+            tree::{Pipeline, Tree},
+            values::Settings,
         },
-        settings::tree::{Pipeline, Tree},
         shared::{
             ids::{AttemptId, CustomerId, DataCentreId, EndpointId, RequestId, ServiceId},
             problem::{Code, Outcome, Problem},
@@ -22,7 +42,7 @@
     std::sync::Arc,
 };
 
-/// What a daemon knows of itself.
+/// Place and seed of a daemon.
 #[derive(Debug, Clone)]
 pub struct CoreConfig {
     /// Data centre it stands in.
@@ -33,12 +53,19 @@
     pub seed: u64,
 }
 
-/// What happens to a daemon.
+impl CoreConfig {
+    /// Returns the policy that settings name.
+    pub(crate) fn policy(&self, settings: &Settings) -> AnyPolicy {
+        AnyPolicy::new(settings.policy.value, self.hop)
+    }
+}
+
+/// Something that happened, as the shell reports it.
 #[derive(Debug, Clone)]
 pub enum Event {
-    /// A caller's request came in.
+    /// A caller's request arrived.
     Arrived(Arrival),
-    /// A token of a stream came in.
+    /// A token of a stream was received.
     Token {
         /// Attempt it belongs to.
         attempt: AttemptId,
@@ -51,32 +78,32 @@
     Ended {
         /// The attempt.
         attempt: AttemptId,
-        /// How it ended.
+        /// Its end.
         end: AttemptEnd,
     },
     /// A caller left before its answer.
     Left(RequestId),
-    /// An endpoint's load report came in.
+    /// An endpoint's load report was received.
     Load {
         /// The endpoint.
         endpoint: EndpointId,
-        /// What it reports.
+        /// Its report.
         report: LoadReport,
     },
-    /// An engine told of changes in its cache.
+    /// An engine reported changes of its cache.
     Cache {
         /// The engine.
         endpoint: EndpointId,
-        /// What changed.
+        /// The changes.
         events: Vec<CacheEvent>,
     },
-    /// A checked tree came in.
+    /// A checked tree was received.
     Adopt(Arc<Tree>),
     /// A timer is due.
     Tick,
 }
 
-/// What a daemon has to do.
+/// Something that the shell has to carry out.
 #[derive(Debug, Clone)]
 pub enum Action {
     /// Send a call.
@@ -96,7 +123,7 @@
     Finish {
         /// The request.
         request: RequestId,
-        /// The answer, or why there is none.
+        /// The answer, or the problem that there is instead.
         result: Result<Answer, Problem>,
     },
 }
@@ -105,18 +132,24 @@
 #[derive(Debug)]
 pub struct Core {
     pub(crate) config: CoreConfig,
+    /// Tree in force.
     pub(crate) tree: Arc<Tree>,
-    pub(crate) fleet: Pools,
+    pub(crate) pools: Pools,
+    /// Requests without a final answer.
     pub(crate) requests: HashMap<RequestId, Request>,
+    /// Request of each attempt in flight.
     pub(crate) attempts: HashMap<AttemptId, RequestId>,
     pub(crate) shares: FairShares,
     pub(crate) customers: HashMap<CustomerId, CustomerUse>,
+    /// Pipelines of one stage that plain calls of services amount to.
     pub(crate) services: HashMap<ServiceId, Arc<Pipeline>>,
     pub(crate) timers: Timers,
+    /// Number of the last attempt.
     pub(crate) last_attempt: u64,
     pub(crate) rng: SmallRng,
-    pub(crate) costs: Costs,
+    pub(crate) costs: StageCosts,
     pub(crate) counters: Counters,
+    /// Actions of the step that is running.
     pub(crate) actions: Vec<Action>,
 }
 
@@ -127,7 +160,7 @@
         Self {
             config,
             tree: Arc::default(),
-            fleet: Pools::default(),
+            pools: Pools::default(),
             requests: HashMap::default(),
             attempts: HashMap::default(),
             shares: FairShares::default(),
@@ -136,13 +169,19 @@
             timers: Timers::default(),
             last_attempt: 0,
             rng,
-            costs: Costs::default(),
+            costs: StageCosts::default(),
             counters: Counters::default(),
             actions: Vec::new(),
         }
     }
 
-    /// Takes in one event and returns what has to be done about it, in order.
+    /// Handles one event and returns the actions that follow from it, in order.
+    ///
+    /// `now` never goes back from one step to the next.
+    ///
+    /// # Panics
+    ///
+    /// Panics if an invariant is broken, for instance when a request arrives twice.
     pub fn step(&mut self, now: Time, event: Event) -> Vec<Action> {
         match event {
             Event::Arrived(arrival) => self.arrive(now, arrival),
@@ -153,8 +192,8 @@
             } => self.token(now, attempt, index, text),
             Event::Ended { attempt, end } => self.ended(now, attempt, end),
             Event::Left(request) => self.left(now, request),
-            Event::Load { endpoint, report } => self.fleet.load(now, &endpoint, report),
-            Event::Cache { endpoint, events } => self.fleet.cache(now, &endpoint, &events),
+            Event::Load { endpoint, report } => self.pools.load(now, &endpoint, report),
+            Event::Cache { endpoint, events } => self.pools.cache(now, &endpoint, &events),
             Event::Adopt(tree) => self.adopt(tree),
             Event::Tick => self.tick(now),
         }
@@ -172,16 +211,16 @@
     }
 
     /// Returns the endpoints as this daemon sees them.
-    pub fn fleet(&self) -> &Pools {
-        &self.fleet
+    pub fn pools(&self) -> &Pools {
+        &self.pools
     }
 
     /// Returns the endpoint time spent by pipeline and stage.
-    pub fn costs(&self) -> &Costs {
+    pub fn costs(&self) -> &StageCosts {
         &self.costs
     }
 
-    /// Returns counts of what happened.
+    /// Returns counts since the start.
     pub fn counters(&self) -> &Counters {
         &self.counters
     }
@@ -191,11 +230,12 @@
         self.requests.len()
     }
 
+    /// Puts a tree in force, unless it isn't newer than the one that is.
     fn adopt(&mut self, tree: Arc<Tree>) {
         if tree.version <= self.tree.version {
             return;
         }
-        self.fleet.adopt(&tree, &self.config.data_centre);
+        self.pools.adopt(&tree, &self.config.data_centre);
         self.services = tree
             .services
             .values()
@@ -216,12 +256,13 @@
             Ok(request) => {
                 self.timers.add(request.deadline, Timer::Deadline(id));
                 self.requests.insert(id, request);
-                self.send_next(now, id, false);
+                self.send_next(now, id, AttemptKind::Next);
             }
             Err(problem) => self.finish_unstarted(id, problem),
         }
     }
 
+    /// Refuses a request that was never admitted.
     fn finish_unstarted(&mut self, request: RequestId, problem: Problem) {
         crate::invariant!(
             problem.outcome == Outcome::NotRun,
@@ -235,14 +276,13 @@
         });
     }
 
+    /// Ends a request whose caller has left, unless an attempt has to be left to its end.
     fn left(&mut self, now: Time, id: RequestId) {
         let Some(request) = self.requests.get_mut(&id) else {
             return;
         };
         request.abandoned = true;
-        let guarded = !request.current().settings.repeatable.value;
-        if guarded && !request.live.is_empty() {
-            // The call may not be sent again, so it is left to end; only its caller is gone.
+        if request.progress().must_end() {
             return;
         }
         self.fail(now, id, Code::DeadlineExceeded, "the caller left".into());
@@ -270,13 +310,14 @@
             return;
         };
         let wait = self
-            .fleet
+            .pools
             .pool(&request.current().service)
             .map(|pool| pool.retry_after(now));
         let problem = request.problem(code, detail, wait);
         self.finish(now, id, Err(problem));
     }
 
+    /// Ends a request: cancels its attempts, accounts for its costs and answers its caller.
     pub(crate) fn finish(&mut self, now: Time, id: RequestId, result: Result<Answer, Problem>) {
         self.cancel_attempts(now, id);
         let Some(request) = self.requests.remove(&id) else {
@@ -299,7 +340,8 @@
         }
     }
 
-    /// Cancels what is still in flight for a request: its losers, or all when it ends.
+    /// Cancels all attempts still in flight for a request: the losers when its stage is done, or
+    /// all when it ends.
     pub(crate) fn cancel_attempts(&mut self, now: Time, id: RequestId) {
         let Some(request) = self.requests.get_mut(&id) else {
             return;
@@ -307,9 +349,9 @@
         let service = request.current().service.clone();
         for attempt in std::mem::take(&mut request.live) {
             let spent = WorkMillis(now.millis_since(attempt.sent));
-            request.wasted[request.stage].0 += spent.0;
+            request.add_wasted(spent);
             self.attempts.remove(&attempt.id);
-            self.fleet.cancelled(&service, &attempt);
+            self.pools.cancelled(&service, &attempt);
             self.actions.push(Action::Cancel(attempt.id));
         }
     }
