--- a/lib/src/gateway/rules/mod.rs
+++ b/lib/src/gateway/rules/mod.rs
@@ -13,3 +13,4 @@
 pub(crate) mod piece_order;
 pub mod progress;
 pub mod retry_budget;
+pub mod set_aside;
