--- a/lib/src/gateway/stages/chain.rs
+++ b/lib/src/gateway/stages/chain.rs
@@ -4,8 +4,11 @@
     crate::{
         gateway::{
             dialect::{Dialect, Inbound},
-            peers::{membership::Coordinator, message::LinkRequest, relay},
-            rules::{admission, endpoint_choice::InputLocation},
+            peers::{
+                job_message,
+                message::{JobOrder, LinkRequest},
+            },
+            rules::{admission, coordinator::Coordinator, endpoint_choice::InputLocation},
             stages::{
                 job::{JobEnd, PieceInput, ResultHandle, StageJob},
                 release::release,
@@ -373,9 +376,9 @@
             tokio::time::sleep(SETTLE_LOOK).await;
             continue;
         };
-        let order = relay::order_of(gateway, service, &job);
-        let reply = gateway.links.ask(peer, LinkRequest::Job(order)).await;
-        if let Some(end) = relay::job_end(reply) {
+        let order = JobOrder::from_job(gateway.now(), service, &job);
+        let reply = gateway.links.request(peer, LinkRequest::Job(order)).await;
+        if let Some(end) = job_message::job_end(reply) {
             return end;
         }
         log::warn!(request = &*job.request, service:% = service, peer:% = peer; "planner.lost");
--- a/lib/src/gateway/stages/release.rs
+++ b/lib/src/gateway/stages/release.rs
@@ -2,10 +2,8 @@
 
 use crate::{
     gateway::{
-        dialect::Dialect,
-        peers::{membership::Coordinator, message::LinkRequest},
-        stages::job::ResultHandle,
-        state::Gateway,
+        dialect::Dialect, peers::message::LinkRequest, rules::coordinator::Coordinator,
+        stages::job::ResultHandle, state::Gateway,
     },
     shared::ids::ServiceId,
 };
@@ -30,6 +28,6 @@
             .release(service, handles),
         Coordinator::Peer(peer) => gateway
             .links
-            .tell(peer, LinkRequest::Release(service.clone(), handles)),
+            .notify(peer, LinkRequest::Release(service.clone(), handles)),
     }
 }
--- a/lib/tests/test_decision_pins.rs
+++ b/lib/tests/test_decision_pins.rs
@@ -7,13 +7,15 @@
     hazelyoke_lib::{
         gateway::{
             peers::{
-                membership::{Coordinator, Identity, Peers, SelfReport},
+                membership::{Identity, Peers},
                 message::Phase,
+                self_report::SelfReport,
             },
             rules::{
                 admission::{
                     AdmissionDecision, AdmissionRequest, PlannedStage, StageService, decide,
                 },
+                coordinator::Coordinator,
                 progress::Progress,
                 retry_budget::{BudgetLimits, WindowBudget},
             },
@@ -234,7 +236,7 @@
     Peers::new(me, &[])
 }
 
-fn beliefs(phase: Phase) -> SelfReport {
+fn report(phase: Phase) -> SelfReport {
     SelfReport {
         phase,
         table: 1,
@@ -260,8 +262,8 @@
         ("10.0.0.6:7000", 4.0, Phase::Stopping),
     ] {
         let mut other = daemon(address, cores);
-        let (heartbeat, _) = other.heartbeat(Time(0), beliefs(phase));
-        me.heard(Time(0), heartbeat);
+        let heartbeat = other.heartbeat(Time(0), report(phase)).heartbeat;
+        me.receive_heartbeat(Time(0), heartbeat);
     }
     me
 }
