--- a/lib/src/gateway/routing/accept.rs
+++ b/lib/src/gateway/routing/accept.rs
@@ -5,7 +5,7 @@
         gateway::{
             dialect::{Dialect, Inbound},
             routing::call::ForwardedCall,
-            rules::backend_choice::weighted,
+            rules::{backend_choice::weighted, retry_after::TABLE_UNKNOWN},
             state::{Gateway, PublishedTable},
             table::{CustomerEntry, Route},
         },
@@ -45,7 +45,7 @@
     let named = |problem| (id.clone(), problem);
     let Some(published) = gateway.published() else {
         let problem = Problem::not_run(Code::NotReady, "no table is known yet");
-        return Err(named(problem.retry_after(Millis(500))));
+        return Err(named(problem.retry_after(TABLE_UNKNOWN)));
     };
     let (route, customer) = find(&published, &head, &inbound).map_err(named)?;
     let limit = published.table.limits().map_or(0, |limits| limits.body.0);
--- a/lib/src/gateway/routing/forward.rs
+++ b/lib/src/gateway/routing/forward.rs
@@ -14,7 +14,7 @@
                 reply_stream::{self, StreamSource},
                 stages::{check_admission, run_stages},
             },
-            rules::{endpoint_choice::EndpointChoice, progress::Progress},
+            rules::{endpoint_choice::EndpointChoice, progress::Progress, retry_after},
             serving::metrics::RetryReason,
             stages::chain::Results,
             state::Gateway,
@@ -35,10 +35,6 @@
 /// Endpoints that one request may fail to connect to.
 const CONNECT_TRIES: usize = 4;
 
-/// Longest wait that is suggested to a caller, and the shortest.
-const LONGEST_RETRY: Millis = Millis(3_000);
-const SHORTEST_RETRY: Millis = Millis(100);
-
 /// Waiting time for a repeatable call, in multiples of its usual time, and its least.
 const PATIENCE_FACTOR: f64 = 8.0;
 const LEAST_PATIENCE: Duration = Duration::from_millis(120);
@@ -114,15 +110,8 @@
 /// Suggests when a refused caller may come back.
 fn retry_after<D: Dialect>(gateway: &Gateway<D>, service: &ServiceId) -> Millis {
     let state = gateway.state.borrow();
-    let usual = state
-        .endpoints
-        .service(service)
-        .filter_map(|member| {
-            let (_, load) = member.told?;
-            Some(f64::from(load.waiting) / f64::from(load.slots.max(1)))
-        })
-        .fold(0.0, f64::max);
-    Millis((usual * 500.0) as u64).clamp(SHORTEST_RETRY, LONGEST_RETRY)
+    let members = state.endpoints.service(service);
+    retry_after::after_attempts(members.filter_map(|member| Some(member.told?.1)))
 }
 
 async fn attempts<D: Dialect>(
--- a/lib/src/gateway/routing/stages.rs
+++ b/lib/src/gateway/routing/stages.rs
@@ -7,8 +7,11 @@
             routing::{
                 attempt::choose_endpoint, call::ForwardedCall, endpoint_state::service_hash,
             },
-            rules::admission::{
-                self, AdmissionDecision, AdmissionRequest, PlannedStage, StageService,
+            rules::{
+                admission::{
+                    self, AdmissionDecision, AdmissionRequest, PlannedStage, StageService,
+                },
+                retry_after::STAGE_FAILED,
             },
             stages::chain::{self, ChainError, ChainRequest, Results},
             state::Gateway,
@@ -17,15 +20,12 @@
         shared::{
             ids::ServiceId,
             problem::{Code, Problem},
-            units::{ByteSize, Millis},
+            units::ByteSize,
         },
     },
     std::rc::Rc,
 };
 
-/// Wait that is suggested to a caller whose stages failed.
-const RETRY: Millis = Millis(100);
-
 /// Refuses a request at once whose stages can't be made in time.
 pub(crate) fn check_admission<D: Dialect>(
     gateway: &Gateway<D>,
@@ -72,10 +72,11 @@
     match chain::run(gateway, &request).await {
         Ok(results) => Ok(Some(results)),
         Err(ChainError::Late) => {
-            Err(Problem::not_run(Code::NoTime, "the stages take too long").retry_after(RETRY))
+            Err(Problem::not_run(Code::NoTime, "the stages take too long")
+                .retry_after(STAGE_FAILED))
         }
         Err(ChainError::Failed) => {
-            Err(Problem::not_run(Code::NoEndpoint, "a stage failed").retry_after(RETRY))
+            Err(Problem::not_run(Code::NoEndpoint, "a stage failed").retry_after(STAGE_FAILED))
         }
     }
 }
--- a/lib/src/gateway/rules/admission.rs
+++ b/lib/src/gateway/rules/admission.rs
@@ -4,7 +4,10 @@
 //! What all daemons have taken on and not finished yet is told in heartbeats; with the pace of each
 //! service it tells when a new request would be done.
 
-use crate::{gateway::rules::engine_pace::TOKENS_PER_MS, shared::units::Millis};
+use crate::{
+    gateway::rules::{engine_pace::TOKENS_PER_MS, retry_after},
+    shared::units::{Millis, WorkMillis},
+};
 
 /// Time that a request needs beside its stages and its prompt, in milliseconds.
 const OWN_MS: f64 = 80.0;
@@ -23,10 +26,6 @@
 const MARGIN: f64 = 1.0;
 const RANK_MARGIN: f64 = 0.05;
 
-/// Bounds of the time after which a refused caller may come back, in milliseconds.
-const LEAST_RETURN_MS: f64 = 300.0;
-const LONGEST_RETURN_MS: f64 = 3_500.0;
-
 /// How a service of a stage stands.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct StageService {
@@ -139,9 +138,8 @@
     if expected_ms <= allowed {
         return AdmissionDecision::Take(expected_ms);
     }
-    let wait = (expected_ms - allowed * 0.9).clamp(LEAST_RETURN_MS, LONGEST_RETURN_MS);
     AdmissionDecision::Refuse {
         expected_ms,
-        retry_after: Millis(wait as u64),
+        retry_after: retry_after::after_admission(WorkMillis(expected_ms), WorkMillis(allowed)),
     }
 }
--- a/lib/src/gateway/rules/mod.rs
+++ b/lib/src/gateway/rules/mod.rs
@@ -7,5 +7,6 @@
 pub mod engine_pace;
 pub(crate) mod piece_order;
 pub mod progress;
+pub mod retry_after;
 pub mod retry_budget;
 pub mod set_aside;
--- /dev/null
+++ b/lib/src/gateway/rules/retry_after.rs
@@ -0,0 +1,57 @@
+//! When may a refused caller come back?
+//!
+//! Inputs: the loads that endpoints reported with their replies, or the time that the request was
+//! expected to take and the time that was allowed, in milliseconds. Result: a wait in milliseconds.
+//!
+//! Rule: after failed attempts the wait grows with the longest queue among the service's endpoints.
+//! After a refused admission it is the time by which the expected time exceeds most of the allowed
+//! time. Both are bounded. The other refusals have a fixed wait.
+//!
+//! Reason: a caller that comes back too early is refused again and costs both sides a request; one
+//! that comes back too late could have been served before.
+//!
+//! All constants are chosen, not measured.
+
+use crate::{
+    gateway::dialect::ReplyLoad,
+    shared::units::{Millis, WorkMillis},
+};
+
+/// Wait while the daemon has no table yet; chosen, not measured.
+pub const TABLE_UNKNOWN: Millis = Millis(500);
+
+/// Wait after a stage of the request was late or failed; chosen, not measured.
+pub const STAGE_FAILED: Millis = Millis(100);
+
+/// Wait for each waiting request per slot of the most loaded endpoint, in milliseconds; chosen, not
+/// measured.
+const MS_PER_QUEUE: f64 = 500.0;
+
+/// Shortest and longest wait after failed attempts; chosen, not measured.
+const SHORTEST_AFTER_ATTEMPTS: Millis = Millis(100);
+const LONGEST_AFTER_ATTEMPTS: Millis = Millis(3_000);
+
+/// Share of the allowed time down to which the expected time should fall before the caller comes
+/// back; chosen, not measured.
+const FREE_SHARE: f64 = 0.9;
+
+/// Shortest and longest wait after a refused admission, in milliseconds; chosen, not measured.
+const SHORTEST_AFTER_ADMISSION_MS: f64 = 300.0;
+const LONGEST_AFTER_ADMISSION_MS: f64 = 3_500.0;
+
+/// Returns the wait after attempts that did not run, from the last reported loads of the service's
+/// endpoints.
+pub fn after_attempts(loads: impl Iterator<Item = ReplyLoad>) -> Millis {
+    let longest_queue = loads
+        .map(|load| f64::from(load.waiting) / f64::from(load.slots.max(1)))
+        .fold(0.0, f64::max);
+    Millis((longest_queue * MS_PER_QUEUE) as u64)
+        .clamp(SHORTEST_AFTER_ATTEMPTS, LONGEST_AFTER_ATTEMPTS)
+}
+
+/// Returns the wait after a request was refused because it was expected to take longer than allowed.
+pub fn after_admission(expected: WorkMillis, allowed: WorkMillis) -> Millis {
+    let wait = (expected.0 - allowed.0 * FREE_SHARE)
+        .clamp(SHORTEST_AFTER_ADMISSION_MS, LONGEST_AFTER_ADMISSION_MS);
+    Millis(wait as u64)
+}
--- /dev/null
+++ b/lib/tests/test_retry_after.rs
@@ -0,0 +1,89 @@
+//! Refused callers are told to come back later where the queues are longer, within bounds.
+
+use hazelyoke_lib::{
+    gateway::{
+        dialect::ReplyLoad,
+        rules::{
+            admission::{self, AdmissionDecision, AdmissionRequest, PlannedStage, StageService},
+            retry_after::{STAGE_FAILED, TABLE_UNKNOWN, after_admission, after_attempts},
+        },
+    },
+    shared::units::{Millis, WorkMillis},
+};
+
+fn load(waiting: u32, slots: u32) -> ReplyLoad {
+    ReplyLoad {
+        running: 1,
+        waiting,
+        slots,
+    }
+}
+
+#[test]
+fn fixed_waits() {
+    assert_eq!(TABLE_UNKNOWN, Millis(500));
+    assert_eq!(STAGE_FAILED, Millis(100));
+}
+
+#[test]
+fn longest_queue() {
+    let cases: [(&[ReplyLoad], u64); 8] = [
+        (&[], 100),
+        (&[load(0, 4)], 100),
+        (&[load(1, 4)], 125),
+        (&[load(1, 4), load(3, 4), load(2, 4)], 375),
+        (&[load(8, 4)], 1_000),
+        (&[load(5, 0)], 2_500),
+        (&[load(7, 3)], 1_166),
+        (&[load(100, 4)], 3_000),
+    ];
+    for (loads, wait) in cases {
+        let found = after_attempts(loads.iter().copied());
+        assert_eq!(found, Millis(wait), "{loads:?}");
+    }
+}
+
+#[test]
+fn admission_excess() {
+    for (expected, allowed, wait) in [
+        (1_000.0, 1_000.0, 300),
+        (1_300.0, 1_000.0, 400),
+        (1_500.7, 1_000.0, 600),
+        (2_000.0, 500.0, 1_550),
+        (9_000.0, 1_000.0, 3_500),
+    ] {
+        let found = after_admission(WorkMillis(expected), WorkMillis(allowed));
+        assert_eq!(found, Millis(wait), "{expected} of {allowed}");
+    }
+}
+
+/// Expected are 6,082 ms: 5,882 ms of queue, 100 ms of the call, 100 ms of the request itself.
+#[test]
+fn refused_admission() {
+    let service = StageService {
+        endpoints: 1,
+        batch: 8,
+        call_ms: 20.0,
+        piece_ms: 10.0,
+        room: f64::MAX,
+        outstanding: 400.0,
+    };
+    let decision = |objective, rank| {
+        admission::decide(&AdmissionRequest {
+            stages: vec![PlannedStage {
+                service,
+                pieces: 4,
+                after: Vec::new(),
+            }],
+            objective: Millis(objective),
+            rank,
+            tokens: 1_000,
+        })
+    };
+    for (objective, rank, wait) in [(1_000, 0, 3_500), (5_000, 0, 1_582), (5_500, 2, 1_627)] {
+        let AdmissionDecision::Refuse { retry_after, .. } = decision(objective, rank) else {
+            panic!("taken with an objective of {objective} ms");
+        };
+        assert_eq!(retry_after, Millis(wait));
+    }
+}
