--- a/lib/src/gateway/routing/attempt.rs
+++ b/lib/src/gateway/routing/attempt.rs
@@ -15,7 +15,7 @@
             stages::chain::Results,
             state::Gateway,
             wire::{
-                egress::{self, ConnectionGuard, SendError},
+                egress::{self, CONNECT_LIMIT, ConnectionGuard, SendError},
                 headers::strip_connection_headers,
             },
         },
@@ -28,9 +28,6 @@
     std::{rc::Rc, time::Duration},
 };
 
-/// Longest time to connect to an endpoint.
-pub(crate) const CONNECT_LIMIT: Duration = Duration::from_millis(250);
-
 /// Largest reply that is gathered before it is passed on.
 const GATHERED: usize = 8 << 20;
 
--- a/lib/src/gateway/routing/reply_stream.rs
+++ b/lib/src/gateway/routing/reply_stream.rs
@@ -5,7 +5,7 @@
         gateway::{
             dialect::Dialect,
             routing::{
-                attempt::{CONNECT_LIMIT, choose_endpoint, outbound_request},
+                attempt::{choose_endpoint, outbound_request},
                 call::{AttemptGuard, ForwardedCall, RequestGuard},
                 endpoint_state::EndpointOutcome,
                 stages::run_stages,
@@ -15,7 +15,7 @@
             state::Gateway,
             table::RouteKind,
             wire::{
-                egress::{self, ConnectionGuard},
+                egress::{self, CONNECT_LIMIT, ConnectionGuard},
                 event_stream::EventSplitter,
                 reply::StreamPart,
             },
--- a/lib/src/gateway/stages/planner.rs
+++ b/lib/src/gateway/stages/planner.rs
@@ -12,7 +12,7 @@
                 release::release,
             },
             state::Gateway,
-            wire::egress,
+            wire::egress::{self, CONNECT_LIMIT},
         },
         shared::{
             ids::{EndpointId, ServiceId},
@@ -26,9 +26,6 @@
     std::{collections::BTreeMap, net::SocketAddr, rc::Rc, time::Duration},
 };
 
-/// Longest time to connect to an endpoint.
-const CONNECT_LIMIT: Duration = Duration::from_millis(250);
-
 /// Longest time for the answer to a call, beyond a multiple of what was expected.
 const CALL_LIMIT: Duration = Duration::from_millis(2_500);
 const CALL_FACTOR: f64 = 6.0;
--- a/lib/src/gateway/wire/egress.rs
+++ b/lib/src/gateway/wire/egress.rs
@@ -17,6 +17,9 @@
     tokio::{net::TcpStream, task::AbortHandle},
 };
 
+/// Longest time to connect to an endpoint; chosen, not measured.
+pub const CONNECT_LIMIT: Duration = Duration::from_millis(250);
+
 /// Time of silence before the first keep-alive probe, and between two probes; the shortest that the
 /// system's interface takes.
 const KEEPALIVE_IDLE: Duration = Duration::from_secs(1);
