--- a/lib/src/gateway/routing/forward.rs
+++ b/lib/src/gateway/routing/forward.rs
@@ -207,7 +207,7 @@
         RouteKind::Stream { .. } => {
             STREAM_PATIENCE + Duration::from_secs_f64(choice.expected_ms * 3.0 / 1e3)
         }
-        RouteKind::Repeatable | RouteKind::Guarded => {
+        RouteKind::Idempotent | RouteKind::NonIdempotent => {
             let usual = Duration::from_secs_f64(choice.expected_ms * PATIENCE_FACTOR / 1e3);
             usual.max(LEAST_PATIENCE)
         }
--- a/lib/src/gateway/table.rs
+++ b/lib/src/gateway/table.rs
@@ -12,16 +12,17 @@
 /// Numbers the published versions of a table; a later one is greater.
 pub type Version = u64;
 
-/// What may be repeated of a route's requests.
+/// Kind of a route's requests: decides whether one may be sent again although it may have run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RouteKind {
     /// A request may run more than once.
-    Repeatable,
+    Idempotent,
     /// A request runs at most once.
-    Guarded,
-    /// The answer is a stream of events; it runs at most once unless it can be resumed.
+    NonIdempotent,
+    /// The answer is a stream of events; a request runs at most once unless the stream can be
+    /// resumed.
     Stream {
-        /// Whether another endpoint can take a broken stream up.
+        /// Whether another endpoint can resume a broken stream.
         resumable: bool,
         /// Longest pause between two events of an answer that is in time.
         gap: Millis,
@@ -32,8 +33,8 @@
     /// Returns whether a request may be sent again although it may have run.
     pub fn is_retryable(self) -> bool {
         match self {
-            RouteKind::Repeatable => true,
-            RouteKind::Guarded => false,
+            RouteKind::Idempotent => true,
+            RouteKind::NonIdempotent => false,
             RouteKind::Stream { resumable, .. } => resumable,
         }
     }
@@ -73,7 +74,7 @@
     pub host: Arc<str>,
     /// Beginning of the paths it takes, with a slash at both ends.
     pub prefix: Arc<str>,
-    /// What may be repeated.
+    /// Kind of its requests.
     pub kind: RouteKind,
     /// Longest time a request is held.
     pub timeout: Millis,
--- a/lib/tests/test_decision_pins.rs
+++ b/lib/tests/test_decision_pins.rs
@@ -338,8 +338,8 @@
         gap: Millis(500),
     };
     let kinds = [
-        ("repeatable", RouteKind::Repeatable),
-        ("guarded", RouteKind::Guarded),
+        ("repeatable", RouteKind::Idempotent),
+        ("guarded", RouteKind::NonIdempotent),
         ("resumable", stream(true)),
         ("stream", stream(false)),
     ];
--- a/lib/tests/test_progress.rs
+++ b/lib/tests/test_progress.rs
@@ -14,12 +14,12 @@
 #[test]
 fn a_request_that_may_have_run_is_not_sent_again() {
     let mut progress = Progress::default();
-    assert!(progress.may_send(RouteKind::Guarded, 3));
+    assert!(progress.may_send(RouteKind::NonIdempotent, 3));
     progress.sending();
-    assert!(!progress.may_send(RouteKind::Guarded, 3));
-    assert!(progress.may_send(RouteKind::Repeatable, 3));
+    assert!(!progress.may_send(RouteKind::NonIdempotent, 3));
+    assert!(progress.may_send(RouteKind::Idempotent, 3));
     progress.proven_not_run();
-    assert!(progress.may_send(RouteKind::Guarded, 3));
+    assert!(progress.may_send(RouteKind::NonIdempotent, 3));
 }
 
 #[test]
@@ -50,8 +50,8 @@
 fn runs_and_promises_agree_with_an_observer() {
     for_seeds(500, 256, |u| {
         let kind = *u.choose(&[
-            RouteKind::Guarded,
-            RouteKind::Repeatable,
+            RouteKind::NonIdempotent,
+            RouteKind::Idempotent,
             RouteKind::Stream {
                 resumable: false,
                 gap: Millis(400),
--- a/lib/tests/test_route_table.rs
+++ b/lib/tests/test_route_table.rs
@@ -17,7 +17,7 @@
         name: name.into(),
         host: host.into(),
         prefix: prefix.into(),
-        kind: RouteKind::Repeatable,
+        kind: RouteKind::Idempotent,
         timeout: Millis(1_000),
         objective: Millis(100),
         rank: 0,
