--- a/lib/src/gateway/routing/accept.rs
+++ b/lib/src/gateway/routing/accept.rs
@@ -5,14 +5,19 @@
         gateway::{
             dialect::{Dialect, Inbound},
             routing::call::ForwardedCall,
-            rules::{backend_choice::weighted, retry_after::TABLE_UNKNOWN},
+            rules::{
+                backend_choice::weighted,
+                retry_after::TABLE_UNKNOWN,
+                time_limits::{caller_time, work_time},
+                urgency::urgency,
+            },
             state::{Gateway, PublishedTable},
             table::{CustomerEntry, Route},
         },
         shared::{
             ids::ServiceId,
             problem::{Code, Problem},
-            units::{Millis, Time},
+            units::Time,
         },
     },
     bytes::Bytes,
@@ -22,12 +27,6 @@
     std::{rc::Rc, sync::Arc},
 };
 
-/// Time kept back of a request's time, for the answer's way.
-const MARGIN: Millis = Millis(15);
-
-/// Time that is expected of a caller that names none.
-const DEFAULT_TIME: Millis = Millis(30_000);
-
 /// A problem together with the id of its request.
 pub(crate) type Refusal = (Arc<str>, Problem);
 
@@ -49,7 +48,7 @@
     };
     let (route, customer) = find(&published, &head, &inbound).map_err(named)?;
     let limit = published.table.limits().map_or(0, |limits| limits.body.0);
-    let time = inbound.remaining.unwrap_or(DEFAULT_TIME).min(route.timeout);
+    let time = caller_time(inbound.remaining, route.timeout);
     let body = tokio::time::timeout(time.to_duration(), read_body(body, limit as usize))
         .await
         .unwrap_or_else(|_| {
@@ -58,7 +57,6 @@
         })
         .map_err(named)?;
     let service = choose_backend(&route, &inbound.id);
-    let rank = customer.as_ref().map_or(0, |customer| customer.rank);
     gateway.deposit(&service);
     log::info!(
         request = &*inbound.id,
@@ -71,7 +69,8 @@
         pieces:? = inbound.pieces;
         "request.accepted"
     );
-    let urgency = (rank * 3 + route.rank).min(9);
+    let customer_rank = customer.as_ref().map(|customer| customer.rank);
+    let urgency = urgency(customer_rank, route.rank);
     Ok(ForwardedCall {
         inbound,
         route,
@@ -80,7 +79,7 @@
         head,
         body,
         arrived,
-        deadline: arrived + Millis(time.0.saturating_sub(MARGIN.0)),
+        deadline: arrived + work_time(time),
         urgency,
     })
 }
--- a/lib/src/gateway/routing/call.rs
+++ b/lib/src/gateway/routing/call.rs
@@ -5,9 +5,9 @@
         gateway::{
             dialect::{Dialect, Inbound},
             routing::endpoint_state::EndpointOutcome,
-            rules::endpoint_choice::EndpointChoice,
+            rules::{endpoint_choice::EndpointChoice, time_limits::first_event_time},
             state::Gateway,
-            table::{CustomerEntry, Route, RouteKind},
+            table::{CustomerEntry, Route},
         },
         shared::{
             ids::ServiceId,
@@ -19,11 +19,6 @@
     std::{rc::Rc, sync::Arc},
 };
 
-/// Time that callers of a stream wait for its first event: the longest of these.
-const LEAST_WAIT: Millis = Millis(2_000);
-const WAIT_OBJECTIVES: u64 = 4;
-const WAIT_GAPS: u64 = 8;
-
 /// One request, as far as it doesn't change.
 pub(crate) struct ForwardedCall {
     pub(crate) inbound: Inbound,
@@ -49,14 +44,10 @@
 
     /// Returns when a caller of a stream gives up before its first event.
     pub(crate) fn give_up(&self) -> Time {
-        let RouteKind::Stream { gap, .. } = self.route.kind else {
-            return self.deadline;
-        };
-        let longest = LEAST_WAIT
-            .0
-            .max(self.route.objective.0 * WAIT_OBJECTIVES)
-            .max(gap.0 * WAIT_GAPS);
-        self.arrived + Millis(longest)
+        match first_event_time(self.route.kind, self.route.objective) {
+            Some(time) => self.arrived + time,
+            None => self.deadline,
+        }
     }
 
     pub(crate) fn remaining(&self, now: Time) -> Millis {
--- a/lib/src/gateway/rules/mod.rs
+++ b/lib/src/gateway/rules/mod.rs
@@ -10,3 +10,5 @@
 pub mod retry_after;
 pub mod retry_budget;
 pub mod set_aside;
+pub mod time_limits;
+pub mod urgency;
