--- a/lib/src/gateway/routing/forward.rs
+++ b/lib/src/gateway/routing/forward.rs
@@ -14,17 +14,25 @@
                 reply_stream::{self, StreamSource},
                 stages::{check_admission, run_stages},
             },
-            rules::{endpoint_choice::EndpointChoice, progress::Progress, retry_after},
+            rules::{
+                attempt_timeout::{AttemptPlan, attempt_timeout},
+                endpoint_choice::EndpointChoice,
+                progress::Progress,
+                retry_after,
+            },
             serving::metrics::RetryReason,
             stages::chain::Results,
             state::Gateway,
-            table::RouteKind,
             wire::{
                 headers::strip_connection_headers,
                 reply::{ReplyBody, problem_reply},
             },
         },
-        shared::{ids::ServiceId, problem::Problem, units::Millis},
+        shared::{
+            ids::ServiceId,
+            problem::Problem,
+            units::{Millis, WorkMillis},
+        },
     },
     bytes::Bytes,
     http::{Request, Response, header, response},
@@ -35,13 +43,6 @@
 /// Endpoints that one request may fail to connect to.
 const CONNECT_TRIES: usize = 4;
 
-/// Waiting time for a repeatable call, in multiples of its usual time, and its least.
-const PATIENCE_FACTOR: f64 = 8.0;
-const LEAST_PATIENCE: Duration = Duration::from_millis(120);
-
-/// Waiting time for the head of a stream that can be resumed.
-const STREAM_PATIENCE: Duration = Duration::from_millis(2_500);
-
 /// Answers one request.
 pub async fn handle<D: Dialect>(
     gateway: Rc<Gateway<D>>,
@@ -137,11 +138,11 @@
             left_ms = call.remaining(gateway.now()).0;
             "attempt.sent"
         );
-        let patience = patience(gateway, call, progress, &choice);
+        let limit = time_limit(gateway, call, progress, &choice);
         progress.tried.push(choice.entry.id.clone());
         let resume_after = call.inbound.last_event;
         let outbound = outbound_request(gateway, call, &choice, results.as_ref(), resume_after);
-        let end = attempt(gateway, call, choice, outbound, patience, progress).await;
+        let end = attempt(gateway, call, choice, outbound, limit, progress).await;
         match end {
             AttemptOutcome::Reply(head, body) => {
                 if head.status.is_server_error()
@@ -184,33 +185,20 @@
     }
 }
 
-/// Returns how long the attempt may take before another one is worth it.
-fn patience<D: Dialect>(
+/// Returns the time after which another attempt is worth more than waiting for this one.
+fn time_limit<D: Dialect>(
     gateway: &Gateway<D>,
     call: &ForwardedCall,
     progress: &Progress,
     choice: &EndpointChoice,
 ) -> Option<Duration> {
-    if !call.route.kind.is_retryable() || progress.sent() + 1 >= call.route.attempts {
-        return None;
-    }
-    let others = gateway
-        .state
-        .borrow()
-        .endpoints
-        .service(&call.service)
-        .count();
-    if others <= progress.tried.len() + 1 {
-        return None;
-    }
-    Some(match call.route.kind {
-        RouteKind::Stream { .. } => {
-            STREAM_PATIENCE + Duration::from_secs_f64(choice.expected_ms * 3.0 / 1e3)
-        }
-        RouteKind::Idempotent | RouteKind::NonIdempotent => {
-            let usual = Duration::from_secs_f64(choice.expected_ms * PATIENCE_FACTOR / 1e3);
-            usual.max(LEAST_PATIENCE)
-        }
+    let state = gateway.state.borrow();
+    let endpoints = state.endpoints.service(&call.service).count();
+    attempt_timeout(&AttemptPlan {
+        kind: call.route.kind,
+        later_attempts: call.route.attempts.saturating_sub(progress.sent() + 1),
+        other_endpoints: endpoints.saturating_sub(progress.tried.len() + 1),
+        expected: WorkMillis(choice.expected_ms),
     })
 }
 
--- a/lib/src/gateway/routing/reply_stream.rs
+++ b/lib/src/gateway/routing/reply_stream.rs
@@ -10,10 +10,10 @@
                 endpoint_state::EndpointOutcome,
                 stages::run_stages,
             },
+            rules::resume::{is_resumable, may_resume, silence_limit},
             serving::metrics::RetryReason,
             stages::chain::Results,
             state::Gateway,
-            table::RouteKind,
             wire::{
                 egress::{self, CONNECT_LIMIT, ConnectionGuard},
                 event_stream::EventSplitter,
@@ -32,11 +32,6 @@
 /// Chunks of a stream that may wait for its reader.
 const QUEUE: usize = 8;
 
-/// Silence after which a stream that can be resumed is taken up at another endpoint, before its
-/// first event and between two.
-const FIRST_SILENCE: Duration = Duration::from_millis(3_000);
-const SILENCE: Duration = Duration::from_millis(1_200);
-
 /// Where a stream comes from.
 pub(crate) struct StreamSource<D: Dialect> {
     pub(crate) body: Incoming,
@@ -144,19 +139,14 @@
     /// Passes events on until the source ends.
     async fn pass(&mut self, body: &mut Incoming, ticket: &mut AttemptGuard<D>) -> SourceEnd {
         let deadline = self.gateway.instant(self.call.deadline);
-        let resumable = self.call.route.kind.is_retryable();
         loop {
-            let silence = if self.events_begun {
-                SILENCE
-            } else {
-                FIRST_SILENCE
-            };
+            let silence = silence_limit(self.call.route.kind, self.events_begun);
             let frame = tokio::select! {
                 biased;
                 () = self.sink.closed() => return SourceEnd::CallerLeft,
                 frame = body.frame() => frame,
                 () = tokio::time::sleep_until(deadline) => return SourceEnd::TimeOver,
-                () = tokio::time::sleep(silence), if resumable => {
+                () = sleep_or_wait(silence) => {
                     return SourceEnd::Broken("silent".into());
                 }
             };
@@ -195,26 +185,26 @@
 
     /// Takes the stream up at another endpoint, if that is allowed and one is found.
     async fn resume(&mut self, why: &str) -> Option<StreamSource<D>> {
-        let RouteKind::Stream {
-            resumable: true, ..
-        } = self.call.route.kind
-        else {
+        if !is_resumable(self.call.route.kind) {
             return None;
-        };
+        }
         if self.results.is_none() {
             // The results went when the first endpoint had taken them; they are made again.
             self.results = run_stages(&self.gateway, &self.call).await.ok()?;
         }
-        while self.sent < self.call.route.attempts && self.gateway.withdraw(&self.call.service) {
+        while self.may_resume() && self.gateway.withdraw(&self.call.service) {
             match self.connect_next(why).await {
                 Some(source) => return Some(source),
-                None if self.sent >= self.call.route.attempts => return None,
                 None => {}
             }
         }
         None
     }
 
+    fn may_resume(&self) -> bool {
+        may_resume(self.call.route.kind, self.sent, self.call.route.attempts)
+    }
+
     async fn connect_next(&mut self, why: &str) -> Option<StreamSource<D>> {
         let results = self.results.as_ref();
         let choice = choose_endpoint(&self.gateway, &self.call, &self.tried, results);
@@ -302,3 +292,11 @@
         // Without its end, the body is broken off.
     }
 }
+
+/// Ends after `limit`; never without one.
+async fn sleep_or_wait(limit: Option<Duration>) {
+    match limit {
+        Some(limit) => tokio::time::sleep(limit).await,
+        None => std::future::pending().await,
+    }
+}
--- a/lib/src/gateway/rules/mod.rs
+++ b/lib/src/gateway/rules/mod.rs
@@ -1,12 +1,14 @@
 //! The rules of the forwarding daemon, one module each: pure functions and values.
 
 pub mod admission;
+pub mod attempt_timeout;
 pub mod backend_choice;
 pub mod endpoint_choice;
 pub mod endpoint_pace;
 pub mod engine_pace;
 pub(crate) mod piece_order;
 pub mod progress;
+pub mod resume;
 pub mod retry_after;
 pub mod retry_budget;
 pub mod set_aside;
