--- a/lib/src/gateway/routing/attempt.rs
+++ b/lib/src/gateway/routing/attempt.rs
@@ -3,26 +3,16 @@
 use {
     crate::{
         gateway::{
-            dialect::{Dialect, Outbound},
-            routing::{
-                call::{AttemptGuard, ForwardedCall},
-                endpoint_state::EndpointOutcome,
-            },
-            rules::{
-                endpoint_choice::{EndpointChoice, Placement},
-                progress::Progress,
-            },
-            stages::chain::Results,
+            dialect::Dialect,
+            routing::{call::ForwardedCall, endpoint_state::EndpointOutcome, guards::AttemptGuard},
+            rules::{endpoint_choice::EndpointChoice, progress::Progress},
             state::Gateway,
-            wire::{
-                egress::{self, CONNECT_LIMIT, ConnectionGuard, SendError},
-                headers::strip_connection_headers,
-            },
+            wire::egress::{self, CONNECT_LIMIT, ConnectionGuard, SendError},
         },
         shared::ids::EndpointId,
     },
     bytes::Bytes,
-    http::{HeaderMap, Request, StatusCode, Uri, header, response},
+    http::{Request, StatusCode, response},
     http_body_util::{BodyExt, Full, Limited},
     hyper::body::Incoming,
     std::{rc::Rc, time::Duration},
@@ -58,68 +48,6 @@
     InputsGone,
 }
 
-/// Chooses an endpoint for a request, beside those that it was sent to before.
-pub(crate) fn choose_endpoint<D: Dialect>(
-    gateway: &Gateway<D>,
-    call: &ForwardedCall,
-    tried: &[EndpointId],
-    results: Option<&Results<D>>,
-) -> Option<EndpointChoice> {
-    let inputs = results.map(Results::input_locations).unwrap_or_default();
-    let placement = Placement {
-        prompt: &call.inbound.prompt,
-        affinity: call.route.affinity,
-        tried,
-        inputs: &inputs,
-        connection_limit: gateway.connections_each(&call.service),
-    };
-    let here = &gateway.settings.data_centre;
-    let state = gateway.state.borrow();
-    state
-        .endpoints
-        .choose(gateway.now(), here, &call.service, &placement)
-}
-
-/// Builds a request as it goes to an endpoint.
-pub(crate) fn outbound_request<D: Dialect>(
-    gateway: &Gateway<D>,
-    call: &ForwardedCall,
-    choice: &EndpointChoice,
-    results: Option<&Results<D>>,
-    resume_after: Option<u64>,
-) -> Request<Full<Bytes>> {
-    let mut headers: HeaderMap = call.head.headers.clone();
-    strip_connection_headers(&mut headers);
-    headers.remove(header::CONTENT_LENGTH);
-    headers.remove(header::EXPECT);
-    let inputs = results.map(Results::inputs).unwrap_or_default();
-    let outbound = Outbound {
-        endpoint: &choice.entry.id,
-        customer: call.customer.as_ref().map(|customer| &customer.id),
-        remaining: call.remaining(gateway.now()),
-        urgency: call.urgency,
-        inputs: &inputs,
-        resume_after,
-    };
-    D::write_request(&mut headers, &outbound);
-    let had_body = call.head.headers.contains_key(header::CONTENT_LENGTH)
-        || call.head.headers.contains_key(header::TRANSFER_ENCODING);
-    if had_body {
-        headers.insert(header::CONTENT_LENGTH, call.body.len().into());
-    }
-    let mut request = Request::new(Full::new(call.body.clone()));
-    *request.method_mut() = call.head.method.clone();
-    *request.uri_mut() = origin_form(&call.head.uri);
-    *request.headers_mut() = headers;
-    request
-}
-
-/// Takes scheme and host off a URI; the path and the query stay as they are.
-fn origin_form(uri: &Uri) -> Uri {
-    let path = uri.path_and_query().cloned();
-    path.map_or_else(|| uri.clone(), Uri::from)
-}
-
 pub(crate) async fn attempt<D: Dialect>(
     gateway: &Rc<Gateway<D>>,
     call: &Rc<ForwardedCall>,
--- a/lib/src/gateway/routing/forward.rs
+++ b/lib/src/gateway/routing/forward.rs
@@ -6,11 +6,10 @@
             dialect::Dialect,
             routing::{
                 accept::accept,
-                attempt::{
-                    AttemptOutcome, NotRunReason, StreamingReply, attempt, choose_endpoint,
-                    outbound_request,
-                },
-                call::{CallerLeftGuard, ForwardedCall, RequestGuard},
+                attempt::{AttemptOutcome, NotRunReason, StreamingReply, attempt},
+                call::ForwardedCall,
+                guards::{CallerLeftGuard, RequestGuard},
+                outbound::{choose_endpoint, outbound_request},
                 reply_stream::{self, StreamSource},
                 stages::{check_admission, run_stages},
             },
--- a/lib/src/gateway/routing/mod.rs
+++ b/lib/src/gateway/routing/mod.rs
@@ -6,6 +6,8 @@
 pub mod endpoint_state;
 pub mod endpoint_states;
 pub mod forward;
+pub(crate) mod guards;
+pub(crate) mod outbound;
 pub(crate) mod reply_stream;
 pub(crate) mod sent_parts;
 pub(crate) mod stages;
--- /dev/null
+++ b/lib/src/gateway/routing/outbound.rs
@@ -0,0 +1,80 @@
+//! Prepares an attempt: chooses its endpoint and builds the request that goes there.
+
+use {
+    crate::{
+        gateway::{
+            dialect::{Dialect, Outbound},
+            routing::call::ForwardedCall,
+            rules::endpoint_choice::{EndpointChoice, Placement},
+            stages::chain::Results,
+            state::Gateway,
+            wire::headers::strip_connection_headers,
+        },
+        shared::ids::EndpointId,
+    },
+    bytes::Bytes,
+    http::{HeaderMap, Request, Uri, header},
+    http_body_util::Full,
+};
+
+/// Chooses an endpoint for a request, beside those that it was sent to before.
+pub(crate) fn choose_endpoint<D: Dialect>(
+    gateway: &Gateway<D>,
+    call: &ForwardedCall,
+    tried: &[EndpointId],
+    results: Option<&Results<D>>,
+) -> Option<EndpointChoice> {
+    let inputs = results.map(Results::input_locations).unwrap_or_default();
+    let placement = Placement {
+        prompt: &call.inbound.prompt,
+        affinity: call.route.affinity,
+        tried,
+        inputs: &inputs,
+        connection_limit: gateway.connections_each(&call.service),
+    };
+    let here = &gateway.settings.data_centre;
+    let state = gateway.state.borrow();
+    state
+        .endpoints
+        .choose(gateway.now(), here, &call.service, &placement)
+}
+
+/// Builds a request as it goes to an endpoint.
+pub(crate) fn outbound_request<D: Dialect>(
+    gateway: &Gateway<D>,
+    call: &ForwardedCall,
+    choice: &EndpointChoice,
+    results: Option<&Results<D>>,
+    resume_after: Option<u64>,
+) -> Request<Full<Bytes>> {
+    let mut headers: HeaderMap = call.head.headers.clone();
+    strip_connection_headers(&mut headers);
+    headers.remove(header::CONTENT_LENGTH);
+    headers.remove(header::EXPECT);
+    let inputs = results.map(Results::inputs).unwrap_or_default();
+    let outbound = Outbound {
+        endpoint: &choice.entry.id,
+        customer: call.customer.as_ref().map(|customer| &customer.id),
+        remaining: call.remaining(gateway.now()),
+        urgency: call.urgency,
+        inputs: &inputs,
+        resume_after,
+    };
+    D::write_request(&mut headers, &outbound);
+    let had_body = call.head.headers.contains_key(header::CONTENT_LENGTH)
+        || call.head.headers.contains_key(header::TRANSFER_ENCODING);
+    if had_body {
+        headers.insert(header::CONTENT_LENGTH, call.body.len().into());
+    }
+    let mut request = Request::new(Full::new(call.body.clone()));
+    *request.method_mut() = call.head.method.clone();
+    *request.uri_mut() = origin_form(&call.head.uri);
+    *request.headers_mut() = headers;
+    request
+}
+
+/// Takes scheme and host off a URI; the path and the query stay as they are.
+fn origin_form(uri: &Uri) -> Uri {
+    let path = uri.path_and_query().cloned();
+    path.map_or_else(|| uri.clone(), Uri::from)
+}
--- a/lib/src/gateway/routing/reply_stream.rs
+++ b/lib/src/gateway/routing/reply_stream.rs
@@ -5,9 +5,10 @@
         gateway::{
             dialect::Dialect,
             routing::{
-                attempt::{choose_endpoint, outbound_request},
-                call::{AttemptGuard, ForwardedCall, RequestGuard},
+                call::ForwardedCall,
                 endpoint_state::EndpointOutcome,
+                guards::{AttemptGuard, RequestGuard},
+                outbound::{choose_endpoint, outbound_request},
                 stages::run_stages,
             },
             rules::resume::{is_resumable, may_resume, silence_limit},
--- a/lib/src/gateway/routing/stages.rs
+++ b/lib/src/gateway/routing/stages.rs
@@ -5,7 +5,7 @@
         gateway::{
             dialect::{Dialect, Inbound},
             routing::{
-                attempt::choose_endpoint, call::ForwardedCall, endpoint_state::service_hash,
+                call::ForwardedCall, endpoint_state::service_hash, outbound::choose_endpoint,
             },
             rules::{
                 admission::{
