--- /dev/null
+++ b/lib/src/gateway/rules/outcome.rs
@@ -0,0 +1,100 @@
+//! What do the attempts of a request prove, and what may its caller be promised?
+//!
+//! Inputs: the events of one request's attempts, in order: no connection came up, the request is
+//! about to be sent, a reply proves that it did not run. Results: counts of attempts, and the
+//! problem that ends a request without an answer.
+//!
+//! Rule: an attempt has possibly run from the moment before its first byte leaves, until a reply
+//! proves the opposite. While any attempt has possibly run, the caller gets the outcome `unknown`
+//! and no time to come back; otherwise `not_run` and a time to come back.
+//!
+//! Reason: a request that must not run twice runs at most once, and a caller may only repeat by
+//! itself what is proven not to have run. Both rest on these counts alone, since each request has an
+//! id of its own and meets one daemon.
+//!
+//! It has no constants. `test_attempt_outcome` holds it against an observer at the endpoints.
+
+use crate::shared::{
+    problem::{Code, Outcome, Problem},
+    units::Millis,
+};
+
+/// Counts of the attempts of one request.
+#[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
+pub struct AttemptHistory {
+    sent: u32,
+    possibly_run: u32,
+    unreachable: usize,
+}
+
+/// The end of a request that gets no answer.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct UnansweredEnd<'a> {
+    /// Reason for which no other attempt is sent.
+    pub why: &'a str,
+    /// Result of the last attempt.
+    pub last_result: &'a str,
+    /// Whether the deadline has passed.
+    pub is_late: bool,
+    /// Time after which the caller may come back if nothing has run.
+    pub retry_after: Millis,
+}
+
+impl AttemptHistory {
+    /// Records that the request is about to be sent: from now on it has possibly run.
+    pub fn record_sent(&mut self) {
+        self.sent += 1;
+        self.possibly_run += 1;
+    }
+
+    /// Records proof that the last attempt did not run and will not.
+    ///
+    /// # Panics
+    ///
+    /// Panics if more attempts are cleared than were sent.
+    pub fn record_not_run(&mut self) {
+        crate::invariant!(
+            self.possibly_run > 0,
+            "more attempts were cleared than sent"
+        );
+        self.possibly_run -= 1;
+    }
+
+    /// Records that no connection to an endpoint came up; no byte was sent.
+    pub fn record_unreachable(&mut self) {
+        self.unreachable += 1;
+    }
+
+    /// Returns the number of attempts that were sent.
+    pub fn sent(&self) -> u32 {
+        self.sent
+    }
+
+    /// Returns the number of attempts that have possibly run.
+    pub fn possibly_run(&self) -> u32 {
+        self.possibly_run
+    }
+
+    /// Returns the number of endpoints to which no connection came up.
+    pub fn unreachable(&self) -> usize {
+        self.unreachable
+    }
+
+    /// Builds the problem that ends the request, with what can be promised of it.
+    pub fn problem(&self, end: &UnansweredEnd<'_>) -> Problem {
+        let detail = format!("{}; {} sent, last: {}", end.why, self.sent, end.last_result);
+        if self.possibly_run == 0 {
+            return Problem::not_run(Code::NoEndpoint, detail).retry_after(end.retry_after);
+        }
+        Problem {
+            code: if end.is_late {
+                Code::DeadlineExceeded
+            } else {
+                Code::StageFailed
+            },
+            outcome: Outcome::Unknown,
+            detail,
+            retry_after: None,
+        }
+    }
+}
--- /dev/null
+++ b/lib/tests/test_attempt_outcome.rs
@@ -0,0 +1,103 @@
+//! At most once, and no promise that isn't proven, whatever happens to a request's attempts.
+
+use {
+    hazelyoke_lib::{
+        gateway::{
+            rules::{
+                outcome::{AttemptHistory, UnansweredEnd},
+                retry::may_retry,
+            },
+            table::RouteKind,
+        },
+        shared::{
+            problem::{Code, Outcome},
+            units::Millis,
+        },
+    },
+    hazelyoke_testutils::seeds::for_seeds,
+};
+
+fn end(why: &str, is_late: bool, retry_after: u64) -> UnansweredEnd<'_> {
+    UnansweredEnd {
+        why,
+        last_result: "",
+        is_late,
+        retry_after: Millis(retry_after),
+    }
+}
+
+#[test]
+fn a_request_that_may_have_run_is_not_sent_again() {
+    let mut history = AttemptHistory::default();
+    assert!(may_retry(RouteKind::NonIdempotent, 3, &history));
+    history.record_sent();
+    assert!(!may_retry(RouteKind::NonIdempotent, 3, &history));
+    assert!(may_retry(RouteKind::Idempotent, 3, &history));
+    history.record_not_run();
+    assert!(may_retry(RouteKind::NonIdempotent, 3, &history));
+}
+
+#[test]
+fn a_request_that_may_have_run_gets_no_promise() {
+    let mut history = AttemptHistory::default();
+    history.record_sent();
+    let problem = history.problem(&end("broken", false, 100));
+    assert_eq!(problem.outcome, Outcome::Unknown);
+    assert_eq!(problem.code, Code::StageFailed);
+    assert_eq!(problem.retry_after, None);
+    let problem = history.problem(&end("over", true, 100));
+    assert_eq!(problem.code, Code::DeadlineExceeded);
+}
+
+#[test]
+fn a_request_that_never_left_is_told_when_to_come_back() {
+    let mut history = AttemptHistory::default();
+    history.record_unreachable();
+    let problem = history.problem(&end("none", true, 250));
+    assert_eq!(problem.outcome, Outcome::NotRun);
+    assert_eq!(problem.code.status(), 503);
+    assert_eq!(problem.retry_after, Some(Millis(250)));
+}
+
+/// An observer at the endpoints counts runs; the daemon learns of some attempts that they didn't
+/// run, and of none that they did.
+#[test]
+fn runs_and_promises_agree_with_an_observer() {
+    for_seeds(500, 256, |u| {
+        let kind = *u.choose(&[
+            RouteKind::NonIdempotent,
+            RouteKind::Idempotent,
+            RouteKind::Stream {
+                resumable: false,
+                gap: Millis(400),
+            },
+        ])?;
+        let attempts = u.int_in_range(1..=4)?;
+        let mut history = AttemptHistory::default();
+        let mut runs = 0;
+        for _ in 0..u.int_in_range(1..=12)? {
+            if !may_retry(kind, attempts, &history) {
+                break;
+            }
+            if u.ratio(1, 4)? {
+                history.record_unreachable();
+                continue;
+            }
+            history.record_sent();
+            let ran = u.ratio(1, 2)?;
+            runs += u32::from(ran);
+            if !ran && u.ratio(2, 3)? {
+                history.record_not_run();
+            }
+        }
+        assert!(history.sent() <= attempts);
+        if !kind.is_retryable() {
+            assert!(runs <= 1);
+        }
+        let problem = history.problem(&end("end", false, 100));
+        if problem.outcome == Outcome::NotRun {
+            assert_eq!(runs, 0);
+        }
+        Ok(())
+    });
+}
--- /dev/null
+++ b/lib/tests/test_reply_proof.rs
@@ -0,0 +1,176 @@
+//! A reply proves that a request did not run, or counts as its answer, only by its own marks.
+
+use {
+    hazelyoke_lib::{
+        gateway::{
+            dialect::ReplyFacts,
+            routing::endpoint_state::EndpointOutcome,
+            rules::reply_proof::{
+                HeadVerdict, NotRunReason, ReplyOriginError, is_endpoint_failure, judge_head,
+                judge_resumed_head,
+            },
+            table::RouteKind,
+        },
+        shared::units::Millis,
+    },
+    http::StatusCode,
+};
+
+const STREAM: RouteKind = RouteKind::Stream {
+    resumable: true,
+    gap: Millis(400),
+};
+const KINDS: [RouteKind; 3] = [RouteKind::Idempotent, RouteKind::NonIdempotent, STREAM];
+
+fn facts(request: Option<&str>, signed: bool, not_run: bool) -> ReplyFacts {
+    ReplyFacts {
+        request: request.map(String::from),
+        signed,
+        not_run,
+        load: None,
+    }
+}
+
+fn status(code: u16) -> StatusCode {
+    StatusCode::from_u16(code).expect("the code is valid")
+}
+
+/// All marks that a reply may carry.
+fn all_facts() -> impl Iterator<Item = ReplyFacts> {
+    [None, Some("r1"), Some("r2")]
+        .into_iter()
+        .flat_map(|request| {
+            [(false, false), (false, true), (true, false), (true, true)]
+                .map(|(signed, not_run)| facts(request, signed, not_run))
+        })
+}
+
+#[test]
+fn replaced_endpoint() {
+    for facts in all_facts() {
+        for kind in KINDS {
+            let verdict = judge_head("r1", kind, status(421), &facts);
+            assert_eq!(verdict, Ok(HeadVerdict::NotRun(NotRunReason::Replaced)));
+        }
+    }
+}
+
+#[test]
+fn stated_not_run() {
+    for facts in all_facts().filter(|facts| facts.not_run) {
+        for (code, reason) in [
+            (409, NotRunReason::InputsGone),
+            (503, NotRunReason::Refused),
+            (200, NotRunReason::Refused),
+            (500, NotRunReason::Refused),
+        ] {
+            for kind in KINDS {
+                let verdict = judge_head("r1", kind, status(code), &facts);
+                assert_eq!(verdict, Ok(HeadVerdict::NotRun(reason)));
+            }
+        }
+    }
+}
+
+#[test]
+fn foreign_reply() {
+    for request in [None, Some("r2")] {
+        for signed in [false, true] {
+            let facts = facts(request, signed, false);
+            for code in [200, 409, 500, 503] {
+                let verdict = judge_head("r1", RouteKind::Idempotent, status(code), &facts);
+                let error = ReplyOriginError::OtherRequest(facts.request.clone());
+                assert_eq!(verdict, Err(error));
+            }
+        }
+    }
+    let error = ReplyOriginError::OtherRequest(Some("r2".into()));
+    assert_eq!(error.to_string(), "a reply to request Some(\"r2\")");
+}
+
+#[test]
+fn unsigned_reply() {
+    let facts = facts(Some("r1"), false, false);
+    for code in [200, 409, 500] {
+        let verdict = judge_head("r1", STREAM, status(code), &facts);
+        let error = ReplyOriginError::Unsigned(status(code));
+        assert_eq!(
+            error.to_string(),
+            format!("an unsigned reply with status {code}")
+        );
+        assert_eq!(verdict, Err(error));
+    }
+}
+
+#[test]
+fn stream_or_whole() {
+    let facts = facts(Some("r1"), true, false);
+    for kind in KINDS {
+        for (code, success) in [
+            (200, true),
+            (204, true),
+            (302, false),
+            (409, false),
+            (500, false),
+        ] {
+            let verdict = judge_head("r1", kind, status(code), &facts);
+            let streams = kind == STREAM && success;
+            let expected = if streams {
+                HeadVerdict::Stream
+            } else {
+                HeadVerdict::Whole
+            };
+            assert_eq!(verdict, Ok(expected), "{kind:?} {code}");
+        }
+    }
+}
+
+#[test]
+fn resumed_stream() {
+    for facts in all_facts() {
+        for code in [200, 204, 421, 409, 500, 503] {
+            let found = judge_resumed_head("r1", status(code), &facts);
+            let continues = code == 200 && facts.signed && facts.request.as_deref() == Some("r1");
+            let expected = match (continues, facts.not_run) {
+                (true, _) => Ok(()),
+                (false, true) => Err(EndpointOutcome::Full),
+                (false, false) => Err(EndpointOutcome::Failed),
+            };
+            assert_eq!(found, expected, "{code} {facts:?}");
+        }
+    }
+}
+
+#[test]
+fn endpoint_outcomes() {
+    for (reason, text, outcome) in [
+        (
+            NotRunReason::Unreachable,
+            "Unreachable",
+            EndpointOutcome::Unreachable,
+        ),
+        (NotRunReason::Refused, "Refused", EndpointOutcome::Full),
+        (
+            NotRunReason::Replaced,
+            "Replaced",
+            EndpointOutcome::Replaced,
+        ),
+        (
+            NotRunReason::InputsGone,
+            "InputsGone",
+            EndpointOutcome::Neutral,
+        ),
+    ] {
+        assert_eq!(reason.as_str(), text);
+        assert_eq!(reason.endpoint_outcome(), outcome);
+    }
+    for (code, failure) in [
+        (200, false),
+        (404, false),
+        (499, false),
+        (500, true),
+        (503, true),
+    ] {
+        assert_eq!(is_endpoint_failure(status(code)), failure);
+    }
+}
--- a/lib/tests/test_retry_rules.rs
+++ b/lib/tests/test_retry_rules.rs
@@ -5,7 +5,10 @@
         gateway::{
             rules::{
                 attempt_timeout::{AttemptPlan, attempt_timeout},
+                outcome::AttemptHistory,
+                reply_proof::NotRunReason,
                 resume::{is_resumable, may_resume, silence_limit},
+                retry::{AttemptFailure, NextStep, RetryReason, may_retry, next_step},
             },
             table::RouteKind,
         },
@@ -92,3 +95,82 @@
         }
     }
 }
+
+fn history(sent: u32, not_run: u32, unreachable: u32) -> AttemptHistory {
+    let mut history = AttemptHistory::default();
+    (0..sent).for_each(|_| history.record_sent());
+    (0..not_run).for_each(|_| history.record_not_run());
+    (0..unreachable).for_each(|_| history.record_unreachable());
+    history
+}
+
+#[test]
+fn allowed_attempts() {
+    for kind in KINDS {
+        for (sent, allowed) in [(0, 1), (1, 2), (2, 4), (3, 4)] {
+            let proven = history(sent, sent, 0);
+            assert!(may_retry(kind, allowed, &proven), "{kind:?}");
+        }
+        for (sent, allowed) in [(1, 1), (4, 4), (5, 4)] {
+            let proven = history(sent, sent, 0);
+            assert!(!may_retry(kind, allowed, &proven), "{kind:?}");
+        }
+    }
+}
+
+#[test]
+fn possible_runs() {
+    for (kind, may_run_twice) in [
+        (RouteKind::Idempotent, true),
+        (RouteKind::NonIdempotent, false),
+        (RESUMABLE, true),
+        (UNRESUMABLE, false),
+    ] {
+        assert_eq!(may_retry(kind, 3, &history(1, 0, 0)), may_run_twice);
+        assert_eq!(may_retry(kind, 3, &history(2, 1, 0)), may_run_twice);
+        assert!(may_retry(kind, 3, &history(2, 2, 0)));
+        // Endpoints that were not reached are no attempts.
+        assert!(may_retry(kind, 1, &history(0, 0, 3)));
+    }
+}
+
+#[test]
+fn unreachable_limit() {
+    let failure = AttemptFailure::NotRun(NotRunReason::Unreachable);
+    for unreachable in 1..4 {
+        let step = next_step(failure, &history(0, 0, unreachable));
+        assert_eq!(step, NextStep::ChooseAnother);
+    }
+    for unreachable in 4..6 {
+        let step = next_step(failure, &history(0, 0, unreachable));
+        assert_eq!(step, NextStep::GiveUp);
+    }
+}
+
+#[test]
+fn next_steps() {
+    let not_run = AttemptFailure::NotRun;
+    for (failure, step) in [
+        (not_run(NotRunReason::InputsGone), NextStep::RunStages),
+        (
+            not_run(NotRunReason::Refused),
+            NextStep::Retry(RetryReason::NotRun),
+        ),
+        (
+            not_run(NotRunReason::Replaced),
+            NextStep::Retry(RetryReason::NotRun),
+        ),
+        (
+            AttemptFailure::ServerError,
+            NextStep::Retry(RetryReason::Failed),
+        ),
+        (
+            AttemptFailure::PossiblyRun,
+            NextStep::Retry(RetryReason::Failed),
+        ),
+    ] {
+        for unreachable in [0, 4, 9] {
+            assert_eq!(next_step(failure, &history(1, 0, unreachable)), step);
+        }
+    }
+}
