--- a/lib/src/gateway/routing/accept.rs
+++ b/lib/src/gateway/routing/accept.rs
@@ -1,4 +1,5 @@
-//! Takes a request in: its route, its customer, its body.
+//! Accepts a request: finds its route and its customer, reads its body, and fixes its deadline and
+//! urgency by the rules.
 
 use {
     crate::{
@@ -12,12 +13,12 @@
                 urgency::urgency,
             },
             state::{Gateway, PublishedTable},
-            table::{CustomerEntry, Route},
+            table::{CustomerEntry, Route, Version},
         },
         shared::{
             ids::ServiceId,
             problem::{Code, Problem},
-            units::Time,
+            units::{ByteSize, Millis, Time},
         },
     },
     bytes::Bytes,
@@ -27,51 +28,61 @@
     std::{rc::Rc, sync::Arc},
 };
 
-/// A problem together with the id of its request.
-pub(crate) type Refusal = (Arc<str>, Problem);
+/// Id that logs show for a request whose own id can't be read.
+const UNKNOWN_ID: &str = "-";
 
-/// Finds the route and the customer of a request and reads its body.
+/// A request that gets no reply of an endpoint.
+pub(crate) struct Refusal {
+    /// Id of the request.
+    pub(crate) request: Arc<str>,
+    pub(crate) problem: Problem,
+}
+
+/// The route of a request and the customer whose key it carries.
+struct Destination {
+    route: Arc<Route>,
+    customer: Option<Arc<CustomerEntry>>,
+}
+
+/// Accepts a request that arrived at `arrived`, or refuses it.
 pub(crate) async fn accept<D: Dialect>(
     gateway: &Rc<Gateway<D>>,
     request: Request<Incoming>,
     arrived: Time,
 ) -> Result<ForwardedCall, Refusal> {
     let (head, body) = request.into_parts();
-    let unnamed = |problem| (Arc::from("-"), problem);
-    let inbound = D::read_request(&head)
-        .map_err(|error| unnamed(Problem::not_run(Code::BadRequest, error.to_string())))?;
+    let inbound = D::read_request(&head).map_err(|error| Refusal {
+        request: UNKNOWN_ID.into(),
+        problem: Problem::not_run(Code::BadRequest, error.to_string()),
+    })?;
     let id = inbound.id.clone();
-    let named = |problem| (id.clone(), problem);
+    accept_inbound(gateway, inbound, head, body, arrived)
+        .await
+        .map_err(|problem| Refusal {
+            request: id,
+            problem,
+        })
+}
+
+/// Accepts a request whose head could be read.
+async fn accept_inbound<D: Dialect>(
+    gateway: &Gateway<D>,
+    inbound: Inbound,
+    head: Parts,
+    body: Incoming,
+    arrived: Time,
+) -> Result<ForwardedCall, Problem> {
     let Some(published) = gateway.published() else {
         let problem = Problem::not_run(Code::NotReady, "no table is known yet");
-        return Err(named(problem.retry_after(TABLE_UNKNOWN)));
+        return Err(problem.retry_after(TABLE_UNKNOWN));
     };
-    let (route, customer) = find(&published, &head, &inbound).map_err(named)?;
-    let limit = published.table.limits().map_or(0, |limits| limits.body.0);
+    let Destination { route, customer } = find(&published, &head, &inbound)?;
     let time = caller_time(inbound.remaining, route.timeout);
-    let body = tokio::time::timeout(time.to_duration(), read_body(body, limit as usize))
-        .await
-        .unwrap_or_else(|_| {
-            let detail = "the body didn't arrive in time";
-            Err(Problem::not_run(Code::ReceiveTimeout, detail))
-        })
-        .map_err(named)?;
+    let body = read_body(body, body_limit(&published), time).await?;
     let service = choose_backend(&route, &inbound.id);
-    gateway.deposit(&service);
-    log::info!(
-        request = &*inbound.id,
-        route = &*route.name,
-        service:% = service,
-        customer = customer.as_ref().map_or("-", |customer| customer.id.as_str()),
-        version = published.table.version,
-        time_ms = time.0,
-        bytes = body.len(),
-        pieces:? = inbound.pieces;
-        "request.accepted"
-    );
     let customer_rank = customer.as_ref().map(|customer| customer.rank);
     let urgency = urgency(customer_rank, route.rank);
-    Ok(ForwardedCall {
+    let call = ForwardedCall {
         inbound,
         route,
         customer,
@@ -81,34 +92,51 @@
         arrived,
         deadline: arrived + work_time(time),
         urgency,
-    })
+    };
+    gateway.deposit(&call.service);
+    log_accepted(&call, published.table.version, time);
+    Ok(call)
+}
+
+fn log_accepted(call: &ForwardedCall, version: Version, time: Millis) {
+    let customer = call.customer.as_ref();
+    log::info!(
+        request = call.id(),
+        route = &*call.route.name,
+        service:% = call.service,
+        customer = customer.map_or("-", |customer| customer.id.as_str()),
+        version,
+        time_ms = time.0,
+        bytes = call.body.len(),
+        pieces:? = call.inbound.pieces;
+        "request.accepted"
+    );
 }
 
 fn find(
     published: &PublishedTable,
     head: &Parts,
     inbound: &Inbound,
-) -> Result<(Arc<Route>, Option<Arc<CustomerEntry>>), Problem> {
+) -> Result<Destination, Problem> {
     let table = &published.table;
     let host = host_of(head).unwrap_or_default();
     let Some(route) = table.route(host, head.uri.path()) else {
         let detail = format!("no route for host {host:?} in version {}", table.version);
         return Err(Problem::not_run(Code::NotFound, detail));
     };
-    if route.public || !table.needs_keys() {
-        let customer = inbound.key.as_deref().and_then(|key| table.customer(key));
-        return Ok((route.clone(), customer.cloned()));
-    }
     let customer = inbound.key.as_deref().and_then(|key| table.customer(key));
-    match customer {
-        Some(customer) => Ok((route.clone(), Some(customer.clone()))),
-        None => {
-            let detail = format!("no customer holds the key in version {}", table.version);
-            Err(Problem::not_run(Code::Unauthorized, detail))
-        }
+    if customer.is_none() && table.needs_keys() && !route.public {
+        let detail = format!("no customer holds the key in version {}", table.version);
+        return Err(Problem::not_run(Code::Unauthorized, detail));
     }
+    Ok(Destination {
+        route: route.clone(),
+        customer: customer.cloned(),
+    })
 }
 
+/// Returns the host that the caller asks for. A `Host` header that isn't text counts as none: no
+/// route has such a host.
 fn host_of(head: &Parts) -> Option<&str> {
     match head.uri.host() {
         Some(host) => Some(host),
@@ -123,13 +151,26 @@
     chosen.unwrap_or(&route.backends[0]).service.clone()
 }
 
-async fn read_body(body: Incoming, limit: usize) -> Result<Bytes, Problem> {
-    match Limited::new(body, limit).collect().await {
-        Ok(collected) => Ok(collected.to_bytes()),
-        Err(error) if error.is::<LengthLimitError>() => {
-            let detail = format!("the body has more than {limit} bytes");
+/// Returns the largest body that is accepted. A published table has limits; one without would
+/// accept empty bodies only.
+fn body_limit(published: &PublishedTable) -> ByteSize {
+    let limits = published.table.limits();
+    limits.map_or(ByteSize(0), |limits| limits.body)
+}
+
+/// Reads a body of at most `limit` within `time`.
+async fn read_body(body: Incoming, limit: ByteSize, time: Millis) -> Result<Bytes, Problem> {
+    let collecting = Limited::new(body, limit.0 as usize).collect();
+    match tokio::time::timeout(time.to_duration(), collecting).await {
+        Ok(Ok(collected)) => Ok(collected.to_bytes()),
+        Ok(Err(error)) if error.is::<LengthLimitError>() => {
+            let detail = format!("the body has more than {} bytes", limit.0);
             Err(Problem::not_run(Code::BodyTooLarge, detail))
         }
-        Err(error) => Err(Problem::not_run(Code::BadRequest, error.to_string())),
+        Ok(Err(error)) => Err(Problem::not_run(Code::BadRequest, error.to_string())),
+        Err(_elapsed) => {
+            let detail = "the body didn't arrive in time";
+            Err(Problem::not_run(Code::ReceiveTimeout, detail))
+        }
     }
 }
--- a/lib/src/gateway/routing/forward.rs
+++ b/lib/src/gateway/routing/forward.rs
@@ -57,7 +57,7 @@
                 Err(problem) => (id, problem),
             }
         }
-        Err(refusal) => refusal,
+        Err(refusal) => (refusal.request, refusal.problem),
     };
     let took = gateway.now().since(arrived);
     log::info!(
