--- a/lib/src/gateway/routing/attempt.rs
+++ b/lib/src/gateway/routing/attempt.rs
@@ -1,218 +1,221 @@
-//! One attempt of a request at one endpoint, and what its reply means.
+//! Runs one attempt of a request at one endpoint: connects, sends, reads the reply as far as the
+//! rules ask for it, and records the result.
+//!
+//! It owns the input and output of an attempt. `rules::reply_proof` judges the reply, and the guard
+//! of the attempt tells the endpoint's state how it ended.
 
 use {
     crate::{
         gateway::{
             dialect::Dialect,
-            routing::{call::ForwardedCall, endpoint_state::EndpointOutcome, guards::AttemptGuard},
-            rules::{endpoint_choice::EndpointChoice, progress::Progress},
+            routing::{
+                answer::WholeReply, call::ForwardedCall, endpoint_state::EndpointOutcome,
+                guards::AttemptGuard, progress::RequestProgress,
+            },
+            rules::{
+                endpoint_choice::EndpointChoice,
+                reply_proof::{
+                    HeadVerdict, NotRunReason, ReplyOriginError, is_endpoint_failure, judge_head,
+                },
+            },
             state::Gateway,
-            wire::egress::{self, CONNECT_LIMIT, ConnectionGuard, SendError},
+            wire::egress::{self, CONNECT_LIMIT, ConnectionGuard, FreshConnection, SendError},
         },
         shared::ids::EndpointId,
     },
     bytes::Bytes,
-    http::{Request, StatusCode, response},
+    http::{Request, response},
     http_body_util::{BodyExt, Full, Limited},
     hyper::body::Incoming,
     std::{rc::Rc, time::Duration},
+    thiserror::Error,
 };
 
-/// Largest reply that is gathered before it is passed on.
-const GATHERED: usize = 8 << 20;
+/// Largest reply that is read whole before it is passed on, in bytes; chosen, not measured.
+const WHOLE_REPLY: usize = 8 << 20;
 
-/// How one attempt ended.
+/// An attempt that is ready to be sent.
+pub(crate) struct PreparedAttempt {
+    pub(crate) choice: EndpointChoice,
+    pub(crate) request: Request<Full<Bytes>>,
+    /// Longest time from the connection to the end of the reply, or to its head if it is a stream.
+    pub(crate) limit: Option<Duration>,
+}
+
+/// The result of one attempt.
 pub(crate) enum AttemptOutcome<D: Dialect> {
     /// A whole reply, to be passed on unless another attempt is worth it.
-    Reply(response::Parts, Bytes),
+    Whole(WholeReply),
     /// The head of a reply whose body is still coming.
-    Coming(Box<StreamingReply<D>>),
-    /// It certainly didn't run.
+    Streaming(Box<StreamingReply<D>>),
+    /// The request certainly did not run.
     NotRun(NotRunReason),
-    /// It may have run.
+    /// The request has possibly run.
     Unknown,
 }
 
+/// A reply to be passed on as it comes.
 pub(crate) struct StreamingReply<D: Dialect> {
     pub(crate) head: response::Parts,
+    pub(crate) source: StreamSource<D>,
+}
+
+/// The endpoint's side of a stream.
+pub(crate) struct StreamSource<D: Dialect> {
     pub(crate) body: Incoming,
-    pub(crate) guard: ConnectionGuard,
-    pub(crate) ticket: AttemptGuard<D>,
+    pub(crate) connection: ConnectionGuard,
+    pub(crate) guard: AttemptGuard<D>,
 }
 
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum NotRunReason {
-    Unreachable,
-    Refused,
-    Replaced,
-    InputsGone,
+/// A reply that proves something.
+enum ProvenReply {
+    Whole(WholeReply),
+    Streaming(response::Parts, Incoming, ConnectionGuard),
+    NotRun(NotRunReason),
+}
+
+/// Reason for which an attempt ended without proof: the request has possibly run. The texts appear
+/// in problem details.
+#[derive(Debug, Error)]
+enum AttemptError {
+    #[error(transparent)]
+    Send(#[from] SendError),
+    #[error("no answer in time")]
+    TimedOut,
+    #[error(transparent)]
+    Origin(#[from] ReplyOriginError),
+    /// The body broke off or is too large.
+    #[error("body: {0}")]
+    Body(String),
 }
 
+/// Runs an attempt and records its result in `progress`.
 pub(crate) async fn attempt<D: Dialect>(
     gateway: &Rc<Gateway<D>>,
-    call: &Rc<ForwardedCall>,
-    choice: EndpointChoice,
-    request: Request<Full<Bytes>>,
-    patience: Option<Duration>,
-    progress: &mut Progress,
+    call: &ForwardedCall,
+    prepared: PreparedAttempt,
+    progress: &mut RequestProgress,
 ) -> AttemptOutcome<D> {
-    let ticket = AttemptGuard::new(gateway, call, choice);
-    let address = ticket.choice.entry.address;
-    let connection = match egress::connect(address, CONNECT_LIMIT).await {
+    let guard = AttemptGuard::new(gateway, call, prepared.choice);
+    let connection = match egress::connect(guard.choice.entry.address, CONNECT_LIMIT).await {
         Ok(connection) => connection,
         Err(error) => {
-            progress.last = error.to_string();
-            progress.unreachable();
-            note_end(call, &ticket, "unreachable", &progress.last);
-            ticket.end(EndpointOutcome::Unreachable);
-            return AttemptOutcome::NotRun(NotRunReason::Unreachable);
+            progress.history.record_unreachable();
+            progress.last_result = error.to_string();
+            return end_not_run(call, guard, NotRunReason::Unreachable, progress);
         }
     };
-    progress.sending();
+    progress.history.record_sent();
     gateway.metrics.attempt();
-    let endpoint = ticket.choice.entry.id.clone();
-    let exchange = async {
-        let (response, guard) = connection.send(request).await?;
-        let (head, body) = response.into_parts();
-        judge(gateway, call, &endpoint, (head, body, guard)).await
-    };
-    let judged = match patience {
-        Some(patience) => tokio::time::timeout(patience, exchange).await,
-        None => Ok(exchange.await),
+    let endpoint = &guard.choice.entry.id;
+    let exchange = exchange(gateway, call, endpoint, connection, prepared.request);
+    let result = match prepared.limit {
+        Some(limit) => tokio::time::timeout(limit, exchange)
+            .await
+            .unwrap_or(Err(AttemptError::TimedOut)),
+        None => exchange.await,
     };
-    let (end, ending) = match judged {
-        Ok(Ok(judged)) => judged,
-        Ok(Err(error)) => (
-            ReplyVerdict::Unknown(error.to_string()),
-            EndpointOutcome::Failed,
-        ),
-        Err(_) => (
-            ReplyVerdict::Unknown("no answer in time".into()),
-            EndpointOutcome::Failed,
-        ),
-    };
-    match end {
-        ReplyVerdict::Whole(head, body) => {
-            progress.last = format!("status {}", head.status.as_u16());
-            note_end(call, &ticket, "answered", &progress.last);
-            let served = matches!(ending, EndpointOutcome::Served(_));
-            let took = ticket.took_ms();
-            ticket.end(if served {
-                EndpointOutcome::Served(Some(took))
-            } else {
-                ending
-            });
-            AttemptOutcome::Reply(head, body)
-        }
-        ReplyVerdict::Coming(head, body, guard) => {
-            AttemptOutcome::Coming(Box::new(StreamingReply {
-                head,
+    match result {
+        Ok(ProvenReply::Whole(reply)) => end_whole(call, guard, reply, progress),
+        Ok(ProvenReply::Streaming(head, body, connection)) => {
+            let source = StreamSource {
                 body,
+                connection,
                 guard,
-                ticket,
-            }))
-        }
-        ReplyVerdict::NotRun(cause) => {
-            progress.proven_not_run();
-            progress.last = format!("{cause:?}");
-            note_end(call, &ticket, "not_run", &progress.last);
-            ticket.end(ending);
-            AttemptOutcome::NotRun(cause)
+            };
+            AttemptOutcome::Streaming(Box::new(StreamingReply { head, source }))
         }
-        ReplyVerdict::Unknown(error) => {
-            progress.last = error;
-            note_end(call, &ticket, "unknown", &progress.last);
-            ticket.end(ending);
-            AttemptOutcome::Unknown
+        Ok(ProvenReply::NotRun(reason)) => {
+            progress.history.record_not_run();
+            progress.last_result = reason.as_str().into();
+            end_not_run(call, guard, reason, progress)
         }
+        Err(error) => end_unknown(call, guard, &error, progress),
     }
 }
 
-fn note_end<D: Dialect>(
-    call: &ForwardedCall,
-    ticket: &AttemptGuard<D>,
-    outcome: &str,
-    detail: &str,
-) {
-    log::info!(
-        request = call.id(),
-        endpoint:% = ticket.choice.entry.id,
-        outcome,
-        took_ms = ticket.took_ms(),
-        detail;
-        "attempt.ended"
-    );
-}
-
-enum ReplyVerdict {
-    Whole(response::Parts, Bytes),
-    Coming(response::Parts, Incoming, ConnectionGuard),
-    NotRun(NotRunReason),
-    Unknown(String),
-}
-
-/// Judges a reply: whose it is, whether the request ran, and whether it is whole.
-async fn judge<D: Dialect>(
+/// Sends the request and reads the reply as far as it has to be read before it is passed on.
+async fn exchange<D: Dialect>(
     gateway: &Gateway<D>,
     call: &ForwardedCall,
     endpoint: &EndpointId,
-    (head, body, guard): (response::Parts, Incoming, ConnectionGuard),
-) -> Result<(ReplyVerdict, EndpointOutcome), SendError> {
+    connection: FreshConnection,
+    request: Request<Full<Bytes>>,
+) -> Result<ProvenReply, AttemptError> {
+    let (response, connection) = connection.send(request).await?;
+    let (head, body) = response.into_parts();
     let facts = D::read_reply(&head);
     if let Some(load) = facts.load {
         let now = gateway.now();
-        gateway
-            .state
-            .borrow_mut()
-            .endpoints
-            .told(now, endpoint, load);
-    }
-    if head.status == StatusCode::MISDIRECTED_REQUEST {
-        return Ok((
-            ReplyVerdict::NotRun(NotRunReason::Replaced),
-            EndpointOutcome::Replaced,
-        ));
+        let mut state = gateway.state.borrow_mut();
+        state.endpoints.told(now, endpoint, load);
     }
-    if facts.not_run {
-        let gone = head.status == StatusCode::CONFLICT;
-        return Ok(if gone {
-            (
-                ReplyVerdict::NotRun(NotRunReason::InputsGone),
-                EndpointOutcome::Neutral,
-            )
-        } else {
-            (
-                ReplyVerdict::NotRun(NotRunReason::Refused),
-                EndpointOutcome::Full,
-            )
-        });
-    }
-    if facts.request.as_deref() != Some(call.id()) {
-        let error = format!("a reply to request {:?}", facts.request);
-        return Ok((ReplyVerdict::Unknown(error), EndpointOutcome::Failed));
-    }
-    if !facts.signed {
-        let error = format!("an unsigned reply with status {}", head.status.as_u16());
-        return Ok((ReplyVerdict::Unknown(error), EndpointOutcome::Failed));
-    }
-    if call.route.kind.is_stream() && head.status.is_success() {
-        return Ok((
-            ReplyVerdict::Coming(head, body, guard),
-            EndpointOutcome::Neutral,
-        ));
+    match judge_head(call.id(), call.route.kind, head.status, &facts)? {
+        HeadVerdict::NotRun(reason) => Ok(ProvenReply::NotRun(reason)),
+        HeadVerdict::Stream => Ok(ProvenReply::Streaming(head, body, connection)),
+        HeadVerdict::Whole => {
+            let collected = Limited::new(body, WHOLE_REPLY).collect().await;
+            drop(connection);
+            let body = collected.map_err(|error| AttemptError::Body(error.to_string()))?;
+            Ok(ProvenReply::Whole(WholeReply {
+                head,
+                body: body.to_bytes(),
+            }))
+        }
     }
-    let collected = Limited::new(body, GATHERED).collect().await;
-    drop(guard);
-    let ending = if head.status.is_server_error() {
+}
+
+fn end_whole<D: Dialect>(
+    call: &ForwardedCall,
+    guard: AttemptGuard<D>,
+    reply: WholeReply,
+    progress: &mut RequestProgress,
+) -> AttemptOutcome<D> {
+    progress.last_result = format!("status {}", reply.head.status.as_u16());
+    log_end(call, &guard, "answered", &progress.last_result);
+    let outcome = if is_endpoint_failure(reply.head.status) {
         EndpointOutcome::Failed
     } else {
-        EndpointOutcome::Served(None)
+        EndpointOutcome::Served(Some(guard.took_ms()))
     };
-    match collected {
-        Ok(body) => Ok((ReplyVerdict::Whole(head, body.to_bytes()), ending)),
-        Err(error) => Ok((
-            ReplyVerdict::Unknown(format!("body: {error}")),
-            EndpointOutcome::Failed,
-        )),
-    }
+    guard.end(outcome);
+    AttemptOutcome::Whole(reply)
+}
+
+fn end_not_run<D: Dialect>(
+    call: &ForwardedCall,
+    guard: AttemptGuard<D>,
+    reason: NotRunReason,
+    progress: &RequestProgress,
+) -> AttemptOutcome<D> {
+    let outcome = match reason {
+        NotRunReason::Unreachable => "unreachable",
+        NotRunReason::Refused | NotRunReason::Replaced | NotRunReason::InputsGone => "not_run",
+    };
+    log_end(call, &guard, outcome, &progress.last_result);
+    guard.end(reason.endpoint_outcome());
+    AttemptOutcome::NotRun(reason)
+}
+
+fn end_unknown<D: Dialect>(
+    call: &ForwardedCall,
+    guard: AttemptGuard<D>,
+    error: &AttemptError,
+    progress: &mut RequestProgress,
+) -> AttemptOutcome<D> {
+    progress.last_result = error.to_string();
+    log_end(call, &guard, "unknown", &progress.last_result);
+    guard.end(EndpointOutcome::Failed);
+    AttemptOutcome::Unknown
+}
+
+fn log_end<D: Dialect>(call: &ForwardedCall, guard: &AttemptGuard<D>, outcome: &str, detail: &str) {
+    log::info!(
+        request = call.id(),
+        endpoint:% = guard.choice.entry.id,
+        outcome,
+        took_ms = guard.took_ms(),
+        detail;
+        "attempt.ended"
+    );
 }
--- a/lib/src/gateway/routing/call.rs
+++ b/lib/src/gateway/routing/call.rs
@@ -17,30 +17,37 @@
     std::sync::Arc,
 };
 
-/// One request, as far as it doesn't change.
+/// One accepted request.
 pub(crate) struct ForwardedCall {
     pub(crate) inbound: Inbound,
     pub(crate) route: Arc<Route>,
+    /// Customer whose key the request carries, if any.
     pub(crate) customer: Option<Arc<CustomerEntry>>,
+    /// Service of the route that serves this request.
     pub(crate) service: ServiceId,
+    /// Head as the caller sent it.
     pub(crate) head: Parts,
     pub(crate) body: Bytes,
     pub(crate) arrived: Time,
+    /// End of the work on the request in this daemon.
     pub(crate) deadline: Time,
+    /// Order among the requests of an endpoint; 0 goes first.
     pub(crate) urgency: u32,
 }
 
 impl ForwardedCall {
+    /// Returns the id that the caller gave the request.
     pub(crate) fn id(&self) -> &str {
         &self.inbound.id
     }
 
-    /// Returns whether any piece of a stage has to be made before the request can run.
+    /// Returns whether any piece of a stage has to run before the request.
     pub(crate) fn has_stages(&self) -> bool {
         !self.route.stages.is_empty() && self.inbound.pieces.iter().any(|count| *count > 0)
     }
 
-    /// Returns when a caller of a stream gives up before its first event.
+    /// Returns when a caller of a stream gives up if no event has come; for other requests, the
+    /// deadline.
     pub(crate) fn give_up(&self) -> Time {
         match first_event_time(self.route.kind, self.route.objective) {
             Some(time) => self.arrived + time,
@@ -48,6 +55,7 @@
         }
     }
 
+    /// Returns the time left until the deadline.
     pub(crate) fn remaining(&self, now: Time) -> Millis {
         Millis(self.deadline.since(now).as_millis() as u64)
     }
--- a/lib/src/gateway/routing/forward.rs
+++ b/lib/src/gateway/routing/forward.rs
@@ -1,67 +1,83 @@
-//! The life of one request: route, customer, stages, then attempts until there is an answer.
+//! Answers one caller's request: accepts it, runs its stages, and makes attempts until there is a
+//! reply or the rules end it.
+//!
+//! It owns the order of these steps. The modules of `rules` decide about retries, time limits and
+//! what a caller may be promised.
 
 use {
     crate::{
         gateway::{
             dialect::Dialect,
             routing::{
-                accept::accept,
-                attempt::{AttemptOutcome, NotRunReason, StreamingReply, attempt},
+                accept::{Refusal, accept},
+                answer::{answer_stream, answer_whole},
+                attempt::{AttemptOutcome, PreparedAttempt, StreamingReply, attempt},
                 call::ForwardedCall,
                 guards::{CallerLeftGuard, RequestGuard},
                 outbound::{choose_endpoint, outbound_request},
-                reply_stream::{self, StreamSource},
+                progress::RequestProgress,
+                reply_stream::{self, StreamedRequest},
                 stages::{check_admission, run_stages},
             },
             rules::{
                 attempt_timeout::{AttemptPlan, attempt_timeout},
                 endpoint_choice::EndpointChoice,
-                progress::Progress,
+                outcome::UnansweredEnd,
+                reply_proof::{NotRunReason, is_endpoint_failure},
+                retry::{self, AttemptFailure, NextStep, RetryReason},
                 retry_after,
             },
-            serving::metrics::RetryReason,
             stages::chain::Results,
             state::Gateway,
-            wire::{
-                headers::strip_connection_headers,
-                reply::{ReplyBody, problem_reply},
-            },
+            wire::reply::{ReplyBody, problem_reply},
         },
         shared::{
-            ids::ServiceId,
             problem::Problem,
-            units::{Millis, WorkMillis},
+            units::{Millis, Time, WorkMillis},
         },
     },
-    bytes::Bytes,
-    http::{Request, Response, header, response},
+    http::{Request, Response},
     hyper::body::Incoming,
     std::{rc::Rc, time::Duration},
 };
 
-/// Endpoints that one request may fail to connect to.
-const CONNECT_TRIES: usize = 4;
-
 /// Answers one request.
 pub async fn handle<D: Dialect>(
     gateway: Rc<Gateway<D>>,
     request: Request<Incoming>,
 ) -> Response<ReplyBody> {
     let arrived = gateway.now();
-    let guard = RequestGuard::new(&gateway);
-    let (id, problem) = match accept(&gateway, request, arrived).await {
-        Ok(call) => {
-            let id = call.inbound.id.clone();
-            match forward(&gateway, Rc::new(call), guard).await {
-                Ok(response) => return response,
-                Err(problem) => (id, problem),
-            }
-        }
-        Err(refusal) => (refusal.request, refusal.problem),
-    };
+    match try_answer(&gateway, request, arrived).await {
+        Ok(response) => response,
+        Err(refusal) => answer_problem(&gateway, &refusal, arrived),
+    }
+}
+
+async fn try_answer<D: Dialect>(
+    gateway: &Rc<Gateway<D>>,
+    request: Request<Incoming>,
+    arrived: Time,
+) -> Result<Response<ReplyBody>, Refusal> {
+    let in_flight = RequestGuard::new(gateway);
+    let call = Rc::new(accept(gateway, request, arrived).await?);
+    forward(gateway, &call, in_flight)
+        .await
+        .map_err(|problem| Refusal {
+            request: call.inbound.id.clone(),
+            problem,
+        })
+}
+
+/// Answers with a problem, logs it and counts it.
+fn answer_problem<D: Dialect>(
+    gateway: &Gateway<D>,
+    refusal: &Refusal,
+    arrived: Time,
+) -> Response<ReplyBody> {
+    let problem = &refusal.problem;
     let took = gateway.now().since(arrived);
     log::info!(
-        request = &*id,
+        request = &*refusal.request,
         code:% = problem.code,
         outcome:% = problem.outcome,
         retry_after_ms = problem.retry_after.map_or(0, |wait| wait.0),
@@ -70,229 +86,203 @@
         "request.problem"
     );
     gateway.metrics.problem(problem.code, problem.outcome);
-    problem_reply::<D>(&problem)
+    problem_reply::<D>(problem)
 }
 
-/// Runs the stages and the attempts of a request.
+/// Runs the stages and the attempts of a request until its deadline.
 async fn forward<D: Dialect>(
     gateway: &Rc<Gateway<D>>,
-    call: Rc<ForwardedCall>,
+    call: &Rc<ForwardedCall>,
     in_flight: RequestGuard<D>,
 ) -> Result<Response<ReplyBody>, Problem> {
-    let left = CallerLeftGuard::new(gateway, &call);
+    let caller = CallerLeftGuard::new(gateway, call);
     let deadline = gateway.instant(call.deadline);
-    let mut progress = Progress::default();
-    let work = attempts(gateway, &call, &mut progress, in_flight);
-    let ended = tokio::time::timeout_at(deadline, work).await;
-    left.defuse();
-    match ended {
-        Ok(result) => result,
-        Err(_) => Err(problem(
-            gateway,
-            &call,
-            &progress,
-            "the request's time is over",
-        )),
-    }
+    let mut run = RequestRun {
+        gateway,
+        call,
+        progress: RequestProgress::default(),
+        results: None,
+    };
+    let ended = tokio::time::timeout_at(deadline, run.answer(in_flight)).await;
+    caller.disarm();
+    ended.unwrap_or_else(|_elapsed| Err(run.problem("the request's time is over")))
 }
 
-/// Builds the problem that ends a request without an answer.
-fn problem<D: Dialect>(
-    gateway: &Gateway<D>,
-    call: &ForwardedCall,
-    progress: &Progress,
-    why: &str,
-) -> Problem {
-    let late = gateway.now() >= call.deadline;
-    progress.problem(why, late, retry_after(gateway, &call.service))
+/// The run of one accepted request.
+struct RequestRun<'a, D: Dialect> {
+    gateway: &'a Rc<Gateway<D>>,
+    call: &'a Rc<ForwardedCall>,
+    progress: RequestProgress,
+    /// Results of the stages, which the request takes as its inputs.
+    results: Option<Results<D>>,
 }
 
-/// Suggests when a refused caller may come back.
-fn retry_after<D: Dialect>(gateway: &Gateway<D>, service: &ServiceId) -> Millis {
-    let state = gateway.state.borrow();
-    let members = state.endpoints.service(service);
-    retry_after::after_attempts(members.filter_map(|member| Some(member.told?.1)))
-}
+impl<D: Dialect> RequestRun<'_, D> {
+    async fn answer(&mut self, in_flight: RequestGuard<D>) -> Result<Response<ReplyBody>, Problem> {
+        check_admission(self.gateway, self.call)?;
+        self.results = run_stages(self.gateway, self.call).await?;
+        loop {
+            let Some(choice) = self.choose() else {
+                return self.end_unanswered("no endpoint is left");
+            };
+            let failure = match self.attempt(choice).await {
+                AttemptOutcome::Streaming(reply) => {
+                    return Ok(self.pass_stream(*reply, in_flight));
+                }
+                AttemptOutcome::Whole(reply) if !is_endpoint_failure(reply.head.status) => {
+                    return Ok(answer_whole(self.gateway, self.call, reply));
+                }
+                AttemptOutcome::Whole(reply) => {
+                    self.progress.failure = Some(reply);
+                    AttemptFailure::ServerError
+                }
+                AttemptOutcome::NotRun(reason) => AttemptFailure::NotRun(reason),
+                AttemptOutcome::Unknown => AttemptFailure::PossiblyRun,
+            };
+            if !self.prepare_next(failure).await? {
+                return self.end_unanswered(give_up_detail(failure));
+            }
+        }
+    }
 
-async fn attempts<D: Dialect>(
-    gateway: &Rc<Gateway<D>>,
-    call: &Rc<ForwardedCall>,
-    progress: &mut Progress,
-    in_flight: RequestGuard<D>,
-) -> Result<Response<ReplyBody>, Problem> {
-    check_admission(gateway, call)?;
-    let mut results = run_stages(gateway, call).await?;
-    loop {
-        let Some(choice) = choose_endpoint(gateway, call, &progress.tried, results.as_ref()) else {
-            return finish_failed(gateway, call, progress, "no endpoint is left");
-        };
+    fn choose(&self) -> Option<EndpointChoice> {
+        let results = self.results.as_ref();
+        choose_endpoint(self.gateway, self.call, &self.progress.tried, results)
+    }
+
+    async fn attempt(&mut self, choice: EndpointChoice) -> AttemptOutcome<D> {
         log::info!(
-            request = call.id(),
+            request = self.call.id(),
             endpoint:% = choice.entry.id,
             expected_ms = choice.expected_ms,
             uncached = choice.uncached,
             outstanding = choice.outstanding,
             candidates = choice.candidates,
-            attempt = progress.sent() + 1,
-            left_ms = call.remaining(gateway.now()).0;
+            attempt = self.progress.history.sent() + 1,
+            left_ms = self.call.remaining(self.gateway.now()).0;
             "attempt.sent"
         );
-        let limit = time_limit(gateway, call, progress, &choice);
-        progress.tried.push(choice.entry.id.clone());
-        let resume_after = call.inbound.last_event;
-        let outbound = outbound_request(gateway, call, &choice, results.as_ref(), resume_after);
-        let end = attempt(gateway, call, choice, outbound, limit, progress).await;
-        match end {
-            AttemptOutcome::Reply(head, body) => {
-                if head.status.is_server_error()
-                    && may_repeat(gateway, call, progress, RetryReason::Failed)
-                {
-                    progress.failure = Some((head, body));
-                    continue;
-                }
-                return Ok(pass_whole(gateway, call, head, body));
-            }
-            AttemptOutcome::Coming(coming) => {
-                return Ok(pass_stream(
-                    gateway, call, *coming, progress, results, in_flight,
-                ));
-            }
-            AttemptOutcome::NotRun(NotRunReason::InputsGone) => {
-                if !gateway.withdraw(&call.service) {
-                    return finish_failed(gateway, call, progress, "its inputs are gone");
-                }
-                drop(results.take());
-                results = run_stages(gateway, call).await?;
-                progress.tried.clear();
-            }
-            AttemptOutcome::NotRun(NotRunReason::Unreachable) => {
-                if progress.not_reached() >= CONNECT_TRIES {
-                    return finish_failed(gateway, call, progress, "endpoints can't be reached");
-                }
-            }
-            AttemptOutcome::NotRun(NotRunReason::Refused | NotRunReason::Replaced) => {
-                if !may_repeat(gateway, call, progress, RetryReason::NotRun) {
-                    return finish_failed(gateway, call, progress, "no other attempt is allowed");
-                }
-            }
-            AttemptOutcome::Unknown => {
-                if !may_repeat(gateway, call, progress, RetryReason::Failed) {
-                    return finish_failed(gateway, call, progress, "the attempt broke off");
+        let limit = self.attempt_limit(&choice);
+        self.progress.tried.push(choice.entry.id.clone());
+        let results = self.results.as_ref();
+        let resume_after = self.call.inbound.last_event;
+        let request = outbound_request(self.gateway, self.call, &choice, results, resume_after);
+        let prepared = PreparedAttempt {
+            choice,
+            request,
+            limit,
+        };
+        attempt(self.gateway, self.call, prepared, &mut self.progress).await
+    }
+
+    /// Returns the time after which another attempt is worth more than waiting for this one.
+    fn attempt_limit(&self, choice: &EndpointChoice) -> Option<Duration> {
+        let state = self.gateway.state.borrow();
+        let endpoints = state.endpoints.service(&self.call.service).count();
+        let attempts = self.call.route.attempts;
+        attempt_timeout(&AttemptPlan {
+            kind: self.call.route.kind,
+            later_attempts: attempts.saturating_sub(self.progress.history.sent() + 1),
+            other_endpoints: endpoints.saturating_sub(self.progress.tried.len() + 1),
+            expected: WorkMillis(choice.expected_ms),
+        })
+    }
+
+    /// Prepares another attempt after a failed one; returns whether there may be one.
+    async fn prepare_next(&mut self, failure: AttemptFailure) -> Result<bool, Problem> {
+        match retry::next_step(failure, &self.progress.history) {
+            NextStep::ChooseAnother => Ok(true),
+            NextStep::Retry(reason) => Ok(self.take_retry(reason)),
+            NextStep::RunStages => {
+                if !self.gateway.withdraw(&self.call.service) {
+                    return Ok(false);
                 }
+                // What is left of the old results is released before new ones need the room.
+                drop(self.results.take());
+                self.results = run_stages(self.gateway, self.call).await?;
+                self.progress.tried.clear();
+                Ok(true)
             }
+            NextStep::GiveUp => Ok(false),
         }
     }
-}
 
-/// Returns the time after which another attempt is worth more than waiting for this one.
-fn time_limit<D: Dialect>(
-    gateway: &Gateway<D>,
-    call: &ForwardedCall,
-    progress: &Progress,
-    choice: &EndpointChoice,
-) -> Option<Duration> {
-    let state = gateway.state.borrow();
-    let endpoints = state.endpoints.service(&call.service).count();
-    attempt_timeout(&AttemptPlan {
-        kind: call.route.kind,
-        later_attempts: call.route.attempts.saturating_sub(progress.sent() + 1),
-        other_endpoints: endpoints.saturating_sub(progress.tried.len() + 1),
-        expected: WorkMillis(choice.expected_ms),
-    })
-}
+    /// Pays for another attempt from the retry budget; returns whether there may be one.
+    fn take_retry(&self, reason: RetryReason) -> bool {
+        let route = &self.call.route;
+        let history = &self.progress.history;
+        let allowed = retry::may_retry(route.kind, route.attempts, history)
+            && self.gateway.withdraw(&self.call.service);
+        if allowed {
+            self.gateway.metrics.retry(reason);
+        }
+        // The event is older than the term retry.
+        log::info!(
+            request = self.call.id(),
+            why:? = reason,
+            sent = history.sent(),
+            allowed,
+            last = self.progress.last_result.as_str();
+            "attempt.repeat"
+        );
+        allowed
+    }
 
-/// Pays for another attempt; returns whether there may be one.
-fn may_repeat<D: Dialect>(
-    gateway: &Gateway<D>,
-    call: &ForwardedCall,
-    progress: &Progress,
-    why: RetryReason,
-) -> bool {
-    let may_send = progress.may_send(call.route.kind, call.route.attempts);
-    let allowed = may_send && gateway.withdraw(&call.service);
-    if allowed {
-        gateway.metrics.repeat(why);
+    /// Ends the request without a usable answer: with an endpoint's own failure if there is one.
+    fn end_unanswered(&mut self, why: &str) -> Result<Response<ReplyBody>, Problem> {
+        match self.progress.failure.take() {
+            Some(reply) => Ok(answer_whole(self.gateway, self.call, reply)),
+            None => Err(self.problem(why)),
+        }
     }
-    log::info!(
-        request = call.id(),
-        why:? = why,
-        sent = progress.sent(),
-        allowed,
-        last = progress.last.as_str();
-        "attempt.repeat"
-    );
-    allowed
-}
 
-/// Ends a request without a usable answer: with the endpoint's own failure if there is one.
-fn finish_failed<D: Dialect>(
-    gateway: &Gateway<D>,
-    call: &ForwardedCall,
-    progress: &mut Progress,
-    why: &str,
-) -> Result<Response<ReplyBody>, Problem> {
-    match progress.failure.take() {
-        Some((head, body)) => Ok(pass_whole(gateway, call, head, body)),
-        None => Err(problem(gateway, call, progress, why)),
+    /// Builds the problem that ends the request without an answer.
+    fn problem(&self, why: &str) -> Problem {
+        self.progress.history.problem(&UnansweredEnd {
+            why,
+            last_result: &self.progress.last_result,
+            is_late: self.gateway.now() >= self.call.deadline,
+            retry_after: self.retry_after(),
+        })
     }
-}
 
-fn pass_whole<D: Dialect>(
-    gateway: &Gateway<D>,
-    call: &ForwardedCall,
-    head: response::Parts,
-    body: Bytes,
-) -> Response<ReplyBody> {
-    let took = gateway.now().since(call.arrived);
-    gateway.metrics.answered(took);
-    log::info!(
-        request = call.id(),
-        status = head.status.as_u16(),
-        bytes = body.len(),
-        took_ms = took.as_millis() as u64;
-        "request.answered"
-    );
-    let length = body.len();
-    let mut response = response_head(head, ReplyBody::whole(body));
-    response
-        .headers_mut()
-        .insert(header::CONTENT_LENGTH, length.into());
-    response
-}
+    /// Returns the time after which the caller may come back, by the loads that the service's
+    /// endpoints reported last.
+    fn retry_after(&self) -> Millis {
+        let state = self.gateway.state.borrow();
+        let members = state.endpoints.service(&self.call.service);
+        retry_after::after_attempts(members.filter_map(|member| Some(member.told?.1)))
+    }
 
-fn response_head(head: response::Parts, body: ReplyBody) -> Response<ReplyBody> {
-    let mut response = Response::new(body);
-    *response.status_mut() = head.status;
-    *response.headers_mut() = head.headers;
-    strip_connection_headers(response.headers_mut());
-    response
+    /// Passes a stream on while it comes; its relay takes over the request from here.
+    fn pass_stream(
+        &mut self,
+        reply: StreamingReply<D>,
+        in_flight: RequestGuard<D>,
+    ) -> Response<ReplyBody> {
+        let took = self.gateway.now().since(self.call.arrived);
+        self.gateway.metrics.head(took);
+        let request = StreamedRequest {
+            gateway: self.gateway.clone(),
+            call: self.call.clone(),
+            tried: std::mem::take(&mut self.progress.tried),
+            sent: self.progress.history.sent(),
+            results: self.results.take(),
+            _in_flight: in_flight,
+        };
+        answer_stream(reply.head, reply_stream::start(request, reply.source))
+    }
 }
 
-fn pass_stream<D: Dialect>(
-    gateway: &Rc<Gateway<D>>,
-    call: &Rc<ForwardedCall>,
-    coming: StreamingReply<D>,
-    progress: &mut Progress,
-    results: Option<Results<D>>,
-    in_flight: RequestGuard<D>,
-) -> Response<ReplyBody> {
-    let took = gateway.now().since(call.arrived);
-    gateway.metrics.head(took);
-    let source = StreamSource {
-        body: coming.body,
-        guard: coming.guard,
-        ticket: coming.ticket,
-    };
-    let receiver = reply_stream::start(
-        gateway.clone(),
-        call.clone(),
-        source,
-        std::mem::take(&mut progress.tried),
-        progress.sent(),
-        results,
-        in_flight,
-    );
-    let mut response = response_head(coming.head, ReplyBody::Stream(receiver));
-    response.headers_mut().remove(header::CONTENT_LENGTH);
-    response
+/// Describes to the caller why no other attempt follows a failed one.
+fn give_up_detail(failure: AttemptFailure) -> &'static str {
+    match failure {
+        AttemptFailure::NotRun(NotRunReason::Unreachable) => "endpoints can't be reached",
+        AttemptFailure::NotRun(NotRunReason::InputsGone) => "its inputs are gone",
+        AttemptFailure::NotRun(NotRunReason::Refused | NotRunReason::Replaced) => {
+            "no other attempt is allowed"
+        }
+        // After a server error the endpoint's own reply is passed on and this text is not used.
+        AttemptFailure::PossiblyRun | AttemptFailure::ServerError => "the attempt broke off",
+    }
 }
--- a/lib/src/gateway/routing/guards.rs
+++ b/lib/src/gateway/routing/guards.rs
@@ -14,16 +14,19 @@
     std::rc::Rc,
 };
 
-/// Counts a request in flight at an endpoint until it is told how that ended.
+/// Counts an attempt in flight at an endpoint until its outcome is known. Dropped before that, it
+/// says nothing about the endpoint's health.
 pub(crate) struct AttemptGuard<D: Dialect> {
     gateway: Rc<Gateway<D>>,
     pub(crate) choice: EndpointChoice,
-    sent: Time,
-    prefill: bool,
+    sent_at: Time,
+    /// Whether the endpoint has still to read the prompt.
+    prefill_pending: bool,
     ended: bool,
 }
 
 impl<D: Dialect> AttemptGuard<D> {
+    /// Counts an attempt at the chosen endpoint from now on.
     pub(crate) fn new(
         gateway: &Rc<Gateway<D>>,
         call: &ForwardedCall,
@@ -39,43 +42,47 @@
         Self {
             gateway: gateway.clone(),
             choice,
-            sent: now,
-            prefill: true,
+            sent_at: now,
+            prefill_pending: true,
             ended: false,
         }
     }
 
+    /// Notes that the endpoint has read the prompt; only the first call counts.
     pub(crate) fn first_event(&mut self) {
-        if std::mem::take(&mut self.prefill) {
+        if std::mem::take(&mut self.prefill_pending) {
             let now = self.gateway.now();
-            let waited = now.millis_since(self.sent);
+            let waited = now.millis_since(self.sent_at);
             let mut state = self.gateway.state.borrow_mut();
             state.endpoints.first_event(now, &self.choice, waited);
         }
     }
 
-    pub(crate) fn end(mut self, ending: EndpointOutcome) {
-        self.settle(ending);
+    /// Ends the attempt with its outcome for the endpoint.
+    pub(crate) fn end(mut self, outcome: EndpointOutcome) {
+        self.settle(outcome);
     }
 
+    /// Returns the time since the attempt began, in milliseconds.
     pub(crate) fn took_ms(&self) -> f64 {
-        self.gateway.now().millis_since(self.sent)
+        self.gateway.now().millis_since(self.sent_at)
     }
 
-    fn settle(&mut self, ending: EndpointOutcome) {
+    fn settle(&mut self, outcome: EndpointOutcome) {
         if std::mem::replace(&mut self.ended, true) {
             return;
         }
         let now = self.gateway.now();
         let id = &self.choice.entry.id;
         let mut state = self.gateway.state.borrow_mut();
-        if self.prefill {
+        if self.prefill_pending {
             state.endpoints.forget_prefill(id, self.choice.uncached);
         }
-        let set_aside = state.endpoints.ended(now, id, ending);
+        let set_aside = state.endpoints.ended(now, id, outcome);
         drop(state);
         if set_aside {
-            log::info!(endpoint:% = id, ending:? = ending; "endpoint.set_aside");
+            // The key is older than the name of the type.
+            log::info!(endpoint:% = id, ending:? = outcome; "endpoint.set_aside");
         }
     }
 }
@@ -92,6 +99,7 @@
 }
 
 impl<D: Dialect> RequestGuard<D> {
+    /// Counts a request from now on.
     pub(crate) fn new(gateway: &Rc<Gateway<D>>) -> Self {
         gateway.in_flight.set(gateway.in_flight.get() + 1);
         Self {
@@ -107,7 +115,7 @@
     }
 }
 
-/// Notes a caller that left: the request's future is dropped before its end.
+/// Counts and logs a caller that left: the request's future is dropped before its end.
 pub(crate) struct CallerLeftGuard<'a, D: Dialect> {
     gateway: &'a Gateway<D>,
     call: &'a ForwardedCall,
@@ -115,6 +123,7 @@
 }
 
 impl<'a, D: Dialect> CallerLeftGuard<'a, D> {
+    /// Watches for the caller of `call` from now on.
     pub(crate) fn new(gateway: &'a Gateway<D>, call: &'a ForwardedCall) -> Self {
         Self {
             gateway,
@@ -123,7 +132,8 @@
         }
     }
 
-    pub(crate) fn defuse(mut self) {
+    /// Notes that the caller is still there at the request's end.
+    pub(crate) fn disarm(mut self) {
         self.armed = false;
     }
 }
--- a/lib/src/gateway/routing/mod.rs
+++ b/lib/src/gateway/routing/mod.rs
@@ -1,6 +1,7 @@
-//! Forwards a request: accept it, choose endpoints, send attempts, pass on the reply.
+//! Forwards a request: accepts it, chooses endpoints, sends attempts, passes the reply on.
 
 pub(crate) mod accept;
+pub(crate) mod answer;
 pub(crate) mod attempt;
 pub(crate) mod call;
 pub mod endpoint_state;
@@ -8,6 +9,7 @@
 pub mod forward;
 pub(crate) mod guards;
 pub(crate) mod outbound;
+pub(crate) mod progress;
 pub(crate) mod reply_stream;
 pub(crate) mod sent_parts;
 pub(crate) mod stages;
--- a/lib/src/gateway/routing/outbound.rs
+++ b/lib/src/gateway/routing/outbound.rs
@@ -17,7 +17,7 @@
     http_body_util::Full,
 };
 
-/// Chooses an endpoint for a request, beside those that it was sent to before.
+/// Chooses an endpoint for a request, other than those in `tried`.
 pub(crate) fn choose_endpoint<D: Dialect>(
     gateway: &Gateway<D>,
     call: &ForwardedCall,
@@ -39,7 +39,8 @@
         .choose(gateway.now(), here, &call.service, &placement)
 }
 
-/// Builds a request as it goes to an endpoint.
+/// Builds a request as it goes to an endpoint: the caller's own bytes, and the headers that this
+/// system sets. `resume_after` is the last event of a stream that the caller already has.
 pub(crate) fn outbound_request<D: Dialect>(
     gateway: &Gateway<D>,
     call: &ForwardedCall,
@@ -47,10 +48,7 @@
     results: Option<&Results<D>>,
     resume_after: Option<u64>,
 ) -> Request<Full<Bytes>> {
-    let mut headers: HeaderMap = call.head.headers.clone();
-    strip_connection_headers(&mut headers);
-    headers.remove(header::CONTENT_LENGTH);
-    headers.remove(header::EXPECT);
+    let mut headers = passed_headers(call);
     let inputs = results.map(Results::inputs).unwrap_or_default();
     let outbound = Outbound {
         endpoint: &choice.entry.id,
@@ -61,9 +59,7 @@
         resume_after,
     };
     D::write_request(&mut headers, &outbound);
-    let had_body = call.head.headers.contains_key(header::CONTENT_LENGTH)
-        || call.head.headers.contains_key(header::TRANSFER_ENCODING);
-    if had_body {
+    if had_body(call) {
         headers.insert(header::CONTENT_LENGTH, call.body.len().into());
     }
     let mut request = Request::new(Full::new(call.body.clone()));
@@ -73,7 +69,22 @@
     request
 }
 
-/// Takes scheme and host off a URI; the path and the query stay as they are.
+/// Returns the caller's headers without those that concern its connection or its body's framing.
+fn passed_headers(call: &ForwardedCall) -> HeaderMap {
+    let mut headers = call.head.headers.clone();
+    strip_connection_headers(&mut headers);
+    headers.remove(header::CONTENT_LENGTH);
+    headers.remove(header::EXPECT);
+    headers
+}
+
+/// Returns whether the caller sent a body, be it empty.
+fn had_body(call: &ForwardedCall) -> bool {
+    let headers = &call.head.headers;
+    headers.contains_key(header::CONTENT_LENGTH) || headers.contains_key(header::TRANSFER_ENCODING)
+}
+
+/// Removes scheme and host from a URI; the path and the query stay as they are.
 fn origin_form(uri: &Uri) -> Uri {
     let path = uri.path_and_query().cloned();
     path.map_or_else(|| uri.clone(), Uri::from)
--- a/lib/src/gateway/rules/mod.rs
+++ b/lib/src/gateway/rules/mod.rs
@@ -8,7 +8,6 @@
 pub mod engine_pace;
 pub mod outcome;
 pub(crate) mod piece_order;
-pub mod progress;
 pub mod reply_proof;
 pub mod resume;
 pub mod retry;
--- a/lib/src/gateway/serving/metrics.rs
+++ b/lib/src/gateway/serving/metrics.rs
@@ -1,9 +1,12 @@
 //! Counters and latency histograms of a forwarding daemon.
 
 use {
-    crate::shared::{
-        problem::{Code, Outcome},
-        status::ProblemCount,
+    crate::{
+        gateway::rules::retry::RetryReason,
+        shared::{
+            problem::{Code, Outcome},
+            status::ProblemCount,
+        },
     },
     prometheus_client::{
         encoding::{EncodeLabelSet, text::encode},
@@ -29,22 +32,11 @@
     kind: &'static str,
 }
 
-/// Why a request was sent again.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum RetryReason {
-    /// The endpoint before didn't run it.
-    NotRun,
-    /// The endpoint before failed or was silent, and the request may be repeated.
-    Failed,
-    /// A stream is taken up at another endpoint.
-    Resume,
-}
-
 /// What a daemon counts.
 pub struct GatewayMetrics {
     registry: Registry,
     ends: Family<EndLabels, Counter>,
-    repeats: Family<KindLabels, Counter>,
+    retries: Family<KindLabels, Counter>,
     tables_refused: Counter,
     directory_failures: Counter,
     pieces: Family<KindLabels, Counter>,
@@ -71,7 +63,7 @@
         let metrics = Self {
             registry: Registry::with_prefix("hazelyoke"),
             ends: Family::default(),
-            repeats: Family::default(),
+            retries: Family::default(),
             tables_refused: Counter::default(),
             directory_failures: Counter::default(),
             pieces: Family::default(),
@@ -90,7 +82,7 @@
     fn registered(mut self) -> Self {
         let registry = &mut self.registry;
         registry.register("requests", "Ends of requests", self.ends.clone());
-        registry.register("repeats", "Repeated sends", self.repeats.clone());
+        registry.register("repeats", "Repeated sends", self.retries.clone());
         registry.register(
             "tables_refused",
             "Tables refused",
@@ -168,10 +160,10 @@
         self.attempts.get()
     }
 
-    /// Returns the number of repeated sends.
-    pub fn repeats(&self) -> u64 {
+    /// Returns the number of retries.
+    pub fn retries(&self) -> u64 {
         let kinds = ["not_run", "failed", "resume"];
-        let count = |kind| self.repeats.get_or_create(&KindLabels { kind }).get();
+        let count = |kind| self.retries.get_or_create(&KindLabels { kind }).get();
         kinds.into_iter().map(count).sum()
     }
 
@@ -208,14 +200,14 @@
         kind("repeated").inc_by(repeated as u64);
     }
 
-    /// Counts a repeated send.
-    pub fn repeat(&self, repeat: RetryReason) {
-        let kind = match repeat {
+    /// Counts a retry.
+    pub fn retry(&self, reason: RetryReason) {
+        let kind = match reason {
             RetryReason::NotRun => "not_run",
             RetryReason::Failed => "failed",
             RetryReason::Resume => "resume",
         };
-        self.repeats.get_or_create(&KindLabels { kind }).inc();
+        self.retries.get_or_create(&KindLabels { kind }).inc();
     }
 
     /// Counts a table that was refused.
--- a/lib/src/gateway/serving/operator.rs
+++ b/lib/src/gateway/serving/operator.rs
@@ -133,7 +133,7 @@
         late: 0,
         problems: gateway.metrics.problems(),
         attempts: gateway.metrics.attempts(),
-        extra: gateway.metrics.repeats(),
+        extra: gateway.metrics.retries(),
         endpoints: endpoints.collect(),
     };
     GatewayStatus {
--- a/lib/tests/test_decision_pins.rs
+++ b/lib/tests/test_decision_pins.rs
@@ -14,7 +14,8 @@
                 admission::{
                     AdmissionDecision, AdmissionRequest, PlannedStage, StageService, decide,
                 },
-                progress::Progress,
+                outcome::{AttemptHistory, UnansweredEnd},
+                retry::may_retry,
                 retry_budget::{BudgetLimits, WindowBudget},
             },
             serving::settings::Bounds,
@@ -318,17 +319,16 @@
 }
 
 /// Attempts of a request: `s` sent, `n` proven not to have run, `u` not reached.
-fn progress(steps: &str) -> Progress {
-    let mut progress = Progress::default();
+fn history(steps: &str) -> AttemptHistory {
+    let mut history = AttemptHistory::default();
     for step in steps.chars() {
         match step {
-            's' => progress.sending(),
-            'n' => progress.proven_not_run(),
-            _ => progress.unreachable(),
+            's' => history.record_sent(),
+            'n' => history.record_not_run(),
+            _ => history.record_unreachable(),
         }
     }
-    progress.last = format!("after {steps:?}");
-    progress
+    history
 }
 
 #[test]
@@ -347,14 +347,19 @@
     for steps in [
         "", "u", "s", "sn", "us", "ss", "snsn", "ssn", "snsnsn", "sss",
     ] {
-        let progress = progress(steps);
+        let history = history(steps);
         for (name, kind) in kinds {
-            let allowed = (0..=4).filter(|attempts| progress.may_send(kind, *attempts));
+            let allowed = (0..=4).filter(|attempts| may_retry(kind, *attempts, &history));
             let allowed = joined(allowed, " ");
             writeln!(lines, "{steps:?} {name}: may send of {allowed:?}").unwrap();
         }
         for late in [false, true] {
-            let problem = progress.problem("why", late, Millis(250));
+            let problem = history.problem(&UnansweredEnd {
+                why: "why",
+                last_result: &format!("after {steps:?}"),
+                is_late: late,
+                retry_after: Millis(250),
+            });
             let back = problem.retry_after.map(|wait| wait.0);
             writeln!(lines, "{steps:?} late {late}: {problem}, {back:?}").unwrap();
         }
