--- a/lib/src/gateway/routing/forward.rs
+++ b/lib/src/gateway/routing/forward.rs
@@ -16,8 +16,9 @@
                 guards::{CallerLeftGuard, RequestGuard},
                 outbound::{choose_endpoint, outbound_request},
                 progress::RequestProgress,
-                reply_stream::{self, StreamedRequest},
+                reply_stream,
                 stages::{check_admission, run_stages},
+                stream_resume::StreamedRequest,
             },
             rules::{
                 attempt_timeout::{AttemptPlan, attempt_timeout},
--- a/lib/src/gateway/routing/mod.rs
+++ b/lib/src/gateway/routing/mod.rs
@@ -13,3 +13,4 @@
 pub(crate) mod reply_stream;
 pub(crate) mod sent_parts;
 pub(crate) mod stages;
+pub(crate) mod stream_resume;
--- a/lib/src/gateway/routing/reply_stream.rs
+++ b/lib/src/gateway/routing/reply_stream.rs
@@ -1,62 +1,32 @@
-//! Relays a stream of events to the caller, and resumes it at another endpoint when it breaks off.
+//! Relays a stream of events to the caller until its end.
 //!
-//! It owns the request from the head of the reply to its end. `rules::resume` decides when a stream
-//! counts as broken and how often it is resumed; `wire::event_stream` keeps events whole and in
-//! order, so that the caller misses none and gets none twice.
+//! It owns the request from the head of the reply to the end of the stream. `rules::resume` decides
+//! when a stream counts as broken, and `routing::stream_resume` finds its next source;
+//! `wire::event_stream` keeps events whole and in order, so that the caller misses none and gets none
+//! twice.
 
 use {
-    crate::{
-        gateway::{
-            dialect::Dialect,
-            routing::{
-                attempt::StreamSource,
-                call::ForwardedCall,
-                endpoint_state::EndpointOutcome,
-                guards::{AttemptGuard, RequestGuard},
-                outbound::{choose_endpoint, outbound_request},
-                stages::run_stages,
-            },
-            rules::{
-                endpoint_choice::EndpointChoice,
-                reply_proof::judge_resumed_head,
-                resume::{is_resumable, may_resume, silence_limit},
-                retry::RetryReason,
-            },
-            stages::chain::Results,
-            state::Gateway,
-            wire::{
-                egress::{self, CONNECT_LIMIT, ConnectionGuard, FreshConnection},
-                event_stream::EventSplitter,
-                reply::StreamPart,
-            },
+    crate::gateway::{
+        dialect::Dialect,
+        routing::{
+            attempt::StreamSource,
+            endpoint_state::EndpointOutcome,
+            guards::AttemptGuard,
+            stream_resume::{StreamedRequest, resume},
         },
-        shared::ids::EndpointId,
+        rules::resume::silence_limit,
+        wire::{event_stream::EventSplitter, reply::StreamPart},
     },
     bytes::Bytes,
-    http::{Request, Response},
-    http_body_util::{BodyExt, Full},
+    http_body_util::BodyExt,
     hyper::body::Incoming,
-    std::{rc::Rc, time::Duration},
+    std::time::Duration,
     tokio::sync::mpsc,
 };
 
 /// Chunks of a stream that may wait for its reader; chosen, not measured.
 const QUEUE: usize = 8;
 
-/// A request whose reply is a stream.
-pub(crate) struct StreamedRequest<D: Dialect> {
-    pub(crate) gateway: Rc<Gateway<D>>,
-    pub(crate) call: Rc<ForwardedCall>,
-    /// Endpoints that were chosen for it so far.
-    pub(crate) tried: Vec<EndpointId>,
-    /// Attempts that were sent so far.
-    pub(crate) sent: u32,
-    /// Results of its stages, until an endpoint has taken them.
-    pub(crate) results: Option<Results<D>>,
-    /// Counts the request in flight until its stream ends.
-    pub(crate) _in_flight: RequestGuard<D>,
-}
-
 struct StreamRelay<D: Dialect> {
     request: StreamedRequest<D>,
     splitter: EventSplitter,
@@ -85,13 +55,6 @@
     }
 }
 
-/// The result of one attempt to resume a stream.
-enum ResumeAttempt<D: Dialect> {
-    Resumed(StreamSource<D>),
-    Failed,
-    NoEndpoint,
-}
-
 /// Starts to relay a stream from `source`; returns its parts.
 pub(crate) fn start<D: Dialect>(
     request: StreamedRequest<D>,
@@ -133,8 +96,12 @@
                 SourceEnd::TimeOver => return self.break_off("the request's time is over"),
                 SourceEnd::Broken(why) => {
                     guard.end(EndpointOutcome::Failed);
-                    match self.resume(&why).await {
-                        Some(next) => source = next,
+                    let last_event = self.splitter.last();
+                    match resume(&mut self.request, &self.sink, last_event, &why).await {
+                        Some(next) => {
+                            self.splitter = EventSplitter::after(last_event);
+                            source = next;
+                        }
                         None => return self.break_off(&why),
                     }
                 }
@@ -233,122 +200,6 @@
         }
     }
 
-    /// Resumes the stream at another endpoint, if that is allowed and one is found.
-    async fn resume(&mut self, why: &str) -> Option<StreamSource<D>> {
-        if !is_resumable(self.request.call.route.kind) {
-            return None;
-        }
-        if self.request.results.is_none() {
-            // The results went when the first endpoint had taken them, so the stages run again. If
-            // they fail, `stage.ended` says why, and the stream breaks off for its own reason.
-            let results = run_stages(&self.request.gateway, &self.request.call).await;
-            self.request.results = results.ok()?;
-        }
-        while self.may_resume() && self.request.gateway.withdraw(&self.request.call.service) {
-            match self.resume_once(why).await {
-                ResumeAttempt::Resumed(source) => return Some(source),
-                ResumeAttempt::NoEndpoint => return None,
-                ResumeAttempt::Failed => {}
-            }
-        }
-        None
-    }
-
-    fn may_resume(&self) -> bool {
-        let route = &self.request.call.route;
-        may_resume(route.kind, self.request.sent, route.attempts)
-    }
-
-    /// Makes one attempt to resume the stream after its last whole event.
-    async fn resume_once(&mut self, why: &str) -> ResumeAttempt<D> {
-        let StreamedRequest {
-            gateway,
-            call,
-            tried,
-            results,
-            ..
-        } = &mut self.request;
-        let Some(choice) = choose_endpoint(gateway, call, tried, results.as_ref()) else {
-            return ResumeAttempt::NoEndpoint;
-        };
-        tried.push(choice.entry.id.clone());
-        let last = self.splitter.last();
-        log::info!(
-            request = call.id(),
-            endpoint:% = choice.entry.id,
-            why,
-            last_event = last.unwrap_or(0);
-            "attempt.resumed"
-        );
-        let request = outbound_request(gateway, call, &choice, results.as_ref(), last);
-        match self.open_source(choice, request).await {
-            Some(source) => {
-                self.splitter = EventSplitter::after(last);
-                ResumeAttempt::Resumed(source)
-            }
-            None => ResumeAttempt::Failed,
-        }
-    }
-
-    /// Sends a request that resumes the stream; returns the new source if the endpoint continues it.
-    async fn open_source(
-        &mut self,
-        choice: EndpointChoice,
-        request: Request<Full<Bytes>>,
-    ) -> Option<StreamSource<D>> {
-        let call = self.request.call.clone();
-        let mut guard = AttemptGuard::new(&self.request.gateway, &call, choice);
-        let address = guard.choice.entry.address;
-        // The event `endpoint.set_aside` shows that the endpoint could not be reached.
-        let Ok(connection) = egress::connect(address, CONNECT_LIMIT).await else {
-            guard.end(EndpointOutcome::Unreachable);
-            return None;
-        };
-        self.request.sent += 1;
-        self.request.gateway.metrics.retry(RetryReason::Resume);
-        let (response, connection) = match self.exchange(connection, request).await {
-            Exchange::Replied(response, connection) => (response, connection),
-            Exchange::Failed => {
-                guard.end(EndpointOutcome::Failed);
-                return None;
-            }
-            // The guard's drop says nothing about the endpoint.
-            Exchange::CallerLeft => return None,
-        };
-        let (head, body) = response.into_parts();
-        let verdict = judge_resumed_head(call.id(), head.status, &D::read_reply(&head));
-        if let Err(outcome) = verdict {
-            guard.end(outcome);
-            return None;
-        }
-        guard.first_event();
-        Some(StreamSource {
-            body,
-            connection,
-            guard,
-        })
-    }
-
-    /// Sends a request and waits for the head of its reply, as long as the caller and the deadline
-    /// allow.
-    async fn exchange(
-        &self,
-        connection: FreshConnection,
-        request: Request<Full<Bytes>>,
-    ) -> Exchange {
-        let deadline = self.request.gateway.instant(self.request.call.deadline);
-        let sent = tokio::select! {
-            () = self.sink.closed() => return Exchange::CallerLeft,
-            sent = tokio::time::timeout_at(deadline, connection.send(request)) => sent,
-        };
-        match sent {
-            Ok(Ok((response, connection))) => Exchange::Replied(response, connection),
-            // Both count as a failure of the endpoint; the stream is resumed elsewhere or ends with
-            // `request.broken_off`.
-            Ok(Err(_)) | Err(_) => Exchange::Failed,
-        }
-    }
-
     /// Ends the answer whole.
     async fn finish(self) {
         let StreamedRequest { gateway, call, .. } = &self.request;
@@ -383,13 +234,6 @@
     }
 }
 
-/// The result of sending one request.
-enum Exchange {
-    Replied(Response<Incoming>, ConnectionGuard),
-    Failed,
-    CallerLeft,
-}
-
 /// Ends after `limit`; never without one.
 async fn sleep_or_wait(limit: Option<Duration>) {
     match limit {
--- /dev/null
+++ b/lib/src/gateway/routing/stream_resume.rs
@@ -0,0 +1,189 @@
+//! Resumes a broken stream: finds an endpoint that continues it after the caller's last event.
+//!
+//! It owns what a streamed request needs for another attempt. `rules::resume` decides how often a
+//! stream is resumed, and `rules::reply_proof` which reply continues it.
+
+use {
+    crate::{
+        gateway::{
+            dialect::Dialect,
+            routing::{
+                attempt::StreamSource,
+                call::ForwardedCall,
+                endpoint_state::EndpointOutcome,
+                guards::{AttemptGuard, RequestGuard},
+                outbound::{choose_endpoint, outbound_request},
+                stages::run_stages,
+            },
+            rules::{
+                endpoint_choice::EndpointChoice,
+                reply_proof::judge_resumed_head,
+                resume::{is_resumable, may_resume},
+                retry::RetryReason,
+            },
+            stages::chain::Results,
+            state::Gateway,
+            wire::{
+                egress::{self, CONNECT_LIMIT, ConnectionGuard, FreshConnection},
+                reply::StreamPart,
+            },
+        },
+        shared::ids::EndpointId,
+    },
+    bytes::Bytes,
+    http::{Request, Response},
+    http_body_util::Full,
+    hyper::body::Incoming,
+    std::rc::Rc,
+    tokio::sync::mpsc,
+};
+
+/// The caller's side of a stream; closed when the caller has left.
+type Sink = mpsc::Sender<StreamPart>;
+
+/// A request whose reply is a stream.
+pub(crate) struct StreamedRequest<D: Dialect> {
+    pub(crate) gateway: Rc<Gateway<D>>,
+    pub(crate) call: Rc<ForwardedCall>,
+    /// Endpoints that were chosen for it so far.
+    pub(crate) tried: Vec<EndpointId>,
+    /// Attempts that were sent so far.
+    pub(crate) sent: u32,
+    /// Results of its stages, until an endpoint has taken them.
+    pub(crate) results: Option<Results<D>>,
+    /// Counts the request in flight until its stream ends.
+    pub(crate) _in_flight: RequestGuard<D>,
+}
+
+/// The result of one attempt to resume a stream.
+enum ResumeAttempt<D: Dialect> {
+    Resumed(StreamSource<D>),
+    Failed,
+    NoEndpoint,
+}
+
+/// The result of sending one request.
+enum Exchange {
+    Replied(Response<Incoming>, ConnectionGuard),
+    Failed,
+    CallerLeft,
+}
+
+/// Resumes a stream at another endpoint, if that is allowed and one is found. `last_event` is the
+/// last whole event that the caller has, `why` the reason for which the source before broke off.
+pub(crate) async fn resume<D: Dialect>(
+    request: &mut StreamedRequest<D>,
+    sink: &Sink,
+    last_event: Option<u64>,
+    why: &str,
+) -> Option<StreamSource<D>> {
+    if !is_resumable(request.call.route.kind) {
+        return None;
+    }
+    if request.results.is_none() {
+        // The results went when the first endpoint had taken them, so the stages run again. If
+        // they fail, `stage.ended` says why, and the stream breaks off for its own reason.
+        let results = run_stages(&request.gateway, &request.call).await;
+        request.results = results.ok()?;
+    }
+    while request.may_resume() && request.gateway.withdraw(&request.call.service) {
+        match request.resume_once(sink, last_event, why).await {
+            ResumeAttempt::Resumed(source) => return Some(source),
+            ResumeAttempt::NoEndpoint => return None,
+            ResumeAttempt::Failed => {}
+        }
+    }
+    None
+}
+
+impl<D: Dialect> StreamedRequest<D> {
+    fn may_resume(&self) -> bool {
+        may_resume(self.call.route.kind, self.sent, self.call.route.attempts)
+    }
+
+    /// Makes one attempt to resume the stream.
+    async fn resume_once(
+        &mut self,
+        sink: &Sink,
+        last_event: Option<u64>,
+        why: &str,
+    ) -> ResumeAttempt<D> {
+        let (gateway, call, results) = (&self.gateway, &self.call, self.results.as_ref());
+        let Some(choice) = choose_endpoint(gateway, call, &self.tried, results) else {
+            return ResumeAttempt::NoEndpoint;
+        };
+        self.tried.push(choice.entry.id.clone());
+        log::info!(
+            request = call.id(),
+            endpoint:% = choice.entry.id,
+            why,
+            last_event = last_event.unwrap_or(0);
+            "attempt.resumed"
+        );
+        let outbound = outbound_request(gateway, call, &choice, results, last_event);
+        match self.open_source(choice, outbound, sink).await {
+            Some(source) => ResumeAttempt::Resumed(source),
+            None => ResumeAttempt::Failed,
+        }
+    }
+
+    /// Sends a request that resumes the stream; returns the new source if the endpoint continues it.
+    async fn open_source(
+        &mut self,
+        choice: EndpointChoice,
+        request: Request<Full<Bytes>>,
+        sink: &Sink,
+    ) -> Option<StreamSource<D>> {
+        let mut guard = AttemptGuard::new(&self.gateway, &self.call, choice);
+        let address = guard.choice.entry.address;
+        // The event `endpoint.set_aside` shows that the endpoint could not be reached.
+        let Ok(connection) = egress::connect(address, CONNECT_LIMIT).await else {
+            guard.end(EndpointOutcome::Unreachable);
+            return None;
+        };
+        self.sent += 1;
+        self.gateway.metrics.retry(RetryReason::Resume);
+        let (response, connection) = match self.exchange(connection, request, sink).await {
+            Exchange::Replied(response, connection) => (response, connection),
+            Exchange::Failed => {
+                guard.end(EndpointOutcome::Failed);
+                return None;
+            }
+            // The guard's drop says nothing about the endpoint.
+            Exchange::CallerLeft => return None,
+        };
+        let (head, body) = response.into_parts();
+        let verdict = judge_resumed_head(self.call.id(), head.status, &D::read_reply(&head));
+        if let Err(outcome) = verdict {
+            guard.end(outcome);
+            return None;
+        }
+        guard.first_event();
+        Some(StreamSource {
+            body,
+            connection,
+            guard,
+        })
+    }
+
+    /// Sends a request and waits for the head of its reply, as long as the caller and the deadline
+    /// allow.
+    async fn exchange(
+        &self,
+        connection: FreshConnection,
+        request: Request<Full<Bytes>>,
+        sink: &Sink,
+    ) -> Exchange {
+        let deadline = self.gateway.instant(self.call.deadline);
+        let sent = tokio::select! {
+            () = sink.closed() => return Exchange::CallerLeft,
+            sent = tokio::time::timeout_at(deadline, connection.send(request)) => sent,
+        };
+        match sent {
+            Ok(Ok((response, connection))) => Exchange::Replied(response, connection),
+            // Both count as a failure of the endpoint; the stream is resumed elsewhere or ends with
+            // `request.broken_off`.
+            Ok(Err(_)) | Err(_) => Exchange::Failed,
+        }
+    }
+}
