--- a/lib/src/gateway/routing/guards.rs
+++ b/lib/src/gateway/routing/guards.rs
@@ -20,7 +20,7 @@
     gateway: Rc<Gateway<D>>,
     pub(crate) choice: EndpointChoice,
     sent_at: Time,
-    /// Whether the endpoint has still to read the prompt.
+    /// True until the endpoint has read the prompt.
     prefill_pending: bool,
     ended: bool,
 }
--- a/lib/src/gateway/routing/reply_stream.rs
+++ b/lib/src/gateway/routing/reply_stream.rs
@@ -30,7 +30,7 @@
 struct StreamRelay<D: Dialect> {
     request: StreamedRequest<D>,
     splitter: EventSplitter,
-    /// Whether an event has come from any endpoint.
+    /// True once an event has come from any endpoint.
     events_begun: bool,
     sink: mpsc::Sender<StreamPart>,
 }
--- a/lib/src/gateway/rules/outcome.rs
+++ b/lib/src/gateway/rules/outcome.rs
@@ -1,4 +1,4 @@
-//! What do the attempts of a request prove, and what may its caller be promised?
+//! Can a request have run, and which outcome may its caller be promised?
 //!
 //! Inputs: the events of one request's attempts, in order: no connection came up, the request is
 //! about to be sent, a reply proves that it did not run. Results: counts of attempts, and the
@@ -8,9 +8,9 @@
 //! proves the opposite. While any attempt has possibly run, the caller gets the outcome `unknown`
 //! and no time to come back; otherwise `not_run` and a time to come back.
 //!
-//! Reason: a request that must not run twice runs at most once, and a caller may only repeat by
-//! itself what is proven not to have run. Both rest on these counts alone, since each request has an
-//! id of its own and meets one daemon.
+//! Reason: a request that must not run twice runs at most once, and a caller may send again itself
+//! only what is proven not to have run. Both rest on these counts alone, since each request has an id
+//! of its own and meets one daemon.
 //!
 //! It has no constants. `test_attempt_outcome` holds it against an observer at the endpoints.
 
@@ -34,7 +34,7 @@
     pub why: &'a str,
     /// Result of the last attempt.
     pub last_result: &'a str,
-    /// Whether the deadline has passed.
+    /// True if the deadline has passed.
     pub is_late: bool,
     /// Time after which the caller may come back if nothing has run.
     pub retry_after: Millis,
--- a/lib/src/gateway/rules/reply_proof.rs
+++ b/lib/src/gateway/rules/reply_proof.rs
@@ -1,4 +1,5 @@
-//! What does the head of a reply prove about the request and about the endpoint?
+//! Does the head of a reply prove that the request ran, or that it did not, and does it speak against
+//! the endpoint?
 //!
 //! Inputs: the request's id, the kind of its route, the reply's status and the facts that the
 //! dialect reads from its head. Result: whether the request ran, whether the reply may be passed on,
--- a/lib/src/gateway/table.rs
+++ b/lib/src/gateway/table.rs
@@ -22,7 +22,7 @@
     /// The answer is a stream of events; a request runs at most once unless the stream can be
     /// resumed.
     Stream {
-        /// Whether another endpoint can resume a broken stream.
+        /// True if another endpoint can resume a broken stream.
         resumable: bool,
         /// Longest pause between two events of an answer that is in time.
         gap: Millis,
