--- a/lib/src/gateway/routing/accept.rs
+++ b/lib/src/gateway/routing/accept.rs
@@ -119,6 +119,7 @@
     inbound: &Inbound,
 ) -> Result<Destination, Problem> {
     let table = &published.table;
+    // A request without a host finds a route only if the table has one for the empty host.
     let host = host_of(head).unwrap_or_default();
     let Some(route) = table.route(host, head.uri.path()) else {
         let detail = format!("no route for host {host:?} in version {}", table.version);
@@ -135,8 +136,7 @@
     })
 }
 
-/// Returns the host that the caller asks for. A `Host` header that isn't text counts as none: no
-/// route has such a host.
+/// Returns the host that the caller asks for. A `Host` header that isn't text counts as none.
 fn host_of(head: &Parts) -> Option<&str> {
     match head.uri.host() {
         Some(host) => Some(host),
--- a/lib/src/gateway/routing/outbound.rs
+++ b/lib/src/gateway/routing/outbound.rs
@@ -24,6 +24,7 @@
     tried: &[EndpointId],
     results: Option<&Results<D>>,
 ) -> Option<EndpointChoice> {
+    // A request without stages takes no results, wherever they are.
     let inputs = results.map(Results::input_locations).unwrap_or_default();
     let placement = Placement {
         prompt: &call.inbound.prompt,
@@ -49,6 +50,7 @@
     resume_after: Option<u64>,
 ) -> Request<Full<Bytes>> {
     let mut headers = passed_headers(call);
+    // A request without stages takes no results.
     let inputs = results.map(Results::inputs).unwrap_or_default();
     let outbound = Outbound {
         endpoint: &choice.entry.id,
