--- a/lib/src/gateway/routing/call.rs
+++ b/lib/src/gateway/routing/call.rs
@@ -1,13 +1,11 @@
-//! One request in this daemon: what doesn't change of it, and what is counted while it lasts.
+//! One accepted request, as far as it doesn't change while attempts are made.
 
 use {
     crate::{
         gateway::{
-            dialect::{Dialect, Inbound},
-            routing::endpoint_state::EndpointOutcome,
-            rules::endpoint_choice::EndpointChoice,
-            state::Gateway,
-            table::{CustomerEntry, Route, RouteKind},
+            dialect::Inbound,
+            rules::time_limits::first_event_time,
+            table::{CustomerEntry, Route},
         },
         shared::{
             ids::ServiceId,
@@ -16,174 +14,49 @@
     },
     bytes::Bytes,
     http::request::Parts,
-    std::{rc::Rc, sync::Arc},
+    std::sync::Arc,
 };
 
-/// Time that callers of a stream wait for its first event: the longest of these.
-const LEAST_WAIT: Millis = Millis(2_000);
-const WAIT_OBJECTIVES: u64 = 4;
-const WAIT_GAPS: u64 = 8;
-
-/// One request, as far as it doesn't change.
+/// One accepted request.
 pub(crate) struct ForwardedCall {
     pub(crate) inbound: Inbound,
     pub(crate) route: Arc<Route>,
+    /// Customer whose key the request carries, if any.
     pub(crate) customer: Option<Arc<CustomerEntry>>,
+    /// Service of the route that serves this request.
     pub(crate) service: ServiceId,
+    /// Head as the caller sent it.
     pub(crate) head: Parts,
     pub(crate) body: Bytes,
     pub(crate) arrived: Time,
+    /// End of the work on the request in this daemon.
     pub(crate) deadline: Time,
+    /// Order among the requests of an endpoint; 0 goes first.
     pub(crate) urgency: u32,
 }
 
 impl ForwardedCall {
+    /// Returns the id that the caller gave the request.
     pub(crate) fn id(&self) -> &str {
         &self.inbound.id
     }
 
-    /// Returns whether any piece of a stage has to be made before the request can run.
+    /// Returns whether any piece of a stage has to run before the request.
     pub(crate) fn has_stages(&self) -> bool {
         !self.route.stages.is_empty() && self.inbound.pieces.iter().any(|count| *count > 0)
     }
 
-    /// Returns when a caller of a stream gives up before its first event.
+    /// Returns when a caller of a stream gives up if no event has come; for other requests, the
+    /// deadline.
     pub(crate) fn give_up(&self) -> Time {
-        let RouteKind::Stream { gap, .. } = self.route.kind else {
-            return self.deadline;
-        };
-        let longest = LEAST_WAIT
-            .0
-            .max(self.route.objective.0 * WAIT_OBJECTIVES)
-            .max(gap.0 * WAIT_GAPS);
-        self.arrived + Millis(longest)
+        match first_event_time(self.route.kind, self.route.objective) {
+            Some(time) => self.arrived + time,
+            None => self.deadline,
+        }
     }
 
+    /// Returns the time left until the deadline.
     pub(crate) fn remaining(&self, now: Time) -> Millis {
         Millis(self.deadline.since(now).as_millis() as u64)
     }
 }
-
-/// Counts a request in flight at an endpoint until it is told how that ended.
-pub(crate) struct AttemptGuard<D: Dialect> {
-    gateway: Rc<Gateway<D>>,
-    pub(crate) choice: EndpointChoice,
-    sent: Time,
-    prefill: bool,
-    ended: bool,
-}
-
-impl<D: Dialect> AttemptGuard<D> {
-    pub(crate) fn new(
-        gateway: &Rc<Gateway<D>>,
-        call: &ForwardedCall,
-        choice: EndpointChoice,
-    ) -> Self {
-        let now = gateway.now();
-        let mut state = gateway.state.borrow_mut();
-        let prompt = &call.inbound.prompt;
-        state
-            .endpoints
-            .sent(now, &choice.entry.id, prompt, choice.uncached);
-        drop(state);
-        Self {
-            gateway: gateway.clone(),
-            choice,
-            sent: now,
-            prefill: true,
-            ended: false,
-        }
-    }
-
-    pub(crate) fn first_event(&mut self) {
-        if std::mem::take(&mut self.prefill) {
-            let now = self.gateway.now();
-            let waited = now.millis_since(self.sent);
-            let mut state = self.gateway.state.borrow_mut();
-            state.endpoints.first_event(now, &self.choice, waited);
-        }
-    }
-
-    pub(crate) fn end(mut self, ending: EndpointOutcome) {
-        self.settle(ending);
-    }
-
-    pub(crate) fn took_ms(&self) -> f64 {
-        self.gateway.now().millis_since(self.sent)
-    }
-
-    fn settle(&mut self, ending: EndpointOutcome) {
-        if std::mem::replace(&mut self.ended, true) {
-            return;
-        }
-        let now = self.gateway.now();
-        let id = &self.choice.entry.id;
-        let mut state = self.gateway.state.borrow_mut();
-        if self.prefill {
-            state.endpoints.forget_prefill(id, self.choice.uncached);
-        }
-        let set_aside = state.endpoints.ended(now, id, ending);
-        drop(state);
-        if set_aside {
-            log::info!(endpoint:% = id, ending:? = ending; "endpoint.set_aside");
-        }
-    }
-}
-
-impl<D: Dialect> Drop for AttemptGuard<D> {
-    fn drop(&mut self) {
-        self.settle(EndpointOutcome::Neutral);
-    }
-}
-
-/// Counts a request of this daemon until its answer is whole.
-pub(crate) struct RequestGuard<D: Dialect> {
-    gateway: Rc<Gateway<D>>,
-}
-
-impl<D: Dialect> RequestGuard<D> {
-    pub(crate) fn new(gateway: &Rc<Gateway<D>>) -> Self {
-        gateway.in_flight.set(gateway.in_flight.get() + 1);
-        Self {
-            gateway: gateway.clone(),
-        }
-    }
-}
-
-impl<D: Dialect> Drop for RequestGuard<D> {
-    fn drop(&mut self) {
-        let left = self.gateway.in_flight.get().saturating_sub(1);
-        self.gateway.in_flight.set(left);
-    }
-}
-
-/// Notes a caller that left: the request's future is dropped before its end.
-pub(crate) struct CallerLeftGuard<'a, D: Dialect> {
-    gateway: &'a Gateway<D>,
-    call: &'a ForwardedCall,
-    armed: bool,
-}
-
-impl<'a, D: Dialect> CallerLeftGuard<'a, D> {
-    pub(crate) fn new(gateway: &'a Gateway<D>, call: &'a ForwardedCall) -> Self {
-        Self {
-            gateway,
-            call,
-            armed: true,
-        }
-    }
-
-    pub(crate) fn defuse(mut self) {
-        self.armed = false;
-    }
-}
-
-impl<D: Dialect> Drop for CallerLeftGuard<'_, D> {
-    fn drop(&mut self) {
-        if self.armed {
-            let took = self.gateway.now().since(self.call.arrived);
-            self.gateway.metrics.caller_left();
-            log::info!(request = self.call.id(), took_ms = took.as_millis() as u64; "request.caller_left");
-        }
-    }
-}
--- a/lib/src/gateway/routing/stages.rs
+++ b/lib/src/gateway/routing/stages.rs
@@ -4,10 +4,21 @@
     crate::{
         gateway::{
             dialect::{Dialect, Inbound},
+<<<<<<< HEAD
             hashes::service_hash,
             routing::{attempt::choose_endpoint, call::ForwardedCall},
             rules::admission::{
                 self, AdmissionDecision, AdmissionRequest, PlannedStage, StageService,
+=======
+            routing::{
+                call::ForwardedCall, endpoint_state::service_hash, outbound::choose_endpoint,
+            },
+            rules::{
+                admission::{
+                    self, AdmissionDecision, AdmissionRequest, PlannedStage, StageService,
+                },
+                retry_after::STAGE_FAILED,
+>>>>>>> routing
             },
             stages::chain::{self, ChainError, ChainRequest, Results},
             state::Gateway,
@@ -16,15 +27,12 @@
         shared::{
             ids::ServiceId,
             problem::{Code, Problem},
-            units::{ByteSize, Millis},
+            units::ByteSize,
         },
     },
     std::rc::Rc,
 };
 
-/// Wait that is suggested to a caller whose stages failed.
-const RETRY: Millis = Millis(100);
-
 /// Refuses a request at once whose stages can't be made in time.
 pub(crate) fn check_admission<D: Dialect>(
     gateway: &Gateway<D>,
@@ -71,10 +79,11 @@
     match chain::run(gateway, &request).await {
         Ok(results) => Ok(Some(results)),
         Err(ChainError::Late) => {
-            Err(Problem::not_run(Code::NoTime, "the stages take too long").retry_after(RETRY))
+            Err(Problem::not_run(Code::NoTime, "the stages take too long")
+                .retry_after(STAGE_FAILED))
         }
         Err(ChainError::Failed) => {
-            Err(Problem::not_run(Code::NoEndpoint, "a stage failed").retry_after(RETRY))
+            Err(Problem::not_run(Code::NoEndpoint, "a stage failed").retry_after(STAGE_FAILED))
         }
     }
 }
