--- a/cli/src/commands/status.rs
+++ b/cli/src/commands/status.rs
@@ -4,7 +4,7 @@
     crate::output::{Exit, Format, plain_table, print_json},
     anyhow::Result,
     argh::FromArgs,
-    hazelyoke_lib::shared::status::{StatusBody, fetch},
+    hazelyoke_lib::{pipeline::api::status_client::fetch, shared::status::StatusBody},
     std::net::SocketAddr,
 };
 
--- a/lib/src/pipeline/api/mod.rs
+++ b/lib/src/pipeline/api/mod.rs
@@ -3,4 +3,5 @@
 pub mod headers;
 pub mod problem;
 pub mod server;
+pub mod status_client;
 pub mod stream;
--- a/lib/src/pipeline/api/server.rs
+++ b/lib/src/pipeline/api/server.rs
@@ -12,6 +12,7 @@
             endpoints::http_call::HttpTransport,
             metrics::Metrics,
             node::{Delivery, Node, RequestHandle},
+            status_view::status_body,
             trace::Hop,
         },
         shared::{
@@ -216,7 +217,7 @@
     context: RequestContext<Arc<ApiContext>>,
 ) -> Result<HttpResponseOk<StatusBody>, ProblemBody> {
     let context = context.context();
-    let body = StatusBody::new(&context.host, context.is_ready(), &context.node.snapshot());
+    let body = status_body(&context.host, context.is_ready(), &context.node.snapshot());
     Ok(HttpResponseOk(body))
 }
 
--- a/lib/src/pipeline/mod.rs
+++ b/lib/src/pipeline/mod.rs
@@ -8,4 +8,5 @@
 pub mod endpoints;
 pub mod metrics;
 pub mod node;
+mod status_view;
 pub mod trace;
--- a/lib/tests/test_api.rs
+++ b/lib/tests/test_api.rs
@@ -3,7 +3,7 @@
 #![allow(clippy::unwrap_used, reason = "a failed unwrap fails the test")]
 
 use {
-    hazelyoke_lib::{pipeline::api::server, shared::status},
+    hazelyoke_lib::pipeline::api::{server, status_client},
     hazelyoke_testutils::{
         fixture::{Fixture, wait_for},
         http_client::{Caller, CallerRequest},
@@ -71,7 +71,7 @@
 async fn status_view() {
     let fixture = Fixture::start().await;
     let (daemon, _caller) = fixture.daemon().await;
-    let status = status::fetch(daemon.address()).await.unwrap();
+    let status = status_client::fetch(daemon.address()).await.unwrap();
     assert!(status.ready);
     assert_eq!((status.host.as_str(), status.version), ("entry-1", 1));
     assert_eq!(status.endpoints.len(), 10);
