--- a/bench/src/example_tree.rs
+++ b/bench/src/example_tree.rs
@@ -38,7 +38,9 @@
 pub struct Values(pub BTreeMap<String, String>);
 
 impl ValueSource for Values {
-    fn read(&self, name: &str) -> Result<Vec<u8>, String> {
+    type Error = &'static str;
+
+    fn read(&self, name: &str) -> Result<Vec<u8>, Self::Error> {
         let value = self.0.get(name).ok_or("there is no such value")?;
         Ok(value.clone().into_bytes())
     }
--- a/cli/src/tree_file.rs
+++ b/cli/src/tree_file.rs
@@ -10,21 +10,45 @@
         shared::findings::Findings,
     },
     std::{
-        fs,
+        fs, io,
         path::{Path, PathBuf},
     },
+    thiserror::Error,
 };
 
 /// Reads values from the folder of a tree's root file.
 struct Folder(PathBuf);
 
+/// Reports a value that can't be read from its folder.
+#[derive(Debug, Error)]
+enum FileError {
+    /// The configuration service couldn't hold a value of this name.
+    #[error("{name:?} can't be the name of a value")]
+    BadName {
+        /// The name that the tree includes.
+        name: String,
+    },
+    /// The file can't be read.
+    #[error("can't read {}: {error}", path.display())]
+    Unreadable {
+        /// Path of the file.
+        path: PathBuf,
+        /// Says why.
+        #[source]
+        error: io::Error,
+    },
+}
+
 impl ValueSource for Folder {
-    fn read(&self, name: &str) -> Result<Vec<u8>, String> {
+    type Error = FileError;
+
+    fn read(&self, name: &str) -> Result<Vec<u8>, FileError> {
         if !is_value_name(name) {
-            return Err(format!("{name:?} can't be the name of a value"));
+            let name = name.to_owned();
+            return Err(FileError::BadName { name });
         }
         let path = self.0.join(name);
-        fs::read(&path).map_err(|error| format!("can't read {}: {error}", path.display()))
+        fs::read(&path).map_err(|error| FileError::Unreadable { path, error })
     }
 }
 
--- a/lib/src/pipeline/config_service.rs
+++ b/lib/src/pipeline/config_service.rs
@@ -76,13 +76,20 @@
     missing: RefCell<BTreeSet<String>>,
 }
 
+/// Reports a value that the next round has to fetch.
+#[derive(Debug, Error)]
+#[error("not fetched yet")]
+struct NotFetched;
+
 impl ValueSource for FetchedValues {
-    fn read(&self, name: &str) -> Result<Vec<u8>, String> {
+    type Error = NotFetched;
+
+    fn read(&self, name: &str) -> Result<Vec<u8>, NotFetched> {
         match self.values.get(name) {
             Some(value) => Ok(value.to_vec()),
             None => {
                 self.missing.borrow_mut().insert(name.to_owned());
-                Err("not fetched yet".into())
+                Err(NotFetched)
             }
         }
     }
--- /dev/null
+++ b/lib/src/settings/document/parse.rs
@@ -0,0 +1,155 @@
+//! Parses JSON with comments into values.
+//!
+//! It owns the accepted syntax and the limit on nesting, and relies on `jsonc_parser`.
+
+use {
+    crate::{
+        settings::document::{Field, Kind, Value, text_lines::TextLines},
+        shared::findings::Findings,
+    },
+    jsonc_parser::{
+        CollectOptions, ParseOptions,
+        ast::{ObjectProp, Value as AstValue},
+        common::{Range, Ranged},
+        parse_to_ast,
+    },
+    std::collections::BTreeSet,
+};
+
+/// Most levels of nesting accepted; deeper input is refused before it is parsed, because the
+/// parser calls itself once a level. Chosen, not measured; `test_settings_tree::damaged_text`
+/// goes beyond it.
+pub const MAX_DEPTH: usize = 64;
+
+/// Only comments and trailing commas go beyond plain JSON.
+const OPTIONS: ParseOptions = ParseOptions {
+    allow_comments: true,
+    allow_loose_object_property_names: false,
+    allow_trailing_commas: true,
+    allow_missing_commas: false,
+    allow_single_quoted_strings: false,
+    allow_hexadecimal_numbers: false,
+    allow_unary_plus_numbers: false,
+    allow_bare_decimal_point_numbers: false,
+    allow_non_finite_numbers: false,
+    allow_extended_string_escapes: false,
+};
+
+/// Returns the byte offset at which nesting first goes deeper than [`MAX_DEPTH`].
+///
+/// Brackets inside strings count as well: no legitimate string holds that many, and counting too
+/// many only refuses the file.
+fn first_too_deep(text: &str) -> Option<usize> {
+    let mut depth = 0usize;
+    for (i, byte) in text.bytes().enumerate() {
+        match byte {
+            b'{' | b'[' => depth += 1,
+            b'}' | b']' => depth = depth.saturating_sub(1),
+            _ => {}
+        }
+        if depth > MAX_DEPTH {
+            return Some(i);
+        }
+    }
+    None
+}
+
+/// Parses JSON with comments; `file` names the text in places.
+///
+/// # Errors
+///
+/// Returns the syntax error, or every field that an object has twice, with places.
+pub fn parse(file: &str, text: &str) -> Result<Value, Findings> {
+    let lines = TextLines::new(file, text);
+    if let Some(offset) = first_too_deep(text) {
+        let message = format!("values are nested more than {MAX_DEPTH} deep");
+        return Err(refuse(&lines, offset, message, "flatten the file"));
+    }
+    let parsed = parse_to_ast(text, &CollectOptions::default(), &OPTIONS).map_err(|error| {
+        let message = format!("syntax error: {}", error.kind());
+        refuse(
+            &lines,
+            error.range().start,
+            message,
+            "correct the JSON here",
+        )
+    })?;
+    let root = parsed.value.ok_or_else(|| {
+        let message = "the file holds no value".to_owned();
+        refuse(&lines, 0, message, "write an object")
+    })?;
+    let mut findings = Findings::default();
+    let value = convert(&lines, &root, &mut findings);
+    findings.into_result(value)
+}
+
+/// Parses bytes that may not be UTF-8; `file` names them in places.
+///
+/// # Errors
+///
+/// As [`parse`], and where the bytes aren't UTF-8.
+pub fn parse_bytes(file: &str, bytes: &[u8]) -> Result<Value, Findings> {
+    let text = str::from_utf8(bytes).map_err(|error| {
+        let valid = String::from_utf8_lossy(&bytes[..error.valid_up_to()]);
+        let lines = TextLines::new(file, &valid);
+        let message = "invalid UTF-8".to_owned();
+        refuse(&lines, valid.len(), message, "save the file as UTF-8")
+    })?;
+    parse(file, text)
+}
+
+/// Returns the only finding of a file that can't be parsed.
+fn refuse(lines: &TextLines<'_>, offset: usize, message: String, hint: &str) -> Findings {
+    Findings::one(&lines.place(offset), lines.file(), message, hint)
+}
+
+fn convert(lines: &TextLines<'_>, value: &AstValue<'_>, findings: &mut Findings) -> Value {
+    let Range { start, .. } = value.range();
+    Value {
+        place: lines.place(start),
+        kind: convert_kind(lines, value, findings),
+    }
+}
+
+fn convert_kind(lines: &TextLines<'_>, value: &AstValue<'_>, findings: &mut Findings) -> Kind {
+    match value {
+        AstValue::NullKeyword(_) => Kind::Null,
+        AstValue::BooleanLit(lit) => Kind::Bool(lit.value),
+        AstValue::NumberLit(lit) => Kind::Number(lit.value.to_owned()),
+        AstValue::StringLit(lit) => Kind::Text(lit.value.clone().into_owned()),
+        AstValue::Array(array) => Kind::List(
+            array
+                .elements
+                .iter()
+                .map(|element| convert(lines, element, findings))
+                .collect(),
+        ),
+        AstValue::Object(object) => {
+            Kind::Object(convert_fields(lines, &object.properties, findings))
+        }
+    }
+}
+
+fn convert_fields(
+    lines: &TextLines<'_>,
+    properties: &[ObjectProp<'_>],
+    findings: &mut Findings,
+) -> Vec<Field> {
+    let mut seen = BTreeSet::new();
+    let mut fields = Vec::with_capacity(properties.len());
+    for property in properties {
+        let name = property.name.as_str().to_owned();
+        let place = lines.place(property.range.start);
+        if !seen.insert(name.clone()) {
+            findings.add(
+                &place,
+                &name,
+                format!("field {name:?} appears twice in this object"),
+                "remove or rename one of them",
+            );
+        }
+        let value = convert(lines, &property.value, findings);
+        fields.push(Field { place, name, value });
+    }
+    fields
+}
--- /dev/null
+++ b/lib/src/settings/raw_tree/group.rs
@@ -0,0 +1,135 @@
+//! A group as written, in place or in a value that it includes.
+
+use crate::{
+    settings::{
+        document::{Field, Kind, ObjectReader, Value},
+        raw_tree::{
+            RawCustomer, RawPipeline, RawService, ValueSource, parse_name, read_all,
+            value_source::OpenValues,
+        },
+    },
+    shared::{
+        findings::{Findings, Place},
+        ids::PipelineId,
+    },
+};
+
+/// A node that holds services, customers, pipelines and further groups.
+#[derive(Debug, Clone)]
+pub struct RawGroup {
+    /// Path from the root.
+    pub path: String,
+    /// Overridden settings.
+    pub settings: Vec<Field>,
+    /// Services defined in this group.
+    pub services: Vec<RawService>,
+    /// Customers defined in this group.
+    pub customers: Vec<RawCustomer>,
+    /// Pipelines defined in this group.
+    pub pipelines: Vec<RawPipeline>,
+    /// Groups below this one.
+    pub groups: Vec<RawGroup>,
+}
+
+/// Group names that would be confused with parts of a node's path.
+const RESERVED: [&str; 4] = ["services", "customers", "pipelines", "stages"];
+
+/// The value that a group stands in, instead of standing in place.
+struct Include {
+    value: String,
+    place: Place,
+}
+
+impl RawGroup {
+    /// Reads the rest of a group's object, and all groups below it.
+    pub(super) fn read<S: ValueSource>(
+        values: &mut OpenValues<'_, S>,
+        path: String,
+        mut reader: ObjectReader<'_>,
+    ) -> Self {
+        let settings = reader.take_fields("settings");
+        let services = reader.take_fields("services");
+        let customers = reader.take_fields("customers");
+        let pipelines = reader.take_fields("pipelines");
+        let groups = reader.take_fields("groups");
+        let found = reader.findings();
+        let group = Self {
+            settings,
+            services: read_all(services, |field| RawService::read(&path, field, found)),
+            customers: read_all(customers, |field| RawCustomer::read(&path, field, found)),
+            pipelines: read_all(pipelines, |field| RawPipeline::read(&path, field, found)),
+            groups: read_all(groups, |field| {
+                Self::read_child(values, &path, field, found)
+            }),
+            path,
+        };
+        reader.finish();
+        group
+    }
+
+    fn read_child<S: ValueSource>(
+        values: &mut OpenValues<'_, S>,
+        parent: &str,
+        field: Field,
+        findings: &mut Findings,
+    ) -> Option<Self> {
+        // Group names follow the same rules as all names; there is no type of their own.
+        let name = parse_name::<PipelineId>(&field.name, &field.place, parent, findings)?;
+        let path = format!("{parent}/{}", name.id);
+        if RESERVED.contains(&name.id.as_str()) {
+            let message = format!("a group can't be named {:?}", name.id.as_str());
+            findings.add(&field.place, &path, message, "choose another name");
+            return None;
+        }
+        if let Some(include) = included_value(&field.value) {
+            return Self::read_included(values, path, &include, findings);
+        }
+        let reader = ObjectReader::new(&path, field.value, findings);
+        Some(Self::read(values, path, reader))
+    }
+
+    fn read_included<S: ValueSource>(
+        values: &mut OpenValues<'_, S>,
+        path: String,
+        include: &Include,
+        findings: &mut Findings,
+    ) -> Option<Self> {
+        if let Some(cycle) = values.cycle(&include.value) {
+            let message = format!("include cycle: {cycle}");
+            let hint = "a value can't include itself; remove one of these includes";
+            findings.add(&include.place, &path, message, hint);
+            return None;
+        }
+        match values.open(&include.value) {
+            Ok(value) => {
+                let reader = ObjectReader::new(&path, value, findings);
+                let group = Self::read(values, path, reader);
+                values.close();
+                Some(group)
+            }
+            Err(inner) => {
+                findings.append(inner);
+                let message = format!("included value {:?} can't be read", include.value);
+                findings.add(&include.place, &path, message, "see its own finding");
+                None
+            }
+        }
+    }
+}
+
+/// Returns the include of a group that is written as `{"include": "..."}`.
+fn included_value(value: &Value) -> Option<Include> {
+    let Kind::Object(fields) = &value.kind else {
+        return None;
+    };
+    let [only] = fields.as_slice() else {
+        return None;
+    };
+    match &only.value.kind {
+        Kind::Text(name) if only.name == "include" => Some(Include {
+            value: name.clone(),
+            place: only.value.place.clone(),
+        }),
+        _ => None,
+    }
+}
--- /dev/null
+++ b/lib/src/settings/raw_tree/mod.rs
@@ -0,0 +1,120 @@
+//! The settings tree as it is written: syntax and names checked, references not yet resolved.
+//!
+//! [`RawTree::read`] reads the root value and every value that it includes; a file a kind of node
+//! holds the node's type and its reader. Readers collect findings and go on, so that one check
+//! reports everything that is wrong. It relies on `document` for JSON; `tree_check` turns the
+//! result into a checked tree.
+
+mod customer;
+mod group;
+mod pipeline;
+mod service;
+mod value_source;
+
+pub use {
+    customer::{RawCustomer, RawOverride},
+    group::RawGroup,
+    pipeline::{RawPipeline, RawStage},
+    service::{RawEndpoint, RawService},
+    value_source::ValueSource,
+};
+
+use {
+    crate::{
+        settings::document::{Field, ObjectReader, scalar_text},
+        shared::{
+            findings::{Findings, Place},
+            ids::{DataCentreId, PipelineId},
+        },
+    },
+    std::{fmt::Display, str::FromStr},
+    value_source::OpenValues,
+};
+
+/// A whole tree as written.
+#[derive(Debug, Clone)]
+pub struct RawTree {
+    /// Version of the tree; daemons adopt upward only.
+    pub version: u64,
+    /// Data centres that endpoints may stand in.
+    pub data_centres: Vec<Named<DataCentreId>>,
+    /// The root group.
+    pub root: RawGroup,
+    /// Everything found wrong while reading.
+    pub findings: Findings,
+}
+
+/// A name as it was written, with its place.
+#[derive(Debug, Clone)]
+pub struct Named<T> {
+    /// The checked name.
+    pub id: T,
+    /// Where it stands.
+    pub place: Place,
+}
+
+impl<T> From<(T, Place)> for Named<T> {
+    fn from((id, place): (T, Place)) -> Self {
+        Self { id, place }
+    }
+}
+
+impl RawTree {
+    /// Reads a tree from its root value `name` and all values that it includes.
+    ///
+    /// # Errors
+    ///
+    /// Returns findings when the root value itself can't be read or parsed; all other findings are
+    /// kept in the tree and reported when it is checked.
+    pub fn read(source: &impl ValueSource, name: &str) -> Result<Self, Findings> {
+        let mut values = OpenValues::new(source);
+        let value = values.open(name)?;
+        let mut findings = Findings::default();
+        let mut root = ObjectReader::new(name, value, &mut findings);
+        let version = root.take_required::<u64>("version");
+        // The tree's name begins every path, so it has to be a name like those of its nodes.
+        let tree_name = root.take_required::<PipelineId>("name");
+        let data_centres = read_data_centres(&mut root);
+        let path = tree_name.map_or_else(|| name.to_owned(), |(id, _)| id.to_string());
+        let root = RawGroup::read(&mut values, path, root);
+        Ok(Self {
+            // Without a version there is a finding, so that the 0 never comes into force.
+            version: version.map_or(0, |(version, _)| version),
+            data_centres,
+            root,
+            findings,
+        })
+    }
+}
+
+fn read_data_centres(root: &mut ObjectReader<'_>) -> Vec<Named<DataCentreId>> {
+    let elements = root.take_list("data_centres");
+    let names = elements.into_iter().filter_map(|element| {
+        // What isn't a scalar reads as the empty name, which is reported.
+        let text = scalar_text(&element).unwrap_or_default();
+        parse_name(&text, &element.place, "data_centres", root.findings())
+    });
+    names.collect()
+}
+
+/// Checks a name; one that isn't valid is a finding of `node`.
+fn parse_name<T: FromStr<Err: Display>>(
+    text: &str,
+    place: &Place,
+    node: &str,
+    findings: &mut Findings,
+) -> Option<Named<T>> {
+    let place = place.clone();
+    match text.parse() {
+        Ok(id) => Some(Named { id, place }),
+        Err(error) => {
+            findings.add(&place, node, error.to_string(), "rename it");
+            None
+        }
+    }
+}
+
+/// Reads each field as a node; what can't be read is left out, with a finding.
+fn read_all<T>(fields: Vec<Field>, read: impl FnMut(Field) -> Option<T>) -> Vec<T> {
+    fields.into_iter().filter_map(read).collect()
+}
--- /dev/null
+++ b/lib/src/settings/raw_tree/pipeline.rs
@@ -0,0 +1,77 @@
+//! Pipelines and their stages as written.
+
+use crate::{
+    settings::{
+        document::{Field, ObjectReader, Value},
+        raw_tree::{Named, parse_name},
+    },
+    shared::{
+        findings::Findings,
+        ids::{PipelineId, ServiceId, StageId},
+    },
+};
+
+/// A pipeline as written.
+#[derive(Debug, Clone)]
+pub struct RawPipeline {
+    /// Path from the root.
+    pub path: String,
+    /// Name of the pipeline.
+    pub name: Named<PipelineId>,
+    /// Overridden settings.
+    pub settings: Vec<Field>,
+    /// Its stages in order.
+    pub stages: Vec<RawStage>,
+}
+
+/// A stage as written.
+#[derive(Debug, Clone)]
+pub struct RawStage {
+    /// Path from the root.
+    pub path: String,
+    /// Name of the stage.
+    pub name: Named<StageId>,
+    /// Service that runs it.
+    pub service: Option<Named<ServiceId>>,
+    /// Overridden settings.
+    pub settings: Vec<Field>,
+}
+
+impl RawPipeline {
+    pub(super) fn read(parent: &str, field: Field, findings: &mut Findings) -> Option<Self> {
+        let path = format!("{parent}/pipelines/{}", field.name);
+        let name = parse_name(&field.name, &field.place, &path, findings)?;
+        let mut reader = ObjectReader::new(&path, field.value, findings);
+        let settings = reader.take_fields("settings");
+        let elements = reader.take_list("stages");
+        let found = reader.findings();
+        let stages = elements
+            .into_iter()
+            .filter_map(|element| RawStage::read(&path, element, found))
+            .collect();
+        reader.finish();
+        Some(Self {
+            path,
+            name,
+            settings,
+            stages,
+        })
+    }
+}
+
+impl RawStage {
+    fn read(pipeline: &str, value: Value, findings: &mut Findings) -> Option<Self> {
+        let mut reader = ObjectReader::new(pipeline, value, findings);
+        let name = reader.take_required::<StageId>("name");
+        let service = reader.take_required::<ServiceId>("service");
+        let settings = reader.take_fields("settings");
+        reader.finish();
+        let name = Named::from(name?);
+        Some(Self {
+            path: format!("{pipeline}/stages/{}", name.id),
+            name,
+            service: service.map(Named::from),
+            settings,
+        })
+    }
+}
--- /dev/null
+++ b/lib/src/settings/tree_check/customer.rs
@@ -0,0 +1,61 @@
+//! Checks customers, and what they override for single pipelines.
+
+use {
+    crate::settings::{
+        raw_tree::{RawCustomer, RawOverride},
+        tree::Customer,
+        tree_check::TreeCheck,
+        values::Settings,
+    },
+    std::{collections::BTreeMap, sync::Arc},
+};
+
+impl TreeCheck {
+    /// Adds a customer, without the settings that it overrides for pipelines.
+    pub(super) fn add_customer(&mut self, raw: &RawCustomer, parent: &Arc<Settings>) {
+        let settings = self.add_node(&raw.path, Some(&raw.name.place), parent, &raw.settings);
+        let customer = Customer {
+            id: raw.name.id.clone(),
+            path: raw.path.as_str().into(),
+            settings,
+            pipelines: BTreeMap::new(),
+        };
+        let customers = &mut self.tree.customers;
+        let replaced = customers.insert(raw.name.id.clone(), Arc::new(customer));
+        if replaced.is_some() {
+            self.report_duplicate("customer", &raw.name, &raw.path);
+        }
+    }
+
+    /// Adds the settings that a customer overrides; the pipelines are in the tree already.
+    pub(super) fn add_customer_overrides(&mut self, raw: &RawCustomer) {
+        let mut pipelines = BTreeMap::new();
+        for raw_override in &raw.pipelines {
+            if let Some(settings) = self.check_override(&raw.path, raw_override) {
+                pipelines.insert(raw_override.name.id.clone(), settings);
+            }
+        }
+        if pipelines.is_empty() {
+            return;
+        }
+        if let Some(customer) = self.tree.customers.get_mut(&raw.name.id) {
+            Arc::make_mut(customer).pipelines = pipelines;
+        }
+    }
+
+    /// Returns the settings that hold in one pipeline for the customer at `path`.
+    fn check_override(&mut self, path: &str, raw: &RawOverride) -> Option<Arc<Settings>> {
+        let name = &raw.name;
+        let path = format!("{path}/pipelines/{}", name.id);
+        let Some(pipeline) = self.tree.pipelines.get(&name.id).cloned() else {
+            let message = format!("overrides pipeline {}, which doesn't exist", name.id);
+            let hint = "define the pipeline or correct the name";
+            self.findings.add(&name.place, &path, message, hint);
+            return None;
+        };
+        let parent = &pipeline.settings;
+        let settings = self.add_node(&path, Some(&name.place), parent, &raw.settings);
+        self.check_deadline(&path, &name.place, &settings, &pipeline.stages);
+        Some(settings)
+    }
+}
--- /dev/null
+++ b/lib/src/settings/tree_check/pipeline.rs
@@ -0,0 +1,107 @@
+//! Checks pipelines and stages: references, guards and deadlines.
+
+use {
+    crate::{
+        settings::{
+            raw_tree::{RawPipeline, RawStage},
+            tree::{Pipeline, Service, Stage},
+            tree_check::TreeCheck,
+            values::{Guard, Settings, check_combination},
+        },
+        shared::{findings::Place, ids::StageId},
+    },
+    std::{collections::BTreeSet, sync::Arc},
+};
+
+impl TreeCheck {
+    /// Adds a pipeline; the services of its stages are in the tree already.
+    pub(super) fn add_pipeline(&mut self, raw: &RawPipeline, parent: &Arc<Settings>) {
+        let settings = self.add_node(&raw.path, Some(&raw.name.place), parent, &raw.settings);
+        if raw.stages.is_empty() {
+            let message = "the pipeline has no stage";
+            let hint = "add \"stages\"";
+            self.findings.add(&raw.name.place, &raw.path, message, hint);
+        }
+        let mut names = BTreeSet::new();
+        let stages: Vec<_> = raw
+            .stages
+            .iter()
+            .filter_map(|stage| self.check_stage(stage, &settings, &mut names))
+            .collect();
+        self.check_deadline(&raw.path, &raw.name.place, &settings, &stages);
+        let pipeline = Pipeline {
+            id: raw.name.id.clone(),
+            path: raw.path.as_str().into(),
+            settings,
+            stages,
+        };
+        let pipelines = &mut self.tree.pipelines;
+        let replaced = pipelines.insert(raw.name.id.clone(), Arc::new(pipeline));
+        if replaced.is_some() {
+            self.report_duplicate("pipeline", &raw.name, &raw.path);
+        }
+    }
+
+    /// Checks a stage; `names` are those of the pipeline's stages before it.
+    fn check_stage(
+        &mut self,
+        raw: &RawStage,
+        pipeline: &Settings,
+        names: &mut BTreeSet<StageId>,
+    ) -> Option<Stage> {
+        if !names.insert(raw.name.id.clone()) {
+            self.report_duplicate("stage", &raw.name, &raw.path);
+        }
+        let name = raw.service.as_ref()?;
+        let Some(service) = self.tree.services.get(&name.id).cloned() else {
+            let message = format!("unknown service {}", name.id);
+            let hint = "define the service or correct the name";
+            self.findings.add(&name.place, &raw.path, message, hint);
+            return None;
+        };
+        let inherited = Arc::new(Settings::for_stage(pipeline, &service.settings));
+        let settings = self.add_node(&raw.path, Some(&raw.name.place), &inherited, &raw.settings);
+        self.check_strictness(raw, &service, &settings);
+        Some(Stage {
+            id: raw.name.id.clone(),
+            service: name.id.clone(),
+            settings,
+        })
+    }
+
+    /// Reports a stage that is laxer than the service it calls; it may only be stricter.
+    fn check_strictness(&mut self, raw: &RawStage, service: &Service, settings: &Settings) {
+        check_combination(&raw.path, settings, &mut self.findings);
+        let strict = &service.settings;
+        let laxer = settings.repeatable.value && !strict.repeatable.value;
+        let unguarded = settings.guard.value == Guard::None && strict.guard.value != Guard::None;
+        if laxer || unguarded {
+            let message = format!("the stage is laxer than service {} allows", service.id);
+            let hint = "leave \"repeatable\" and \"guard\" to the service";
+            self.findings.add(&raw.name.place, &raw.path, message, hint);
+        }
+    }
+
+    /// Reports a deadline that no request can meet: shorter than the sum of the stages' floors.
+    pub(super) fn check_deadline(
+        &mut self,
+        path: &str,
+        place: &Place,
+        settings: &Settings,
+        stages: &[Stage],
+    ) {
+        let floors = stages.iter().map(|stage| stage.settings.floor.value.0);
+        let least: u64 = floors.sum();
+        let deadline = &settings.deadline;
+        if deadline.value.0 >= least {
+            return;
+        }
+        let place = deadline.origin.place.as_ref().unwrap_or(place);
+        let message = format!(
+            "deadline {} is shorter than the sum of the stages' floors, {least}ms",
+            deadline.value
+        );
+        let hint = "raise the deadline or lower the stages' \"floor\"";
+        self.findings.add(place, path, message, hint);
+    }
+}
--- /dev/null
+++ b/lib/src/settings/values/overrides.rs
@@ -0,0 +1,134 @@
+//! Overrides: the settings that a node changes, applied over those that it inherits.
+//!
+//! It owns the checks of single values and of values that contradict each other.
+
+use {
+    crate::{
+        settings::{
+            document::{Field, Kind, scalar_text},
+            values::{Guard, NAMES, Origin, Settings},
+        },
+        shared::{
+            findings::{Findings, Place},
+            units::NONE_TEXT,
+        },
+    },
+    std::sync::Arc,
+    thiserror::Error,
+};
+
+/// Reports a field that can't override a setting.
+#[derive(Debug, Clone, PartialEq, Eq, Error)]
+pub(super) enum OverrideError {
+    /// No setting has this name.
+    #[error("unknown setting {name:?}")]
+    Unknown {
+        /// Name of the field.
+        name: String,
+    },
+    /// `null` clears a setting, but the node inherits no value.
+    #[error("{name} is cleared here, but the parent doesn't have it")]
+    NothingToClear {
+        /// Name of the setting.
+        name: String,
+    },
+    /// The field holds a list or an object.
+    #[error("{name}: {found} can't be the value of a setting")]
+    NotScalar {
+        /// Name of the setting.
+        name: String,
+        /// Kind of the value found.
+        found: &'static str,
+    },
+    /// The value isn't of the setting's type.
+    #[error("{name}: {reason}")]
+    BadValue {
+        /// Name of the setting.
+        name: &'static str,
+        /// Says what the type accepts.
+        reason: String,
+    },
+}
+
+impl OverrideError {
+    /// Returns the place of the mistake: the field's name if it is unknown, else its value.
+    fn place<'f>(&self, field: &'f Field) -> &'f Place {
+        match self {
+            Self::Unknown { .. } => &field.place,
+            _ => &field.value.place,
+        }
+    }
+
+    fn hint(&self) -> String {
+        match self {
+            Self::Unknown { .. } => format!("remove it; known: {}", NAMES.join(", ")),
+            Self::NothingToClear { .. } => "remove this line".to_owned(),
+            Self::NotScalar { .. } => "write a string, number or boolean".to_owned(),
+            Self::BadValue { .. } => "correct the value or unit".to_owned(),
+        }
+    }
+}
+
+/// Applies one `"settings"` object's fields over the settings that a node inherits.
+///
+/// Returns the parent's own value when nothing is overridden, so that thousands of plain nodes
+/// share one allocation.
+pub fn override_settings(
+    node: &str,
+    parent: &Arc<Settings>,
+    fields: &[Field],
+    findings: &mut Findings,
+) -> Arc<Settings> {
+    if fields.is_empty() {
+        return parent.clone();
+    }
+    let mut settings = Settings::clone(parent);
+    let node_name: Arc<str> = node.into();
+    for field in fields {
+        let origin = Origin {
+            node: node_name.clone(),
+            place: Some(field.value.place.clone()),
+        };
+        let overridden =
+            new_text(parent, field).and_then(|text| settings.set(&field.name, &text, origin));
+        if let Err(error) = overridden {
+            findings.add(error.place(field), node, error.to_string(), error.hint());
+        }
+    }
+    check_combination(node, &settings, findings);
+    Arc::new(settings)
+}
+
+/// Returns the text that a field sets; `null` clears the setting.
+fn new_text(parent: &Settings, field: &Field) -> Result<String, OverrideError> {
+    let name = &field.name;
+    if field.value.kind != Kind::Null {
+        return scalar_text(&field.value).ok_or_else(|| OverrideError::NotScalar {
+            name: name.clone(),
+            found: field.value.kind.name(),
+        });
+    }
+    if parent.text(name).as_deref() == Some(NONE_TEXT) {
+        return Err(OverrideError::NothingToClear { name: name.clone() });
+    }
+    Ok(NONE_TEXT.to_owned())
+}
+
+/// Reports a guard on a call that may be retried: the two contradict each other.
+pub fn check_combination(node: &str, settings: &Settings, findings: &mut Findings) {
+    if !settings.repeatable.value || settings.guard.value == Guard::None {
+        return;
+    }
+    let origin = &settings.guard.origin;
+    // Nodes below inherit the contradiction; it is reported once, at the node that sets the guard.
+    if let Some(place) = &origin.place
+        && &*origin.node == node
+    {
+        findings.add(
+            place,
+            node,
+            format!("guard is {} for a repeatable call", settings.guard.value),
+            "set \"repeatable\": false beside it",
+        );
+    }
+}
--- /dev/null
+++ b/lib/src/settings/values/setting.rs
@@ -0,0 +1,65 @@
+//! One effective value of a node, and the node that set it.
+
+use {
+    crate::shared::findings::Place,
+    std::{fmt, sync::Arc},
+};
+
+/// The node that set a value, and the place where it did.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub struct Origin {
+    /// Path of the node, or `built-in` for a default.
+    pub node: Arc<str>,
+    /// Place of the value; absent for a built-in default.
+    pub place: Option<Place>,
+}
+
+impl Origin {
+    /// Returns the origin of built-in defaults.
+    pub fn built_in() -> Self {
+        Self {
+            node: "built-in".into(),
+            place: None,
+        }
+    }
+}
+
+impl fmt::Display for Origin {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match &self.place {
+            Some(place) => write!(f, "{} at {place}", self.node),
+            None => f.write_str(&self.node),
+        }
+    }
+}
+
+/// A value together with the node that set it.
+#[derive(Debug, Clone, PartialEq)]
+pub struct Setting<T> {
+    /// The effective value.
+    pub value: T,
+    /// Where it comes from.
+    pub origin: Origin,
+}
+
+/// One effective value as text, for people.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub struct SettingEntry {
+    /// Name of the setting.
+    pub name: &'static str,
+    /// The parent from which a stage inherits it.
+    pub scope: Scope,
+    /// The effective value.
+    pub value: String,
+    /// Where it comes from.
+    pub origin: Origin,
+}
+
+/// The parent from which a stage inherits a setting.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum Scope {
+    /// Belongs to the request: a stage inherits it from its pipeline.
+    Request,
+    /// Belongs to the call: a stage inherits it from the service that it calls.
+    Call,
+}
--- a/lib/src/shared/findings.rs
+++ b/lib/src/shared/findings.rs
@@ -1,4 +1,7 @@
-//! Findings about settings, each with its place, collected and reported together.
+//! Findings about settings, each with its place and a hint, collected and reported together.
+//!
+//! It owns the form of a finding and of its place. Readers add findings and go on, so that one
+//! check reports everything that is wrong; it relies on nothing else of this library.
 
 use {
     serde::{Serialize, Serializer},
@@ -16,6 +19,17 @@
     pub col: u32,
 }
 
+impl Place {
+    /// Returns the place where a file starts.
+    pub fn start_of(file: &str) -> Self {
+        Self {
+            file: file.into(),
+            line: 1,
+            col: 1,
+        }
+    }
+}
+
 impl fmt::Display for Place {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}:{}:{}", self.file, self.line, self.col)
@@ -31,13 +45,13 @@
 /// One thing that is wrong in a settings file.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 pub struct Finding {
-    /// Where the mistake stands.
+    /// Place of the mistake.
     pub place: Place,
     /// Path of the node it belongs to.
     pub node: String,
-    /// What is wrong.
+    /// Says what is wrong.
     pub message: String,
-    /// What to do about it.
+    /// Says what to do about it.
     pub hint: String,
 }
 
@@ -57,6 +71,18 @@
 pub struct Findings(Vec<Finding>);
 
 impl Findings {
+    /// Returns a single finding.
+    pub fn one(
+        place: &Place,
+        node: impl fmt::Display,
+        message: impl Into<String>,
+        hint: impl Into<String>,
+    ) -> Self {
+        let mut findings = Self::default();
+        findings.add(place, node, message, hint);
+        findings
+    }
+
     /// Adds one finding.
     pub fn add(
         &mut self,
@@ -78,7 +104,7 @@
         self.0.extend(other.0);
     }
 
-    /// Returns whether nothing was found.
+    /// Returns whether there is no finding.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
@@ -88,7 +114,7 @@
         self.0.iter()
     }
 
-    /// Returns `value` if nothing was found, else the findings sorted by place.
+    /// Returns `value` if there is no finding, else the findings sorted by place, each once.
     ///
     /// # Errors
     ///
--- a/lib/tests/test_settings_tree.rs
+++ b/lib/tests/test_settings_tree.rs
@@ -7,7 +7,7 @@
         settings::{
             raw_tree::{RawTree, ValueSource},
             tree::Tree,
-            values::{Guard, Settings},
+            values::{Guard, NAMES, Settings},
         },
         shared::{
             findings::Findings,
@@ -21,7 +21,9 @@
 struct Texts(BTreeMap<&'static str, String>);
 
 impl ValueSource for Texts {
-    fn read(&self, name: &str) -> Result<Vec<u8>, String> {
+    type Error = &'static str;
+
+    fn read(&self, name: &str) -> Result<Vec<u8>, Self::Error> {
         let text = self.0.get(name).ok_or("there is no such value")?;
         Ok(text.clone().into_bytes())
     }
@@ -97,10 +99,8 @@
 #[test]
 fn built_in_defaults() {
     let entries = Settings::built_in().entries();
-    assert_eq!(
-        entries.len(),
-        hazelyoke_lib::settings::values::CATALOGUE.len()
-    );
+    let names: Vec<_> = entries.iter().map(|entry| entry.name).collect();
+    assert_eq!(names, NAMES);
 }
 
 #[test]
--- a/lib/testutils/src/one_value.rs
+++ b/lib/testutils/src/one_value.rs
@@ -1,6 +1,6 @@
 //! A tree that stands in one value, whatever its name.
 
-use hazelyoke_lib::settings::raw_tree::ValueSource;
+use {hazelyoke_lib::settings::raw_tree::ValueSource, std::convert::Infallible};
 
 /// The only value, given for every name.
 #[derive(Debug, Clone)]
@@ -13,7 +13,9 @@
 }
 
 impl ValueSource for OneValue {
-    fn read(&self, _: &str) -> Result<Vec<u8>, String> {
+    type Error = Infallible;
+
+    fn read(&self, _: &str) -> Result<Vec<u8>, Infallible> {
         Ok(self.0.clone())
     }
 }
