--- /dev/null
+++ b/lib/src/shared/units/rate.rs
@@ -0,0 +1,65 @@
+//! Rates in events a second, and shares of a whole.
+
+use {
+    super::quantity::{UnitError, Written, unit_error},
+    std::{fmt, str::FromStr},
+};
+
+/// A rate in events a second.
+#[derive(Debug, Clone, Copy, PartialEq, PartialOrd)]
+pub struct Rate(pub f64);
+
+impl Rate {
+    const EXPECTED: &'static str = "a rate such as \"50/s\"";
+}
+
+/// Reads a rate above zero, such as `50/s`.
+impl FromStr for Rate {
+    type Err = UnitError;
+
+    fn from_str(text: &str) -> Result<Self, UnitError> {
+        match Written::parse(text) {
+            Some(Written { number, unit: "/s" }) if number > 0.0 => Ok(Self(number)),
+            _ => unit_error(text, Self::EXPECTED),
+        }
+    }
+}
+
+impl fmt::Display for Rate {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(f, "{}/s", self.0)
+    }
+}
+
+/// A share of a whole, between 0 and 1, written in percent.
+#[derive(Debug, Clone, Copy, PartialEq, PartialOrd)]
+pub struct Share(pub f64);
+
+/// Percent in a whole.
+const PERCENT: f64 = 100.0;
+
+/// Ten-thousandths in one percent: the digits that a share is written with.
+const DIGITS: f64 = 1e4;
+
+impl Share {
+    const EXPECTED: &'static str = "a share such as \"10%\", 100% at most";
+}
+
+/// Reads a percentage up to `100%`.
+impl FromStr for Share {
+    type Err = UnitError;
+
+    fn from_str(text: &str) -> Result<Self, UnitError> {
+        match Written::parse(text) {
+            Some(Written { number, unit: "%" }) if number <= PERCENT => Ok(Self(number / PERCENT)),
+            _ => unit_error(text, Self::EXPECTED),
+        }
+    }
+}
+
+/// Writes the percentage with four digits after the point at most.
+impl fmt::Display for Share {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(f, "{}%", (self.0 * (PERCENT * DIGITS)).round() / DIGITS)
+    }
+}
--- /dev/null
+++ b/lib/src/shared/units/time.rs
@@ -0,0 +1,103 @@
+//! Lengths of time in milliseconds, and points in time in microseconds.
+
+use {
+    super::quantity::{UnitError, Written, unit_error},
+    serde::{Deserialize, Serialize},
+    std::{fmt, ops, str::FromStr, time::Duration},
+};
+
+/// Microseconds in one millisecond.
+const MICROS_PER_MILLI: u64 = 1_000;
+
+/// Milliseconds in one second, one minute and one hour.
+const MILLIS_PER_SECOND: u64 = 1_000;
+const MILLIS_PER_MINUTE: u64 = 60 * MILLIS_PER_SECOND;
+const MILLIS_PER_HOUR: u64 = 60 * MILLIS_PER_MINUTE;
+
+/// A length of time in whole milliseconds.
+#[derive(
+    Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
+)]
+#[serde(transparent)]
+pub struct Millis(pub u64);
+
+impl Millis {
+    const EXPECTED: &'static str = "a duration such as \"250ms\", \"4s\" or \"2m\"";
+
+    /// Longest duration that settings accept: one day. Chosen, not measured.
+    pub const MAX: Millis = Millis(24 * MILLIS_PER_HOUR);
+
+    /// Returns the duration for the standard library and `tokio`.
+    pub fn to_duration(self) -> Duration {
+        Duration::from_millis(self.0)
+    }
+}
+
+/// Reads `250ms`, `4s`, `2m` or `1h`; fractions are rounded to whole milliseconds.
+impl FromStr for Millis {
+    type Err = UnitError;
+
+    fn from_str(text: &str) -> Result<Self, UnitError> {
+        let factor = |unit| match unit {
+            "ms" => Some(1),
+            "s" => Some(MILLIS_PER_SECOND),
+            "m" => Some(MILLIS_PER_MINUTE),
+            "h" => Some(MILLIS_PER_HOUR),
+            _ => None,
+        };
+        let parsed = Written::parse(text)
+            .and_then(|written| Some(written.number * factor(written.unit)? as f64));
+        match parsed {
+            Some(millis) if millis <= Self::MAX.0 as f64 => Ok(Self(millis.round() as u64)),
+            _ => unit_error(text, Self::EXPECTED),
+        }
+    }
+}
+
+/// Writes whole seconds as `4s`, everything else as `250ms`.
+impl fmt::Display for Millis {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        if self.0 > 0 && self.0.is_multiple_of(MILLIS_PER_SECOND) {
+            write!(f, "{}s", self.0 / MILLIS_PER_SECOND)
+        } else {
+            write!(f, "{}ms", self.0)
+        }
+    }
+}
+
+/// A point on the daemon's monotonic clock, in microseconds since the process started.
+#[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub struct Time(pub u64);
+
+impl Time {
+    /// Returns the time that has passed since `earlier`, zero if `earlier` is later.
+    pub fn since(self, earlier: Time) -> Duration {
+        Duration::from_micros(self.0.saturating_sub(earlier.0))
+    }
+
+    /// Returns the milliseconds since `earlier` with their fraction, zero if `earlier` is later.
+    pub fn millis_since(self, earlier: Time) -> f64 {
+        self.0.saturating_sub(earlier.0) as f64 / MICROS_PER_MILLI as f64
+    }
+}
+
+/// Adds a length of time; a sum beyond the clock's range stays at its end.
+impl ops::Add<Millis> for Time {
+    type Output = Time;
+
+    fn add(self, span: Millis) -> Time {
+        let micros = span.0.saturating_mul(MICROS_PER_MILLI);
+        Time(self.0.saturating_add(micros))
+    }
+}
+
+/// Milliseconds of work as estimates use them, with a fraction.
+#[derive(Debug, Clone, Copy, Default, PartialEq, PartialOrd, Serialize, Deserialize)]
+#[serde(transparent)]
+pub struct WorkMillis(pub f64);
+
+impl fmt::Display for WorkMillis {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(f, "{:.3}ms", self.0)
+    }
+}
