--- a/lib/src/shared/ids.rs
+++ b/lib/src/shared/ids.rs
@@ -1,4 +1,8 @@
-//! Newtypes that identify the things hazelyoke decides about.
+//! Newtypes of the names, numbers and keys that identify things.
+//!
+//! It owns the rules for valid names and keys; each type is built from text by `FromStr` only after
+//! a check, so that code which holds one relies on its form. It relies on nothing else of this
+//! library.
 
 use {
     serde::{Deserialize, Deserializer, Serialize, Serializer, de::Error as _},
@@ -7,13 +11,13 @@
     uuid::Uuid,
 };
 
-/// Longest accepted name, in bytes.
-pub const MAX_NAME_LENGTH: usize = 64;
+/// Longest accepted name, in bytes. Chosen, not measured.
+const MAX_NAME_LENGTH: usize = 64;
 
-/// Longest accepted idempotency key, in bytes.
-pub const MAX_KEY_LENGTH: usize = 128;
+/// Longest accepted idempotency key, in bytes. Chosen, not measured.
+const MAX_KEY_LENGTH: usize = 128;
 
-/// Reports a text that can't be used as an identifier.
+/// Reports a text that isn't a valid identifier.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum IdError {
     /// The text is empty.
@@ -167,7 +171,7 @@
     }
 }
 
-/// Holds a caller's idempotency key.
+/// Idempotency key of a caller's request: printable ASCII without spaces.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct IdempotencyKey(Arc<str>);
 
@@ -204,7 +208,7 @@
     }
 }
 
-/// Names everything one attempt's reply must carry to be believed.
+/// Identifies the attempt that a reply belongs to; a reply with other ids is refused.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct CallIds {
     /// Request the attempt serves.
@@ -215,6 +219,6 @@
     pub attempt: AttemptId,
 }
 
-/// Tells one stay of an endpoint in a pool from another one under the same name.
+/// Numbers an endpoint's membership in a pool; an endpoint that leaves and returns gets a new one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct MemberSerial(pub u64);
--- a/lib/src/shared/invariant.rs
+++ b/lib/src/shared/invariant.rs
@@ -1,9 +1,9 @@
-//! Assertions of safety that stay on in every build.
+//! Assertions about safety that stay on in every build.
 
-/// Stops the process when a rule that promises rest on doesn't hold.
+/// Panics when a condition that guarantees to callers depend on doesn't hold.
 ///
-/// Going on after such a fault could run a payment twice; stopping leaves callers with `unknown`,
-/// which is true.
+/// A daemon that went on after such a fault could run a payment twice; after a stop, callers get
+/// the outcome `unknown`, which is true.
 #[macro_export]
 macro_rules! invariant {
     ($holds:expr, $($message:tt)+) => {
--- a/lib/src/shared/problem.rs
+++ b/lib/src/shared/problem.rs
@@ -1,4 +1,8 @@
-//! What a caller is told when a request isn't answered.
+//! Problems: the reply to a caller whose request isn't answered.
+//!
+//! It owns the stable codes with their HTTP statuses, and the outcome, which says whether any of
+//! the work can have run. Both daemons build problems; each writes them in the form of its own
+//! interface. It relies on `units` only.
 
 use {
     crate::shared::units::Millis,
@@ -6,7 +10,7 @@
     std::fmt,
 };
 
-/// Tells whether any of the request's work can have run.
+/// Result of a request: answered, or a problem with or without the chance that work has run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Outcome {
@@ -44,9 +48,6 @@
         }
 
         impl Code {
-            /// Every code, in the order of the documentation.
-            pub const ALL: &[Code] = &[$(Code::$variant),*];
-
             /// Returns the stable text of the code.
             pub fn as_str(self) -> &'static str {
                 match self { $(Code::$variant => $text,)* }
@@ -77,29 +78,29 @@
     BodyTooLarge = "body_too_large", 413;
     /// The headers are larger than allowed.
     HeadersTooLarge = "headers_too_large", 431;
-    /// The request didn't arrive whole in time.
+    /// The request's body didn't arrive whole in time.
     ReceiveTimeout = "receive_timeout", 408;
-    /// The daemon has as many requests in hand as it takes.
+    /// The daemon has the largest number of requests in flight that it accepts.
     TooBusy = "too_busy", 503;
     /// The daemon is starting or stopping.
     NotReady = "not_ready", 503;
     /// The customer is over its limit.
     OverLimit = "over_limit", 429;
-    /// The request couldn't be finished within its deadline, by the estimate.
+    /// The request would not finish within its deadline, by the estimate.
     NoTime = "no_time", 503;
-    /// No endpoint can take the stage.
+    /// No endpoint is available for the stage.
     NoEndpoint = "no_endpoint", 503;
     /// The deadline has passed.
     DeadlineExceeded = "deadline_exceeded", 504;
-    /// A stage failed and can't be tried again.
+    /// A stage failed and can't be retried.
     StageFailed = "stage_failed", 502;
     /// A stage's endpoint refused the input for good.
     StageRejected = "stage_rejected", 422;
     /// The call needs a guard that this daemon can't give.
     GuardUnavailable = "guard_unavailable", 503;
-    /// A call that may not be repeated came without an idempotency key.
+    /// A call that may not be retried has no idempotency key.
     KeyMissing = "key_missing", 400;
-    /// The daemon failed in itself.
+    /// The daemon itself failed.
     Internal = "internal", 500;
 }
 
@@ -109,16 +110,16 @@
     }
 }
 
-/// Why a request wasn't answered, as a caller sees it.
+/// Reports why a request isn't answered, as a caller sees it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Problem {
     /// Stable reason.
     pub code: Code,
-    /// Whether any of the work can have run.
+    /// Says whether any of the work can have run.
     pub outcome: Outcome,
-    /// Explains the matter to people.
+    /// Explains the problem to people.
     pub detail: String,
-    /// Time after which another try may be worth it.
+    /// Time after which a retry may succeed; absent if the daemon has no estimate of it.
     pub retry_after: Option<Millis>,
 }
 
@@ -133,7 +134,7 @@
         }
     }
 
-    /// Adds the time after which another try may be worth it.
+    /// Adds the time after which a retry may succeed.
     pub fn retry_after(mut self, wait: Millis) -> Self {
         self.retry_after = Some(wait);
         self
--- a/lib/src/shared/sse.rs
+++ b/lib/src/shared/sse.rs
@@ -1,4 +1,6 @@
 //! Server-sent events: a bounded reader for engines' streams, a writer for callers' streams.
+//!
+//! It owns the framing of events only, not their data, and relies on nothing else of this library.
 
 use {
     bytes::{Bytes, BytesMut},
@@ -6,10 +8,17 @@
     thiserror::Error,
 };
 
-/// Longest event accepted from an engine, in bytes.
+/// Longest event accepted from an engine, in bytes. Chosen, not measured.
 const MAX_EVENT: usize = 64 * 1024;
 
-/// Reports an event longer than is accepted.
+/// Blank line that ends an event.
+const EVENT_END: &[u8] = b"\n\n";
+
+/// Beginning of the line with an event's data: the first one, and one after other lines.
+const DATA_FIELD: &[u8] = b"data:";
+const DATA_LINE: &[u8] = b"\ndata:";
+
+/// Reports an event that is longer than the reader accepts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 #[error("an event has more than {MAX_EVENT} bytes")]
 pub struct EventTooLong;
@@ -21,11 +30,11 @@
 }
 
 impl EventReader {
-    /// Takes in the next bytes.
+    /// Appends the next bytes of the stream.
     ///
     /// # Errors
     ///
-    /// Returns an error when an event is longer than is accepted.
+    /// Returns an error when an unfinished event is longer than the reader accepts.
     pub fn feed(&mut self, chunk: &[u8]) -> Result<(), EventTooLong> {
         self.buffer.extend_from_slice(chunk);
         let unfinished = self.buffer.len() > MAX_EVENT && find_end(&self.buffer).is_none();
@@ -35,13 +44,13 @@
         Ok(())
     }
 
-    /// Returns the data of the next whole event.
+    /// Returns the data of the next whole event; events without data are skipped.
     pub fn next_event(&mut self) -> Option<Bytes> {
         loop {
             let end = find_end(&self.buffer)?;
-            let event = self.buffer.split_to(end + 2).freeze();
+            let event = self.buffer.split_to(end + EVENT_END.len()).freeze();
             if let Some(start) = data_start(&event) {
-                return Some(event.slice(start..event.len() - 2));
+                return Some(event.slice(start..end));
             }
         }
     }
@@ -49,26 +58,28 @@
 
 /// Returns where the data of an event starts, after the event's other lines.
 fn data_start(event: &[u8]) -> Option<usize> {
-    const FIELD: &[u8] = b"data:";
-    let line = if event.starts_with(FIELD) {
-        0
+    let start = if event.starts_with(DATA_FIELD) {
+        DATA_FIELD.len()
     } else {
-        event
-            .windows(FIELD.len() + 1)
-            .position(|six| six == b"\ndata:")?
-            + 1
+        let line = event
+            .windows(DATA_LINE.len())
+            .position(|bytes| bytes == DATA_LINE)?;
+        line + DATA_LINE.len()
     };
-    let start = line + FIELD.len();
     let space = usize::from(event.get(start) == Some(&b' '));
     Some(start + space)
 }
 
+/// Returns where the blank line after the first event starts.
 fn find_end(buffer: &[u8]) -> Option<usize> {
-    buffer.windows(2).position(|pair| pair == b"\n\n")
+    buffer
+        .windows(EVENT_END.len())
+        .position(|bytes| bytes == EVENT_END)
 }
 
 /// Writes one event with a name and JSON data.
 pub fn write_event(name: &str, data: &impl Serialize) -> Bytes {
+    // Only maps with keys other than strings can't be written as JSON; no event has one.
     let json = serde_json::to_string(data).unwrap_or_else(|_| "null".into());
     Bytes::from(format!("event: {name}\ndata: {json}\n\n"))
 }
--- a/lib/src/shared/status.rs
+++ b/lib/src/shared/status.rs
@@ -1,7 +1,9 @@
 //! The status report that a daemon serves to operators, as JSON.
 //!
 //! It owns the types of the report only: each daemon fills them from its own state, and the
-//! pipeline daemon's `status_client` reads them. It relies on nothing else of this library.
+//! pipeline daemon's `status_client` reads them. All counts are those since the daemon's start. The
+//! doc comments below are part of the interface's document, `docs/openapi.json`. It relies on
+//! nothing else of this library.
 
 use {
     schemars::JsonSchema,
