--- a/cli/src/commands/check.rs
+++ b/cli/src/commands/check.rs
@@ -29,7 +29,7 @@
     ///
     /// # Errors
     ///
-    /// Returns an error when no file is given.
+    /// Returns an error when no file is given, or findings can't be written as JSON.
     pub fn run(self) -> Result<Exit> {
         if self.files.is_empty() {
             bail!("check needs a file; try: hazelyoke check examples/bureau/tree.jsonc");
@@ -53,6 +53,6 @@
         if !fine || self.format == Format::Json {
             print_findings(&all, self.format)?;
         }
-        Ok(if fine { Exit::Fine } else { Exit::Findings })
+        Ok(if fine { Exit::Success } else { Exit::Findings })
     }
 }
--- a/cli/src/commands/check_platform.rs
+++ b/cli/src/commands/check_platform.rs
@@ -56,7 +56,7 @@
             eprintln!("{finding}");
         }
         Ok(if findings.is_empty() {
-            Exit::Fine
+            Exit::Success
         } else {
             Exit::Findings
         })
--- a/cli/src/commands/diff.rs
+++ b/cli/src/commands/diff.rs
@@ -64,6 +64,6 @@
             eprintln!("the version doesn't rise, so no daemon would adopt the new tree");
             return Ok(Exit::Findings);
         }
-        Ok(Exit::Fine)
+        Ok(Exit::Success)
     }
 }
--- a/cli/src/commands/explain.rs
+++ b/cli/src/commands/explain.rs
@@ -75,7 +75,7 @@
                 print_table(rows);
             }
         }
-        Ok(Exit::Fine)
+        Ok(Exit::Success)
     }
 }
 
--- a/cli/src/commands/mod.rs
+++ b/cli/src/commands/mod.rs
@@ -23,7 +23,7 @@
     Diff(diff::Diff),
     /// Ask a daemon.
     Status(status::Status),
-    /// Tell what happened to a request.
+    /// Show what happened to a request.
     Why(why::Why),
 }
 
--- a/cli/src/commands/status.rs
+++ b/cli/src/commands/status.rs
@@ -26,7 +26,8 @@
     ///
     /// # Errors
     ///
-    /// Returns an error when the state can't be written as JSON.
+    /// Returns an error when the runtime can't start or the state can't be written as JSON. A daemon
+    /// that doesn't answer is a finding, not an error.
     pub fn run(self) -> Result<Exit> {
         let runtime = tokio::runtime::Builder::new_current_thread()
             .enable_all()
@@ -43,7 +44,7 @@
             Format::Text => print_status(&status),
         }
         Ok(if status.ready {
-            Exit::Fine
+            Exit::Success
         } else {
             Exit::Findings
         })
--- a/cli/src/commands/why.rs
+++ b/cli/src/commands/why.rs
@@ -1,11 +1,14 @@
-//! `hazelyoke why`: tells from logs what happened to a request.
+//! `hazelyoke why`: shows from logs what happened to a request.
 
 use {
     crate::output::Exit,
     anyhow::{Context, Result},
     argh::FromArgs,
-    hazelyoke_lib::story::{HostLog, story},
-    std::{fs, path::PathBuf},
+    hazelyoke_lib::timeline::{HostLog, RequestTimeline},
+    std::{
+        fs,
+        path::{Path, PathBuf},
+    },
 };
 
 /// tell from logs what happened to a request
@@ -28,29 +31,28 @@
     ///
     /// Returns an error when a log can't be read.
     pub fn run(self) -> Result<Exit> {
-        let logs = self
-            .logs
-            .iter()
-            .map(|path| {
-                let name = path.display().to_string();
-                let bytes = fs::read(path).with_context(|| format!("can't read {name}"))?;
-                let host = path
-                    .file_stem()
-                    .map_or(name, |s| s.to_string_lossy().into_owned());
-                Ok(HostLog {
-                    host,
-                    text: String::from_utf8_lossy(&bytes).into_owned(),
-                })
-            })
-            .collect::<Result<Vec<_>>>()?;
-        let lines = story(&self.request, &logs);
-        if lines.is_empty() {
+        let logs = self.logs.iter().map(|path| read_log(path));
+        let logs = logs.collect::<Result<Vec<_>>>()?;
+        let timeline = RequestTimeline::from_logs(&self.request, &logs);
+        if timeline.lines.is_empty() {
             eprintln!("hazelyoke: no log names request {}", self.request);
             return Ok(Exit::Findings);
         }
-        for line in lines {
+        for line in timeline.lines {
             println!("{line}");
         }
-        Ok(Exit::Fine)
+        Ok(Exit::Success)
     }
 }
+
+/// Reads the log of one host, which is named like the file.
+fn read_log(path: &Path) -> Result<HostLog> {
+    let name = path.display().to_string();
+    let bytes = fs::read(path).with_context(|| format!("can't read {name}"))?;
+    let stem = path.file_stem();
+    Ok(HostLog {
+        host: stem.map_or(name, |stem| stem.to_string_lossy().into_owned()),
+        // A log may hold lines of other programs in any encoding; they are skipped later.
+        text: String::from_utf8_lossy(&bytes).into_owned(),
+    })
+}
--- a/cli/src/main.rs
+++ b/cli/src/main.rs
@@ -1,4 +1,7 @@
-//! The command line of hazelyoke: check, explain and compare settings trees, ask daemons.
+//! The command line of hazelyoke: checks, explains and compares settings trees, and asks daemons.
+//!
+//! It owns the terminal: arguments, printing and exit codes. A file a command stands in `commands`;
+//! everything that decides stands in the library.
 
 mod commands;
 mod output;
@@ -13,35 +16,35 @@
 
 /// Check, explain and compare settings trees, and ask daemons for their state.
 #[derive(Debug, FromArgs)]
-struct Args {
+struct CliArgs {
     #[argh(subcommand)]
     command: Command,
 }
 
 fn main() -> ExitCode {
     env_logger::init();
-    match parse_args() {
-        Ok(args) => match commands::run(args.command) {
-            Ok(exit) => exit.into(),
-            Err(error) => {
-                eprintln!("hazelyoke: {error:#}");
-                Exit::BadUse.into()
-            }
-        },
-        Err(exit) => exit.into(),
-    }
+    let exit = parse_args().map_or_else(|exit| exit, run);
+    exit.into()
 }
 
-/// Parses the arguments; help is a success, anything that can't be parsed is bad use.
-fn parse_args() -> Result<Args, Exit> {
+/// Runs the command; one that could not run counts as bad use.
+fn run(args: CliArgs) -> Exit {
+    commands::run(args.command).unwrap_or_else(|error| {
+        eprintln!("hazelyoke: {error:#}");
+        Exit::BadUse
+    })
+}
+
+/// Parses the arguments; a request for help is a success, arguments that can't be parsed are bad use.
+fn parse_args() -> Result<CliArgs, Exit> {
     let words: Vec<String> = std::env::args().collect();
     let words: Vec<&str> = words.iter().map(String::as_str).collect();
     let (name, rest) = words.split_first().unwrap_or((&"hazelyoke", &[]));
     let name = name.rsplit('/').next().unwrap_or(name);
-    Args::from_args(&[name], rest).map_err(|EarlyExit { output, status }| match status {
+    CliArgs::from_args(&[name], rest).map_err(|EarlyExit { output, status }| match status {
         Ok(()) => {
             println!("{output}");
-            Exit::Fine
+            Exit::Success
         }
         Err(()) => {
             eprintln!("{output}");
--- a/cli/src/output.rs
+++ b/cli/src/output.rs
@@ -1,4 +1,6 @@
-//! How commands print and how they end.
+//! Output of commands: exit codes, formats, JSON and tables.
+//!
+//! It owns everything that the commands print alike; the library prints nothing.
 
 use {
     anyhow::Result,
@@ -6,30 +8,31 @@
     hazelyoke_lib::shared::findings::Findings,
     serde::Serialize,
     std::{process::ExitCode, str::FromStr},
+    thiserror::Error,
 };
 
-/// How a command ends.
+/// Result of a command, as the process's exit code.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Exit {
-    /// All is well.
-    Fine,
-    /// Something was found.
+    /// Nothing is wrong: 0.
+    Success,
+    /// The command found something wrong, and printed it: 1.
     Findings,
-    /// The command was used wrongly.
+    /// The command's arguments are wrong, or it could not run: 2.
     BadUse,
 }
 
 impl From<Exit> for ExitCode {
     fn from(exit: Exit) -> Self {
         ExitCode::from(match exit {
-            Exit::Fine => 0,
+            Exit::Success => 0,
             Exit::Findings => 1,
             Exit::BadUse => 2,
         })
     }
 }
 
-/// Form of the output.
+/// Format of the output.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum Format {
     /// For people.
@@ -39,14 +42,19 @@
     Json,
 }
 
+/// Reports a name that is no format.
+#[derive(Debug, Error)]
+#[error("{0:?} is neither \"text\" nor \"json\"")]
+pub struct FormatError(String);
+
 impl FromStr for Format {
-    type Err = String;
+    type Err = FormatError;
 
-    fn from_str(text: &str) -> Result<Self, String> {
+    fn from_str(text: &str) -> Result<Self, FormatError> {
         match text {
             "text" => Ok(Format::Text),
             "json" => Ok(Format::Json),
-            _ => Err(format!("{text:?} is neither \"text\" nor \"json\"")),
+            _ => Err(FormatError(text.to_owned())),
         }
     }
 }
@@ -74,7 +82,7 @@
     Ok(())
 }
 
-/// Starts a table without borders.
+/// Returns an empty table without borders, with a header.
 pub fn plain_table(header: &[&str]) -> Table {
     let mut table = Table::new();
     table.load_style(presets::NOTHING);
--- a/cli/src/tree_file.rs
+++ b/cli/src/tree_file.rs
@@ -1,4 +1,7 @@
 //! Reads settings trees from files; included values stand beside their root file.
+//!
+//! It owns the mapping of values to files: a value's name is its path from the root file's folder,
+//! and only names that the configuration service accepts are read.
 
 use {
     hazelyoke_lib::{
--- a/lib/src/lib.rs
+++ b/lib/src/lib.rs
@@ -7,4 +7,4 @@
 pub mod pipeline;
 pub mod settings;
 pub mod shared;
-pub mod story;
+pub mod timeline;
--- /dev/null
+++ b/lib/src/timeline/mod.rs
@@ -0,0 +1,187 @@
+//! The timeline of one request, gathered from the logs of several hosts.
+//!
+//! It answers what happened to a request, and why. Lines that name the request are its steps, and
+//! so are those of the calls that carried its pieces; beside them stand the observations that the
+//! same hosts made meanwhile, such as a lost peer or an endpoint set aside. Hosts' clocks may
+//! differ: lines of one host keep their order, and hosts are merged by the times in their lines.
+//!
+//! It owns the choice and order of lines, and reads logs of every version of the daemon: it relies
+//! on the names of events and fields only, and on nothing else of this library.
+
+mod host_log;
+
+pub use host_log::HostLog;
+
+use {
+    host_log::{LogEntry, ParsedLog},
+    std::{collections::BTreeSet, fmt, ops::RangeInclusive},
+};
+
+/// Time before a request's first step from which observations are shown, in milliseconds. Chosen,
+/// not measured.
+const BEFORE_MS: u64 = 2_000;
+
+/// Beginnings of the names of events that are observations.
+const OBSERVATIONS: &[&str] = &[
+    "daemon.",
+    "directory.",
+    "endpoint.",
+    "link.",
+    "log.",
+    "pause.",
+    "peer.",
+    "settings.",
+    "table.",
+];
+
+/// Field that names an endpoint.
+const ENDPOINT: &str = "endpoint";
+
+/// The steps of one request in the order in which they happened, with observations beside them.
+#[derive(Debug, Clone, PartialEq)]
+pub struct RequestTimeline {
+    /// The lines in order; none if no log names the request.
+    pub lines: Vec<TimelineLine>,
+}
+
+/// One line of a timeline.
+#[derive(Debug, Clone, PartialEq)]
+pub struct TimelineLine {
+    /// Host that logged it.
+    pub host: String,
+    /// Time of day on that host, in milliseconds since 1970.
+    pub at_ms: u64,
+    /// Name of the event.
+    pub event: String,
+    /// Relation of the line to the request.
+    pub kind: LineKind,
+    /// The other fields, in the order of their names.
+    pub fields: Vec<LogField>,
+}
+
+/// Relation of a line to the request.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum LineKind {
+    /// A step of the request itself.
+    Step,
+    /// A change that the host noticed meanwhile, which may explain the next steps.
+    Observation,
+}
+
+/// A field of a line, as text.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub struct LogField {
+    /// Name of the field.
+    pub name: String,
+    /// Its value; strings stand without quotes.
+    pub value: String,
+}
+
+impl fmt::Display for TimelineLine {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        let mark = match self.kind {
+            LineKind::Step => " ",
+            LineKind::Observation => "~",
+        };
+        write!(f, "{} {mark} {:<14} {}", self.at_ms, self.host, self.event)?;
+        for field in &self.fields {
+            write!(f, " {}={}", field.name, field.value)?;
+        }
+        Ok(())
+    }
+}
+
+/// A log entry chosen for the timeline.
+struct Chosen<'l> {
+    host: &'l str,
+    entry: &'l LogEntry,
+    kind: LineKind,
+}
+
+impl RequestTimeline {
+    /// Gathers the timeline of a request.
+    pub fn from_logs(request: &str, logs: &[HostLog]) -> Self {
+        let logs: Vec<_> = logs.iter().map(ParsedLog::parse).collect();
+        let mut chosen = steps(request, &logs);
+        chosen.extend(observations(&chosen, &logs));
+        // The sort is stable, so that lines of one host and moment keep their order.
+        chosen.sort_by_key(|line| line.entry.order);
+        Self {
+            lines: chosen.iter().map(TimelineLine::from).collect(),
+        }
+    }
+}
+
+impl From<&Chosen<'_>> for TimelineLine {
+    fn from(chosen: &Chosen<'_>) -> Self {
+        Self {
+            host: chosen.host.to_owned(),
+            at_ms: chosen.entry.at_ms,
+            event: chosen.entry.event.clone(),
+            kind: chosen.kind,
+            fields: chosen.entry.fields().collect(),
+        }
+    }
+}
+
+/// Returns the entries that name the request, and those of calls that carried its pieces.
+fn steps<'l>(request: &str, logs: &'l [ParsedLog<'_>]) -> Vec<Chosen<'l>> {
+    let mut steps = Vec::new();
+    for log in logs {
+        let calls = calls_of(request, log);
+        let is_step = |entry: &&LogEntry| entry.names(request) || entry.is_of_call(&calls);
+        steps.extend(log.entries.iter().filter(is_step).map(|entry| Chosen {
+            host: log.host,
+            entry,
+            kind: LineKind::Step,
+        }));
+    }
+    steps
+}
+
+/// Returns the names of the calls by which one host sent the request's pieces; names of calls are
+/// unique within a host only.
+fn calls_of<'l>(request: &str, log: &'l ParsedLog<'_>) -> BTreeSet<&'l str> {
+    let naming = log.entries.iter().filter(|entry| entry.names(request));
+    naming.filter_map(LogEntry::call).collect()
+}
+
+/// Returns what the hosts of a request's steps observed from shortly before the first step until
+/// the last one.
+fn observations<'l>(steps: &[Chosen<'l>], logs: &'l [ParsedLog<'_>]) -> Vec<Chosen<'l>> {
+    let Some(span) = span(steps) else {
+        return Vec::new();
+    };
+    let hosts: BTreeSet<&str> = steps.iter().map(|step| step.host).collect();
+    let endpoints: BTreeSet<String> = steps
+        .iter()
+        .filter_map(|step| step.entry.text(ENDPOINT))
+        .collect();
+    let mut observations = Vec::new();
+    for log in logs.iter().filter(|log| hosts.contains(log.host)) {
+        let meanwhile = log.entries.iter().filter(|e| span.contains(&e.order));
+        let noticed = meanwhile.filter(|entry| is_observation(entry, &endpoints));
+        observations.extend(noticed.map(|entry| Chosen {
+            host: log.host,
+            entry,
+            kind: LineKind::Observation,
+        }));
+    }
+    observations
+}
+
+/// Returns whether an entry is an observation; of endpoints, only those of the request's steps.
+fn is_observation(entry: &LogEntry, endpoints: &BTreeSet<String>) -> bool {
+    let about = entry.string(ENDPOINT);
+    OBSERVATIONS
+        .iter()
+        .any(|begin| entry.event.starts_with(begin))
+        && about.is_none_or(|endpoint| endpoints.contains(endpoint))
+}
+
+/// Returns the time for which observations are shown; none without steps.
+fn span(steps: &[Chosen<'_>]) -> Option<RangeInclusive<u64>> {
+    let first = steps.iter().map(|step| step.entry.order).min()?;
+    let last = steps.iter().map(|step| step.entry.order).max()?;
+    Some(first.saturating_sub(BEFORE_MS)..=last)
+}
--- a/lib/tests/test_story.rs
+++ b/lib/tests/test_timeline.rs
@@ -1,6 +1,6 @@
-//! The story of a request is told from its id alone.
+//! The timeline of a request is gathered from its id alone.
 
-use hazelyoke_lib::story::{HostLog, story};
+use hazelyoke_lib::timeline::{HostLog, LineKind, RequestTimeline};
 
 fn log(host: &str, lines: &[&str]) -> HostLog {
     HostLog {
@@ -9,8 +9,9 @@
     }
 }
 
-fn told(request: &str, logs: &[HostLog]) -> Vec<String> {
-    story(request, logs)
+fn events(request: &str, logs: &[HostLog]) -> Vec<String> {
+    RequestTimeline::from_logs(request, logs)
+        .lines
         .iter()
         .map(|line| format!("{} {}", line.host, line.event))
         .collect()
@@ -37,7 +38,7 @@
         ],
     );
     assert_eq!(
-        told("r1", &[planner, entry]),
+        events("r1", &[planner, entry]),
         [
             "entry request.accepted",
             "planner pieces.sent",
@@ -48,7 +49,7 @@
 }
 
 #[test]
-fn beliefs_of_the_hosts_concerned_are_told_beside() {
+fn observations_beside_steps() {
     let entry = log(
         "entry",
         &[
@@ -60,13 +61,13 @@
         ],
     );
     let other = log("other", &[r#"{"at_ms":5500,"event":"peer.lost"}"#]);
-    let lines = story("r1", &[entry, other]);
-    let beliefs: Vec<&str> = lines
+    let lines = RequestTimeline::from_logs("r1", &[entry, other]).lines;
+    let observations: Vec<&str> = lines
         .iter()
-        .filter(|line| line.belief)
+        .filter(|line| line.kind == LineKind::Observation)
         .map(|line| line.event.as_str())
         .collect();
-    assert_eq!(beliefs, ["directory.lost"]);
+    assert_eq!(observations, ["directory.lost"]);
     assert_eq!(
         lines[0].to_string(),
         "4000 ~ entry          directory.lost error=silent"
@@ -74,7 +75,7 @@
 }
 
 #[test]
-fn a_clock_that_steps_back_changes_no_order() {
+fn clock_steps_back() {
     let entry = log(
         "entry",
         &[
@@ -84,7 +85,7 @@
         ],
     );
     assert_eq!(
-        told("r1", &[entry]),
+        events("r1", &[entry]),
         [
             "entry request.accepted",
             "entry attempt.sent",
@@ -94,7 +95,7 @@
 }
 
 #[test]
-fn an_unknown_request_has_no_story() {
+fn unknown_request() {
     let entry = log("entry", &[r#"{"at_ms":1,"event":"peer.lost"}"#]);
-    assert!(story("r1", &[entry]).is_empty());
+    assert!(RequestTimeline::from_logs("r1", &[entry]).lines.is_empty());
 }
