--- a/bench/src/experiment/reader.rs
+++ b/bench/src/experiment/reader.rs
@@ -55,18 +55,18 @@
     let retries = root.take_parsed::<Count>("retries");
     let shared_cache = root.take_parsed::<bool>("shared_cache");
     let common = Experiment {
-        name: name.map_or_else(String::new, |(name, _)| name),
-        daemons: daemons.map_or(DAEMONS, |(daemons, _)| daemons),
+        name: name.map_or_else(String::new, |name| name.value),
+        daemons: daemons.map_or(DAEMONS, |daemons| daemons.value),
         policies: read_list(&mut root, "policies", PolicyKind::Estimated),
         settings: read_settings(&mut root),
-        seed: seed.map_or(SEED, |(seed, _)| seed),
+        seed: seed.map_or(SEED, |seed| seed.value),
         loads: read_list(&mut root, "loads", LoadFactor::CAPACITY),
         phases: read_phases(&mut root),
         mix: read_weights(&mut root, "mix", &target_names(tree)),
         customers: read_weights(&mut root, "customers", &customer_names(tree)),
         contexts: read_contexts(&mut root),
-        shared_cache: shared_cache.is_some_and(|(shared, _)| shared),
-        retries: retries.map_or(0, |(retries, _)| retries.0),
+        shared_cache: shared_cache.is_some_and(|shared| shared.value),
+        retries: retries.map_or(0, |retries| retries.value.0),
         faults: read_faults(&mut root, tree),
     };
     let cases = root.take_list("cases");
@@ -94,7 +94,7 @@
     let name = reader.take_required::<String>("name");
     let faults = read_faults(&mut reader, tree);
     reader.finish();
-    let (name, _) = name?;
+    let name = name?.value;
     let mut case = common.clone();
     case.name = format!("{}/{name}", common.name);
     case.faults.extend(faults);
@@ -155,8 +155,10 @@
     let groups = reader.take_required::<Count>("groups");
     let bytes = reader.take_required::<Count>("bytes");
     reader.finish();
-    let ((groups, _), (bytes, _)) = (groups?, bytes?);
-    Some(SharedContexts { groups, bytes })
+    Some(SharedContexts {
+        groups: groups?.value,
+        bytes: bytes?.value,
+    })
 }
 
 fn read_weights(root: &mut ObjectReader<'_>, name: &'static str, known: &[String]) -> Weights {
@@ -214,11 +216,11 @@
     let load = reader.take_parsed::<LoadFactor>("of_capacity");
     let counted = reader.take_parsed::<bool>("counted");
     reader.finish();
-    let (lasts, _) = lasts?;
+    let lasts = lasts?.value;
     Some(Phase {
         lasts: lasts.to_duration(),
-        load: load.map(|(load, _)| load),
-        counted: counted.is_none_or(|(counted, _)| counted),
+        load: load.map(|load| load.value),
+        counted: counted.is_none_or(|counted| counted.value),
     })
 }
 
@@ -236,13 +238,13 @@
     let kind = reader.take_required::<String>("kind");
     let from = reader.take_required::<Millis>("from");
     let until = reader.take_parsed::<Millis>("until");
-    let kind = kind.and_then(|(kind, place)| read_kind(&mut reader, tree, &kind, &place));
+    let kind = kind.and_then(|kind| read_kind(&mut reader, tree, &kind.value, &kind.place));
     reader.finish();
-    let (from, _) = from?;
+    let from = from?.value;
     Some(Fault {
         kind: kind?,
         from: from.to_duration(),
-        until: until.map(|(until, _)| until.to_duration()),
+        until: until.map(|until| until.value.to_duration()),
     })
 }
 
@@ -262,30 +264,30 @@
             Some(FaultKind::Endpoints {
                 fault: read_endpoint_fault(reader, kind, place)?,
                 service: service?,
-                count: count.map_or(Count(1), |(count, _)| count),
+                count: count.map_or(Count(1), |count| count.value),
             })
         }
     }
 }
 
 fn read_centre(reader: &mut ObjectReader<'_>, tree: &Tree) -> Option<DataCentreId> {
-    let (centre, place) = reader.take_required::<DataCentreId>("data_centre")?;
-    if !tree.data_centres.contains(&centre) {
-        let message = format!("unknown data centre \"{centre}\"");
+    let centre = reader.take_required::<DataCentreId>("data_centre")?;
+    if !tree.data_centres.contains(&centre.value) {
+        let message = format!("unknown data centre \"{}\"", centre.value);
         let findings = reader.findings();
-        findings.add(&place, "fault", message, "correct it");
+        findings.add(&centre.place, "fault", message, "correct it");
     }
-    Some(centre)
+    Some(centre.value)
 }
 
 fn read_service(reader: &mut ObjectReader<'_>, tree: &Tree) -> Option<ServiceId> {
-    let (service, place) = reader.take_required::<ServiceId>("service")?;
-    if !tree.services.contains_key(&service) {
-        let message = format!("unknown service \"{service}\"");
+    let service = reader.take_required::<ServiceId>("service")?;
+    if !tree.services.contains_key(&service.value) {
+        let message = format!("unknown service \"{}\"", service.value);
         let findings = reader.findings();
-        findings.add(&place, "fault", message, "correct it");
+        findings.add(&service.place, "fault", message, "correct it");
     }
-    Some(service)
+    Some(service.value)
 }
 
 fn read_endpoint_fault(
@@ -298,7 +300,7 @@
         "frozen_reports" => EndpointFault::FrozenReports,
         "slow" => {
             let factor = reader.take_parsed::<f64>("factor");
-            EndpointFault::Slow(factor.map_or(SLOWNESS, |(factor, _)| factor))
+            EndpointFault::Slow(factor.map_or(SLOWNESS, |factor| factor.value))
         }
         _ => {
             let Some(damage) = parse_damage(kind) else {
@@ -308,7 +310,7 @@
                 return None;
             };
             let share = reader.take_parsed::<f64>("share");
-            EndpointFault::Damage(damage, Share(share.map_or(1.0, |(share, _)| share)))
+            EndpointFault::Damage(damage, Share(share.map_or(1.0, |share| share.value)))
         }
     };
     Some(fault)
--- a/lib/src/pipeline/daemon_settings.rs
+++ b/lib/src/pipeline/daemon_settings.rs
@@ -107,15 +107,14 @@
         check_positive(&mut root, &place, "load_interval", load_interval);
         root.finish();
         let required = (host, data_centre, listen, config);
-        let (Some((host, _)), Some((data_centre, _)), Some((listen, _)), Some(config)) = required
-        else {
+        let (Some(host), Some(data_centre), Some(listen), Some(config)) = required else {
             findings.into_result(())?;
             unreachable!("a missing value is always a finding");
         };
         findings.into_result(Self {
-            host,
-            data_centre,
-            listen,
+            host: host.value,
+            data_centre: data_centre.value,
+            listen: listen.value,
             config,
             hop,
             load_interval,
@@ -130,7 +129,9 @@
 where
     T: std::str::FromStr<Err: std::fmt::Display>,
 {
-    reader.take_parsed(name).map_or(default, |(value, _)| value)
+    reader
+        .take_parsed(name)
+        .map_or(default, |taken| taken.value)
 }
 
 fn check_positive(reader: &mut ObjectReader<'_>, place: &Place, name: &str, value: Millis) {
@@ -157,8 +158,8 @@
     check_positive(&mut reader, &place, "poll", poll);
     reader.finish();
     Some(ConfigSettings {
-        address: address?.0,
-        tree: tree?.0,
+        address: address?.value,
+        tree: tree?.value,
         poll,
     })
 }
@@ -170,7 +171,7 @@
     let sample = take_or(&mut reader, "sample", DEFAULT_SAMPLE);
     reader.finish();
     Some(TraceSettings {
-        collector: collector?.0,
+        collector: collector?.value,
         sample,
     })
 }
--- a/lib/src/settings/document/mod.rs
+++ b/lib/src/settings/document/mod.rs
@@ -55,6 +55,15 @@
     }
 }
 
+/// A checked value of a document, with its place.
+#[derive(Debug, Clone)]
+pub struct Placed<T> {
+    /// The value.
+    pub value: T,
+    /// Where it stands.
+    pub place: Place,
+}
+
 /// One field of an object.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Field {
--- a/lib/src/settings/document/object_reader.rs
+++ b/lib/src/settings/document/object_reader.rs
@@ -4,7 +4,7 @@
 
 use {
     crate::{
-        settings::document::{Field, Kind, Value, scalar_text},
+        settings::document::{Field, Kind, Placed, Value, scalar_text},
         shared::findings::{Findings, Place},
     },
     std::{fmt::Display, str::FromStr},
@@ -93,7 +93,7 @@
     }
 
     /// Takes and parses a field that may be absent; a malformed value is a finding.
-    pub fn take_parsed<T>(&mut self, name: &'static str) -> Option<(T, Place)>
+    pub fn take_parsed<T>(&mut self, name: &'static str) -> Option<Placed<T>>
     where
         T: FromStr<Err: Display>,
     {
@@ -103,7 +103,10 @@
             return None;
         };
         match text.parse() {
-            Ok(parsed) => Some((parsed, value.place)),
+            Ok(parsed) => Some(Placed {
+                value: parsed,
+                place: value.place,
+            }),
             Err(error) => {
                 let message = format!("{name}: {error}");
                 self.findings
@@ -114,7 +117,7 @@
     }
 
     /// Takes and parses a field; an absent field or a malformed value is a finding.
-    pub fn take_required<T>(&mut self, name: &'static str) -> Option<(T, Place)>
+    pub fn take_required<T>(&mut self, name: &'static str) -> Option<Placed<T>>
     where
         T: FromStr<Err: Display>,
     {
--- a/lib/src/settings/raw_tree/customer.rs
+++ b/lib/src/settings/raw_tree/customer.rs
@@ -2,8 +2,8 @@
 
 use crate::{
     settings::{
-        document::{Field, Kind, ObjectReader},
-        raw_tree::{Named, parse_name, read_all},
+        document::{Field, Kind, ObjectReader, Placed},
+        raw_tree::{parse_name, read_all},
     },
     shared::{
         findings::Findings,
@@ -17,7 +17,7 @@
     /// Path from the root.
     pub path: String,
     /// Name of the customer.
-    pub name: Named<CustomerId>,
+    pub name: Placed<CustomerId>,
     /// Overridden settings.
     pub settings: Vec<Field>,
     /// Settings overridden for single pipelines.
@@ -28,7 +28,7 @@
 #[derive(Debug, Clone)]
 pub struct RawOverride {
     /// Name of the pipeline.
-    pub name: Named<PipelineId>,
+    pub name: Placed<PipelineId>,
     /// Overridden settings.
     pub settings: Vec<Field>,
 }
--- a/lib/src/settings/raw_tree/group.rs
+++ b/lib/src/settings/raw_tree/group.rs
@@ -75,9 +75,9 @@
     ) -> Option<Self> {
         // Group names follow the same rules as all names; there is no type of their own.
         let name = parse_name::<PipelineId>(&field.name, &field.place, parent, findings)?;
-        let path = format!("{parent}/{}", name.id);
-        if RESERVED.contains(&name.id.as_str()) {
-            let message = format!("a group can't be named {:?}", name.id.as_str());
+        let path = format!("{parent}/{}", name.value);
+        if RESERVED.contains(&name.value.as_str()) {
+            let message = format!("a group can't be named {:?}", name.value.as_str());
             findings.add(&field.place, &path, message, "choose another name");
             return None;
         }
--- a/lib/src/settings/raw_tree/mod.rs
+++ b/lib/src/settings/raw_tree/mod.rs
@@ -21,7 +21,7 @@
 
 use {
     crate::{
-        settings::document::{Field, ObjectReader, scalar_text},
+        settings::document::{Field, ObjectReader, Placed, scalar_text},
         shared::{
             findings::{Findings, Place},
             ids::{DataCentreId, PipelineId},
@@ -37,28 +37,13 @@
     /// Version of the tree; daemons adopt upward only.
     pub version: u64,
     /// Data centres that endpoints may stand in.
-    pub data_centres: Vec<Named<DataCentreId>>,
+    pub data_centres: Vec<Placed<DataCentreId>>,
     /// The root group.
     pub root: RawGroup,
     /// Everything found wrong while reading.
     pub findings: Findings,
 }
 
-/// A name as it was written, with its place.
-#[derive(Debug, Clone)]
-pub struct Named<T> {
-    /// The checked name.
-    pub id: T,
-    /// Where it stands.
-    pub place: Place,
-}
-
-impl<T> From<(T, Place)> for Named<T> {
-    fn from((id, place): (T, Place)) -> Self {
-        Self { id, place }
-    }
-}
-
 impl RawTree {
     /// Reads a tree from its root value `name` and all values that it includes.
     ///
@@ -75,11 +60,11 @@
         // The tree's name begins every path, so it has to be a name like those of its nodes.
         let tree_name = root.take_required::<PipelineId>("name");
         let data_centres = read_data_centres(&mut root);
-        let path = tree_name.map_or_else(|| name.to_owned(), |(id, _)| id.to_string());
+        let path = tree_name.map_or_else(|| name.to_owned(), |name| name.value.to_string());
         let root = RawGroup::read(&mut values, path, root);
         Ok(Self {
             // Without a version there is a finding, so that the 0 never comes into force.
-            version: version.map_or(0, |(version, _)| version),
+            version: version.map_or(0, |version| version.value),
             data_centres,
             root,
             findings,
@@ -87,7 +72,7 @@
     }
 }
 
-fn read_data_centres(root: &mut ObjectReader<'_>) -> Vec<Named<DataCentreId>> {
+fn read_data_centres(root: &mut ObjectReader<'_>) -> Vec<Placed<DataCentreId>> {
     let elements = root.take_list("data_centres");
     let names = elements.into_iter().filter_map(|element| {
         // What isn't a scalar reads as the empty name, which is reported.
@@ -103,10 +88,10 @@
     place: &Place,
     node: &str,
     findings: &mut Findings,
-) -> Option<Named<T>> {
+) -> Option<Placed<T>> {
     let place = place.clone();
     match text.parse() {
-        Ok(id) => Some(Named { id, place }),
+        Ok(value) => Some(Placed { value, place }),
         Err(error) => {
             findings.add(&place, node, error.to_string(), "rename it");
             None
--- a/lib/src/settings/raw_tree/pipeline.rs
+++ b/lib/src/settings/raw_tree/pipeline.rs
@@ -2,8 +2,8 @@
 
 use crate::{
     settings::{
-        document::{Field, ObjectReader, Value},
-        raw_tree::{Named, parse_name},
+        document::{Field, ObjectReader, Placed, Value},
+        raw_tree::parse_name,
     },
     shared::{
         findings::Findings,
@@ -17,7 +17,7 @@
     /// Path from the root.
     pub path: String,
     /// Name of the pipeline.
-    pub name: Named<PipelineId>,
+    pub name: Placed<PipelineId>,
     /// Overridden settings.
     pub settings: Vec<Field>,
     /// Its stages in order.
@@ -30,9 +30,9 @@
     /// Path from the root.
     pub path: String,
     /// Name of the stage.
-    pub name: Named<StageId>,
+    pub name: Placed<StageId>,
     /// Service that runs it.
-    pub service: Option<Named<ServiceId>>,
+    pub service: Option<Placed<ServiceId>>,
     /// Overridden settings.
     pub settings: Vec<Field>,
 }
@@ -66,11 +66,11 @@
         let service = reader.take_required::<ServiceId>("service");
         let settings = reader.take_fields("settings");
         reader.finish();
-        let name = Named::from(name?);
+        let name = name?;
         Some(Self {
-            path: format!("{pipeline}/stages/{}", name.id),
+            path: format!("{pipeline}/stages/{}", name.value),
             name,
-            service: service.map(Named::from),
+            service,
             settings,
         })
     }
--- a/lib/src/settings/raw_tree/service.rs
+++ b/lib/src/settings/raw_tree/service.rs
@@ -3,8 +3,8 @@
 use {
     crate::{
         settings::{
-            document::{Field, ObjectReader},
-            raw_tree::{Named, parse_name, read_all},
+            document::{Field, ObjectReader, Placed},
+            raw_tree::{parse_name, read_all},
         },
         shared::{
             findings::Findings,
@@ -20,11 +20,11 @@
     /// Path from the root.
     pub path: String,
     /// Name of the service.
-    pub name: Named<ServiceId>,
+    pub name: Placed<ServiceId>,
     /// Kind of its endpoints: `engine` or `plain`.
-    pub kind: Option<Named<String>>,
+    pub kind: Option<Placed<String>>,
     /// Model that its engines serve.
-    pub model: Option<Named<String>>,
+    pub model: Option<Placed<String>>,
     /// Overridden settings.
     pub settings: Vec<Field>,
     /// Its endpoints.
@@ -35,11 +35,11 @@
 #[derive(Debug, Clone)]
 pub struct RawEndpoint {
     /// Name of the endpoint.
-    pub name: Named<EndpointId>,
+    pub name: Placed<EndpointId>,
     /// Where it listens.
-    pub address: Option<Named<SocketAddr>>,
+    pub address: Option<Placed<SocketAddr>>,
     /// Data centre it stands in.
-    pub data_centre: Option<Named<DataCentreId>>,
+    pub data_centre: Option<Placed<DataCentreId>>,
     /// Whether operators take it out of service.
     pub leaving: bool,
 }
@@ -49,8 +49,8 @@
         let path = format!("{parent}/services/{}", field.name);
         let name = parse_name(&field.name, &field.place, &path, findings)?;
         let mut reader = ObjectReader::new(&path, field.value, findings);
-        let kind = reader.take_required::<String>("kind").map(Named::from);
-        let model = reader.take_parsed::<String>("model").map(Named::from);
+        let kind = reader.take_required::<String>("kind");
+        let model = reader.take_parsed::<String>("model");
         let settings = reader.take_fields("settings");
         let endpoints = reader.take_fields("endpoints");
         let found = reader.findings();
@@ -78,9 +78,9 @@
         reader.finish();
         Some(Self {
             name,
-            address: address.map(Named::from),
-            data_centre: data_centre.map(Named::from),
-            leaving: leaving.is_some_and(|(leaving, _)| leaving),
+            address,
+            data_centre,
+            leaving: leaving.is_some_and(|leaving| leaving.value),
         })
     }
 }
--- a/lib/src/settings/tree_check/customer.rs
+++ b/lib/src/settings/tree_check/customer.rs
@@ -15,13 +15,13 @@
     pub(super) fn add_customer(&mut self, raw: &RawCustomer, parent: &Arc<Settings>) {
         let settings = self.add_node(&raw.path, Some(&raw.name.place), parent, &raw.settings);
         let customer = Customer {
-            id: raw.name.id.clone(),
+            id: raw.name.value.clone(),
             path: raw.path.as_str().into(),
             settings,
             pipelines: BTreeMap::new(),
         };
         let customers = &mut self.tree.customers;
-        let replaced = customers.insert(raw.name.id.clone(), Arc::new(customer));
+        let replaced = customers.insert(raw.name.value.clone(), Arc::new(customer));
         if replaced.is_some() {
             self.report_duplicate("customer", &raw.name, &raw.path);
         }
@@ -32,13 +32,13 @@
         let mut pipelines = BTreeMap::new();
         for raw_override in &raw.pipelines {
             if let Some(settings) = self.check_override(&raw.path, raw_override) {
-                pipelines.insert(raw_override.name.id.clone(), settings);
+                pipelines.insert(raw_override.name.value.clone(), settings);
             }
         }
         if pipelines.is_empty() {
             return;
         }
-        if let Some(customer) = self.tree.customers.get_mut(&raw.name.id) {
+        if let Some(customer) = self.tree.customers.get_mut(&raw.name.value) {
             Arc::make_mut(customer).pipelines = pipelines;
         }
     }
@@ -46,9 +46,9 @@
     /// Returns the settings that hold in one pipeline for the customer at `path`.
     fn check_override(&mut self, path: &str, raw: &RawOverride) -> Option<Arc<Settings>> {
         let name = &raw.name;
-        let path = format!("{path}/pipelines/{}", name.id);
-        let Some(pipeline) = self.tree.pipelines.get(&name.id).cloned() else {
-            let message = format!("overrides pipeline {}, which doesn't exist", name.id);
+        let path = format!("{path}/pipelines/{}", name.value);
+        let Some(pipeline) = self.tree.pipelines.get(&name.value).cloned() else {
+            let message = format!("overrides pipeline {}, which doesn't exist", name.value);
             let hint = "define the pipeline or correct the name";
             self.findings.add(&name.place, &path, message, hint);
             return None;
--- a/lib/src/settings/tree_check/mod.rs
+++ b/lib/src/settings/tree_check/mod.rs
@@ -12,8 +12,8 @@
 use {
     crate::{
         settings::{
-            document::Field,
-            raw_tree::{Named, RawGroup, RawTree},
+            document::{Field, Placed},
+            raw_tree::{RawGroup, RawTree},
             tree::{Tree, TreeNode, TreeVersion},
             values::{Settings, override_settings},
         },
@@ -87,21 +87,21 @@
         settings
     }
 
-    fn add_data_centres(&mut self, names: &[Named<DataCentreId>]) {
+    fn add_data_centres(&mut self, names: &[Placed<DataCentreId>]) {
         for name in names {
-            if self.tree.data_centres.contains(&name.id) {
+            if self.tree.data_centres.contains(&name.value) {
                 self.report_duplicate("data centre", name, "data_centres");
             } else {
-                self.tree.data_centres.push(name.id.clone());
+                self.tree.data_centres.push(name.value.clone());
             }
         }
     }
 
-    fn report_duplicate<T: Display>(&mut self, what: &str, name: &Named<T>, path: &str) {
+    fn report_duplicate<T: Display>(&mut self, what: &str, name: &Placed<T>, path: &str) {
         self.findings.add(
             &name.place,
             path,
-            format!("{what} {} is defined twice", name.id),
+            format!("{what} {} is defined twice", name.value),
             "rename or remove one of them",
         );
     }
--- a/lib/src/settings/tree_check/pipeline.rs
+++ b/lib/src/settings/tree_check/pipeline.rs
@@ -30,13 +30,13 @@
             .collect();
         self.check_deadline(&raw.path, &raw.name.place, &settings, &stages);
         let pipeline = Pipeline {
-            id: raw.name.id.clone(),
+            id: raw.name.value.clone(),
             path: raw.path.as_str().into(),
             settings,
             stages,
         };
         let pipelines = &mut self.tree.pipelines;
-        let replaced = pipelines.insert(raw.name.id.clone(), Arc::new(pipeline));
+        let replaced = pipelines.insert(raw.name.value.clone(), Arc::new(pipeline));
         if replaced.is_some() {
             self.report_duplicate("pipeline", &raw.name, &raw.path);
         }
@@ -49,12 +49,12 @@
         pipeline: &Settings,
         names: &mut BTreeSet<StageId>,
     ) -> Option<Stage> {
-        if !names.insert(raw.name.id.clone()) {
+        if !names.insert(raw.name.value.clone()) {
             self.report_duplicate("stage", &raw.name, &raw.path);
         }
         let name = raw.service.as_ref()?;
-        let Some(service) = self.tree.services.get(&name.id).cloned() else {
-            let message = format!("unknown service {}", name.id);
+        let Some(service) = self.tree.services.get(&name.value).cloned() else {
+            let message = format!("unknown service {}", name.value);
             let hint = "define the service or correct the name";
             self.findings.add(&name.place, &raw.path, message, hint);
             return None;
@@ -63,8 +63,8 @@
         let settings = self.add_node(&raw.path, Some(&raw.name.place), &inherited, &raw.settings);
         self.check_strictness(raw, &service, &settings);
         Some(Stage {
-            id: raw.name.id.clone(),
-            service: name.id.clone(),
+            id: raw.name.value.clone(),
+            service: name.value.clone(),
             settings,
         })
     }
--- a/lib/src/settings/tree_check/service.rs
+++ b/lib/src/settings/tree_check/service.rs
@@ -27,14 +27,14 @@
             .filter_map(|endpoint| self.check_endpoint(&raw.path, endpoint))
             .collect();
         let service = Service {
-            id: raw.name.id.clone(),
+            id: raw.name.value.clone(),
             path: raw.path.as_str().into(),
             kind,
             settings,
             endpoints,
         };
         let services = &mut self.tree.services;
-        let replaced = services.insert(raw.name.id.clone(), Arc::new(service));
+        let replaced = services.insert(raw.name.value.clone(), Arc::new(service));
         if replaced.is_some() {
             self.report_duplicate("service", &raw.name, &raw.path);
         }
@@ -43,9 +43,9 @@
     /// Returns the kind that a service is written with; only an engine has a model.
     fn service_kind(&mut self, raw: &RawService) -> Option<ServiceKind> {
         let kind = raw.kind.as_ref()?;
-        match (kind.id.as_str(), &raw.model) {
+        match (kind.value.as_str(), &raw.model) {
             ("engine", Some(model)) => Some(ServiceKind::Engine {
-                model: model.id.as_str().into(),
+                model: model.value.as_str().into(),
             }),
             ("plain", None) => Some(ServiceKind::Plain),
             ("engine", None) => {
@@ -71,25 +71,25 @@
 
     /// Checks an endpoint of the service at `path`.
     fn check_endpoint(&mut self, path: &str, raw: &RawEndpoint) -> Option<Arc<EndpointSpec>> {
-        if !self.endpoints.insert(raw.name.id.clone()) {
+        if !self.endpoints.insert(raw.name.value.clone()) {
             self.report_duplicate("endpoint", &raw.name, path);
         }
         let address = raw.address.as_ref()?;
         let data_centre = raw.data_centre.as_ref()?;
-        if let Some(other) = self.addresses.insert(address.id, raw.name.id.clone()) {
-            let message = format!("address {} is already used by {other}", address.id);
+        if let Some(other) = self.addresses.insert(address.value, raw.name.value.clone()) {
+            let message = format!("address {} is already used by {other}", address.value);
             let hint = "give each endpoint its own address";
             self.findings.add(&address.place, path, message, hint);
         }
-        if !self.tree.data_centres.contains(&data_centre.id) {
-            let message = format!("unknown data centre {}", data_centre.id);
+        if !self.tree.data_centres.contains(&data_centre.value) {
+            let message = format!("unknown data centre {}", data_centre.value);
             let hint = "add it to \"data_centres\" or correct the name";
             self.findings.add(&data_centre.place, path, message, hint);
         }
         Some(Arc::new(EndpointSpec {
-            id: raw.name.id.clone(),
-            address: address.id,
-            data_centre: data_centre.id.clone(),
+            id: raw.name.value.clone(),
+            address: address.value,
+            data_centre: data_centre.value.clone(),
             leaving: raw.leaving,
         }))
     }
