--- a/cli/src/commands/explain.rs
+++ b/cli/src/commands/explain.rs
@@ -5,7 +5,7 @@
         output::{Exit, Format, plain_table, print_findings, print_json},
         tree_file::read_tree,
     },
-    anyhow::{Result, bail},
+    anyhow::Result,
     argh::FromArgs,
     hazelyoke_lib::settings::values::SettingEntry,
     serde::Serialize,
@@ -62,16 +62,12 @@
                 return Ok(Exit::Findings);
             }
         };
-        let (path, node) = match tree.find_node(&self.node) {
-            Ok(found) => found,
-            Err(fits) if fits.is_empty() => bail!("no node is named {:?}", self.node),
-            Err(fits) => bail!("{:?} could be any of: {}", self.node, fits.join(", ")),
-        };
+        let node = tree.find_node(&self.node)?;
         let rows: Vec<Row> = node.settings.entries().into_iter().map(Row::from).collect();
         match self.format {
             Format::Json => print_json(&rows)?,
             Format::Text => {
-                println!("{path}");
+                println!("{}", node.path);
                 print_table(rows);
             }
         }
--- a/lib/src/settings/tree.rs
+++ b/lib/src/settings/tree.rs
@@ -1,27 +1,28 @@
 //! The checked settings tree: services, customers and pipelines with their effective settings.
+//!
+//! It owns the types that decisions read; `tree_check` builds them. A tree is immutable: a new
+//! version replaces the whole of it.
 
 use {
     crate::{
         settings::values::Settings,
-        shared::{
-            findings::Place,
-            ids::{CustomerId, DataCentreId, EndpointId, PipelineId, ServiceId, StageId},
-        },
+        shared::ids::{CustomerId, DataCentreId, EndpointId, PipelineId, ServiceId, StageId},
     },
-    std::{collections::BTreeMap, net::SocketAddr, sync::Arc},
+    std::{collections::BTreeMap, fmt, net::SocketAddr, sync::Arc},
+    thiserror::Error,
 };
 
-/// Version of a tree; a daemon adopts upward only.
+/// Version of a tree; a daemon adopts higher versions only.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TreeVersion(pub u64);
 
-impl std::fmt::Display for TreeVersion {
-    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
+impl fmt::Display for TreeVersion {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         self.0.fmt(f)
     }
 }
 
-/// A whole checked tree. Cloning is cheap: readers hold `Arc`s and never see half a change.
+/// A whole checked tree. Readers hold `Arc`s of its parts, so that they never see half a change.
 #[derive(Debug, Clone, Default)]
 pub struct Tree {
     /// Version the operators gave it.
@@ -41,13 +42,13 @@
 /// A node of the tree as reports show it.
 #[derive(Debug, Clone)]
 pub struct TreeNode {
-    /// Where the node starts; absent for groups.
-    pub place: Option<Place>,
+    /// Path from the root.
+    pub path: Arc<str>,
     /// Its effective settings.
     pub settings: Arc<Settings>,
 }
 
-/// What a service's endpoints are.
+/// Kind of a service's endpoints.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ServiceKind {
     /// Model engines that generate a stream of tokens.
@@ -64,9 +65,7 @@
 pub struct Service {
     /// Name of the service.
     pub id: ServiceId,
-    /// Path of its node.
-    pub path: Arc<str>,
-    /// What its endpoints are.
+    /// Kind of its endpoints.
     pub kind: ServiceKind,
     /// Effective settings.
     pub settings: Arc<Settings>,
@@ -92,8 +91,6 @@
 pub struct Customer {
     /// Name of the customer.
     pub id: CustomerId,
-    /// Path of its node.
-    pub path: Arc<str>,
     /// Effective settings.
     pub settings: Arc<Settings>,
     /// Effective settings in the pipelines for which it has overrides.
@@ -105,8 +102,6 @@
 pub struct Pipeline {
     /// Name of the pipeline.
     pub id: PipelineId,
-    /// Path of its node.
-    pub path: Arc<str>,
     /// Effective settings.
     pub settings: Arc<Settings>,
     /// Its stages in order; never empty.
@@ -125,7 +120,7 @@
 }
 
 impl Tree {
-    /// Returns the settings that hold for a customer's requests to a pipeline.
+    /// Returns the settings that apply to a customer's requests to a pipeline.
     pub fn request_settings(&self, customer: &Customer, pipeline: &Pipeline) -> Arc<Settings> {
         customer
             .pipelines
@@ -134,12 +129,15 @@
             .clone()
     }
 
-    /// Returns the pipeline of one stage that a plain call of a service amounts to.
+    /// Returns a call of a single service as a pipeline of one stage.
+    ///
+    /// # Panics
+    ///
+    /// Never: services, pipelines and stages follow the same rules for names.
     pub fn service_call(service: &Service) -> Pipeline {
         let id = service.id.as_str();
         Pipeline {
             id: id.parse().expect("service names are pipeline names"),
-            path: service.path.clone(),
             settings: service.settings.clone(),
             stages: vec![Stage {
                 id: id.parse().expect("service names are stage names"),
@@ -149,24 +147,44 @@
         }
     }
 
-    /// Finds a node by its whole path or by an ending of it that fits one node only.
+    /// Finds a node by its whole path or by an ending of it that only one node has.
     ///
     /// # Errors
     ///
-    /// Returns the paths that fit when there are several, and none when there is none.
-    pub fn find_node(&self, name: &str) -> Result<(&Arc<str>, &TreeNode), Vec<Arc<str>>> {
-        if let Some(found) = self.nodes.get_key_value(name) {
-            return Ok(found);
+    /// Returns an error when no node, or more than one, has the name.
+    pub fn find_node(&self, name: &str) -> Result<&TreeNode, NodeError> {
+        if let Some(node) = self.nodes.get(name) {
+            return Ok(node);
         }
         let ending = format!("/{name}");
-        let fits: Vec<_> = self
-            .nodes
-            .iter()
-            .filter(|(path, _)| path.ends_with(&ending))
-            .collect();
+        let nodes = self.nodes.values();
+        let fits: Vec<_> = nodes.filter(|node| node.path.ends_with(&ending)).collect();
         match fits.as_slice() {
+            [] => Err(NodeError::Unknown { name: name.into() }),
             [only] => Ok(*only),
-            several => Err(several.iter().map(|(path, _)| (*path).clone()).collect()),
+            several => Err(NodeError::Ambiguous {
+                name: name.into(),
+                paths: several.iter().map(|node| node.path.clone()).collect(),
+            }),
         }
     }
 }
+
+/// Reports a name that doesn't find one node.
+#[derive(Debug, Clone, PartialEq, Eq, Error)]
+pub enum NodeError {
+    /// No node's path ends with the name.
+    #[error("no node is named {name:?}")]
+    Unknown {
+        /// The name.
+        name: String,
+    },
+    /// The paths of several nodes end with the name.
+    #[error("{name:?} could be any of: {}", paths.join(", "))]
+    Ambiguous {
+        /// The name.
+        name: String,
+        /// The paths, in order.
+        paths: Vec<Arc<str>>,
+    },
+}
--- a/lib/src/settings/tree_check/customer.rs
+++ b/lib/src/settings/tree_check/customer.rs
@@ -13,10 +13,9 @@
 impl TreeCheck {
     /// Adds a customer, without the settings that it overrides for pipelines.
     pub(super) fn add_customer(&mut self, raw: &RawCustomer, parent: &Arc<Settings>) {
-        let settings = self.add_node(&raw.path, Some(&raw.name.place), parent, &raw.settings);
+        let settings = self.add_node(&raw.path, parent, &raw.settings);
         let customer = Customer {
             id: raw.name.value.clone(),
-            path: raw.path.as_str().into(),
             settings,
             pipelines: BTreeMap::new(),
         };
@@ -54,7 +53,7 @@
             return None;
         };
         let parent = &pipeline.settings;
-        let settings = self.add_node(&path, Some(&name.place), parent, &raw.settings);
+        let settings = self.add_node(&path, parent, &raw.settings);
         self.check_deadline(&path, &name.place, &settings, &pipeline.stages);
         Some(settings)
     }
--- a/lib/src/settings/tree_check/mod.rs
+++ b/lib/src/settings/tree_check/mod.rs
@@ -18,7 +18,7 @@
             values::{Settings, override_settings},
         },
         shared::{
-            findings::{Findings, Place},
+            findings::Findings,
             ids::{DataCentreId, EndpointId},
         },
     },
@@ -71,19 +71,14 @@
     }
 
     /// Adds a node that overrides `fields` of its parent's settings; returns its own settings.
-    fn add_node(
-        &mut self,
-        path: &str,
-        place: Option<&Place>,
-        parent: &Arc<Settings>,
-        fields: &[Field],
-    ) -> Arc<Settings> {
+    fn add_node(&mut self, path: &str, parent: &Arc<Settings>, fields: &[Field]) -> Arc<Settings> {
         let settings = override_settings(path, parent, fields, &mut self.findings);
+        let path: Arc<str> = path.into();
         let node = TreeNode {
-            place: place.cloned(),
+            path: path.clone(),
             settings: settings.clone(),
         };
-        self.tree.nodes.insert(path.into(), node);
+        self.tree.nodes.insert(path, node);
         settings
     }
 
@@ -108,7 +103,7 @@
 
     /// Adds groups, services and customers, which pipelines refer to.
     fn add_providers(&mut self, group: &RawGroup, parent: &Arc<Settings>) {
-        let settings = self.add_node(&group.path, None, parent, &group.settings);
+        let settings = self.add_node(&group.path, parent, &group.settings);
         for service in &group.services {
             self.add_service(service, &settings);
         }
--- a/lib/src/settings/tree_check/pipeline.rs
+++ b/lib/src/settings/tree_check/pipeline.rs
@@ -16,7 +16,7 @@
 impl TreeCheck {
     /// Adds a pipeline; the services of its stages are in the tree already.
     pub(super) fn add_pipeline(&mut self, raw: &RawPipeline, parent: &Arc<Settings>) {
-        let settings = self.add_node(&raw.path, Some(&raw.name.place), parent, &raw.settings);
+        let settings = self.add_node(&raw.path, parent, &raw.settings);
         if raw.stages.is_empty() {
             let message = "the pipeline has no stage";
             let hint = "add \"stages\"";
@@ -31,7 +31,6 @@
         self.check_deadline(&raw.path, &raw.name.place, &settings, &stages);
         let pipeline = Pipeline {
             id: raw.name.value.clone(),
-            path: raw.path.as_str().into(),
             settings,
             stages,
         };
@@ -60,7 +59,7 @@
             return None;
         };
         let inherited = Arc::new(Settings::for_stage(pipeline, &service.settings));
-        let settings = self.add_node(&raw.path, Some(&raw.name.place), &inherited, &raw.settings);
+        let settings = self.add_node(&raw.path, &inherited, &raw.settings);
         self.check_strictness(raw, &service, &settings);
         Some(Stage {
             id: raw.name.value.clone(),
--- a/lib/src/settings/tree_check/service.rs
+++ b/lib/src/settings/tree_check/service.rs
@@ -12,7 +12,7 @@
 
 impl TreeCheck {
     pub(super) fn add_service(&mut self, raw: &RawService, parent: &Arc<Settings>) {
-        let settings = self.add_node(&raw.path, Some(&raw.name.place), parent, &raw.settings);
+        let settings = self.add_node(&raw.path, parent, &raw.settings);
         let Some(kind) = self.service_kind(raw) else {
             return;
         };
@@ -28,7 +28,6 @@
             .collect();
         let service = Service {
             id: raw.name.value.clone(),
-            path: raw.path.as_str().into(),
             kind,
             settings,
             endpoints,
--- a/lib/tests/test_policy_pins.rs
+++ b/lib/tests/test_policy_pins.rs
@@ -237,7 +237,6 @@
     settings.slots.value.0 = 2;
     let service = Service {
         id: "s".parse().unwrap(),
-        path: "top/s".into(),
         kind,
         settings: settings.into(),
         endpoints: (0..10).map(|number| endpoint(number).into()).collect(),
--- a/lib/tests/test_settings_tree.rs
+++ b/lib/tests/test_settings_tree.rs
@@ -76,8 +76,8 @@
 #[test]
 fn value_origins() {
     let tree = read(&[("root", SMALL)]).unwrap();
-    let (path, node) = tree.find_node("stages/one").unwrap();
-    assert_eq!(&**path, "top/pipelines/p/stages/one");
+    let node = tree.find_node("stages/one").unwrap();
+    assert_eq!(&*node.path, "top/pipelines/p/stages/one");
     let origin = |name: &str| {
         let entries = node.settings.entries();
         let entry = entries.into_iter().find(|entry| entry.name == name);
@@ -168,8 +168,8 @@
         "groups": { "g": { "include": "part" } } }"#;
     let part = r#"{ "customers": { "c": {} } }"#;
     let tree = read(&[("root", root), ("part", part)]).unwrap();
-    let (path, _) = tree.find_node("customers/c").unwrap();
-    assert_eq!(&**path, "top/g/customers/c");
+    let node = tree.find_node("customers/c").unwrap();
+    assert_eq!(&*node.path, "top/g/customers/c");
     let customer = &tree.customers[&"c".parse().unwrap()];
     assert_eq!(customer.settings.priority.value.to_string(), "low");
 }
