--- a/cli/src/commands/mod.rs
+++ b/cli/src/commands/mod.rs
@@ -1,4 +1,4 @@
-//! The commands, a file each.
+//! The commands: each has a file with its arguments, its run and its output.
 
 mod check;
 mod check_platform;
--- a/cli/src/main.rs
+++ b/cli/src/main.rs
@@ -1,7 +1,7 @@
 //! The command line of hazelyoke: checks, explains and compares settings trees, and asks daemons.
 //!
-//! It owns the terminal: arguments, printing and exit codes. A file a command stands in `commands`;
-//! everything that decides stands in the library.
+//! It owns the terminal: arguments, printing and exit codes. Each command has a file in `commands`;
+//! the library makes all decisions and prints nothing.
 
 mod commands;
 mod output;
--- a/lib/src/settings/document/mod.rs
+++ b/lib/src/settings/document/mod.rs
@@ -60,7 +60,7 @@
 pub struct Placed<T> {
     /// The value.
     pub value: T,
-    /// Where it stands.
+    /// Its place in the document.
     pub place: Place,
 }
 
--- a/lib/src/settings/raw_tree/group.rs
+++ b/lib/src/settings/raw_tree/group.rs
@@ -34,7 +34,7 @@
 /// Group names that would be confused with parts of a node's path.
 const RESERVED: [&str; 4] = ["services", "customers", "pipelines", "stages"];
 
-/// The value that a group stands in, instead of standing in place.
+/// The value that holds a group which isn't written in place.
 struct Include {
     value: String,
     place: Place,
--- a/lib/src/settings/raw_tree/mod.rs
+++ b/lib/src/settings/raw_tree/mod.rs
@@ -1,7 +1,7 @@
 //! The settings tree as it is written: syntax and names checked, references not yet resolved.
 //!
-//! [`RawTree::read`] reads the root value and every value that it includes; a file a kind of node
-//! holds the node's type and its reader. Readers collect findings and go on, so that one check
+//! [`RawTree::read`] reads the root value and every value that it includes. Each kind of node has a
+//! file with its type and its reader. Readers collect findings and go on, so that one check
 //! reports everything that is wrong. It relies on `document` for JSON; `tree_check` turns the
 //! result into a checked tree.
 
--- a/lib/src/settings/raw_tree/service.rs
+++ b/lib/src/settings/raw_tree/service.rs
@@ -38,9 +38,9 @@
     pub name: Placed<EndpointId>,
     /// Where it listens.
     pub address: Option<Placed<SocketAddr>>,
-    /// Data centre it stands in.
+    /// Data centre of its host.
     pub data_centre: Option<Placed<DataCentreId>>,
-    /// Whether operators take it out of service.
+    /// True if operators take it out of service.
     pub leaving: bool,
 }
 
--- a/lib/src/settings/tree.rs
+++ b/lib/src/settings/tree.rs
@@ -27,7 +27,7 @@
 pub struct Tree {
     /// Version the operators gave it.
     pub version: TreeVersion,
-    /// Data centres that endpoints stand in.
+    /// Data centres of the endpoints.
     pub data_centres: Vec<DataCentreId>,
     /// Services by name.
     pub services: BTreeMap<ServiceId, Arc<Service>>,
@@ -80,9 +80,9 @@
     pub id: EndpointId,
     /// Where it listens.
     pub address: SocketAddr,
-    /// Data centre it stands in.
+    /// Data centre of its host.
     pub data_centre: DataCentreId,
-    /// Whether operators take it out of service.
+    /// True if operators take it out of service.
     pub leaving: bool,
 }
 
--- a/lib/src/settings/tree_check/mod.rs
+++ b/lib/src/settings/tree_check/mod.rs
@@ -2,8 +2,8 @@
 //!
 //! It owns the order of the check, in which every node comes after those that it refers to:
 //! groups, services and customers first, then pipelines, which refer to services, then the settings
-//! that customers override for pipelines. A file a kind of node holds the checks of that kind. It
-//! relies on `values` for inheritance.
+//! that customers override for pipelines. Each kind of node has a file with its checks. It relies on
+//! `values` for inheritance.
 
 mod customer;
 mod pipeline;
--- a/lib/src/settings/values/mod.rs
+++ b/lib/src/settings/values/mod.rs
@@ -8,8 +8,8 @@
 mod setting;
 mod words;
 
+pub(crate) use overrides::{check_combination, override_settings};
 pub use {
-    overrides::{check_combination, override_settings},
     setting::{Origin, Scope, Setting, SettingEntry},
     words::{Guard, PolicyKind, Priority, WordError},
 };
@@ -109,7 +109,7 @@
     Request concurrency: Maybe<Count> = "none";
     /// Largest request body accepted.
     Request max_body: ByteSize = "256KB";
-    /// Whether the call may be retried, at the same or another endpoint.
+    /// Allows retries of the call, at the same or another endpoint.
     Call repeatable: bool = "true";
     /// Mechanism that keeps a call that may not be retried from running twice.
     Call guard: Guard = "none";
@@ -127,7 +127,7 @@
     Call max_tokens: Count = "256";
     /// Calls that one endpoint runs at the same time, used until it reports its load.
     Call slots: Count = "8";
-    /// Whether engines that hold a prompt's beginning in their cache are preferred.
+    /// Prefers engines that hold a prompt's beginning in their cache.
     Call affinity: bool = "true";
     /// Implementation that chooses endpoints.
     Call policy: PolicyKind = "estimated";
--- a/lib/src/settings/values/overrides.rs
+++ b/lib/src/settings/values/overrides.rs
@@ -73,7 +73,7 @@
 ///
 /// Returns the parent's own value when nothing is overridden, so that thousands of plain nodes
 /// share one allocation.
-pub fn override_settings(
+pub(crate) fn override_settings(
     node: &str,
     parent: &Arc<Settings>,
     fields: &[Field],
@@ -115,7 +115,7 @@
 }
 
 /// Reports a guard on a call that may be retried: the two contradict each other.
-pub fn check_combination(node: &str, settings: &Settings, findings: &mut Findings) {
+pub(crate) fn check_combination(node: &str, settings: &Settings, findings: &mut Findings) {
     if !settings.repeatable.value || settings.guard.value == Guard::None {
         return;
     }
--- a/lib/src/shared/units/quantity.rs
+++ b/lib/src/shared/units/quantity.rs
@@ -47,7 +47,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd)]
 pub struct Maybe<T>(pub Option<T>);
 
-/// The text that stands for a quantity left out.
+/// Text of a quantity that is left out.
 pub const NONE_TEXT: &str = "none";
 
 impl<T: FromStr> FromStr for Maybe<T> {
--- a/lib/src/timeline/mod.rs
+++ b/lib/src/timeline/mod.rs
@@ -1,9 +1,9 @@
 //! The timeline of one request, gathered from the logs of several hosts.
 //!
 //! It answers what happened to a request, and why. Lines that name the request are its steps, and
-//! so are those of the calls that carried its pieces; beside them stand the observations that the
-//! same hosts made meanwhile, such as a lost peer or an endpoint set aside. Hosts' clocks may
-//! differ: lines of one host keep their order, and hosts are merged by the times in their lines.
+//! so are those of the calls that carried its pieces. Beside them are observations that the same
+//! hosts logged meanwhile, such as a lost peer or an endpoint set aside. Hosts' clocks may differ:
+//! lines of one host keep their order, and hosts are merged by the times in their lines.
 //!
 //! It owns the choice and order of lines, and reads logs of every version of the daemon: it relies
 //! on the names of events and fields only, and on nothing else of this library.
