--- a/lib/src/gateway/routing/endpoint_states.rs
+++ b/lib/src/gateway/routing/endpoint_states.rs
@@ -12,6 +12,7 @@
             rules::endpoint_choice::{self, Candidate, EndpointChoice, Placement},
         },
         shared::{
+            health::can_spare,
             ids::{DataCentreId, EndpointId, ServiceId},
             units::Time,
         },
@@ -20,9 +21,6 @@
     std::{net::SocketAddr, sync::Arc},
 };
 
-/// Largest share of a service's endpoints that may be ejected.
-const MAX_EJECTED: f64 = 0.5;
-
 /// The endpoints of all services.
 #[derive(Debug, Default)]
 pub struct EndpointStates {
@@ -170,6 +168,6 @@
         };
         let pool: Vec<&EndpointState> = self.service(&member.entry.service).collect();
         let out = pool.iter().filter(|other| !other.is_available(now)).count();
-        (out as f64 + 1.0) <= pool.len() as f64 * MAX_EJECTED
+        can_spare(out, pool.len())
     }
 }
--- a/lib/src/pipeline/decision/pool.rs
+++ b/lib/src/pipeline/decision/pool.rs
@@ -10,18 +10,15 @@
         },
         settings::tree::{EndpointSpec, Service, ServiceKind},
         shared::{
-            health::{Health, HealthState},
+            health::{Health, HealthState, can_spare},
             ids::{DataCentreId, EndpointId, MemberSerial},
-            units::{Millis, Share, Time, WorkMillis},
+            units::{Millis, Time, WorkMillis},
         },
     },
     foldhash::HashMap,
     std::sync::Arc,
 };
 
-/// Largest share of a pool that may be ejected at the same time.
-const MAX_EJECTED: Share = Share(0.5);
-
 /// First guesses, until calls have been observed: of a plain call, a token, a byte of a prompt.
 const CALL_GUESS: WorkMillis = WorkMillis(5.0);
 const TOKEN_GUESS: WorkMillis = WorkMillis(5.0);
@@ -320,8 +317,8 @@
     /// Returns whether it was ejected now.
     pub fn failed(&mut self, now: Time, endpoint: &EndpointId, serial: MemberSerial) -> bool {
         let out = |member: &&PoolMember| member.health.state(now) != HealthState::Healthy;
-        let ejected = self.members.iter().filter(out).count() as f64;
-        let may_eject = ejected + 1.0 <= self.members.len() as f64 * MAX_EJECTED.0;
+        let ejected = self.members.iter().filter(out).count();
+        let may_eject = can_spare(ejected, self.members.len());
         match self.member(endpoint, serial) {
             Some(member) => member.health.failed(now, may_eject),
             None => false,
