--- a/lib/src/pipeline/decision/attempt.rs
+++ b/lib/src/pipeline/decision/attempt.rs
@@ -8,9 +8,10 @@
             policy::Policy,
             policy_choice::AnyPolicy,
             request::{Answer, Attempt},
+            retry::{AttemptKind, NextStep, hedge_wait},
             state::Timer,
         },
-        settings::tree::{ServiceKind, Stage},
+        settings::tree::ServiceKind,
         shared::{
             ids::{AttemptId, CallIds, RequestId},
             problem::Code,
@@ -22,7 +23,7 @@
 
 impl Core {
     /// Sends the current stage to an endpoint, or ends the request if none can take it.
-    pub(crate) fn send_next(&mut self, now: Time, id: RequestId, hedge: bool) {
+    pub(crate) fn send_next(&mut self, now: Time, id: RequestId, kind: AttemptKind) {
         let Some(request) = self.requests.get_mut(&id) else {
             return;
         };
@@ -36,7 +37,7 @@
         let job = pool.job(now, &size);
         let tried = &request.tried;
         let Some(chosen) = policy.choose(now, pool, &job, tried, &mut self.rng) else {
-            if !hedge {
+            if kind == AttemptKind::Next {
                 let detail = format!("no endpoint of {} can take the call", stage.service);
                 self.fail(now, id, Code::NoEndpoint, detail);
             }
@@ -46,9 +47,9 @@
         if !extra {
             policy.first_attempt(pool, stage.settings.retry_budget.value);
         }
-        let kind = pool.service.kind.clone();
+        let service_kind = pool.service.kind.clone();
         let member = &mut pool.members[chosen];
-        if hedge && tried.contains(&member.serial) {
+        if kind == AttemptKind::Hedge && tried.contains(&member.serial) {
             return;
         }
         let serial = member.serial;
@@ -71,7 +72,7 @@
             },
             endpoint: member.spec.id.clone(),
             address: member.spec.address,
-            kind,
+            kind: service_kind,
             input: request.input.clone(),
             remaining: request.remaining(now),
             priority: request.priority,
@@ -84,10 +85,7 @@
         pool.note_prefix(now, serial, &attempt.size.prefix);
         self.counters.sent(extra);
         self.attempts.insert(attempt.id, id);
-        if let Some(wait) = stage.settings.hedge_after.value.0
-            && stage.settings.repeatable.value
-            && !hedge
-        {
+        if let Some(wait) = hedge_wait(&stage.settings, kind) {
             self.timers.add(now + wait, Timer::Hedge(attempt.id));
         }
         request.add_attempt(attempt);
@@ -215,7 +213,7 @@
         request.advance(body);
         let request = &self.requests[&id];
         match self.check_time(now, request) {
-            Ok(()) => self.send_next(now, id, false),
+            Ok(()) => self.send_next(now, id, AttemptKind::Next),
             Err(late) => self.fail(now, id, late.code, late.detail),
         }
     }
@@ -225,34 +223,41 @@
             return;
         };
         request.clear_exposure();
-        let attempts = request.current().settings.attempts.value.0;
-        // Nothing ran, so even a call that may not be repeated may go to another endpoint.
-        if request.live.is_empty() && request.tries < attempts && !request.abandoned {
-            return self.send_next(now, id, false);
-        }
-        if request.live.is_empty() {
-            let service = request.current().service.clone();
-            let detail = format!("{service}: the last endpoint tried was {cause}");
-            self.fail(now, id, Code::NoEndpoint, detail);
-        }
+        let next = request.progress().after_not_run();
+        let service = &request.current().service;
+        let detail = format!("{service}: the last endpoint tried was {cause}");
+        self.retry_or_fail(now, id, next, Code::NoEndpoint, detail);
     }
 
     fn failed(&mut self, now: Time, id: RequestId, cause: FailCause) {
         let Some(request) = self.requests.get(&id) else {
             return;
         };
-        if !request.live.is_empty() {
-            return;
-        }
-        let stage = request.current().clone();
-        let allowed = stage.settings.repeatable.value
-            && request.tries < stage.settings.attempts.value.0
-            && !request.abandoned;
-        if allowed && self.grants_retry(&stage) {
-            return self.send_next(now, id, false);
+        let next = request.progress().after_failure();
+        let detail = format!("stage {}: {cause}", request.current().id);
+        self.retry_or_fail(now, id, next, Code::StageFailed, detail);
+    }
+
+    /// Carries out a step; a request that isn't sent again ends with `code` and `detail`.
+    fn retry_or_fail(
+        &mut self,
+        now: Time,
+        id: RequestId,
+        next: NextStep,
+        code: Code,
+        detail: String,
+    ) {
+        let granted = match next {
+            NextStep::Wait => return,
+            NextStep::Retry => true,
+            NextStep::RetryFromBudget => self.grants_retry(id),
+            NextStep::GiveUp => false,
+        };
+        if granted {
+            self.send_next(now, id, AttemptKind::Next);
+        } else {
+            self.fail(now, id, code, detail);
         }
-        let detail = format!("stage {}: {cause}", stage.id);
-        self.fail(now, id, Code::StageFailed, detail);
     }
 
     pub(crate) fn hedge(&mut self, now: Time, attempt: AttemptId) {
@@ -262,23 +267,20 @@
         let Some(request) = self.requests.get(&id) else {
             return;
         };
-        let stage = request.current().clone();
-        let streaming = request.generated.tokens > 0;
-        if streaming || request.tries >= stage.settings.attempts.value.0 {
-            return;
-        }
-        let engine = matches!(
-            self.fleet.kind(&stage.service),
-            Some(ServiceKind::Engine { .. })
-        );
-        if !engine && self.grants_retry(&stage) {
-            self.send_next(now, id, true);
+        let kind = self.fleet.kind(&request.current().service);
+        let generates = matches!(kind, Some(ServiceKind::Engine { .. }));
+        if request.progress().may_hedge(generates) && self.grants_retry(id) {
+            self.send_next(now, id, AttemptKind::Hedge);
         }
     }
 
-    /// Takes one attempt beyond the first from the budget of the stage's service.
-    fn grants_retry(&mut self, stage: &Stage) -> bool {
-        let policy = self.policy(&stage.settings);
+    /// Takes one attempt beyond the first from the budget of the current stage's service.
+    fn grants_retry(&mut self, id: RequestId) -> bool {
+        let Some(request) = self.requests.get(&id) else {
+            return false;
+        };
+        let stage = request.current();
+        let policy = AnyPolicy::new(stage.settings.policy.value, self.config.hop);
         self.fleet
             .pool_mut(&stage.service)
             .is_some_and(|pool| policy.grants_retry(pool))
--- a/lib/src/pipeline/decision/core.rs
+++ b/lib/src/pipeline/decision/core.rs
@@ -8,6 +8,7 @@
             limit::CustomerUse,
             prefix::CacheEvent,
             request::{Answer, Arrival, Request},
+            retry::AttemptKind,
             state::{Costs, Counters, Pools, Timer, Timers},
         },
         settings::tree::{Pipeline, Tree},
@@ -216,7 +217,7 @@
             Ok(request) => {
                 self.timers.add(request.deadline, Timer::Deadline(id));
                 self.requests.insert(id, request);
-                self.send_next(now, id, false);
+                self.send_next(now, id, AttemptKind::Next);
             }
             Err(problem) => self.finish_unstarted(id, problem),
         }
@@ -240,9 +241,7 @@
             return;
         };
         request.abandoned = true;
-        let guarded = !request.current().settings.repeatable.value;
-        if guarded && !request.live.is_empty() {
-            // The call may not be sent again, so it is left to end; only its caller is gone.
+        if request.progress().must_end() {
             return;
         }
         self.fail(now, id, Code::DeadlineExceeded, "the caller left".into());
--- a/lib/src/pipeline/decision/request.rs
+++ b/lib/src/pipeline/decision/request.rs
@@ -2,7 +2,7 @@
 
 use {
     crate::{
-        pipeline::decision::{endpoint::Resume, pool::CallSize},
+        pipeline::decision::{endpoint::Resume, pool::CallSize, retry::StageProgress},
         settings::{
             tree::{Pipeline, Stage},
             values::{Priority, Settings},
@@ -170,6 +170,19 @@
         Millis(self.deadline.since(now).as_millis() as u64)
     }
 
+    /// Returns the state of the current stage, as far as retries depend on it.
+    pub fn progress(&self) -> StageProgress {
+        let settings = &self.current().settings;
+        StageProgress {
+            tries: self.tries,
+            in_flight: self.live.len(),
+            limit: settings.attempts.value,
+            repeatable: settings.repeatable.value,
+            tokens: self.generated.tokens,
+            abandoned: self.abandoned,
+        }
+    }
+
     /// Notes an attempt that is about to be sent.
     pub fn add_attempt(&mut self, attempt: Attempt) {
         let stage = self.current();
