--- a/lib/src/pipeline/decision/admit.rs
+++ b/lib/src/pipeline/decision/admit.rs
@@ -7,6 +7,7 @@
             policy::{Needs, Policy},
             policy_choice::AnyPolicy,
             request::{Arrival, Request, Target},
+            retry_after,
         },
         settings::{
             tree::{Customer, Pipeline, ServiceKind, Tree},
@@ -14,7 +15,7 @@
         },
         shared::{
             problem::{Code, Problem},
-            units::{Millis, Time, WorkMillis},
+            units::{Time, WorkMillis},
         },
     },
     std::sync::Arc,
@@ -95,7 +96,7 @@
         }
         let wait = match self.fleet.pool(&stage.service) {
             Some(pool) => pool.retry_after(now),
-            None => Millis(1_000),
+            None => retry_after::UNKNOWN,
         };
         let Needs { work, wait: queue } = needs;
         let detail = format!("about {work} of work after a wait of {queue}, {remaining} left");
--- a/lib/src/pipeline/decision/mod.rs
+++ b/lib/src/pipeline/decision/mod.rs
@@ -15,4 +15,5 @@
 pub mod prefix;
 pub mod request;
 pub mod retry;
+pub mod retry_after;
 pub mod state;
--- a/lib/src/pipeline/decision/pool.rs
+++ b/lib/src/pipeline/decision/pool.rs
@@ -7,6 +7,7 @@
             estimate::{Average, LoadEstimate},
             prefix::{BLOCK, CacheEvent, Holder, Prefix, PrefixIndex},
             retry::RetryBudget,
+            retry_after,
         },
         settings::tree::{EndpointSpec, Service, ServiceKind},
         shared::{
@@ -327,13 +328,7 @@
 
     /// Suggests how long a caller should wait before it tries a crowded pool again.
     pub fn retry_after(&self, now: Time) -> Millis {
-        const SHORTEST: u64 = 50;
-        const LONGEST: u64 = 5_000;
-        const SAMPLE: usize = 8;
-        let work = self.usual_work();
-        let wait = self
-            .best_finish(now, work, SAMPLE)
-            .unwrap_or(WorkMillis(1_000.0));
-        Millis((wait.0 as u64).clamp(SHORTEST, LONGEST))
+        let earliest = self.best_finish(now, self.usual_work(), retry_after::SAMPLE);
+        retry_after::retry_after(earliest)
     }
 }
