--- a/lib/src/pipeline/decision/attempt.rs
+++ b/lib/src/pipeline/decision/attempt.rs
@@ -9,7 +9,7 @@
             policy_choice::AnyPolicy,
             request::{Answer, Attempt},
             retry::{AttemptKind, NextStep, hedge_wait},
-            state::Timer,
+            timers::Timer,
         },
         settings::tree::ServiceKind,
         shared::{
--- a/lib/src/pipeline/decision/core.rs
+++ b/lib/src/pipeline/decision/core.rs
@@ -3,13 +3,16 @@
 use {
     crate::{
         pipeline::decision::{
+            counters::Counters,
             endpoint::{AttemptEnd, EndpointCall, LoadReport},
             fair::FairShares,
             limit::CustomerUse,
+            pools::Pools,
             prefix::CacheEvent,
             request::{Answer, Arrival, Request},
             retry::AttemptKind,
-            state::{Costs, Counters, Pools, Timer, Timers},
+            stage_costs::StageCosts,
+            timers::{Timer, Timers},
         },
         settings::tree::{Pipeline, Tree},
         shared::{
@@ -116,7 +119,7 @@
     pub(crate) timers: Timers,
     pub(crate) last_attempt: u64,
     pub(crate) rng: SmallRng,
-    pub(crate) costs: Costs,
+    pub(crate) costs: StageCosts,
     pub(crate) counters: Counters,
     pub(crate) actions: Vec<Action>,
 }
@@ -137,7 +140,7 @@
             timers: Timers::default(),
             last_attempt: 0,
             rng,
-            costs: Costs::default(),
+            costs: StageCosts::default(),
             counters: Counters::default(),
             actions: Vec::new(),
         }
@@ -178,7 +181,7 @@
     }
 
     /// Returns the endpoint time spent by pipeline and stage.
-    pub fn costs(&self) -> &Costs {
+    pub fn costs(&self) -> &StageCosts {
         &self.costs
     }
 
--- a/lib/src/pipeline/decision/policy.rs
+++ b/lib/src/pipeline/decision/policy.rs
@@ -2,7 +2,7 @@
 
 use {
     crate::{
-        pipeline::decision::pool::{CallPlacement, Pool},
+        pipeline::decision::{call_costs::CallPlacement, pool::Pool},
         settings::values::Priority,
         shared::{
             ids::MemberSerial,
--- a/lib/src/pipeline/decision/policy_choice.rs
+++ b/lib/src/pipeline/decision/policy_choice.rs
@@ -3,10 +3,11 @@
 use {
     crate::{
         pipeline::decision::{
+            call_costs::CallPlacement,
             policy::{Needs, Policy},
             policy_estimated::Estimated,
             policy_naive::Naive,
-            pool::{CallPlacement, Pool},
+            pool::Pool,
         },
         settings::values::{PolicyKind, Priority},
         shared::{
--- a/lib/src/pipeline/decision/policy_estimated.rs
+++ b/lib/src/pipeline/decision/policy_estimated.rs
@@ -3,8 +3,9 @@
 use {
     crate::{
         pipeline::decision::{
+            call_costs::CallPlacement,
             policy::{Needs, Policy},
-            pool::{CallPlacement, Pool},
+            pool::Pool,
         },
         settings::values::Priority,
         shared::{
--- a/lib/src/pipeline/decision/state.rs
+++ b/lib/src/pipeline/decision/pools.rs
@@ -1,28 +1,21 @@
-//! The parts of the core's state: pools, timers, costs and counts.
+//! All pools of one daemon.
 
 use {
     crate::{
         pipeline::decision::{
+            counters::Counters,
             endpoint::{AttemptEnd, LoadReport, NotRunCause},
             pool::Pool,
             prefix::CacheEvent,
-            request::{Attempt, Request},
+            request::Attempt,
         },
         settings::tree::{ServiceKind, Tree},
         shared::{
-            ids::{
-                AttemptId, DataCentreId, EndpointId, MemberSerial, PipelineId, RequestId,
-                ServiceId, StageId,
-            },
-            problem::{Code, Problem},
+            ids::{DataCentreId, EndpointId, MemberSerial, ServiceId},
             units::{Time, WorkMillis},
         },
     },
     foldhash::HashMap,
-    std::{
-        cmp::Reverse,
-        collections::{BTreeMap, BinaryHeap},
-    },
 };
 
 /// All pools of one daemon.
@@ -150,128 +143,3 @@
         }
     }
 }
-
-/// What a timer is for.
-#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Timer {
-    /// A request's time is over.
-    Deadline(RequestId),
-    /// An attempt has waited long enough for a second one beside it.
-    Hedge(AttemptId),
-}
-
-/// Timers by due time; one whose matter has ended stays until it is due and then does nothing.
-#[derive(Debug, Default)]
-pub struct Timers {
-    heap: BinaryHeap<Reverse<(Time, Timer)>>,
-}
-
-impl Timers {
-    /// Adds a timer.
-    pub fn add(&mut self, due: Time, timer: Timer) {
-        self.heap.push(Reverse((due, timer)));
-    }
-
-    /// Returns when the next timer is due.
-    pub fn next(&self) -> Option<Time> {
-        self.heap.peek().map(|Reverse((due, _))| *due)
-    }
-
-    /// Takes a timer that is due.
-    pub fn pop(&mut self, now: Time) -> Option<Timer> {
-        if self.next()? > now {
-            return None;
-        }
-        self.heap.pop().map(|Reverse((_, timer))| timer)
-    }
-}
-
-/// Endpoint time of one stage.
-#[derive(Debug, Clone, Copy, Default, PartialEq)]
-pub struct StageCost {
-    /// Time spent for requests that were answered in time.
-    pub useful: WorkMillis,
-    /// Time spent for nothing: late, failed, cancelled or lost.
-    pub wasted: WorkMillis,
-}
-
-/// Endpoint time by pipeline and stage.
-#[derive(Debug, Default)]
-pub struct Costs {
-    stages: BTreeMap<(PipelineId, StageId), StageCost>,
-}
-
-impl Costs {
-    /// Adds what one request spent.
-    pub fn add(&mut self, request: &Request, useful: bool) {
-        for (i, stage) in request.pipeline.stages.iter().enumerate() {
-            let key = (request.pipeline.id.clone(), stage.id.clone());
-            let cost = self.stages.entry(key).or_default();
-            cost.wasted.0 += request.wasted[i].0;
-            let won = if useful {
-                &mut cost.useful
-            } else {
-                &mut cost.wasted
-            };
-            won.0 += request.spent[i].0;
-        }
-    }
-
-    /// Returns the cost of each stage.
-    pub fn stages(&self) -> impl Iterator<Item = (&PipelineId, &StageId, StageCost)> {
-        self.stages
-            .iter()
-            .map(|((pipeline, stage), cost)| (pipeline, stage, *cost))
-    }
-}
-
-/// Counts of what happened, since the start.
-#[derive(Debug, Clone, Default)]
-pub struct Counters {
-    /// Requests answered within their deadline.
-    pub answered: u64,
-    /// Requests answered late or to a caller that had left.
-    pub late: u64,
-    /// Problems by code and outcome.
-    pub problems: BTreeMap<(Code, crate::shared::problem::Outcome), u64>,
-    /// First attempts at a stage.
-    pub attempts: u64,
-    /// Attempts beyond the first: retries, hedges and resumes.
-    pub extra: u64,
-    /// Endpoints ejected.
-    pub ejections: u64,
-}
-
-impl Counters {
-    /// Counts a refusal before anything was sent.
-    pub fn refused(&mut self, code: Code) {
-        let key = (code, crate::shared::problem::Outcome::NotRun);
-        *self.problems.entry(key).or_default() += 1;
-    }
-
-    /// Counts a request that ended without an answer.
-    pub fn failed(&mut self, problem: &Problem) {
-        *self
-            .problems
-            .entry((problem.code, problem.outcome))
-            .or_default() += 1;
-    }
-
-    /// Counts an answer.
-    pub fn answered(&mut self, in_time: bool) {
-        if in_time {
-            self.answered += 1;
-        } else {
-            self.late += 1;
-        }
-    }
-
-    /// Counts an attempt.
-    pub fn sent(&mut self, extra: bool) {
-        if extra {
-            self.extra += 1;
-        } else {
-            self.attempts += 1;
-        }
-    }
-}
--- a/lib/src/pipeline/decision/request.rs
+++ b/lib/src/pipeline/decision/request.rs
@@ -2,7 +2,7 @@
 
 use {
     crate::{
-        pipeline::decision::{endpoint::Resume, pool::CallSize, retry::StageProgress},
+        pipeline::decision::{call_costs::CallSize, endpoint::Resume, retry::StageProgress},
         settings::{
             tree::{Pipeline, Stage},
             values::{Priority, Settings},
--- a/lib/src/pipeline/node.rs
+++ b/lib/src/pipeline/node.rs
@@ -5,9 +5,12 @@
         pipeline::{
             decision::{
                 core::{Action, Core, CoreConfig, Event},
+                counters::Counters,
                 endpoint::{AttemptEnd, EndpointCall, TokenSink, Transport},
+                member::PoolMember,
+                pool::Pool,
                 request::{Answer, Arrival},
-                state::{Counters, StageCost},
+                stage_costs::StageCost,
             },
             trace::Tracing,
         },
@@ -234,14 +237,12 @@
             .stages()
             .map(|(pipeline, stage, cost)| (pipeline.clone(), stage.clone(), cost))
             .collect();
-        let view =
-            |pool: &crate::pipeline::decision::pool::Pool,
-             member: &crate::pipeline::decision::pool::PoolMember| EndpointView {
-                service: pool.service.id.to_string(),
-                endpoint: member.spec.id.to_string(),
-                open: member.is_open(now),
-                in_flight: member.load.in_flight(),
-            };
+        let view = |pool: &Pool, member: &PoolMember| EndpointView {
+            service: pool.service.id.to_string(),
+            endpoint: member.spec.id.to_string(),
+            open: member.is_open(now),
+            in_flight: member.load.in_flight(),
+        };
         let mut endpoints: Vec<_> = core
             .fleet()
             .pools()
--- a/lib/tests/test_policy_pins.rs
+++ b/lib/tests/test_policy_pins.rs
@@ -10,9 +10,10 @@
             estimate::{Average, LoadEstimate},
             fair::FairShares,
             limit::CustomerUse,
+            member::PoolMember,
             policy::{Needs, Policy},
             policy_choice::AnyPolicy,
-            pool::{Pool, PoolMember},
+            pool::Pool,
             retry::RetryBudget,
         },
         settings::{
