--- a/lib/src/pipeline/decision/admit.rs
+++ b/lib/src/pipeline/decision/admit.rs
@@ -3,8 +3,9 @@
 use {
     crate::{
         pipeline::decision::{
+            admission::Needs,
             core::Core,
-            policy::{Needs, Policy},
+            policy::Policy,
             policy_choice::AnyPolicy,
             request::{Arrival, Request, Target},
             retry_after,
@@ -112,10 +113,7 @@
 
     /// Estimates the time that the current and all later stages need.
     fn needs(&self, now: Time, request: &Request) -> Needs {
-        let mut needs = Needs {
-            work: WorkMillis(0.0),
-            wait: WorkMillis(0.0),
-        };
+        let mut needs = Needs::default();
         for stage in &request.pipeline.stages[request.stage..] {
             let floor = stage.settings.floor.value.0 as f64;
             let Some(pool) = self.fleet.pool(&stage.service) else {
--- a/lib/src/pipeline/decision/fair.rs
+++ b/lib/src/pipeline/decision/fair.rs
@@ -3,7 +3,7 @@
 use {
     crate::shared::{
         ids::CustomerId,
-        units::{Millis, Time, WorkMillis},
+        units::{Millis, Share, Time, WorkMillis},
     },
     foldhash::HashMap,
 };
@@ -23,7 +23,10 @@
 const GONE_BELOW: f64 = 0.5;
 
 /// Least part of the usual room that a customer over its share is left.
-const LEAST_ROOM: f64 = 0.4;
+const LEAST_ROOM: Share = Share(0.4);
+
+/// The usual room.
+const FULL_ROOM: Share = Share(1.0);
 
 /// Most customers looked at in one sweep for those that are gone.
 const SWEEP_EVERY: u32 = 256;
@@ -106,14 +109,14 @@
     /// With less room, a customer over its share is refused while the queue is still short enough
     /// for all others, so it can only take what they leave. A queue that is being worked off is no
     /// reason to refuse anybody: hence the look at what is asked for now.
-    pub fn room(&self, now: Time, customer: &CustomerId) -> f64 {
+    pub fn room(&self, now: Time, customer: &CustomerId) -> Share {
         let own = self.customers.get(customer).map_or(0.0, |own| own.now(now));
         if own <= 0.0 {
-            return 1.0;
+            return FULL_ROOM;
         }
         let fair = self.total.now(now) / self.customers.len() as f64;
-        let room = (fair / own).clamp(LEAST_ROOM, 1.0);
-        1.0 - (1.0 - room) * self.pressure(now)
+        let room = (fair / own).clamp(LEAST_ROOM.0, FULL_ROOM.0);
+        Share(FULL_ROOM.0 - (FULL_ROOM.0 - room) * self.pressure(now))
     }
 
     /// Returns 0 while no more is asked for than is done, 1 when it is far more.
--- a/lib/src/pipeline/decision/mod.rs
+++ b/lib/src/pipeline/decision/mod.rs
@@ -1,5 +1,6 @@
 //! The pipeline daemon's decisions: a pure state machine without clock, socket or task.
 
+pub mod admission;
 pub(crate) mod admit;
 pub mod attempt;
 pub mod call_costs;
--- a/lib/src/pipeline/decision/policy.rs
+++ b/lib/src/pipeline/decision/policy.rs
@@ -1,26 +1,22 @@
-//! How endpoints are chosen, requests admitted and retries granted.
+//! The decisions that differ between the policies a service's settings can name.
+//!
+//! [`Policy`] is what the core relies on; [`policy_estimated`](super::policy_estimated) is the policy
+//! in use, [`policy_naive`](super::policy_naive) the baseline it is measured against, and
+//! [`policy_choice`](super::policy_choice) picks one by the settings. All of them are pure but for a
+//! pool's cursor and retry budget, which they own the use of.
 
 use {
     crate::{
-        pipeline::decision::{call_costs::CallPlacement, pool::Pool},
+        pipeline::decision::{admission::Needs, call_costs::CallPlacement, pool::Pool},
         settings::values::Priority,
         shared::{
             ids::MemberSerial,
-            units::{Millis, Share, Time, WorkMillis},
+            units::{Millis, Share, Time},
         },
     },
     rand::rngs::SmallRng,
 };
 
-/// Time that a request still needs, by the estimate.
-#[derive(Debug, Clone, Copy)]
-pub struct Needs {
-    /// Its own work at the endpoints.
-    pub work: WorkMillis,
-    /// Waiting for others' work before it.
-    pub wait: WorkMillis,
-}
-
 /// The decisions that differ between implementations.
 pub trait Policy {
     /// Chooses an endpoint for a call, by its index in the pool.
@@ -30,7 +26,7 @@
         &self,
         now: Time,
         pool: &mut Pool,
-        job: &CallPlacement,
+        placement: &CallPlacement,
         tried: &[MemberSerial],
         rng: &mut SmallRng,
     ) -> Option<usize>;
@@ -38,17 +34,17 @@
     /// Decides whether work is worth starting with `remaining` left.
     ///
     /// `room` is the part of the usual room that the customer has by its share.
-    fn admits(&self, remaining: Millis, needs: Needs, priority: Priority, room: f64) -> bool;
+    fn admits(&self, remaining: Millis, needs: Needs, priority: Priority, room: Share) -> bool;
 
     /// Decides whether work that was admitted is worth going on with.
     fn continues(&self, remaining: Millis, needs: Needs) -> bool;
 
-    /// Decides whether a first attempt, once failed, may be followed by another one.
+    /// Decides whether a stage may be sent once more, as far as its pool's budget goes.
     fn grants_retry(&self, pool: &mut Pool) -> bool;
 
-    /// Notes a first attempt.
+    /// Notes a first attempt, which pays `share` of a retry into the pool's budget.
     fn first_attempt(&self, pool: &mut Pool, share: Share);
 
-    /// Tells whether endpoints that fail are ejected.
+    /// Returns whether endpoints that fail are ejected.
     fn ejects(&self) -> bool;
 }
--- a/lib/src/pipeline/decision/policy_choice.rs
+++ b/lib/src/pipeline/decision/policy_choice.rs
@@ -1,13 +1,12 @@
-//! The implementation of a policy that a setting names.
+//! The implementation of a policy that the `policy` setting names.
+//!
+//! An enum and no `dyn`: a choice is made with each call.
 
 use {
     crate::{
         pipeline::decision::{
-            call_costs::CallPlacement,
-            policy::{Needs, Policy},
-            policy_estimated::Estimated,
-            policy_naive::Naive,
-            pool::Pool,
+            admission::Needs, call_costs::CallPlacement, policy::Policy,
+            policy_estimated::Estimated, policy_naive::Naive, pool::Pool,
         },
         settings::values::{PolicyKind, Priority},
         shared::{
@@ -51,14 +50,14 @@
         &self,
         now: Time,
         pool: &mut Pool,
-        job: &CallPlacement,
+        placement: &CallPlacement,
         tried: &[MemberSerial],
         rng: &mut SmallRng,
     ) -> Option<usize> {
-        delegate!(self, policy => policy.choose(now, pool, job, tried, rng))
+        delegate!(self, policy => policy.choose(now, pool, placement, tried, rng))
     }
 
-    fn admits(&self, remaining: Millis, needs: Needs, priority: Priority, room: f64) -> bool {
+    fn admits(&self, remaining: Millis, needs: Needs, priority: Priority, room: Share) -> bool {
         delegate!(self, policy => policy.admits(remaining, needs, priority, room))
     }
 
--- a/lib/src/pipeline/decision/policy_estimated.rs
+++ b/lib/src/pipeline/decision/policy_estimated.rs
@@ -1,24 +1,44 @@
-//! Chooses by estimated finish, admits by deadline and priority, retries within a budget.
+//! Which endpoint would finish a call first?
+//!
+//! Inputs: a pool with what is known of its endpoints' load and health, the call's work in
+//! milliseconds ([`CallPlacement`]), the endpoints it was already sent to, and a random start.
+//! Output: the index of an endpoint, or none if no endpoint may get the call.
+//!
+//! The rule: [`LOCAL_SAMPLE`] endpoints of the own data centre and [`REMOTE_SAMPLE`] of the others are
+//! looked at, from a random one on, and all that probably hold the prompt's beginning. The one with
+//! the earliest estimated finish ([`estimate`](super::estimate)), the way to another data centre
+//! included, gets the call; one that was tried before only if there is no other.
+//!
+//! The reason: the finish weighs queue, speed, distance and cache against each other in one unit, so
+//! that none needs a threshold of its own; a sample keeps the cost of a choice the same in a pool of
+//! any size (`docs/MEASUREMENTS.md`, "One decision"). Runs against the baseline are there under "Load,
+//! both policies in one run" and "Faults at 0.8 of capacity".
+//!
+//! The policy's other decisions stand in [`admission`] and [`retry`](super::retry).
 
 use {
     crate::{
         pipeline::decision::{
+            admission::{self, Needs},
             call_costs::CallPlacement,
-            policy::{Needs, Policy},
+            policy::Policy,
             pool::Pool,
         },
         settings::values::Priority,
         shared::{
             ids::MemberSerial,
-            units::{Millis, Share, Time},
+            units::{Millis, Share, Time, WorkMillis},
         },
     },
     rand::{RngExt, rngs::SmallRng},
 };
 
-/// Endpoints looked at for one choice, in the own data centre and in the others.
-const LOCAL_SAMPLE: usize = 4;
-const REMOTE_SAMPLE: usize = 2;
+/// Endpoints of the own data centre looked at for one choice. Chosen, not measured.
+pub const LOCAL_SAMPLE: usize = 4;
+
+/// Endpoints of other data centres looked at for one choice; [`LOCAL_SAMPLE`] more if the own data
+/// centre has none that wasn't tried. Chosen, not measured.
+pub const REMOTE_SAMPLE: usize = 2;
 
 /// Chooses the endpoint that would finish first, among a few sampled ones.
 #[derive(Debug, Clone, Copy)]
@@ -27,30 +47,19 @@
     pub hop: Millis,
 }
 
-/// Share of the time left beside its own work that a request may spend waiting, by priority.
-fn usable_share(priority: Priority) -> f64 {
-    match priority {
-        Priority::Low => 0.35,
-        Priority::Normal => 0.6,
-        Priority::High => 0.9,
-    }
-}
-
-/// The best candidate so far: an endpoint not yet tried goes before a tried one.
-#[derive(Default)]
-struct Best {
-    found: Option<(bool, f64, usize)>,
+/// An endpoint that may get the call.
+#[derive(Debug, Clone, Copy)]
+struct Candidate {
+    tried: bool,
+    finish: WorkMillis,
+    index: usize,
 }
 
-impl Best {
-    fn offer(&mut self, tried: bool, finish: f64, index: usize) {
-        let better = match self.found {
-            None => true,
-            Some((old_tried, old_finish, _)) => (tried, finish) < (old_tried, old_finish),
-        };
-        if better {
-            self.found = Some((tried, finish, index));
-        }
+impl Candidate {
+    /// Returns whether the endpoint goes before another: one not yet tried before a tried one, then
+    /// the earlier finish. Of equals, the one that was found first stays.
+    fn is_better(&self, other: &Candidate) -> bool {
+        (self.tried, self.finish.0) < (other.tried, other.finish.0)
     }
 }
 
@@ -58,27 +67,32 @@
 struct Search<'s> {
     now: Time,
     pool: &'s Pool,
-    job: &'s CallPlacement,
+    placement: &'s CallPlacement,
     tried: &'s [MemberSerial],
-    best: Best,
+    best: Option<Candidate>,
 }
 
 impl Search<'_> {
     /// Looks at one endpoint; returns whether it may get the call.
-    fn look(&mut self, index: usize, hop: f64) -> bool {
+    fn look(&mut self, index: usize, hop: WorkMillis) -> bool {
         let member = &self.pool.members[index];
         if !member.is_open(self.now) {
             return false;
         }
-        let work = self.job.work_at(member.serial);
-        let finish = member.load.finish(self.now, work).0 + hop;
-        let tried = self.tried.contains(&member.serial);
-        self.best.offer(tried, finish, index);
+        let work = self.placement.work_at(member.serial);
+        let found = Candidate {
+            tried: self.tried.contains(&member.serial),
+            finish: WorkMillis(member.load.finish(self.now, work).0 + hop.0),
+            index,
+        };
+        if self.best.is_none_or(|best| found.is_better(&best)) {
+            self.best = Some(found);
+        }
         true
     }
 
     /// Looks at some endpoints of a list, from a random one on.
-    fn sample(&mut self, indexes: &[usize], hop: f64, wanted: usize, rng: &mut SmallRng) {
+    fn sample(&mut self, indexes: &[usize], hop: WorkMillis, wanted: usize, rng: &mut SmallRng) {
         let mut seen = 0;
         for position in walk(indexes.len(), rng) {
             if seen == wanted {
@@ -87,6 +101,11 @@
             seen += usize::from(self.look(indexes[position], hop));
         }
     }
+
+    /// Returns whether an endpoint was found that the call wasn't sent to yet.
+    fn has_untried(&self) -> bool {
+        self.best.is_some_and(|best| !best.tried)
+    }
 }
 
 /// Walks over all positions once, from a random one on; the first few are the sample.
@@ -104,41 +123,42 @@
         &self,
         now: Time,
         pool: &mut Pool,
-        job: &CallPlacement,
+        placement: &CallPlacement,
         tried: &[MemberSerial],
         rng: &mut SmallRng,
     ) -> Option<usize> {
-        let hop = self.hop.0 as f64;
+        let near = WorkMillis(0.0);
+        let far = WorkMillis(self.hop.0 as f64);
         let mut search = Search {
             now,
             pool,
-            job,
+            placement,
             tried,
-            best: Best::default(),
+            best: None,
         };
-        search.sample(&pool.local, 0.0, LOCAL_SAMPLE, rng);
-        let wanted = match search.best.found {
-            Some((false, ..)) => REMOTE_SAMPLE,
-            _ => REMOTE_SAMPLE + LOCAL_SAMPLE,
+        search.sample(&pool.local, near, LOCAL_SAMPLE, rng);
+        let wanted = if search.has_untried() {
+            REMOTE_SAMPLE
+        } else {
+            REMOTE_SAMPLE + LOCAL_SAMPLE
         };
-        search.sample(&pool.remote, hop, wanted, rng);
-        // Who holds the prompt's beginning has less to do; with a long queue it still loses.
-        for holder in &job.holders {
+        search.sample(&pool.remote, far, wanted, rng);
+        // A holder of the prompt's beginning has less to do; with a long queue it still loses. Its
+        // distance counts as a hop wherever it stands.
+        for holder in &placement.holders {
             if let Some(index) = pool.index_of(holder.serial) {
-                search.look(index, hop);
+                search.look(index, far);
             }
         }
-        search.best.found.map(|(_, _, index)| index)
+        search.best.map(|best| best.index)
     }
 
-    fn admits(&self, remaining: Millis, needs: Needs, priority: Priority, room: f64) -> bool {
-        let slack = remaining.0 as f64 - needs.work.0;
-        slack >= 0.0 && needs.wait.0 <= slack * usable_share(priority) * room
+    fn admits(&self, remaining: Millis, needs: Needs, priority: Priority, room: Share) -> bool {
+        admission::admits(remaining, needs, priority, room)
     }
 
-    /// Looser than admission: what was spent on earlier stages is lost by stopping here.
     fn continues(&self, remaining: Millis, needs: Needs) -> bool {
-        needs.work.0 + needs.wait.0 <= remaining.0 as f64
+        admission::continues(remaining, needs)
     }
 
     fn grants_retry(&self, pool: &mut Pool) -> bool {
--- a/lib/src/pipeline/decision/policy_naive.rs
+++ b/lib/src/pipeline/decision/policy_naive.rs
@@ -1,11 +1,16 @@
-//! The baseline: round robin, no estimate, no admission, a fixed number of retries.
+//! The baseline: which endpoint's turn is it?
+//!
+//! Inputs: the pool and its cursor. Output: the index of the next endpoint in turn that isn't
+//! leaving, or none. Load, health, distance and endpoints tried before don't count; every request is
+//! admitted and every retry granted, up to the settings' `attempts`; nothing is ejected.
+//!
+//! The reason: the estimated policy is measured against it (`docs/MEASUREMENTS.md`, "Load, both
+//! policies in one run"), and it has no figure to set.
 
 use {
     crate::{
         pipeline::decision::{
-            call_costs::CallPlacement,
-            policy::{Needs, Policy},
-            pool::Pool,
+            admission::Needs, call_costs::CallPlacement, policy::Policy, pool::Pool,
         },
         settings::values::Priority,
         shared::{
@@ -25,7 +30,7 @@
         &self,
         _now: Time,
         pool: &mut Pool,
-        _job: &CallPlacement,
+        _placement: &CallPlacement,
         _tried: &[MemberSerial],
         _rng: &mut SmallRng,
     ) -> Option<usize> {
@@ -41,7 +46,7 @@
         None
     }
 
-    fn admits(&self, _remaining: Millis, _needs: Needs, _priority: Priority, _room: f64) -> bool {
+    fn admits(&self, _remaining: Millis, _needs: Needs, _priority: Priority, _room: Share) -> bool {
         true
     }
 
--- a/lib/tests/test_fair_shares.rs
+++ b/lib/tests/test_fair_shares.rs
@@ -6,7 +6,7 @@
     pipeline::decision::fair::FairShares,
     shared::{
         ids::CustomerId,
-        units::{Time, WorkMillis},
+        units::{Share, Time, WorkMillis},
     },
 };
 
@@ -29,10 +29,10 @@
         }
     }
     let now = Time(SECOND);
-    assert_eq!(shares.room(now, &customer("small")), 1.0);
-    assert_eq!(shares.room(now, &customer("new")), 1.0);
+    assert_eq!(shares.room(now, &customer("small")), Share(1.0));
+    assert_eq!(shares.room(now, &customer("new")), Share(1.0));
     let large = shares.room(now, &customer("large"));
-    assert!((0.4..0.7).contains(&large), "{large}");
+    assert!((0.4..0.7).contains(&large.0), "{large}");
 }
 
 #[test]
@@ -46,7 +46,7 @@
         shares.add(now, &customer("large"), WorkMillis(60.0));
         shares.add(now, &customer("small"), WorkMillis(10.0));
     }
-    assert_eq!(shares.room(Time(SECOND), &customer("large")), 1.0);
+    assert_eq!(shares.room(Time(SECOND), &customer("large")), Share(1.0));
 }
 
 #[test]
@@ -55,7 +55,7 @@
     for i in 0..100 {
         shares.add(Time(i * SECOND / 100), &customer("only"), WorkMillis(100.0));
     }
-    assert_eq!(shares.room(Time(SECOND), &customer("only")), 1.0);
+    assert_eq!(shares.room(Time(SECOND), &customer("only")), Share(1.0));
 }
 
 #[test]
--- a/lib/tests/test_policy_pins.rs
+++ b/lib/tests/test_policy_pins.rs
@@ -6,12 +6,13 @@
 use {
     hazelyoke_lib::{
         pipeline::decision::{
+            admission::Needs,
             endpoint::{LoadReport, Prefill},
             estimate::{Average, LoadEstimate},
             fair::FairShares,
             limit::CustomerUse,
             member::PoolMember,
-            policy::{Needs, Policy},
+            policy::Policy,
             policy_choice::AnyPolicy,
             pool::Pool,
             retry::RetryBudget,
@@ -123,7 +124,7 @@
             let at = now.0 / 1_000;
             write!(lines, "{at}:").unwrap();
             for customer in &customers {
-                write!(lines, " {:.4}", shares.room(now, customer)).unwrap();
+                write!(lines, " {:.4}", shares.room(now, customer).0).unwrap();
             }
             lines.push('\n');
         }
@@ -217,7 +218,7 @@
             write!(lines, "{name} {work}+{wait}: goes on {goes_on:?}").unwrap();
             for room in [1.0, 0.4] {
                 for priority in [Priority::Low, Priority::Normal, Priority::High] {
-                    let admitted = least(&|left| policy.admits(left, needs, priority, room));
+                    let admitted = least(&|left| policy.admits(left, needs, priority, Share(room)));
                     write!(lines, ", {priority} {room}: {admitted:?}").unwrap();
                 }
             }
