--- a/lib/src/pipeline/decision/admit.rs
+++ b/lib/src/pipeline/decision/admit.rs
@@ -72,7 +72,7 @@
     /// Only a generation comes token by token.
     fn check_stream(&self, arrival: &Arrival, pipeline: &Pipeline) -> Result<(), Problem> {
         let last = pipeline.stages.last().map(|stage| &stage.service);
-        let kind = last.and_then(|service| self.fleet.kind(service));
+        let kind = last.and_then(|service| self.pools.kind(service));
         if arrival.stream && !matches!(kind, Some(ServiceKind::Engine { .. })) {
             let detail = format!("{} doesn't end in a generation", pipeline.id);
             return Err(Problem::not_run(Code::BadRequest, detail));
@@ -95,7 +95,7 @@
         if fits {
             return Ok(());
         }
-        let wait = match self.fleet.pool(&stage.service) {
+        let wait = match self.pools.pool(&stage.service) {
             Some(pool) => pool.retry_after(now),
             None => retry_after::UNKNOWN,
         };
@@ -107,7 +107,7 @@
     /// Estimates the endpoint time of a whole request.
     fn usual_work(&self, request: &Request) -> WorkMillis {
         let stages = request.pipeline.stages.iter();
-        let pools = stages.filter_map(|stage| self.fleet.pool(&stage.service));
+        let pools = stages.filter_map(|stage| self.pools.pool(&stage.service));
         WorkMillis(pools.map(|pool| pool.usual_work().0).sum())
     }
 
@@ -116,7 +116,7 @@
         let mut needs = Needs::default();
         for stage in &request.pipeline.stages[request.stage..] {
             let floor = stage.settings.floor.value.0 as f64;
-            let Some(pool) = self.fleet.pool(&stage.service) else {
+            let Some(pool) = self.pools.pool(&stage.service) else {
                 needs.work.0 += floor;
                 continue;
             };
--- a/lib/src/pipeline/decision/attempt.rs
+++ b/lib/src/pipeline/decision/attempt.rs
@@ -29,14 +29,14 @@
         };
         let stage = request.current().clone();
         let policy = AnyPolicy::new(stage.settings.policy.value, self.config.hop);
-        let Some(pool) = self.fleet.pool_mut(&stage.service) else {
+        let Some(pool) = self.pools.pool_mut(&stage.service) else {
             return self.fail(now, id, Code::NoEndpoint, "the service is gone".into());
         };
         let max_tokens = stage.settings.max_tokens.value.0;
         let size = pool.size(&request.input, max_tokens);
-        let job = pool.job(now, &size);
+        let placement = pool.placement(now, &size);
         let tried = &request.tried;
-        let Some(chosen) = policy.choose(now, pool, &job, tried, &mut self.rng) else {
+        let Some(chosen) = policy.choose(now, pool, &placement, tried, &mut self.rng) else {
             if kind == AttemptKind::Next {
                 let detail = format!("no endpoint of {} can take the call", stage.service);
                 self.fail(now, id, Code::NoEndpoint, detail);
@@ -53,7 +53,7 @@
             return;
         }
         let serial = member.serial;
-        let expected = member.load.sent(now, job.work_at(serial));
+        let expected = member.load.sent(now, placement.work_at(serial));
         self.last_attempt += 1;
         let attempt = Attempt {
             id: AttemptId(self.last_attempt),
@@ -155,7 +155,7 @@
             self.shares.done(now, spent);
         }
         let ejects = self.policy(&stage.settings).ejects();
-        self.fleet.ended(
+        self.pools.ended(
             now,
             &service,
             &attempt,
@@ -267,7 +267,7 @@
         let Some(request) = self.requests.get(&id) else {
             return;
         };
-        let kind = self.fleet.kind(&request.current().service);
+        let kind = self.pools.kind(&request.current().service);
         let generates = matches!(kind, Some(ServiceKind::Engine { .. }));
         if request.progress().may_hedge(generates) && self.grants_retry(id) {
             self.send_next(now, id, AttemptKind::Hedge);
@@ -281,7 +281,7 @@
         };
         let stage = request.current();
         let policy = AnyPolicy::new(stage.settings.policy.value, self.config.hop);
-        self.fleet
+        self.pools
             .pool_mut(&stage.service)
             .is_some_and(|pool| policy.grants_retry(pool))
     }
--- a/lib/src/pipeline/decision/core.rs
+++ b/lib/src/pipeline/decision/core.rs
@@ -110,7 +110,7 @@
 pub struct Core {
     pub(crate) config: CoreConfig,
     pub(crate) tree: Arc<Tree>,
-    pub(crate) fleet: Pools,
+    pub(crate) pools: Pools,
     pub(crate) requests: HashMap<RequestId, Request>,
     pub(crate) attempts: HashMap<AttemptId, RequestId>,
     pub(crate) shares: FairShares,
@@ -131,7 +131,7 @@
         Self {
             config,
             tree: Arc::default(),
-            fleet: Pools::default(),
+            pools: Pools::default(),
             requests: HashMap::default(),
             attempts: HashMap::default(),
             shares: FairShares::default(),
@@ -157,8 +157,8 @@
             } => self.token(now, attempt, index, text),
             Event::Ended { attempt, end } => self.ended(now, attempt, end),
             Event::Left(request) => self.left(now, request),
-            Event::Load { endpoint, report } => self.fleet.load(now, &endpoint, report),
-            Event::Cache { endpoint, events } => self.fleet.cache(now, &endpoint, &events),
+            Event::Load { endpoint, report } => self.pools.load(now, &endpoint, report),
+            Event::Cache { endpoint, events } => self.pools.cache(now, &endpoint, &events),
             Event::Adopt(tree) => self.adopt(tree),
             Event::Tick => self.tick(now),
         }
@@ -176,8 +176,8 @@
     }
 
     /// Returns the endpoints as this daemon sees them.
-    pub fn fleet(&self) -> &Pools {
-        &self.fleet
+    pub fn pools(&self) -> &Pools {
+        &self.pools
     }
 
     /// Returns the endpoint time spent by pipeline and stage.
@@ -199,7 +199,7 @@
         if tree.version <= self.tree.version {
             return;
         }
-        self.fleet.adopt(&tree, &self.config.data_centre);
+        self.pools.adopt(&tree, &self.config.data_centre);
         self.services = tree
             .services
             .values()
@@ -272,7 +272,7 @@
             return;
         };
         let wait = self
-            .fleet
+            .pools
             .pool(&request.current().service)
             .map(|pool| pool.retry_after(now));
         let problem = request.problem(code, detail, wait);
@@ -311,7 +311,7 @@
             let spent = WorkMillis(now.millis_since(attempt.sent));
             request.wasted[request.stage].0 += spent.0;
             self.attempts.remove(&attempt.id);
-            self.fleet.cancelled(&service, &attempt);
+            self.pools.cancelled(&service, &attempt);
             self.actions.push(Action::Cancel(attempt.id));
         }
     }
--- a/lib/src/pipeline/decision/pool.rs
+++ b/lib/src/pipeline/decision/pool.rs
@@ -132,7 +132,7 @@
     }
 
     /// Prepares the placing of a call.
-    pub fn job(&self, now: Time, size: &CallSize) -> CallPlacement {
+    pub fn placement(&self, now: Time, size: &CallSize) -> CallPlacement {
         let byte = self.costs.byte.get();
         let work = match self.service.kind {
             ServiceKind::Plain => self.costs.call.get(),
--- a/lib/src/pipeline/decision/pools.rs
+++ b/lib/src/pipeline/decision/pools.rs
@@ -38,7 +38,7 @@
     }
 
     /// Returns all pools, in no order.
-    pub fn pools(&self) -> impl Iterator<Item = &Pool> {
+    pub fn iter(&self) -> impl Iterator<Item = &Pool> {
         self.pools.values()
     }
 
--- a/lib/src/pipeline/node.rs
+++ b/lib/src/pipeline/node.rs
@@ -244,8 +244,8 @@
             in_flight: member.load.in_flight(),
         };
         let mut endpoints: Vec<_> = core
-            .fleet()
             .pools()
+            .iter()
             .flat_map(|pool| pool.members.iter().map(move |member| view(pool, member)))
             .collect();
         endpoints.sort_by(|a, b| (&a.service, &a.endpoint).cmp(&(&b.service, &b.endpoint)));
--- a/lib/tests/test_policy_pins.rs
+++ b/lib/tests/test_policy_pins.rs
@@ -304,14 +304,14 @@
         if sent.is_empty() || draws.percent(50) {
             let input = vec![draws.below(4) as u8; 512 * (1 + draws.below(8) as usize)];
             let size = pool.size(&input, 20);
-            let job = pool.job(now, &size);
+            let placement = pool.placement(now, &size);
             let tried: Vec<MemberSerial> = (0..draws.below(3))
                 .map(|_| MemberSerial(1 + draws.below(10)))
                 .collect();
-            let choice = policy.choose(now, &mut pool, &job, &tried, &mut rng);
-            let (work, name) = (job.work, names(&pool, choice));
+            let choice = policy.choose(now, &mut pool, &placement, &tried, &mut rng);
+            let (work, name) = (placement.work, names(&pool, choice));
             let back = pool.retry_after(now);
-            let holders = job.holders.len();
+            let holders = placement.holders.len();
             writeln!(lines, "{at}: {work}, {holders} holders: {name}; {back}").unwrap();
             if let Some(member) = choice {
                 let PoolMember { serial, load, .. } = &mut pool.members[member];
--- a/lib/testutils/src/core_run/observer.rs
+++ b/lib/testutils/src/core_run/observer.rs
@@ -188,7 +188,7 @@
     }
 
     fn check_core(&mut self, core: &Core) {
-        let pools = core.fleet().pools();
+        let pools = core.pools().iter();
         let members = pools.flat_map(|pool| &pool.members);
         let busy: u32 = members.map(|member| member.load.in_flight()).sum();
         let requests = core.in_flight();
