--- a/lib/src/pipeline/decision/admit.rs
+++ b/lib/src/pipeline/decision/admit.rs
@@ -1,4 +1,8 @@
-//! Admission: which requests are taken, and which are refused at once.
+//! Admission: checks a request that arrives, in the order in which refusals are reported.
+//!
+//! Carries out the rules: [`admission`](super::admission) compares need and time left,
+//! [`fair`](super::fair) gives the customer's room, [`limit`](super::limit) its limits,
+//! [`retry_after`](super::retry_after) the wait of one that is refused.
 
 use {
     crate::{
@@ -11,7 +15,7 @@
             retry_after,
         },
         settings::{
-            tree::{Customer, Pipeline, ServiceKind, Tree},
+            tree::{Customer, Pipeline, Tree},
             values::{Guard, Settings},
         },
         shared::{
@@ -22,10 +26,16 @@
     std::sync::Arc,
 };
 
-/// Endpoints looked at to estimate a stage that isn't sent yet.
+/// Endpoints looked at to estimate a stage that isn't sent yet. Chosen, not measured: as many as a choice
+/// looks at in the own data centre.
 const ESTIMATE_SAMPLE: usize = 4;
 
 impl Core {
+    /// Checks a request, and counts it as asked for and as in flight.
+    ///
+    /// # Errors
+    ///
+    /// Returns a problem with outcome `not_run`: nothing was sent for a request that is refused.
     pub(crate) fn admit(&mut self, now: Time, arrival: Arrival) -> Result<Request, Problem> {
         let tree = self.tree.clone();
         let customer = find_customer(&tree, &arrival)?;
@@ -45,6 +55,7 @@
         Ok(request)
     }
 
+    /// Finds the pipeline to run, and the settings that hold for the whole request.
     fn find_target(
         &self,
         tree: &Tree,
@@ -72,15 +83,19 @@
     /// Only a generation comes token by token.
     fn check_stream(&self, arrival: &Arrival, pipeline: &Pipeline) -> Result<(), Problem> {
         let last = pipeline.stages.last().map(|stage| &stage.service);
-        let kind = last.and_then(|service| self.pools.kind(service));
-        if arrival.stream && !matches!(kind, Some(ServiceKind::Engine { .. })) {
+        let generates = last.is_some_and(|service| self.pools.generates(service));
+        if arrival.stream && !generates {
             let detail = format!("{} doesn't end in a generation", pipeline.id);
             return Err(Problem::not_run(Code::BadRequest, detail));
         }
         Ok(())
     }
 
-    /// Refuses a request at once that can't meet its deadline, by the estimate.
+    /// Refuses a request that can't meet its deadline, by the estimate.
+    ///
+    /// # Errors
+    ///
+    /// Returns [`Code::NoTime`] with the time after which to come back.
     pub(crate) fn check_time(&self, now: Time, request: &Request) -> Result<(), Problem> {
         let needs = self.needs(now, request);
         let stage = request.current();
@@ -128,11 +143,13 @@
         needs
     }
 
+    /// Returns the policy that settings name.
     pub(crate) fn policy(&self, settings: &Settings) -> AnyPolicy {
         AnyPolicy::new(settings.policy.value, self.config.hop)
     }
 }
 
+/// Finds the customer that the caller names.
 fn find_customer<'t>(tree: &'t Tree, arrival: &Arrival) -> Result<&'t Customer, Problem> {
     match tree.customers.get(&arrival.customer) {
         Some(customer) => Ok(customer),
@@ -143,6 +160,7 @@
     }
 }
 
+/// Checks body and idempotency key against the settings.
 fn check_arrival(
     arrival: &Arrival,
     pipeline: &Pipeline,
--- a/lib/src/pipeline/decision/attempt.rs
+++ b/lib/src/pipeline/decision/attempt.rs
@@ -1,103 +1,41 @@
-//! Attempts: sending a stage, taking in its tokens and its end, trying again.
+//! Attempts in flight: their tokens, their ends, and what follows from them.
+//!
+//! Carries out the rules: [`retry`](super::retry) decides on another attempt,
+//! [`admission`](super::admission) whether the next stage is worth starting.
 
 use {
     crate::{
         pipeline::decision::{
             core::{Action, Core},
-            endpoint::{AttemptEnd, EndpointCall, EndpointReply, FailCause, NotRunCause},
+            endpoint::{AttemptEnd, EndpointReply, FailCause, NotRunCause},
             policy::Policy,
             policy_choice::AnyPolicy,
-            request::{Answer, Attempt},
-            retry::{AttemptKind, NextStep, hedge_wait},
-            timers::Timer,
+            request::{Answer, EndedAttempt},
+            retry::{AttemptKind, NextStep},
         },
-        settings::tree::ServiceKind,
         shared::{
-            ids::{AttemptId, CallIds, RequestId},
+            ids::{AttemptId, RequestId},
             problem::Code,
-            units::{Time, WorkMillis},
+            units::Time,
         },
     },
     bytes::Bytes,
 };
 
-impl Core {
-    /// Sends the current stage to an endpoint, or ends the request if none can take it.
-    pub(crate) fn send_next(&mut self, now: Time, id: RequestId, kind: AttemptKind) {
-        let Some(request) = self.requests.get_mut(&id) else {
-            return;
-        };
-        let stage = request.current().clone();
-        let policy = AnyPolicy::new(stage.settings.policy.value, self.config.hop);
-        let Some(pool) = self.pools.pool_mut(&stage.service) else {
-            return self.fail(now, id, Code::NoEndpoint, "the service is gone".into());
-        };
-        let max_tokens = stage.settings.max_tokens.value.0;
-        let size = pool.size(&request.input, max_tokens);
-        let placement = pool.placement(now, &size);
-        let tried = &request.tried;
-        let Some(chosen) = policy.choose(now, pool, &placement, tried, &mut self.rng) else {
-            if kind == AttemptKind::Next {
-                let detail = format!("no endpoint of {} can take the call", stage.service);
-                self.fail(now, id, Code::NoEndpoint, detail);
-            }
-            return;
-        };
-        let extra = request.tries > 0;
-        if !extra {
-            policy.first_attempt(pool, stage.settings.retry_budget.value);
-        }
-        let service_kind = pool.service.kind.clone();
-        let member = &mut pool.members[chosen];
-        if kind == AttemptKind::Hedge && tried.contains(&member.serial) {
-            return;
-        }
-        let serial = member.serial;
-        let expected = member.load.sent(now, placement.work_at(serial));
-        self.last_attempt += 1;
-        let attempt = Attempt {
-            id: AttemptId(self.last_attempt),
-            endpoint: member.spec.id.clone(),
-            serial: member.serial,
-            sent: now,
-            expected,
-            size,
-            extra,
-        };
-        let call = EndpointCall {
-            ids: CallIds {
-                request: id,
-                stage: stage.id.clone(),
-                attempt: attempt.id,
-            },
-            endpoint: member.spec.id.clone(),
-            address: member.spec.address,
-            kind: service_kind,
-            input: request.input.clone(),
-            remaining: request.remaining(now),
-            priority: request.priority,
-            key: request.key.clone(),
-            max_reply: stage.settings.max_reply.value,
-            max_tokens,
-            resume: request.generated.clone(),
-            trace_parent: request.trace_parent.clone(),
-        };
-        pool.note_prefix(now, serial, &attempt.size.prefix);
-        self.counters.sent(extra);
-        self.attempts.insert(attempt.id, id);
-        if let Some(wait) = hedge_wait(&stage.settings, kind) {
-            self.timers.add(now + wait, Timer::Hedge(attempt.id));
-        }
-        request.add_attempt(attempt);
-        self.actions.push(Action::Send(Box::new(call)));
-    }
+/// HTTP status of an answer that the daemon builds itself, from a generation.
+const STATUS_OK: u16 = 200;
 
+/// First HTTP status by which an endpoint rejects its input.
+const FIRST_REJECTION: u16 = 400;
+
+impl Core {
+    /// Passes a token on if it is the next one of its generation.
+    ///
+    /// A token that was delivered before is left out: an attempt that goes on after another one may
+    /// send it again. A gap means that tokens were lost, so the attempt counts as failed.
     pub(crate) fn token(&mut self, now: Time, attempt: AttemptId, index: u32, text: String) {
-        let Some(request) = self
-            .attempts
-            .get(&attempt)
-            .and_then(|id| self.requests.get_mut(id))
-        else {
+        let id = self.attempts.get(&attempt);
+        let Some(request) = id.and_then(|id| self.requests.get_mut(id)) else {
             return;
         };
         let next = request.generated.tokens;
@@ -120,61 +58,48 @@
         }
     }
 
-    pub(crate) fn ended(&mut self, now: Time, id: AttemptId, end: AttemptEnd) {
-        let Some(request_id) = self.attempts.remove(&id) else {
+    /// Ends an attempt: accounts for its time, learns from it, and goes on with its request.
+    ///
+    /// The end of an attempt that was cancelled, or whose request has ended, is of no interest.
+    pub(crate) fn ended(&mut self, now: Time, attempt_id: AttemptId, end: AttemptEnd) {
+        let Some(id) = self.attempts.remove(&attempt_id) else {
             return;
         };
-        let Some(request) = self.requests.get_mut(&request_id) else {
+        let Some(request) = self.requests.get_mut(&id) else {
             return;
         };
-        let Some(attempt) = request.remove_attempt(id) else {
+        let Some(attempt) = request.remove_attempt(attempt_id) else {
             return;
         };
-        let stage = request.current().clone();
-        let service = stage.service;
-        let served = match &end {
-            AttemptEnd::Answered(reply) => reply.served,
-            AttemptEnd::StreamEnded { served, .. } => *served,
-            AttemptEnd::NotRun(_) => Some(WorkMillis(0.0)),
-            AttemptEnd::Failed(_) => None,
-        };
-        let took = WorkMillis(now.millis_since(attempt.sent));
-        let served = served.filter(|s| (0.0..=took.0).contains(&s.0));
-        let won = matches!(
-            end,
-            AttemptEnd::Answered(_) | AttemptEnd::StreamEnded { .. }
-        );
-        let account = if won {
-            &mut request.spent
-        } else {
-            &mut request.wasted
-        };
-        let spent = served.unwrap_or(took);
-        account[request.stage].0 += spent.0;
-        if won {
+        let spent = attempt.spent(now, &end);
+        if end.is_success() {
+            request.add_spent(spent);
             self.shares.done(now, spent);
+        } else {
+            request.add_wasted(spent);
         }
-        let ejects = self.policy(&stage.settings).ejects();
-        self.pools.ended(
-            now,
-            &service,
-            &attempt,
-            &end,
+        let stage = request.current();
+        let policy = AnyPolicy::new(stage.settings.policy.value, self.config.hop);
+        let ended = EndedAttempt {
+            attempt: &attempt,
+            end: &end,
             spent,
-            ejects,
-            &mut self.counters,
-        );
+            ejects: policy.ejects(),
+        };
+        if self.pools.ended(now, &stage.service, &ended) {
+            self.counters.ejections += 1;
+        }
         match end {
-            AttemptEnd::Answered(reply) => self.answered(now, request_id, reply),
-            AttemptEnd::StreamEnded { tokens, .. } => self.stream_ended(now, request_id, tokens),
-            AttemptEnd::NotRun(cause) => self.not_run(now, request_id, cause),
-            AttemptEnd::Failed(cause) => self.failed(now, request_id, cause),
+            AttemptEnd::Answered(reply) => self.answered(now, id, reply),
+            AttemptEnd::StreamEnded { tokens, .. } => self.stream_ended(now, id, tokens),
+            AttemptEnd::NotRun(cause) => self.not_run(now, id, cause),
+            AttemptEnd::Failed(cause) => self.failed(now, id, cause),
         }
     }
 
     fn answered(&mut self, now: Time, id: RequestId, reply: EndpointReply) {
         let request = &self.requests[&id];
-        let rejected = reply.status >= 400;
+        let rejected = reply.status >= FIRST_REJECTION;
         if rejected && !request.plain {
             let stage = &request.current().id;
             let detail = format!("stage {stage} was rejected with status {}", reply.status);
@@ -183,15 +108,17 @@
         self.stage_done(now, id, reply.status, reply.body);
     }
 
+    /// Ends a generation; one whose tokens are not all here was cut off.
     fn stream_ended(&mut self, now: Time, id: RequestId, tokens: u32) {
         let request = &self.requests[&id];
         if tokens != request.generated.tokens {
             return self.failed(now, id, FailCause::Broken);
         }
         let body = generated_body(&request.generated.text, tokens);
-        self.stage_done(now, id, 200, body);
+        self.stage_done(now, id, STATUS_OK, body);
     }
 
+    /// Goes on with the output of a stage: to the next stage, or to the caller after the last one.
     fn stage_done(&mut self, now: Time, id: RequestId, status: u16, body: Bytes) {
         self.cancel_attempts(now, id);
         let Some(request) = self.requests.get_mut(&id) else {
@@ -260,6 +187,7 @@
         }
     }
 
+    /// Hedges an attempt that is late, if it is still in flight and its stage allows it.
     pub(crate) fn hedge(&mut self, now: Time, attempt: AttemptId) {
         let Some(id) = self.attempts.get(&attempt).copied() else {
             return;
@@ -267,8 +195,7 @@
         let Some(request) = self.requests.get(&id) else {
             return;
         };
-        let kind = self.pools.kind(&request.current().service);
-        let generates = matches!(kind, Some(ServiceKind::Engine { .. }));
+        let generates = self.pools.generates(&request.current().service);
         if request.progress().may_hedge(generates) && self.grants_retry(id) {
             self.send_next(now, id, AttemptKind::Hedge);
         }
--- a/lib/src/pipeline/decision/core.rs
+++ b/lib/src/pipeline/decision/core.rs
@@ -1,4 +1,15 @@
-//! The decisions of one daemon: a pure state machine without clock, socket or task.
+//! The decisions of one daemon, as a pure state machine: [`Core::step`] gets the time and one event, and
+//! returns the actions to carry out, in order.
+//!
+//! In go [`Event`]s: requests that arrive or are abandoned, tokens and ends of attempts, load reports and
+//! cache events of endpoints, settings trees, and due timers. Out come [`Action`]s: calls to send or
+//! cancel, tokens and final answers to deliver. The shell carries them out in their order, sends a tick
+//! when [`Core::next_timer`] is due, and reports the end of each attempt that wasn't cancelled.
+//!
+//! The core owns all requests, attempts and pools, and the only source of random numbers, seeded once:
+//! the same events at the same times give the same actions. Each request gets one final answer. This
+//! module holds the life of a request; `admit`, `send` and [`attempt`](super::attempt)
+//! extend it.
 
 use {
     crate::{
@@ -26,7 +37,7 @@
     std::sync::Arc,
 };
 
-/// What a daemon knows of itself.
+/// Place and seed of a daemon.
 #[derive(Debug, Clone)]
 pub struct CoreConfig {
     /// Data centre it stands in.
@@ -37,12 +48,12 @@
     pub seed: u64,
 }
 
-/// What happens to a daemon.
+/// Something that happened, as the shell reports it.
 #[derive(Debug, Clone)]
 pub enum Event {
-    /// A caller's request came in.
+    /// A caller's request arrived.
     Arrived(Arrival),
-    /// A token of a stream came in.
+    /// A token of a stream was received.
     Token {
         /// Attempt it belongs to.
         attempt: AttemptId,
@@ -55,32 +66,32 @@
     Ended {
         /// The attempt.
         attempt: AttemptId,
-        /// How it ended.
+        /// Its end.
         end: AttemptEnd,
     },
     /// A caller left before its answer.
     Left(RequestId),
-    /// An endpoint's load report came in.
+    /// An endpoint's load report was received.
     Load {
         /// The endpoint.
         endpoint: EndpointId,
-        /// What it reports.
+        /// Its report.
         report: LoadReport,
     },
-    /// An engine told of changes in its cache.
+    /// An engine reported changes of its cache.
     Cache {
         /// The engine.
         endpoint: EndpointId,
-        /// What changed.
+        /// The changes.
         events: Vec<CacheEvent>,
     },
-    /// A checked tree came in.
+    /// A checked tree was received.
     Adopt(Arc<Tree>),
     /// A timer is due.
     Tick,
 }
 
-/// What a daemon has to do.
+/// Something that the shell has to carry out.
 #[derive(Debug, Clone)]
 pub enum Action {
     /// Send a call.
@@ -100,7 +111,7 @@
     Finish {
         /// The request.
         request: RequestId,
-        /// The answer, or why there is none.
+        /// The answer, or the problem that there is instead.
         result: Result<Answer, Problem>,
     },
 }
@@ -109,18 +120,24 @@
 #[derive(Debug)]
 pub struct Core {
     pub(crate) config: CoreConfig,
+    /// Tree in force.
     pub(crate) tree: Arc<Tree>,
     pub(crate) pools: Pools,
+    /// Requests without a final answer.
     pub(crate) requests: HashMap<RequestId, Request>,
+    /// Request of each attempt in flight.
     pub(crate) attempts: HashMap<AttemptId, RequestId>,
     pub(crate) shares: FairShares,
     pub(crate) customers: HashMap<CustomerId, CustomerUse>,
+    /// Pipelines of one stage that plain calls of services amount to.
     pub(crate) services: HashMap<ServiceId, Arc<Pipeline>>,
     pub(crate) timers: Timers,
+    /// Number of the last attempt.
     pub(crate) last_attempt: u64,
     pub(crate) rng: SmallRng,
     pub(crate) costs: StageCosts,
     pub(crate) counters: Counters,
+    /// Actions of the step that is running.
     pub(crate) actions: Vec<Action>,
 }
 
@@ -146,7 +163,13 @@
         }
     }
 
-    /// Takes in one event and returns what has to be done about it, in order.
+    /// Handles one event and returns the actions that follow from it, in order.
+    ///
+    /// `now` never goes back from one step to the next.
+    ///
+    /// # Panics
+    ///
+    /// Panics if an invariant is broken, for instance when a request arrives twice.
     pub fn step(&mut self, now: Time, event: Event) -> Vec<Action> {
         match event {
             Event::Arrived(arrival) => self.arrive(now, arrival),
@@ -185,7 +208,7 @@
         &self.costs
     }
 
-    /// Returns counts of what happened.
+    /// Returns counts since the start.
     pub fn counters(&self) -> &Counters {
         &self.counters
     }
@@ -195,6 +218,7 @@
         self.requests.len()
     }
 
+    /// Puts a tree in force, unless it isn't newer than the one that is.
     fn adopt(&mut self, tree: Arc<Tree>) {
         if tree.version <= self.tree.version {
             return;
@@ -226,6 +250,7 @@
         }
     }
 
+    /// Refuses a request that was never admitted.
     fn finish_unstarted(&mut self, request: RequestId, problem: Problem) {
         crate::invariant!(
             problem.outcome == Outcome::NotRun,
@@ -239,6 +264,7 @@
         });
     }
 
+    /// Ends a request whose caller has left, unless an attempt has to be left to its end.
     fn left(&mut self, now: Time, id: RequestId) {
         let Some(request) = self.requests.get_mut(&id) else {
             return;
@@ -279,6 +305,7 @@
         self.finish(now, id, Err(problem));
     }
 
+    /// Ends a request: cancels its attempts, accounts for its costs and answers its caller.
     pub(crate) fn finish(&mut self, now: Time, id: RequestId, result: Result<Answer, Problem>) {
         self.cancel_attempts(now, id);
         let Some(request) = self.requests.remove(&id) else {
@@ -301,7 +328,8 @@
         }
     }
 
-    /// Cancels what is still in flight for a request: its losers, or all when it ends.
+    /// Cancels all attempts still in flight for a request: the losers when its stage is done, or all
+    /// when it ends.
     pub(crate) fn cancel_attempts(&mut self, now: Time, id: RequestId) {
         let Some(request) = self.requests.get_mut(&id) else {
             return;
@@ -309,7 +337,7 @@
         let service = request.current().service.clone();
         for attempt in std::mem::take(&mut request.live) {
             let spent = WorkMillis(now.millis_since(attempt.sent));
-            request.wasted[request.stage].0 += spent.0;
+            request.add_wasted(spent);
             self.attempts.remove(&attempt.id);
             self.pools.cancelled(&service, &attempt);
             self.actions.push(Action::Cancel(attempt.id));
--- a/lib/src/pipeline/decision/counters.rs
+++ b/lib/src/pipeline/decision/counters.rs
@@ -1,11 +1,11 @@
-//! Counts of what happened.
+//! Counts of how requests and attempts ended, as reports and metrics show them.
 
 use {
     crate::shared::problem::{Code, Outcome, Problem},
     std::collections::BTreeMap,
 };
 
-/// Counts of what happened, since the start.
+/// Counts since the daemon's start.
 #[derive(Debug, Clone, Default)]
 pub struct Counters {
     /// Requests answered within their deadline.
@@ -47,11 +47,11 @@
     }
 
     /// Counts an attempt.
-    pub fn sent(&mut self, extra: bool) {
-        if extra {
-            self.extra += 1;
-        } else {
+    pub fn sent(&mut self, is_first: bool) {
+        if is_first {
             self.attempts += 1;
+        } else {
+            self.extra += 1;
         }
     }
 }
--- a/lib/src/pipeline/decision/endpoint.rs
+++ b/lib/src/pipeline/decision/endpoint.rs
@@ -1,4 +1,8 @@
-//! What the daemon asks of an endpoint, and what an endpoint can answer.
+//! Calls of endpoints and the ways they can end: the only words between the decisions and the endpoints'
+//! protocols.
+//!
+//! [`Transport`] is implemented once for the protocols (`pipeline::endpoints`) and once for tests. The
+//! promise `not_run` rests on it: [`AttemptEnd::NotRun`] must be certain.
 
 use {
     crate::{
@@ -23,7 +27,7 @@
     pub endpoint: EndpointId,
     /// Where it listens.
     pub address: SocketAddr,
-    /// What it is.
+    /// Its kind: an engine or a plain service.
     pub kind: ServiceKind,
     /// Input of the stage: a JSON value.
     pub input: Bytes,
@@ -31,7 +35,7 @@
     pub remaining: Millis,
     /// Order in the endpoint's queue.
     pub priority: Priority,
-    /// Key by which the endpoint can notice a repeat.
+    /// Key by which the endpoint can notice a call that it ran already.
     pub key: Option<IdempotencyKey>,
     /// Largest reply accepted.
     pub max_reply: ByteSize,
@@ -52,7 +56,7 @@
     pub text: String,
 }
 
-/// How an attempt ended.
+/// End of an attempt.
 #[derive(Debug, Clone, PartialEq)]
 pub enum AttemptEnd {
     /// The endpoint answered whole, with matching ids.
@@ -61,9 +65,9 @@
     StreamEnded {
         /// Tokens in all, those before a resume included.
         tokens: u32,
-        /// Time the endpoint says it spent.
+        /// Time the endpoint reports that it spent.
         served: Option<WorkMillis>,
-        /// What the engine says of its prefill.
+        /// Prefill, if the engine reports it.
         prefill: Option<Prefill>,
     },
     /// Certainly not run: no byte of the call was sent, or the endpoint says so itself.
@@ -72,7 +76,52 @@
     Failed(FailCause),
 }
 
-/// What an engine says of the prefill of one generation.
+impl AttemptEnd {
+    /// Returns whether the endpoint did its part whole, whatever it answered.
+    pub fn is_success(&self) -> bool {
+        matches!(
+            self,
+            AttemptEnd::Answered(_) | AttemptEnd::StreamEnded { .. }
+        )
+    }
+
+    /// Returns the endpoint time as far as it is known: the endpoint's own figure, which may be
+    /// absurd, or none spent if the call certainly did not run.
+    pub fn served(&self) -> Option<WorkMillis> {
+        match self {
+            AttemptEnd::Answered(reply) => reply.served,
+            AttemptEnd::StreamEnded { served, .. } => *served,
+            AttemptEnd::NotRun(_) => Some(WorkMillis(0.0)),
+            AttemptEnd::Failed(_) => None,
+        }
+    }
+
+    /// Returns the tokens and the prefill of a generation, nothing for any other end.
+    pub fn generation(&self) -> Generation {
+        match self {
+            AttemptEnd::StreamEnded {
+                tokens, prefill, ..
+            } => Generation {
+                tokens: *tokens,
+                prefill: *prefill,
+            },
+            AttemptEnd::Answered(_) | AttemptEnd::NotRun(_) | AttemptEnd::Failed(_) => {
+                Generation::default()
+            }
+        }
+    }
+}
+
+/// Tokens and prefill of one generation.
+#[derive(Debug, Clone, Copy, Default, PartialEq)]
+pub struct Generation {
+    /// Tokens in all.
+    pub tokens: u32,
+    /// Prefill, if the engine reports it.
+    pub prefill: Option<Prefill>,
+}
+
+/// Prefill of one generation, as the engine reports it.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct Prefill {
     /// Time it took.
@@ -88,11 +137,11 @@
     pub status: u16,
     /// Body, a JSON value.
     pub body: Bytes,
-    /// Time the endpoint says it spent.
+    /// Time the endpoint reports that it spent.
     pub served: Option<WorkMillis>,
 }
 
-/// Why an attempt certainly did not run.
+/// Cause of an attempt that certainly did not run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum NotRunCause {
     /// The connection was refused, so no byte was sent.
@@ -103,7 +152,7 @@
     Leaving,
 }
 
-/// Why an attempt failed that may have run.
+/// Cause of a failed attempt that may have run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum FailCause {
     /// The connection broke off.
@@ -116,7 +165,7 @@
     TooLarge,
     /// The endpoint answered with a server error.
     ServerError,
-    /// The endpoint was silent for too long.
+    /// The endpoint was silent for longer than allowed.
     Timeout,
 }
 
@@ -150,7 +199,7 @@
     }
 }
 
-/// An endpoint's own report of its load, as it was when the endpoint made it.
+/// An endpoint's own report of its load, as it was when the endpoint took it.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct LoadReport {
     /// Work queued and in progress.
@@ -161,14 +210,14 @@
     pub slots: u32,
     /// Age of the report when it was sent.
     pub age: Millis,
-    /// Whether the endpoint is leaving.
+    /// True if the endpoint is leaving.
     #[serde(default)]
     pub leaving: bool,
 }
 
 /// Receives the tokens of a stream while the call runs.
 pub trait TokenSink: Send {
-    /// Takes the token at `index`, counted from the start of the whole generation.
+    /// Receives the token at `index`, counted from the start of the whole generation.
     fn token(&mut self, index: u32, text: String);
 }
 
@@ -181,17 +230,17 @@
         sink: impl TokenSink + 'static,
     ) -> impl Future<Output = AttemptEnd> + Send;
 
-    /// Tells an endpoint that nobody waits for a call any more; best effort.
+    /// Reports to an endpoint that nobody waits for a call any more; best effort.
     fn cancel(&self, call: EndpointCall) -> impl Future<Output = ()> + Send;
 
-    /// Reads the changes of an engine's cache from a number on.
+    /// Reads the changes of an engine's cache from a number on; none if the engine gives none.
     fn cache_events(
         &self,
         address: SocketAddr,
         after: u64,
     ) -> impl Future<Output = Option<CacheEvents>> + Send;
 
-    /// Reads an endpoint's load report.
+    /// Reads an endpoint's load report; none if it gives none that can be understood.
     fn load(
         &self,
         address: SocketAddr,
--- a/lib/src/pipeline/decision/policy_naive.rs
+++ b/lib/src/pipeline/decision/policy_naive.rs
@@ -39,7 +39,7 @@
             let i = pool.cursor % count;
             pool.cursor = pool.cursor.wrapping_add(1);
             let member = &pool.members[i];
-            if !member.leaving && !member.spec.leaving {
+            if !member.is_leaving() {
                 return Some(i);
             }
         }
--- a/lib/src/pipeline/decision/pool.rs
+++ b/lib/src/pipeline/decision/pool.rs
@@ -1,20 +1,26 @@
 //! The endpoints of one service as this daemon sees them.
+//!
+//! A [`Pool`] owns its [`PoolMember`]s, the costs learnt from the service's calls, the retry budget and
+//! the beliefs about engines' caches. It carries out what the rules decide: it asks [`call_costs`] for
+//! the work of a call, [`health`](crate::shared::health) for ejection and [`retry_after`] for waits.
+//!
+//! [`call_costs`]: super::call_costs
 
 use {
     crate::{
         pipeline::decision::{
             call_costs::{CallCosts, CallPlacement, CallSize},
-            endpoint::Prefill,
-            estimate::LoadEstimate,
+            endpoint::{AttemptEnd, Generation, NotRunCause},
             member::PoolMember,
-            prefix::{BLOCK, CacheEvent, Prefix, PrefixIndex},
+            prefix::{CacheEvent, Prefix, PrefixIndex},
+            request::{Attempt, EndedAttempt},
             retry::RetryBudget,
             retry_after,
         },
         settings::tree::{Service, ServiceKind},
         shared::{
-            health::{Health, HealthState, can_spare},
-            ids::{DataCentreId, EndpointId, MemberSerial},
+            health::{HealthState, can_spare},
+            ids::{AttemptId, DataCentreId, EndpointId, MemberSerial},
             units::{Millis, Time, WorkMillis},
         },
     },
@@ -31,93 +37,97 @@
     pub members: Vec<PoolMember>,
     /// Indexes of the endpoints by name, so that a reply costs the same in a pool of any size.
     index: HashMap<EndpointId, usize>,
+    /// Indexes of the endpoints by their stay.
+    serials: HashMap<MemberSerial, usize>,
     /// Indexes of the endpoints in this daemon's data centre.
     pub local: Vec<usize>,
     /// Indexes of all others.
     pub remote: Vec<usize>,
-    /// Retries that may still be made.
+    /// Retries and hedges that may still be sent.
     pub budget: RetryBudget,
     /// Costs learnt from calls.
     costs: CallCosts,
-    /// Who probably holds which beginnings of prompts.
+    /// Beliefs about who holds which beginnings of prompts.
     prefixes: PrefixIndex,
-    /// Indexes of the endpoints by their stay.
-    serials: HashMap<MemberSerial, usize>,
     /// Position of the next choice of the round-robin policy.
     pub cursor: usize,
 }
 
 impl Pool {
-    /// Builds a pool, taking over what `old` knows of the endpoints that stay.
+    /// Builds a pool; what `old` knows is kept, and of its endpoints those that stay.
     pub fn new(
         service: Arc<Service>,
         data_centre: &DataCentreId,
         old: Option<Pool>,
         next_serial: &mut impl FnMut() -> MemberSerial,
     ) -> Self {
-        let slots = service.settings.slots.value.0;
-        let mut old = old;
-        let mut old_members = old
-            .as_mut()
-            .map(|pool| std::mem::take(&mut pool.members))
-            .unwrap_or_default();
-        let mut members = Vec::with_capacity(service.endpoints.len());
-        for spec in &service.endpoints {
-            let stays = |member: &PoolMember| {
-                member.spec.id == spec.id && member.spec.address == spec.address
-            };
-            let member = match old_members.iter().position(stays) {
-                Some(i) => PoolMember {
-                    spec: spec.clone(),
-                    ..old_members.swap_remove(i)
-                },
-                None => PoolMember {
-                    spec: spec.clone(),
-                    serial: next_serial(),
-                    load: LoadEstimate::new(slots),
-                    health: Health::default(),
-                    leaving: false,
-                },
-            };
-            members.push(member);
+        let mut pool = old.unwrap_or_else(|| Self::empty(service.clone()));
+        let old_members = std::mem::take(&mut pool.members);
+        pool.members = members(&service, old_members, next_serial);
+        pool.service = service;
+        pool.index_members(data_centre);
+        pool
+    }
+
+    fn empty(service: Arc<Service>) -> Self {
+        Self {
+            members: Vec::new(),
+            index: HashMap::default(),
+            serials: HashMap::default(),
+            local: Vec::new(),
+            remote: Vec::new(),
+            budget: RetryBudget::default(),
+            costs: CallCosts::new(&service),
+            prefixes: PrefixIndex::default(),
+            cursor: 0,
+            service,
         }
-        let index = members
-            .iter()
-            .enumerate()
+    }
+
+    fn index_members(&mut self, data_centre: &DataCentreId) {
+        let members = &self.members;
+        let numbered = || members.iter().enumerate();
+        self.index = numbered()
             .map(|(i, member)| (member.spec.id.clone(), i))
             .collect();
+        self.serials = numbered().map(|(i, member)| (member.serial, i)).collect();
         let is_local = |i: &usize| members[*i].spec.data_centre == *data_centre;
-        let (local, remote) = (0..members.len()).partition(is_local);
-        let serials = members
-            .iter()
-            .enumerate()
-            .map(|(i, member)| (member.serial, i))
-            .collect();
-        let (budget, costs, prefixes, cursor) = match old {
-            Some(pool) => (pool.budget, pool.costs, pool.prefixes, pool.cursor),
-            None => (
-                RetryBudget::default(),
-                CallCosts::new(&service),
-                PrefixIndex::default(),
-                0,
-            ),
-        };
-        Self {
-            service,
-            members,
-            index,
-            local,
-            remote,
-            budget,
-            costs,
-            prefixes,
-            serials,
-            cursor,
+        (self.local, self.remote) = (0..members.len()).partition(is_local);
+    }
+
+    /// Returns the index of a stay, if it is still in the pool.
+    pub fn index_of(&self, serial: MemberSerial) -> Option<usize> {
+        self.serials.get(&serial).copied()
+    }
+
+    /// Returns an endpoint by its name.
+    pub fn member_named(&mut self, endpoint: &EndpointId) -> Option<&mut PoolMember> {
+        let index = self.index.get(endpoint)?;
+        self.members.get_mut(*index)
+    }
+
+    /// Returns an endpoint by its name, if the given stay isn't over.
+    pub fn member(
+        &mut self,
+        endpoint: &EndpointId,
+        serial: MemberSerial,
+    ) -> Option<&mut PoolMember> {
+        self.member_named(endpoint)
+            .filter(|member| member.serial == serial)
+    }
+
+    /// Estimates the work of a call, and finds the engines that probably hold its beginning.
+    pub fn placement(&self, now: Time, input: &[u8], tokens: u32) -> CallPlacement {
+        let size = self.size(input, tokens);
+        CallPlacement {
+            work: self.costs.work(&self.service.kind, &size),
+            block_saving: self.costs.block(),
+            holders: self.prefixes.holders(now, &size.prefix),
+            size,
         }
     }
 
-    /// Measures a call.
-    pub fn size(&self, input: &[u8], tokens: u32) -> CallSize {
+    fn size(&self, input: &[u8], tokens: u32) -> CallSize {
         let prompts = matches!(self.service.kind, ServiceKind::Engine { .. });
         let affinity = prompts && self.service.settings.affinity.value;
         CallSize {
@@ -131,72 +141,98 @@
         }
     }
 
-    /// Prepares the placing of a call.
-    pub fn placement(&self, now: Time, size: &CallSize) -> CallPlacement {
-        let byte = self.costs.byte.get();
-        let work = match self.service.kind {
-            ServiceKind::Plain => self.costs.call.get(),
-            ServiceKind::Engine { .. } => {
-                self.costs.token.get() * f64::from(size.tokens) + byte * size.bytes as f64
-            }
+    /// Notes that a call is sent to the endpoint at `index`, and returns the attempt.
+    pub fn start_attempt(
+        &mut self,
+        now: Time,
+        id: AttemptId,
+        index: usize,
+        placement: CallPlacement,
+    ) -> Attempt {
+        let member = &mut self.members[index];
+        let work = placement.work_at(member.serial);
+        let attempt = Attempt {
+            id,
+            endpoint: member.spec.id.clone(),
+            serial: member.serial,
+            sent: now,
+            expected: member.load.sent(now, work),
+            size: placement.size,
         };
-        CallPlacement {
-            work: WorkMillis(work),
-            block_saving: WorkMillis(byte * BLOCK as f64),
-            holders: self.prefixes.holders(now, &size.prefix),
-        }
+        self.note_prefix(now, attempt.serial, &attempt.size.prefix);
+        attempt
     }
 
-    /// Estimates the endpoint time of a usual call.
-    pub fn usual_work(&self) -> WorkMillis {
-        WorkMillis(self.costs.call.get())
+    /// Notes that an endpoint was sent a prompt, whose beginning it will hold.
+    pub fn note_prefix(&mut self, now: Time, serial: MemberSerial, prefix: &Prefix) {
+        self.prefixes.sent(now, serial, prefix);
     }
 
-    /// Learns from a call that kept its endpoint busy for `served`.
-    pub fn learn(
-        &mut self,
-        size: &CallSize,
-        tokens: u32,
-        served: WorkMillis,
-        prefill: Option<Prefill>,
-    ) {
-        self.costs.learn(size, tokens, served, prefill);
+    /// Learns from the end of an attempt; returns whether its endpoint was ejected for it.
+    pub fn ended(&mut self, now: Time, ended: &EndedAttempt<'_>) -> bool {
+        let attempt = ended.attempt;
+        let Some(member) = self.member(&attempt.endpoint, attempt.serial) else {
+            return false;
+        };
+        member.load.ended(attempt.sent, attempt.expected);
+        match ended.end {
+            AttemptEnd::Answered(_) | AttemptEnd::StreamEnded { .. } => {
+                member.health.succeeded();
+                let took = WorkMillis(now.millis_since(attempt.sent));
+                member.load.correct(now, attempt.expected, took);
+                let generation = ended.end.generation();
+                self.learn(&attempt.size, generation, ended.spent);
+                false
+            }
+            AttemptEnd::NotRun(NotRunCause::Leaving) => {
+                member.leaving = true;
+                false
+            }
+            // A refusal for lack of room says nothing of health.
+            AttemptEnd::NotRun(NotRunCause::Busy) => false,
+            AttemptEnd::NotRun(NotRunCause::Unreachable) | AttemptEnd::Failed(_) => {
+                ended.ejects && self.failed(now, &attempt.endpoint, attempt.serial)
+            }
+        }
     }
 
-    /// Notes that an endpoint was sent a prompt, whose beginning it will hold.
-    pub fn note_prefix(&mut self, now: Time, serial: MemberSerial, prefix: &Prefix) {
-        self.prefixes.sent(now, serial, prefix);
+    /// Learns from a call of `size` that kept its endpoint busy for `served`.
+    pub fn learn(&mut self, size: &CallSize, generation: Generation, served: WorkMillis) {
+        self.costs.learn(size, generation, served);
     }
 
-    /// Takes in what an engine tells of its cache.
-    pub fn learn_cache(&mut self, now: Time, endpoint: &EndpointId, events: &[CacheEvent]) {
-        if let Some(serial) = self.member_named(endpoint).map(|member| member.serial) {
-            self.prefixes.learn(now, serial, events);
+    /// Notes that an attempt was given up. It counts neither for nor against its endpoint.
+    pub fn cancelled(&mut self, attempt: &Attempt) {
+        if let Some(member) = self.member(&attempt.endpoint, attempt.serial) {
+            member.load.ended(attempt.sent, attempt.expected);
         }
     }
 
-    /// Returns the index of a stay, if it is still in the pool.
-    pub fn index_of(&self, serial: MemberSerial) -> Option<usize> {
-        self.serials.get(&serial).copied()
+    /// Notes that an endpoint failed, and ejects it when it is due and the pool can spare it.
+    ///
+    /// Returns whether it was ejected now.
+    pub fn failed(&mut self, now: Time, endpoint: &EndpointId, serial: MemberSerial) -> bool {
+        let is_out = |member: &&PoolMember| member.health.state(now) != HealthState::Healthy;
+        let out = self.members.iter().filter(is_out).count();
+        let may_eject = can_spare(out, self.members.len());
+        self.member(endpoint, serial)
+            .is_some_and(|member| member.health.failed(now, may_eject))
     }
 
-    /// Returns an endpoint by its name.
-    pub fn member_named(&mut self, endpoint: &EndpointId) -> Option<&mut PoolMember> {
-        let index = self.index.get(endpoint)?;
-        self.members.get_mut(*index)
+    /// Updates the beliefs about an engine's cache by its own events.
+    pub fn learn_cache(&mut self, now: Time, endpoint: &EndpointId, events: &[CacheEvent]) {
+        if let Some(serial) = self.member_named(endpoint).map(|member| member.serial) {
+            self.prefixes.learn(now, serial, events);
+        }
     }
 
-    /// Returns the member that an attempt was sent to, if it is still the same one.
-    pub fn member(
-        &mut self,
-        endpoint: &EndpointId,
-        serial: MemberSerial,
-    ) -> Option<&mut PoolMember> {
-        self.member_named(endpoint)
-            .filter(|member| member.serial == serial)
+    /// Estimates the endpoint time of a usual call.
+    pub fn usual_work(&self) -> WorkMillis {
+        self.costs.usual()
     }
 
-    /// Estimates the earliest finish of a usual call over some endpoints of the pool.
+    /// Estimates the earliest finish of a call of `work` over the first `sample` endpoints that may
+    /// get it, those of the own data centre first; none if no endpoint may.
     pub fn best_finish(&self, now: Time, work: WorkMillis, sample: usize) -> Option<WorkMillis> {
         let near = self.local.iter().chain(&self.remote);
         near.map(|i| &self.members[*i])
@@ -206,22 +242,30 @@
             .min_by(|a, b| a.0.total_cmp(&b.0))
     }
 
-    /// Notes that an endpoint failed, and ejects it when it is due and the pool can spare it.
-    ///
-    /// Returns whether it was ejected now.
-    pub fn failed(&mut self, now: Time, endpoint: &EndpointId, serial: MemberSerial) -> bool {
-        let out = |member: &&PoolMember| member.health.state(now) != HealthState::Healthy;
-        let ejected = self.members.iter().filter(out).count();
-        let may_eject = can_spare(ejected, self.members.len());
-        match self.member(endpoint, serial) {
-            Some(member) => member.health.failed(now, may_eject),
-            None => false,
-        }
-    }
-
     /// Suggests how long a caller should wait before it tries a crowded pool again.
     pub fn retry_after(&self, now: Time) -> Millis {
         let earliest = self.best_finish(now, self.usual_work(), retry_after::SAMPLE);
         retry_after::retry_after(earliest)
     }
 }
+
+/// Builds the members of a service in its order: those that stay as they are, the others anew.
+fn members(
+    service: &Service,
+    mut old: Vec<PoolMember>,
+    next_serial: &mut impl FnMut() -> MemberSerial,
+) -> Vec<PoolMember> {
+    let slots = service.settings.slots.value.0;
+    let mut members = Vec::with_capacity(service.endpoints.len());
+    for spec in &service.endpoints {
+        let kept = old.iter().position(|member| member.stays(spec));
+        members.push(match kept {
+            Some(i) => PoolMember {
+                spec: spec.clone(),
+                ..old.swap_remove(i)
+            },
+            None => PoolMember::new(spec.clone(), next_serial(), slots),
+        });
+    }
+    members
+}
--- a/lib/src/pipeline/decision/pools.rs
+++ b/lib/src/pipeline/decision/pools.rs
@@ -1,18 +1,17 @@
-//! All pools of one daemon.
+//! All pools of one daemon, by service and by endpoint.
 
 use {
     crate::{
         pipeline::decision::{
-            counters::Counters,
-            endpoint::{AttemptEnd, LoadReport, NotRunCause},
+            endpoint::LoadReport,
             pool::Pool,
             prefix::CacheEvent,
-            request::Attempt,
+            request::{Attempt, EndedAttempt},
         },
         settings::tree::{ServiceKind, Tree},
         shared::{
             ids::{DataCentreId, EndpointId, MemberSerial, ServiceId},
-            units::{Time, WorkMillis},
+            units::Time,
         },
     },
     foldhash::HashMap,
@@ -22,7 +21,9 @@
 #[derive(Debug, Default)]
 pub struct Pools {
     pools: HashMap<ServiceId, Pool>,
+    /// Service of each endpoint.
     homes: HashMap<EndpointId, ServiceId>,
+    /// Number of the last stay of an endpoint that began.
     last_serial: u64,
 }
 
@@ -42,11 +43,16 @@
         self.pools.values()
     }
 
-    /// Returns what a service's endpoints are.
+    /// Returns the kind of a service's endpoints.
     pub fn kind(&self, service: &ServiceId) -> Option<&ServiceKind> {
         self.pools.get(service).map(|pool| &pool.service.kind)
     }
 
+    /// Returns whether a service's endpoints are engines, which generate token by token.
+    pub fn generates(&self, service: &ServiceId) -> bool {
+        matches!(self.kind(service), Some(ServiceKind::Engine { .. }))
+    }
+
     /// Rebuilds the pools for a new tree and keeps what is known of endpoints that stay.
     pub fn adopt(&mut self, tree: &Tree, data_centre: &DataCentreId) {
         let mut old = std::mem::take(&mut self.pools);
@@ -56,26 +62,26 @@
                 self.homes.insert(endpoint.id.clone(), service.id.clone());
             }
             let last_serial = &mut self.last_serial;
-            let mut serials = || {
+            let mut next_serial = || {
                 *last_serial += 1;
                 MemberSerial(*last_serial)
             };
             let kept = old.remove(&service.id);
-            let pool = Pool::new(service.clone(), data_centre, kept, &mut serials);
+            let pool = Pool::new(service.clone(), data_centre, kept, &mut next_serial);
             self.pools.insert(service.id.clone(), pool);
         }
     }
 
-    /// Takes in an endpoint's load report.
+    /// Updates an endpoint's load by its own report.
     pub fn load(&mut self, now: Time, endpoint: &EndpointId, report: LoadReport) {
         let pool = self.home(endpoint);
         if let Some(member) = pool.and_then(|pool| pool.member_named(endpoint)) {
             member.leaving = report.leaving;
-            member.load.take_report(now, report);
+            member.load.report(now, report);
         }
     }
 
-    /// Takes in what an engine tells of its cache.
+    /// Updates the beliefs about an engine's cache by its own events.
     pub fn cache(&mut self, now: Time, endpoint: &EndpointId, events: &[CacheEvent]) {
         if let Some(pool) = self.home(endpoint) {
             pool.learn_cache(now, endpoint, events);
@@ -88,58 +94,16 @@
         self.pools.get_mut(service)
     }
 
-    /// Learns from the end of an attempt that kept its endpoint busy for `spent`.
-    #[allow(clippy::too_many_arguments)]
-    pub fn ended(
-        &mut self,
-        now: Time,
-        service: &ServiceId,
-        attempt: &Attempt,
-        end: &AttemptEnd,
-        spent: WorkMillis,
-        ejects: bool,
-        counters: &mut Counters,
-    ) {
-        let Some(pool) = self.pools.get_mut(service) else {
-            return;
-        };
-        let Some(member) = pool.member(&attempt.endpoint, attempt.serial) else {
-            return;
-        };
-        member.load.ended(attempt.sent, attempt.expected);
-        let took = WorkMillis(now.millis_since(attempt.sent));
-        let worked = match end {
-            AttemptEnd::Answered(_) | AttemptEnd::StreamEnded { .. } => true,
-            AttemptEnd::NotRun(NotRunCause::Leaving) => {
-                member.leaving = true;
-                return;
-            }
-            AttemptEnd::NotRun(NotRunCause::Busy) => return,
-            AttemptEnd::NotRun(NotRunCause::Unreachable) | AttemptEnd::Failed(_) => false,
-        };
-        if worked {
-            member.health.succeeded();
-            member.load.correct(now, attempt.expected, took);
-            let (tokens, prefill) = match end {
-                AttemptEnd::StreamEnded {
-                    tokens, prefill, ..
-                } => (*tokens, *prefill),
-                _ => (0, None),
-            };
-            pool.learn(&attempt.size, tokens, spent, prefill);
-        } else if ejects && pool.failed(now, &attempt.endpoint, attempt.serial) {
-            counters.ejections += 1;
-        }
+    /// Learns from the end of an attempt; returns whether its endpoint was ejected for it.
+    pub fn ended(&mut self, now: Time, service: &ServiceId, ended: &EndedAttempt<'_>) -> bool {
+        let pool = self.pools.get_mut(service);
+        pool.is_some_and(|pool| pool.ended(now, ended))
     }
 
-    /// Notes that an attempt was given up. It counts neither for nor against its endpoint.
+    /// Notes that an attempt was given up.
     pub fn cancelled(&mut self, service: &ServiceId, attempt: &Attempt) {
-        let member = self
-            .pools
-            .get_mut(service)
-            .and_then(|pool| pool.member(&attempt.endpoint, attempt.serial));
-        if let Some(member) = member {
-            member.load.ended(attempt.sent, attempt.expected);
+        if let Some(pool) = self.pools.get_mut(service) {
+            pool.cancelled(attempt);
         }
     }
 }
--- a/lib/src/pipeline/decision/request.rs
+++ b/lib/src/pipeline/decision/request.rs
@@ -1,14 +1,24 @@
-//! The life of one request: its stage, its attempts, and what it may still claim about them.
+//! The life of one request: its stage, its attempts, and the outcome that it may still claim.
+//!
+//! A [`Request`] owns what the core knows of one request between its arrival and its final answer. The
+//! promise `not_run` rests on its `exposed`: the attempts, at any stage, that may have run.
 
 use {
     crate::{
-        pipeline::decision::{call_costs::CallSize, endpoint::Resume, retry::StageProgress},
+        pipeline::decision::{
+            call_costs::CallSize,
+            endpoint::{AttemptEnd, Resume},
+            retry::StageProgress,
+        },
         settings::{
             tree::{Pipeline, Stage},
             values::{Priority, Settings},
         },
         shared::{
-            ids::{AttemptId, CustomerId, EndpointId, IdempotencyKey, MemberSerial, RequestId},
+            ids::{
+                AttemptId, CustomerId, EndpointId, IdempotencyKey, MemberSerial, PipelineId,
+                RequestId, ServiceId,
+            },
             problem::{Code, Outcome, Problem},
             units::{Millis, Time, WorkMillis},
         },
@@ -24,15 +34,15 @@
     pub id: RequestId,
     /// Customer the caller names.
     pub customer: CustomerId,
-    /// What is asked for.
+    /// Pipeline or service that is asked for.
     pub target: Target,
-    /// Time the caller gives; the settings' deadline holds if it is shorter.
+    /// Time the caller gives, from its arrival; the settings' deadline holds if it is shorter.
     pub remaining: Option<Millis>,
     /// Priority the caller asks for; it can only lower the settings' one.
     pub priority: Option<Priority>,
-    /// Key by which the caller may repeat the request.
+    /// Key by which the caller may send the request again.
     pub key: Option<IdempotencyKey>,
-    /// Whether tokens are passed on as they come.
+    /// True if tokens are passed on as they come.
     pub stream: bool,
     /// Input of the first stage: a JSON value.
     pub body: Bytes,
@@ -40,13 +50,13 @@
     pub trace_parent: Option<String>,
 }
 
-/// What a request asks for.
+/// Pipeline or service that a request asks for.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Target {
     /// Run a pipeline.
-    Pipeline(crate::shared::ids::PipelineId),
+    Pipeline(PipelineId),
     /// Call a plain service.
-    Service(crate::shared::ids::ServiceId),
+    Service(ServiceId),
 }
 
 /// A whole answer.
@@ -75,8 +85,33 @@
     pub expected: WorkMillis,
     /// Size of the call.
     pub size: CallSize,
-    /// Whether it follows another attempt at the same stage.
-    pub extra: bool,
+}
+
+impl Attempt {
+    /// Returns the endpoint time of an attempt that ends at `now`.
+    ///
+    /// The endpoint's own figure counts if it lies within the time the attempt took; else, and
+    /// without one, the whole time does.
+    pub fn spent(&self, now: Time, end: &AttemptEnd) -> WorkMillis {
+        let took = WorkMillis(now.millis_since(self.sent));
+        let served = end.served();
+        served
+            .filter(|served| (0.0..=took.0).contains(&served.0))
+            .unwrap_or(took)
+    }
+}
+
+/// An attempt with its end, to learn from.
+#[derive(Debug, Clone, Copy)]
+pub struct EndedAttempt<'a> {
+    /// The attempt.
+    pub attempt: &'a Attempt,
+    /// Its end.
+    pub end: &'a AttemptEnd,
+    /// Endpoint time it took.
+    pub spent: WorkMillis,
+    /// True if endpoints that fail are ejected.
+    pub ejects: bool,
 }
 
 /// One request between arrival and its final answer.
@@ -88,17 +123,15 @@
     pub customer: CustomerId,
     /// Pipeline it runs; for a plain call, one of a single stage.
     pub pipeline: Arc<Pipeline>,
-    /// Whether it is a plain call, whose reply is passed on as it is.
+    /// True for a plain call, whose reply is passed on as it is.
     pub plain: bool,
-    /// When its time is over.
+    /// When it must have been answered.
     pub deadline: Time,
-    /// When it arrived.
-    pub arrived: Time,
     /// Its priority.
     pub priority: Priority,
     /// Its idempotency key.
     pub key: Option<IdempotencyKey>,
-    /// Whether tokens are passed on as they come.
+    /// True if tokens are passed on as they come.
     pub stream: bool,
     /// Index of the current stage.
     pub stage: usize,
@@ -112,7 +145,7 @@
     pub live: Vec<Attempt>,
     /// Attempts that may have run, at any stage.
     pub exposed: u32,
-    /// What the current stage has generated.
+    /// Tokens that the current stage has generated.
     pub generated: Resume,
     /// Endpoint time of each stage's winning attempt.
     pub spent: Vec<WorkMillis>,
@@ -120,7 +153,7 @@
     pub wasted: Vec<WorkMillis>,
     /// Trace context for the calls of endpoints.
     pub trace_parent: Option<String>,
-    /// Whether the caller has left.
+    /// True once the caller has left.
     pub abandoned: bool,
 }
 
@@ -136,7 +169,6 @@
             customer: arrival.customer,
             plain: matches!(arrival.target, Target::Service(_)),
             deadline: now + remaining,
-            arrived: now,
             priority: arrival.priority.map_or(most, |own| own.min(most)),
             key: arrival.key,
             stream: arrival.stream,
@@ -165,7 +197,7 @@
         self.stage + 1 == self.pipeline.stages.len()
     }
 
-    /// Returns the time left, rounded down.
+    /// Returns the time left, rounded down to whole milliseconds.
     pub fn remaining(&self, now: Time) -> Millis {
         Millis(self.deadline.since(now).as_millis() as u64)
     }
@@ -184,6 +216,11 @@
     }
 
     /// Notes an attempt that is about to be sent.
+    ///
+    /// # Panics
+    ///
+    /// Panics if another attempt is in flight at a stage that may not be run twice: an invariant, as
+    /// are those below; `test_core_random.rs` checks them.
     pub fn add_attempt(&mut self, attempt: Attempt) {
         let stage = self.current();
         let guarded = !stage.settings.repeatable.value;
@@ -199,7 +236,17 @@
         self.live.push(attempt);
     }
 
-    /// Takes out an attempt that ended; none if it isn't in flight.
+    /// Accounts for the endpoint time of the current stage's winning attempt.
+    pub fn add_spent(&mut self, spent: WorkMillis) {
+        self.spent[self.stage].0 += spent.0;
+    }
+
+    /// Accounts for the endpoint time of a failed, cancelled or lost attempt at the current stage.
+    pub fn add_wasted(&mut self, spent: WorkMillis) {
+        self.wasted[self.stage].0 += spent.0;
+    }
+
+    /// Removes an attempt that ended and returns it; none if it isn't in flight.
     pub fn remove_attempt(&mut self, id: AttemptId) -> Option<Attempt> {
         let i = self.live.iter().position(|attempt| attempt.id == id)?;
         Some(self.live.swap_remove(i))
--- a/lib/tests/test_policy_pins.rs
+++ b/lib/tests/test_policy_pins.rs
@@ -7,8 +7,9 @@
     hazelyoke_lib::{
         pipeline::decision::{
             admission::Needs,
-            endpoint::{LoadReport, Prefill},
-            estimate::{Average, LoadEstimate},
+            average::Average,
+            endpoint::{Generation, LoadReport, Prefill},
+            estimate::LoadEstimate,
             fair::FairShares,
             limit::CustomerUse,
             member::PoolMember,
@@ -77,7 +78,7 @@
                 load.ended(sent, expected);
                 load.correct(now, expected, WorkMillis(now.millis_since(sent)));
             }
-            8 => load.take_report(now, report(&mut draws)),
+            8 => load.report(now, report(&mut draws)),
             _ => {}
         }
         let finish = load.finish(now, WorkMillis(50.0));
@@ -89,15 +90,16 @@
 
 #[test]
 fn moving_averages() {
+    const GUESS: WorkMillis = WorkMillis(40.0);
     let mut draws = Draws::new(2);
-    let (mut free, mut bounded) = (Average::new(40.0), Average::new(40.0));
+    let (mut free, mut bounded) = (Average::new(GUESS), Average::new(GUESS));
     let mut lines = String::new();
     for _ in 0..40 {
         let factor = if draws.percent(15) { 20.0 } else { 1.0 };
         let value = (10 + draws.below(90)) as f64 * factor;
-        free.observe(value);
-        bounded.observe_bounded(value);
-        let (free, bounded) = (free.get(), bounded.get());
+        free.observe(WorkMillis(value));
+        bounded.observe_bounded(WorkMillis(value));
+        let (free, bounded) = (free.get().0, bounded.get().0);
         writeln!(lines, "{value}: {free:.4} {bounded:.4}").unwrap();
     }
     insta::assert_snapshot!(lines);
@@ -277,7 +279,7 @@
     let took = WorkMillis(now.millis_since(call.at));
     member.load.correct(now, call.expected, took);
     if draws.percent(20) {
-        member.load.take_report(now, report(draws));
+        member.load.report(now, report(draws));
     }
     let served = WorkMillis(call.work.0 * draws.pick(&[0.5, 1.0, 1.0, 1.3, 9.0]));
     let prefill = Prefill {
@@ -285,8 +287,12 @@
         cached_bytes: 512 * draws.below(5),
     };
     let is_engine = pool.service.kind != ServiceKind::Plain;
-    let size = pool.size(&[1; 2_048], 20);
-    pool.learn(&size, 20, served, is_engine.then_some(prefill));
+    let size = pool.placement(now, &[1; 2_048], 20).size;
+    let generation = Generation {
+        tokens: 20,
+        prefill: is_engine.then_some(prefill),
+    };
+    pool.learn(&size, generation, served);
     None
 }
 
@@ -303,8 +309,7 @@
         let at = now.0 / 1_000;
         if sent.is_empty() || draws.percent(50) {
             let input = vec![draws.below(4) as u8; 512 * (1 + draws.below(8) as usize)];
-            let size = pool.size(&input, 20);
-            let placement = pool.placement(now, &size);
+            let placement = pool.placement(now, &input, 20);
             let tried: Vec<MemberSerial> = (0..draws.below(3))
                 .map(|_| MemberSerial(1 + draws.below(10)))
                 .collect();
@@ -316,7 +321,7 @@
             if let Some(member) = choice {
                 let PoolMember { serial, load, .. } = &mut pool.members[member];
                 let (serial, expected) = (*serial, load.sent(now, work));
-                pool.note_prefix(now, serial, &size.prefix);
+                pool.note_prefix(now, serial, &placement.size.prefix);
                 sent.push(Sent {
                     at: now,
                     member,
