--- a/lib/src/pipeline/decision/admission.rs
+++ b/lib/src/pipeline/decision/admission.rs
@@ -1,20 +1,22 @@
 //! Can a request still be finished within its deadline, so that it's worth starting or going on?
 //!
-//! Inputs: the time left (`Millis`), the estimated work and wait of all stages that remain ([`Needs`],
-//! in milliseconds), the request's priority, and the room of its customer (a [`Share`], see
-//! [`fair`](super::fair)). Output: yes or no.
+//! Inputs: the time left (`Millis`), the estimated work and wait of all stages that remain
+//! ([`Needs`], in milliseconds), the request's priority, and the room of its customer (a [`Share`],
+//! see [`fair`](super::fair)). Output: yes or no.
 //!
-//! The rule: a request is admitted if its own work fits into the time left, and its wait into a share
-//! of what is then left over: [`LOW_WAIT`], [`NORMAL_WAIT`] or [`HIGH_WAIT`] by its priority, times its
-//! customer's room. Once its first stage has run, it goes on as long as it can finish at all.
+//! The rule: a request is admitted if its own work fits into the time left, and its wait into a
+//! share of what is then left over: [`LOW_WAIT`], [`NORMAL_WAIT`] or [`HIGH_WAIT`] by its priority,
+//! times its customer's room. Once its first stage has run, it goes on as long as it can finish at
+//! all.
 //!
-//! The reason: a queue that reaches the deadline loses all of its work, a shorter one loses nothing;
-//! and stopping midway loses what was spent. The shares limit the wait and not the work, since a long
-//! generation would else be refused for its length.
+//! The reason: a queue that reaches the deadline loses all of its work, a shorter one loses
+//! nothing; and stopping midway loses what was spent. The shares limit the wait and not the work,
+//! since a long generation would else be refused for its length.
 //!
-//! The measurements: with shares of the whole time left, 0.7, 0.9 and 1.1 wasted 14.2% of the endpoint
-//! time at 1.5 times the capacity and 22.5% at 3 times; 0.35, 0.6 and 0.9 wasted 0.1% and 1.5% (commit
-//! b0c79f2). Of the wait alone: `docs/MEASUREMENTS.md`, "Load, both policies in one run", right column.
+//! The measurements: with shares of the whole time left, 0.7, 0.9 and 1.1 wasted 14.2% of the
+//! endpoint time at 1.5 times the capacity and 22.5% at 3 times; 0.35, 0.6 and 0.9 wasted 0.1% and
+//! 1.5% (commit b0c79f2). Of the wait alone: `docs/MEASUREMENTS.md`, "Load, both policies in one
+//! run", right column.
 
 use crate::{
     settings::values::Priority,
--- a/lib/src/pipeline/decision/call_costs.rs
+++ b/lib/src/pipeline/decision/call_costs.rs
@@ -5,13 +5,13 @@
 //! milliseconds, and how much of it an engine saves that holds the prompt's beginning.
 //!
 //! The rule: a plain call costs what calls of its service cost on average. A generation costs its
-//! tokens and the bytes of its prompt, each at a learnt price; a block held in an engine's cache costs
-//! nothing. One call counts as at most a fixed multiple of a settled average
+//! tokens and the bytes of its prompt, each at a learnt price; a block held in an engine's cache
+//! costs nothing. One call counts as at most a fixed multiple of a settled average
 //! ([`Average::observe_bounded`](super::average::Average::observe_bounded)).
 //!
-//! The reason: the service's calls are alike, and an engine reports its prefill apart from its decoding,
-//! so both prices can be learnt without being set. What the cache saves is in `docs/MEASUREMENTS.md`,
-//! "Prefix affinity".
+//! The reason: the service's calls are alike, and an engine reports its prefill apart from its
+//! decoding, so both prices can be learnt without being set. What the cache saves is in
+//! `docs/MEASUREMENTS.md`, "Prefix affinity".
 
 use crate::{
     pipeline::decision::{
--- a/lib/src/pipeline/decision/core.rs
+++ b/lib/src/pipeline/decision/core.rs
@@ -1,14 +1,15 @@
-//! The decisions of one daemon, as a pure state machine: [`Core::step`] gets the time and one event, and
-//! returns the actions to carry out, in order.
+//! The decisions of one daemon, as a pure state machine: [`Core::step`] gets the time and one
+//! event, and returns the actions to carry out, in order.
 //!
-//! In go [`Event`]s: requests that arrive or are abandoned, tokens and ends of attempts, load reports and
-//! cache events of endpoints, settings trees, and due timers. Out come [`Action`]s: calls to send or
-//! cancel, tokens and final answers to deliver. The shell carries them out in their order, sends a tick
-//! when [`Core::next_timer`] is due, and reports the end of each attempt that wasn't cancelled.
+//! In go [`Event`]s: requests that arrive or are abandoned, tokens and ends of attempts, load
+//! reports and cache events of endpoints, settings trees, and due timers. Out come [`Action`]s:
+//! calls to send or cancel, tokens and final answers to deliver. The shell carries them out in
+//! their order, sends a tick when [`Core::next_timer`] is due, and reports the end of each attempt
+//! that wasn't cancelled.
 //!
-//! The core owns all requests, attempts and pools, and the only source of random numbers, seeded once:
-//! the same events at the same times give the same actions. Each request gets one final answer. This
-//! module holds the life of a request; `admit`, `send` and [`attempt`](super::attempt)
+//! The core owns all requests, attempts and pools, and the only source of random numbers, seeded
+//! once: the same events at the same times give the same actions. Each request gets one final
+//! answer. This module holds the life of a request; `admit`, `send` and [`attempt`](super::attempt)
 //! extend it.
 
 use {
@@ -328,8 +329,8 @@
         }
     }
 
-    /// Cancels all attempts still in flight for a request: the losers when its stage is done, or all
-    /// when it ends.
+    /// Cancels all attempts still in flight for a request: the losers when its stage is done, or
+    /// all when it ends.
     pub(crate) fn cancel_attempts(&mut self, now: Time, id: RequestId) {
         let Some(request) = self.requests.get_mut(&id) else {
             return;
--- a/lib/src/pipeline/decision/endpoint.rs
+++ b/lib/src/pipeline/decision/endpoint.rs
@@ -1,8 +1,8 @@
-//! Calls of endpoints and the ways they can end: the only words between the decisions and the endpoints'
-//! protocols.
+//! Calls of endpoints and the ways they can end: the only words between the decisions and the
+//! endpoints' protocols.
 //!
-//! [`Transport`] is implemented once for the protocols (`pipeline::endpoints`) and once for tests. The
-//! promise `not_run` rests on it: [`AttemptEnd::NotRun`] must be certain.
+//! [`Transport`] is implemented once for the protocols (`pipeline::endpoints`) and once for tests.
+//! The promise `not_run` rests on it: [`AttemptEnd::NotRun`] must be certain.
 
 use {
     crate::{
--- a/lib/src/pipeline/decision/estimate.rs
+++ b/lib/src/pipeline/decision/estimate.rs
@@ -1,23 +1,25 @@
 //! When would an endpoint finish a call that is sent now?
 //!
-//! Inputs: the endpoint's load reports (backlog in milliseconds of work, calls in progress, slots, age),
-//! the work of the calls that this daemon sent to it and when, and the whole times that its calls took.
-//! Output: the time in milliseconds until a call of some work would be finished, without the way there.
+//! Inputs: the endpoint's load reports (backlog in milliseconds of work, calls in progress, slots,
+//! age), the work of the calls that this daemon sent to it and when, and the whole times that its
+//! calls took. Output: the time in milliseconds until a call of some work would be finished,
+//! without the way there.
 //!
 //! The rule: the backlog of the last report, less what the endpoint has worked off since, plus what
 //! this daemon has sent since, is shared by the endpoint's slots; while slots are free, only
-//! [`FREE_SLOT_WEIGHT`] of it counts. To this the call's own work is added, and the sum is corrected by
-//! the ratio of observed to expected times, within [`CORRECTION`]. A report that is missing, older than
-//! [`STALE_AFTER`] or absurd leaves the daemon with what is certain: its own calls in flight.
+//! [`FREE_SLOT_WEIGHT`] of it counts. To this the call's own work is added, and the sum is
+//! corrected by the ratio of observed to expected times, within [`CORRECTION`]. A report that is
+//! missing, older than [`STALE_AFTER`] or absurd leaves the daemon with what is certain: its own
+//! calls in flight.
 //!
-//! The reason: a report lags, and other daemons send as well, so neither reports nor own calls are enough.
-//! Sums of whole times are compared, so that long calls count for more, and a prior of some calls that
-//! went as expected steadies a few observations. A call in flight that is overdue counts at once: a slow
-//! endpoint's calls would else be missed until they end. A moving average of ratios (gain 0.2) instead
-//! made frozen reports worse, 99.37% to 97.55% (commit e396322).
+//! The reason: a report lags, and other daemons send as well, so neither reports nor own calls are
+//! enough. Sums of whole times are compared, so that long calls count for more, and a prior of some
+//! calls that went as expected steadies a few observations. A call in flight that is overdue counts
+//! at once: a slow endpoint's calls would else be missed until they end. A moving average of ratios
+//! (gain 0.2) instead made frozen reports worse, 99.37% to 97.55% (commit e396322).
 //!
-//! The measurements: `docs/MEASUREMENTS.md`, "Faults at 0.8 of capacity"; the figures below are chosen
-//! where they name no other source.
+//! The measurements: `docs/MEASUREMENTS.md`, "Faults at 0.8 of capacity"; the figures below are
+//! chosen where they name no other source.
 
 use {
     crate::{
@@ -39,8 +41,8 @@
 /// Largest number of slots that a report is believed to have. Chosen, not measured.
 const MAX_SLOTS: u32 = 4_096;
 
-/// Time after which half of a correction is forgotten when nothing is observed: an endpoint that isn't
-/// chosen any more would never show that it is well again. Chosen, not measured.
+/// Time after which half of a correction is forgotten when nothing is observed: an endpoint that
+/// isn't chosen any more would never show that it is well again. Chosen, not measured.
 const CORRECTION_HALF_LIFE: Millis = Millis(5_000);
 
 /// Calls that went as expected, as a prior against chance. Chosen, not measured.
@@ -55,8 +57,8 @@
     most: 8.0,
 };
 
-/// Part of the queue's time that counts while slots are free: ties go to the emptier endpoint. Chosen,
-/// not measured.
+/// Part of the queue's time that counts while slots are free: ties go to the emptier endpoint.
+/// Chosen, not measured.
 pub const FREE_SLOT_WEIGHT: f64 = 0.1;
 
 /// Microseconds of a millisecond.
--- a/lib/src/pipeline/decision/limit.rs
+++ b/lib/src/pipeline/decision/limit.rs
@@ -1,30 +1,49 @@
-//! Limits of one customer at one daemon: a rate and a number in flight.
+//! Is a customer within its limits at this daemon?
+//!
+//! Inputs: the customer's requests in flight, its `concurrency`, its `rate` in requests a second,
+//! and the time. Output: yes, or the wait in milliseconds after which another try may fit.
+//!
+//! The rule: at most `concurrency` requests in flight; of the rate a bucket of [`BURST_SECONDS`]
+//! may be used at once, one request at least, and it is refilled evenly. A request over a limit
+//! isn't queued.
+//!
+//! The reason: a queue would only hide the limit from the customer, and take the daemon's memory.
+//! All figures are chosen, not measured.
 
 use crate::{
     settings::values::Settings,
     shared::units::{Millis, Rate, Time},
 };
 
-/// Seconds of its rate that a customer may use at once.
-const BURST_SECONDS: f64 = 1.0;
+/// Seconds of its rate that a customer may use at once. Chosen, not measured.
+pub const BURST_SECONDS: f64 = 1.0;
 
-/// Wait suggested to a customer with too many requests in flight.
+/// Wait suggested to a customer with too many requests in flight. Chosen, not measured: when one of
+/// them ends isn't estimated.
 const CONCURRENCY_WAIT: Millis = Millis(100);
 
-/// What one customer has used.
+/// Price of one request, in tokens of the bucket.
+const REQUEST_PRICE: f64 = 1.0;
+
+/// Milliseconds of a second.
+const MILLIS: f64 = 1_000.0;
+
+/// Use that one customer makes of its limits.
 #[derive(Debug, Clone, Default)]
 pub struct CustomerUse {
     in_flight: u32,
+    /// Requests that the bucket has room for, with a fraction.
     tokens: f64,
+    /// When the bucket was last refilled; none before the first request.
     filled: Option<Time>,
 }
 
 impl CustomerUse {
-    /// Counts one request in, or tells after which time another try may fit.
+    /// Counts one request in.
     ///
     /// # Errors
     ///
-    /// Returns the wait when the customer is over one of its limits.
+    /// Returns the wait after which another try may fit, if the customer is over one of its limits.
     pub fn enter(&mut self, now: Time, settings: &Settings) -> Result<(), Millis> {
         if let Some(limit) = settings.concurrency.value.0
             && self.in_flight >= limit.0
@@ -39,6 +58,10 @@
     }
 
     /// Counts one request out.
+    ///
+    /// # Panics
+    ///
+    /// Panics if none is in flight: an invariant, which `test_core_random.rs` checks.
     pub fn leave(&mut self) {
         crate::invariant!(self.in_flight > 0, "customer left more often than it came");
         self.in_flight -= 1;
@@ -49,19 +72,20 @@
         self.in_flight == 0
     }
 
+    /// Takes one request out of the bucket.
     fn spend(&mut self, now: Time, rate: Rate) -> Result<(), Millis> {
-        let burst = (rate.0 * BURST_SECONDS).max(1.0);
+        let burst = (rate.0 * BURST_SECONDS).max(REQUEST_PRICE);
         let gained = match self.filled {
             Some(filled) => now.since(filled).as_secs_f64() * rate.0,
             None => burst,
         };
         self.tokens = (self.tokens + gained).min(burst);
         self.filled = Some(now);
-        if self.tokens < 1.0 {
-            let wait = (1.0 - self.tokens) / rate.0;
-            return Err(Millis((wait * 1000.0).ceil() as u64));
+        if self.tokens < REQUEST_PRICE {
+            let seconds = (REQUEST_PRICE - self.tokens) / rate.0;
+            return Err(Millis((seconds * MILLIS).ceil() as u64));
         }
-        self.tokens -= 1.0;
+        self.tokens -= REQUEST_PRICE;
         Ok(())
     }
 }
--- a/lib/src/pipeline/decision/member.rs
+++ b/lib/src/pipeline/decision/member.rs
@@ -1,7 +1,8 @@
-//! One endpoint of a pool: its entry in the tree, and what this daemon knows of its load and health.
+//! One endpoint of a pool: its entry in the tree, and what this daemon knows of its load and
+//! health.
 //!
-//! The rule of [`PoolMember::is_open`] stands here: an endpoint gets new work unless it is leaving or
-//! ejected; while it is probed ([`HealthState::Probing`]), one call at a time.
+//! The rule of [`PoolMember::is_open`] stands here: an endpoint gets new work unless it is leaving
+//! or ejected; while it is probed ([`HealthState::Probing`]), one call at a time.
 
 use {
     crate::{
@@ -21,7 +22,8 @@
 pub struct PoolMember {
     /// The endpoint as the tree has it.
     pub spec: Arc<EndpointSpec>,
-    /// Its stay in the pool; an endpoint that comes back, or moves to another address, gets a new one.
+    /// Its stay in the pool; an endpoint that comes back, or moves to another address, gets a new
+    /// one.
     pub serial: MemberSerial,
     /// Estimate of its load.
     pub load: LoadEstimate,
--- a/lib/src/pipeline/decision/mod.rs
+++ b/lib/src/pipeline/decision/mod.rs
@@ -1,8 +1,8 @@
 //! The pipeline daemon's decisions: a pure state machine without clock, socket, log or task.
 //!
-//! [`core`] takes events and returns actions; the shell (`pipeline::node`) turns sockets and timers into
-//! events, and actions into calls. The rules stand in modules of their own, each of which begins with
-//! the question that it answers:
+//! [`core`] takes events and returns actions; the shell (`pipeline::node`) turns sockets and timers
+//! into events, and actions into calls. The rules stand in modules of their own, each of which
+//! begins with the question that it answers:
 //!
 //! | question | module |
 //! | --- | --- |
--- a/lib/src/pipeline/decision/policy.rs
+++ b/lib/src/pipeline/decision/policy.rs
@@ -1,9 +1,9 @@
 //! The decisions that differ between the policies a service's settings can name.
 //!
-//! [`Policy`] is what the core relies on; [`policy_estimated`](super::policy_estimated) is the policy
-//! in use, [`policy_naive`](super::policy_naive) the baseline it is measured against, and
-//! [`policy_choice`](super::policy_choice) picks one by the settings. All of them are pure but for a
-//! pool's cursor and retry budget, which they own the use of.
+//! [`Policy`] is what the core relies on; [`policy_estimated`](super::policy_estimated) is the
+//! policy in use, [`policy_naive`](super::policy_naive) the baseline it is measured against, and
+//! [`policy_choice`](super::policy_choice) picks one by the settings. All of them are pure but for
+//! a pool's cursor and retry budget, which they own the use of.
 
 use {
     crate::{
--- a/lib/src/pipeline/decision/policy_estimated.rs
+++ b/lib/src/pipeline/decision/policy_estimated.rs
@@ -4,15 +4,15 @@
 //! milliseconds ([`CallPlacement`]), the endpoints it was already sent to, and a random start.
 //! Output: the index of an endpoint, or none if no endpoint may get the call.
 //!
-//! The rule: [`LOCAL_SAMPLE`] endpoints of the own data centre and [`REMOTE_SAMPLE`] of the others are
-//! looked at, from a random one on, and all that probably hold the prompt's beginning. The one with
-//! the earliest estimated finish ([`estimate`](super::estimate)), the way to another data centre
-//! included, gets the call; one that was tried before only if there is no other.
+//! The rule: [`LOCAL_SAMPLE`] endpoints of the own data centre and [`REMOTE_SAMPLE`] of the others
+//! are looked at, from a random one on, and all that probably hold the prompt's beginning. The one
+//! with the earliest estimated finish ([`estimate`](super::estimate)), the way to another data
+//! centre included, gets the call; one that was tried before only if there is no other.
 //!
-//! The reason: the finish weighs queue, speed, distance and cache against each other in one unit, so
-//! that none needs a threshold of its own; a sample keeps the cost of a choice the same in a pool of
-//! any size (`docs/MEASUREMENTS.md`, "One decision"). Runs against the baseline are there under "Load,
-//! both policies in one run" and "Faults at 0.8 of capacity".
+//! The reason: the finish weighs queue, speed, distance and cache against each other in one unit,
+//! so that none needs a threshold of its own; a sample keeps the cost of a choice the same in a
+//! pool of any size (`docs/MEASUREMENTS.md`, "One decision"). Runs against the baseline are there
+//! under "Load, both policies in one run" and "Faults at 0.8 of capacity".
 //!
 //! The policy's other decisions stand in [`admission`] and [`retry`](super::retry).
 
--- a/lib/src/pipeline/decision/policy_naive.rs
+++ b/lib/src/pipeline/decision/policy_naive.rs
@@ -1,8 +1,8 @@
 //! The baseline: which endpoint's turn is it?
 //!
 //! Inputs: the pool and its cursor. Output: the index of the next endpoint in turn that isn't
-//! leaving, or none. Load, health, distance and endpoints tried before don't count; every request is
-//! admitted and every retry granted, up to the settings' `attempts`; nothing is ejected.
+//! leaving, or none. Load, health, distance and endpoints tried before don't count; every request
+//! is admitted and every retry granted, up to the settings' `attempts`; nothing is ejected.
 //!
 //! The reason: the estimated policy is measured against it (`docs/MEASUREMENTS.md`, "Load, both
 //! policies in one run"), and it has no figure to set.
--- a/lib/src/pipeline/decision/pool.rs
+++ b/lib/src/pipeline/decision/pool.rs
@@ -1,8 +1,9 @@
 //! The endpoints of one service as this daemon sees them.
 //!
-//! A [`Pool`] owns its [`PoolMember`]s, the costs learnt from the service's calls, the retry budget and
-//! the beliefs about engines' caches. It carries out what the rules decide: it asks [`call_costs`] for
-//! the work of a call, [`health`](crate::shared::health) for ejection and [`retry_after`] for waits.
+//! A [`Pool`] owns its [`PoolMember`]s, the costs learnt from the service's calls, the retry budget
+//! and the beliefs about engines' caches. It carries out what the rules decide: it asks
+//! [`call_costs`] for the work of a call, [`health`](crate::shared::health) for ejection and
+//! [`retry_after`] for waits.
 //!
 //! [`call_costs`]: super::call_costs
 
--- a/lib/src/pipeline/decision/prefix.rs
+++ b/lib/src/pipeline/decision/prefix.rs
@@ -1,7 +1,18 @@
-//! Which engine probably holds the beginning of a prompt in its cache.
+//! Which engines probably hold the beginning of a prompt in their caches?
 //!
-//! Engines tell late and with gaps what they hold, so all of this is belief: it is made from their
-//! events and from what was sent to them, and it is forgotten after a while.
+//! Inputs: the prompts sent to each engine, the engines' own cache events, and the time. Output:
+//! for a prompt, the engines believed to hold the longest known beginning, and its length in blocks
+//! of [`BLOCK`] bytes.
+//!
+//! The rule: a prompt's whole blocks are hashed in a chain, so that equal hashes mean equal
+//! beginnings. An engine is believed to hold a block from when it was sent or reported until the
+//! engine gives it up, or for [`FORGET_AFTER`]. At most [`HOLDERS`] engines are remembered for a
+//! block, the last ones.
+//!
+//! The reason: engines report late and with gaps, so all of this is belief, and a wrong belief must
+//! pass. A holder isn't preferred as such: the work that it saves makes its finish earlier
+//! ([`call_costs`](super::call_costs)), so a long queue outweighs it. The measurements:
+//! `docs/MEASUREMENTS.md`, "Prefix affinity".
 
 use {
     crate::shared::{
@@ -14,20 +25,23 @@
     xxhash_rust::xxh3::xxh3_64_with_seed,
 };
 
-/// Bytes of one block of a prompt.
+/// Bytes of one block of a prompt; those of the engines' cache events are as large
+/// (`docs/PROTOCOLS.md`).
 pub const BLOCK: usize = 512;
 
-/// Most blocks of a prompt that are told apart; what follows is hardly ever shared.
+/// Most blocks of a prompt that are told apart (32 KB): a bound on the cost of a prompt. Chosen,
+/// not measured.
 const MAX_BLOCKS: usize = 64;
 
-/// Blocks remembered in one generation of beliefs; there are two.
+/// Blocks remembered in one generation of beliefs; there are two. A bound on memory;
+/// `bounded_memory` in `test_prefix.rs` holds it.
 const GENERATION: usize = 8_192;
 
-/// Engines remembered for one block.
-const HOLDERS: usize = 4;
+/// Engines remembered for one block. Chosen, not measured.
+pub const HOLDERS: usize = 4;
 
-/// Age after which a belief no longer counts.
-const FORGET_AFTER: Millis = Millis(60_000);
+/// Age after which a belief no longer counts. Chosen, not measured.
+pub const FORGET_AFTER: Millis = Millis(60_000);
 
 /// Hashes of a prompt's blocks; each one covers the whole beginning up to its block.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
@@ -59,7 +73,7 @@
 pub struct CacheEvent {
     /// Hash of the block.
     pub block: u64,
-    /// Whether it is held from now on, or no longer.
+    /// True if it is held from now on, false if no longer.
     pub held: bool,
 }
 
@@ -81,16 +95,18 @@
     pub blocks: usize,
 }
 
+/// Belief that an engine holds a block.
 #[derive(Debug, Clone, Copy)]
 struct Belief {
     serial: MemberSerial,
     since: Time,
 }
 
+/// Beliefs about the holders of each block, by its hash.
 type HolderMap = HashMap<u64, Vec<Belief>>;
 
-/// HolderMap about the caches of one pool's engines, in bounded memory: when the newer generation
-/// is full, the older one is dropped.
+/// Beliefs about the caches of one pool's engines, in bounded memory: when the newer generation is
+/// full, the older one is dropped.
 #[derive(Debug, Clone, Default)]
 pub struct PrefixIndex {
     newer: HolderMap,
@@ -105,7 +121,7 @@
         }
     }
 
-    /// Takes in what an engine tells of its cache.
+    /// Updates the beliefs about an engine's cache by its own events.
     pub fn learn(&mut self, now: Time, serial: MemberSerial, events: &[CacheEvent]) {
         for event in events {
             if event.held {
@@ -140,18 +156,7 @@
     pub fn holders(&self, now: Time, prefix: &Prefix) -> Vec<Holder> {
         let blocks = prefix.blocks();
         for count in (1..=blocks.len()).rev() {
-            let block = &blocks[count - 1];
-            let found: Vec<_> = [&self.newer, &self.older]
-                .into_iter()
-                .filter_map(|beliefs| beliefs.get(block))
-                .flatten()
-                .filter(|belief| now.since(belief.since) <= FORGET_AFTER.to_duration())
-                .map(|belief| Holder {
-                    serial: belief.serial,
-                    blocks: count,
-                })
-                .take(HOLDERS)
-                .collect();
+            let found = self.holders_of(now, blocks[count - 1], count);
             if !found.is_empty() {
                 return found;
             }
@@ -159,6 +164,22 @@
         Vec::new()
     }
 
+    /// Returns the engines that probably hold a block, the last one of a beginning of `count`
+    /// blocks.
+    fn holders_of(&self, now: Time, block: u64, count: usize) -> Vec<Holder> {
+        [&self.newer, &self.older]
+            .into_iter()
+            .filter_map(|beliefs| beliefs.get(&block))
+            .flatten()
+            .filter(|belief| now.since(belief.since) <= FORGET_AFTER.to_duration())
+            .map(|belief| Holder {
+                serial: belief.serial,
+                blocks: count,
+            })
+            .take(HOLDERS)
+            .collect()
+    }
+
     /// Returns the number of blocks that are remembered.
     pub fn len(&self) -> usize {
         self.newer.len() + self.older.len()
--- a/lib/src/pipeline/decision/request.rs
+++ b/lib/src/pipeline/decision/request.rs
@@ -1,7 +1,7 @@
 //! The life of one request: its stage, its attempts, and the outcome that it may still claim.
 //!
-//! A [`Request`] owns what the core knows of one request between its arrival and its final answer. The
-//! promise `not_run` rests on its `exposed`: the attempts, at any stage, that may have run.
+//! A [`Request`] owns what the core knows of one request between its arrival and its final answer.
+//! The promise `not_run` rests on its `exposed`: the attempts, at any stage, that may have run.
 
 use {
     crate::{
@@ -219,8 +219,8 @@
     ///
     /// # Panics
     ///
-    /// Panics if another attempt is in flight at a stage that may not be run twice: an invariant, as
-    /// are those below; `test_core_random.rs` checks them.
+    /// Panics if another attempt is in flight at a stage that may not be run twice: an invariant,
+    /// as are those below; `test_core_random.rs` checks them.
     pub fn add_attempt(&mut self, attempt: Attempt) {
         let stage = self.current();
         let guarded = !stage.settings.repeatable.value;
--- a/lib/src/pipeline/decision/retry_after.rs
+++ b/lib/src/pipeline/decision/retry_after.rs
@@ -1,14 +1,14 @@
 //! When may a caller come back that was refused, or whose request failed?
 //!
-//! Input: the earliest finish, in milliseconds, of a usual call over some endpoints of the pool that
-//! was short; none if no endpoint may get work. Output: a wait in whole milliseconds.
+//! Input: the earliest finish, in milliseconds, of a usual call over some endpoints of the pool
+//! that was short; none if no endpoint may get work. Output: a wait in whole milliseconds.
 //!
 //! The rule: the caller may come back when a usual call would be finished, within [`SHORTEST`] and
 //! [`LONGEST`]; after [`UNKNOWN`] if nothing can be estimated.
 //!
 //! The reason: by then an endpoint has room, if nobody else takes it; the bounds keep callers from
-//! coming back at once, and from staying away because of one absurd estimate. All figures are chosen,
-//! not measured; `test_retry_after.rs` pins them.
+//! coming back at once, and from staying away because of one absurd estimate. All figures are
+//! chosen, not measured; `test_retry_after.rs` pins them.
 
 use crate::shared::units::{Millis, WorkMillis};
 
--- a/lib/src/pipeline/decision/stage_costs.rs
+++ b/lib/src/pipeline/decision/stage_costs.rs
@@ -1,4 +1,4 @@
-//! Endpoint time by pipeline and stage.
+//! Endpoint time by pipeline and stage, useful and wasted, as reports and metrics show it.
 
 use {
     crate::{
--- a/lib/src/pipeline/decision/timers.rs
+++ b/lib/src/pipeline/decision/timers.rs
@@ -1,4 +1,6 @@
-//! Timers of a core.
+//! Timers of a core: when a request's deadline passes, and when an attempt may be hedged.
+//!
+//! The core asks for the next one and pops those that are due; the shell sleeps in between.
 
 use {
     crate::shared::{
@@ -8,16 +10,17 @@
     std::{cmp::Reverse, collections::BinaryHeap},
 };
 
-/// What a timer is for.
+/// Purpose of a timer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Timer {
-    /// A request's time is over.
+    /// A request's deadline has passed.
     Deadline(RequestId),
     /// An attempt has waited long enough for a second one beside it.
     Hedge(AttemptId),
 }
 
-/// Timers by due time; one whose matter has ended stays until it is due and then does nothing.
+/// Timers by due time; one whose request or attempt has ended stays until it is due and then does
+/// nothing.
 #[derive(Debug, Default)]
 pub struct Timers {
     heap: BinaryHeap<Reverse<(Time, Timer)>>,
@@ -34,7 +37,7 @@
         self.heap.peek().map(|Reverse((due, _))| *due)
     }
 
-    /// Takes a timer that is due.
+    /// Removes and returns a timer that is due at `now`; none if there isn't any.
     pub fn pop(&mut self, now: Time) -> Option<Timer> {
         if self.next()? > now {
             return None;
--- a/lib/src/shared/health.rs
+++ b/lib/src/shared/health.rs
@@ -1,27 +1,27 @@
 //! Ejection: may an endpoint get work, judged by how its last calls ended?
 //!
 //! Inputs: the end of each call (success or failure), the time, and how many endpoints of the pool
-//! are out of service already. Output: a [`HealthState`], and with each failure whether the endpoint
-//! was ejected for it.
+//! are out of service already. Output: a [`HealthState`], and with each failure whether the
+//! endpoint was ejected for it.
 //!
 //! The rule: an endpoint is ejected after `EJECT_AFTER` failures in a row, or while more than
-//! `EJECT_RATE` of its recent calls fail, if the pool can spare it ([`can_spare`]). When its time is
-//! over, one call at a time probes it: a success returns it to service, a failure ejects it for
+//! `EJECT_RATE` of its recent calls fail, if the pool can spare it ([`can_spare`]). When its time
+//! is over, one call at a time probes it: a success returns it to service, a failure ejects it for
 //! twice as long.
 //!
 //! The reason: an endpoint that fails now and then never fails often enough in a row, yet uses up
 //! the retry budget; and a pool that ejects everybody serves nobody. Runs with faults are in
-//! `docs/MEASUREMENTS.md` ("Faults at 0.8 of capacity"); `test_health.rs` and `test_pipeline_pins.rs`
-//! pin the rule. Both daemons use it.
+//! `docs/MEASUREMENTS.md` ("Faults at 0.8 of capacity"); `test_health.rs` and
+//! `test_pipeline_pins.rs` pin the rule. Both daemons use it.
 
 use crate::shared::units::{Millis, Share, Time};
 
 /// Failures in a row after which an endpoint is ejected. Chosen, not measured.
 const EJECT_AFTER: u32 = 3;
 
-/// Share of recent calls that fail above which an endpoint is ejected even if some succeed. The rule
-/// by rate brought 30% garbage from one retriever to 100% attained (`docs/MEASUREMENTS.md`, "Faults at
-/// 0.8 of capacity"); the figure itself is chosen.
+/// Share of recent calls that fail above which an endpoint is ejected even if some succeed. The
+/// rule by rate brought 30% garbage from one retriever to 100% attained (`docs/MEASUREMENTS.md`,
+/// "Faults at 0.8 of capacity"); the figure itself is chosen.
 const EJECT_RATE: Share = Share(0.25);
 
 /// Weight of one call in the share of recent calls that failed. Chosen, not measured.
@@ -36,8 +36,8 @@
 /// Longest time of ejection. Chosen, not measured.
 const LONGEST_EJECTION: Millis = Millis(16_000);
 
-/// Doublings beyond which the time of ejection no longer grows: keeps the shift within its type, and
-/// is above what [`LONGEST_EJECTION`] allows.
+/// Doublings beyond which the time of ejection no longer grows: keeps the shift within its type,
+/// and is above what [`LONGEST_EJECTION`] allows.
 const MOST_DOUBLINGS: u32 = 10;
 
 /// Successes in a row after which past ejections are forgotten. Chosen, not measured.
