--- a/lib/src/pipeline/decision/admission.rs
+++ b/lib/src/pipeline/decision/admission.rs
@@ -4,10 +4,11 @@
 //! ([`Needs`], in milliseconds), the request's priority, and the room of its customer (a [`Share`],
 //! see [`fair`](super::fair)). Output: yes or no.
 //!
-//! The rule: a request is admitted if its own work fits into the time left, and its wait into a
-//! share of what is then left over: [`LOW_WAIT`], [`NORMAL_WAIT`] or [`HIGH_WAIT`] by its priority,
-//! times its customer's room. Once its first stage has run, it goes on as long as it can finish at
-//! all.
+//! The rule: the need is the sum over the stages that remain, each with the work of a usual call
+//! and the wait at the endpoint that would finish it first. A request is admitted if its own work
+//! fits into the time left, and its wait into a share of what is then left over: [`LOW_WAIT`],
+//! [`NORMAL_WAIT`] or [`HIGH_WAIT`] by its priority, times its customer's room. Once its first
+//! stage has run, it goes on as long as it can finish at all.
 //!
 //! The reason: a queue that reaches the deadline loses all of its work, a shorter one loses
 //! nothing; and stopping midway loses what was spent. The shares limit the wait and not the work,
@@ -41,6 +42,23 @@
     pub wait: WorkMillis,
 }
 
+impl Needs {
+    /// Adds a stage whose usual call takes `work`, at least `floor`, and would be finished at the
+    /// endpoint that is free first after `finish`; none if no endpoint may get it now.
+    ///
+    /// Without an endpoint the wait counts as none: the request is then refused, or goes on, by
+    /// what the choice of an endpoint finds.
+    pub fn add_stage(&mut self, floor: Millis, work: WorkMillis, finish: Option<WorkMillis>) {
+        self.work.0 += work.0.max(floor.0 as f64);
+        self.wait.0 += finish.map_or(0.0, |finish| (finish.0 - work.0).max(0.0));
+    }
+
+    /// Adds a stage of whose service nothing is known but its `floor`.
+    pub fn add_unknown(&mut self, floor: Millis) {
+        self.work.0 += floor.0 as f64;
+    }
+}
+
 /// Returns whether a request is worth starting with `remaining` left.
 ///
 /// `room` is the part of the usual room that the customer has by its share.
--- a/lib/src/pipeline/decision/admit.rs
+++ b/lib/src/pipeline/decision/admit.rs
@@ -10,7 +10,6 @@
             admission::Needs,
             core::Core,
             policy::Policy,
-            policy_choice::AnyPolicy,
             request::{Arrival, Request, Target},
             retry_after,
         },
@@ -99,7 +98,7 @@
     pub(crate) fn check_time(&self, now: Time, request: &Request) -> Result<(), Problem> {
         let needs = self.needs(now, request);
         let stage = request.current();
-        let policy = self.policy(&stage.settings);
+        let policy = self.config.policy(&stage.settings);
         let remaining = request.remaining(now);
         let fits = if request.stage == 0 {
             let room = self.shares.room(now, &request.customer);
@@ -130,23 +129,18 @@
     fn needs(&self, now: Time, request: &Request) -> Needs {
         let mut needs = Needs::default();
         for stage in &request.pipeline.stages[request.stage..] {
-            let floor = stage.settings.floor.value.0 as f64;
-            let Some(pool) = self.pools.pool(&stage.service) else {
-                needs.work.0 += floor;
-                continue;
-            };
-            let work = pool.usual_work();
-            let finish = pool.best_finish(now, work, ESTIMATE_SAMPLE);
-            needs.work.0 += work.0.max(floor);
-            needs.wait.0 += finish.map_or(0.0, |finish| (finish.0 - work.0).max(0.0));
+            let floor = stage.settings.floor.value;
+            match self.pools.pool(&stage.service) {
+                Some(pool) => {
+                    let work = pool.usual_work();
+                    let finish = pool.best_finish(now, work, ESTIMATE_SAMPLE);
+                    needs.add_stage(floor, work, finish);
+                }
+                None => needs.add_unknown(floor),
+            }
         }
         needs
     }
-
-    /// Returns the policy that settings name.
-    pub(crate) fn policy(&self, settings: &Settings) -> AnyPolicy {
-        AnyPolicy::new(settings.policy.value, self.config.hop)
-    }
 }
 
 /// Finds the customer that the caller names.
--- a/lib/src/pipeline/decision/attempt.rs
+++ b/lib/src/pipeline/decision/attempt.rs
@@ -9,7 +9,6 @@
             core::{Action, Core},
             endpoint::{AttemptEnd, EndpointReply, FailCause, NotRunCause},
             policy::Policy,
-            policy_choice::AnyPolicy,
             request::{Answer, EndedAttempt},
             retry::{AttemptKind, NextStep},
         },
@@ -79,7 +78,7 @@
             request.add_wasted(spent);
         }
         let stage = request.current();
-        let policy = AnyPolicy::new(stage.settings.policy.value, self.config.hop);
+        let policy = self.config.policy(&stage.settings);
         let ended = EndedAttempt {
             attempt: &attempt,
             end: &end,
@@ -141,6 +140,7 @@
         let request = &self.requests[&id];
         match self.check_time(now, request) {
             Ok(()) => self.send_next(now, id, AttemptKind::Next),
+            // The outcome and the wait of a request that has run in part are worked out by `fail`.
             Err(late) => self.fail(now, id, late.code, late.detail),
         }
     }
@@ -207,7 +207,7 @@
             return false;
         };
         let stage = request.current();
-        let policy = AnyPolicy::new(stage.settings.policy.value, self.config.hop);
+        let policy = self.config.policy(&stage.settings);
         self.pools
             .pool_mut(&stage.service)
             .is_some_and(|pool| policy.grants_retry(pool))
--- a/lib/src/pipeline/decision/average.rs
+++ b/lib/src/pipeline/decision/average.rs
@@ -3,7 +3,7 @@
 //! Inputs: observed times in milliseconds. Output: their average, in which a new observation weighs
 //! [`GAIN`], or its part of all so far while those are few.
 //!
-//! The rule of [`Average::observe_bounded`]: once [`SETTLED_AFTER`] observations were made, a
+//! The rule of [`Average::observe_bounded`]: once [`SETTLED_AFTER`] observations are in, a
 //! further one counts as at most [`OUTLIER_FACTOR`] times the average. The reason: without the
 //! bound, one endpoint that was ten times as slow nearly doubled its whole pool's cost with each
 //! reply, so that its healthy siblings looked slow and requests were refused (commit e396322;
--- a/lib/src/pipeline/decision/core.rs
+++ b/lib/src/pipeline/decision/core.rs
@@ -19,6 +19,7 @@
             endpoint::{AttemptEnd, EndpointCall, LoadReport},
             fair::FairShares,
             limit::CustomerUse,
+            policy_choice::AnyPolicy,
             pools::Pools,
             prefix::CacheEvent,
             request::{Answer, Arrival, Request},
@@ -26,7 +27,10 @@
             stage_costs::StageCosts,
             timers::{Timer, Timers},
         },
-        settings::tree::{Pipeline, Tree},
+        settings::{
+            tree::{Pipeline, Tree},
+            values::Settings,
+        },
         shared::{
             ids::{AttemptId, CustomerId, DataCentreId, EndpointId, RequestId, ServiceId},
             problem::{Code, Outcome, Problem},
@@ -49,6 +53,13 @@
     pub seed: u64,
 }
 
+impl CoreConfig {
+    /// Returns the policy that settings name.
+    pub(crate) fn policy(&self, settings: &Settings) -> AnyPolicy {
+        AnyPolicy::new(settings.policy.value, self.hop)
+    }
+}
+
 /// Something that happened, as the shell reports it.
 #[derive(Debug, Clone)]
 pub enum Event {
--- a/lib/src/pipeline/decision/limit.rs
+++ b/lib/src/pipeline/decision/limit.rs
@@ -63,7 +63,10 @@
     ///
     /// Panics if none is in flight: an invariant, which `test_core_random.rs` checks.
     pub fn leave(&mut self) {
-        crate::invariant!(self.in_flight > 0, "customer left more often than it came");
+        crate::invariant!(
+            self.in_flight > 0,
+            "more requests of a customer ended than were counted"
+        );
         self.in_flight -= 1;
     }
 
--- a/lib/src/pipeline/decision/member.rs
+++ b/lib/src/pipeline/decision/member.rs
@@ -29,7 +29,7 @@
     pub load: LoadEstimate,
     /// Its health, by the ends of its calls.
     pub health: Health,
-    /// Whether the endpoint itself said that it is leaving.
+    /// True if the endpoint itself reports that it is leaving.
     pub leaving: bool,
 }
 
--- a/lib/src/pipeline/decision/request.rs
+++ b/lib/src/pipeline/decision/request.rs
@@ -137,7 +137,7 @@
     pub stage: usize,
     /// Input of the current stage.
     pub input: Bytes,
-    /// Attempts made at the current stage.
+    /// Attempts sent at the current stage.
     pub tries: u32,
     /// Endpoints tried at the current stage.
     pub tried: Vec<MemberSerial>,
@@ -158,7 +158,8 @@
 }
 
 impl Request {
-    /// Starts a request that was admitted.
+    /// Starts a request at its first stage. The caller can only shorten the settings' deadline and
+    /// lower their priority.
     pub fn new(arrival: Arrival, pipeline: Arc<Pipeline>, settings: &Settings, now: Time) -> Self {
         let limit = settings.deadline.value;
         let remaining = arrival.remaining.map_or(limit, |own| own.min(limit));
--- a/lib/src/pipeline/decision/retry.rs
+++ b/lib/src/pipeline/decision/retry.rs
@@ -70,11 +70,11 @@
     pub in_flight: usize,
     /// Most attempts, by the settings.
     pub limit: Count,
-    /// Whether the call may be run twice, by the settings.
+    /// True if the call may be run twice, by the settings.
     pub repeatable: bool,
     /// Tokens received.
     pub tokens: u32,
-    /// Whether the caller has left.
+    /// True once the caller has left.
     pub abandoned: bool,
 }
 
--- a/lib/src/pipeline/decision/send.rs
+++ b/lib/src/pipeline/decision/send.rs
@@ -8,7 +8,6 @@
         core::{Action, Core},
         endpoint::EndpointCall,
         policy::Policy,
-        policy_choice::AnyPolicy,
         pool::Pool,
         request::{Attempt, Request},
         retry::{AttemptKind, hedge_wait},
@@ -31,7 +30,7 @@
         };
         let stage = request.current().clone();
         let settings = &stage.settings;
-        let policy = AnyPolicy::new(settings.policy.value, self.config.hop);
+        let policy = self.config.policy(settings);
         let Some(pool) = self.pools.pool_mut(&stage.service) else {
             return self.fail(now, id, Code::NoEndpoint, "the service is gone".into());
         };
--- a/lib/tests/test_health.rs
+++ b/lib/tests/test_health.rs
@@ -1,7 +1,7 @@
 //! Ejection of endpoints that fail, and probing them back.
 
 use hazelyoke_lib::shared::{
-    health::{Health, HealthState},
+    health::{Health, HealthState, can_spare},
     units::{Millis, Time},
 };
 
@@ -54,3 +54,13 @@
     });
     assert!(!ejected, "one of twenty calls fails");
 }
+
+#[test]
+fn spared_endpoints() {
+    for endpoints in 0..40 {
+        for out in 0..=endpoints {
+            let spares = (out + 1) * 2 <= endpoints;
+            assert_eq!(can_spare(out, endpoints), spares, "{out} of {endpoints}");
+        }
+    }
+}
