--- a/lib/src/pipeline/decision/admission.rs
+++ b/lib/src/pipeline/decision/admission.rs
@@ -18,6 +18,7 @@
 //! endpoint time at 1.5 times the capacity and 22.5% at 3 times; 0.35, 0.6 and 0.9 wasted 0.1% and
 //! 1.5% (commit b0c79f2). Of the wait alone: `docs/MEASUREMENTS.md`, "Load, both policies in one
 //! run", right column.
+//! `test_policy_pins.rs` (`admission_bounds`) and `test_admission.rs` pin the rule.
 
 use crate::{
     settings::values::Priority,
--- a/lib/src/pipeline/decision/average.rs
+++ b/lib/src/pipeline/decision/average.rs
@@ -8,6 +8,8 @@
 //! bound, one endpoint that was ten times as slow nearly doubled its whole pool's cost with each
 //! reply, so that its healthy siblings looked slow and requests were refused (commit e396322;
 //! `docs/MEASUREMENTS.md`, "Faults at 0.8 of capacity").
+//!
+//! `test_policy_pins.rs` (`moving_averages`) pins the rule.
 
 use crate::shared::units::WorkMillis;
 
--- a/lib/src/pipeline/decision/call_costs.rs
+++ b/lib/src/pipeline/decision/call_costs.rs
@@ -12,6 +12,8 @@
 //! The reason: the service's calls are alike, and an engine reports its prefill apart from its
 //! decoding, so both prices can be learnt without being set. What the cache saves is in
 //! `docs/MEASUREMENTS.md`, "Prefix affinity".
+//!
+//! `test_policy_pins.rs` (`pool_choices`) pins the rule.
 
 use crate::{
     pipeline::decision::{
--- a/lib/src/pipeline/decision/estimate.rs
+++ b/lib/src/pipeline/decision/estimate.rs
@@ -20,6 +20,8 @@
 //!
 //! The measurements: `docs/MEASUREMENTS.md`, "Faults at 0.8 of capacity"; the figures below are
 //! chosen where they name no other source.
+//!
+//! `test_policy_pins.rs` (`load_estimates`) pins the rule.
 
 use {
     crate::{
--- a/lib/src/pipeline/decision/fair.rs
+++ b/lib/src/pipeline/decision/fair.rs
@@ -16,6 +16,8 @@
 //!
 //! The measurements: `docs/MEASUREMENTS.md`, "Customers under overload" and "After a burst", made
 //! with the figures below; each of them is chosen, not measured on its own.
+//!
+//! `test_policy_pins.rs` (`fair_rooms`) pins the rule.
 
 use {
     crate::shared::{
--- a/lib/src/pipeline/decision/policy_estimated.rs
+++ b/lib/src/pipeline/decision/policy_estimated.rs
@@ -15,6 +15,8 @@
 //! under "Load, both policies in one run" and "Faults at 0.8 of capacity".
 //!
 //! The policy's other decisions stand in [`admission`] and [`retry`](super::retry).
+//!
+//! `test_policy_pins.rs` (`pool_choices`) pins the rule.
 
 use {
     crate::{
--- a/lib/src/shared/health.rs
+++ b/lib/src/shared/health.rs
@@ -12,7 +12,7 @@
 //! The reason: an endpoint that fails now and then never fails often enough in a row, yet uses up
 //! the retry budget; and a pool that ejects everybody serves nobody. Runs with faults are in
 //! `docs/MEASUREMENTS.md` ("Faults at 0.8 of capacity"); `test_health.rs` and
-//! `test_pipeline_pins.rs` pin the rule. Both daemons use it.
+//! `test_decision_pins.rs` pin the rule. Both daemons use it.
 
 use crate::shared::units::{Millis, Share, Time};
 
