--- a/lib/src/gateway/routing/stages.rs
+++ b/lib/src/gateway/routing/stages.rs
@@ -4,21 +4,13 @@
     crate::{
         gateway::{
             dialect::{Dialect, Inbound},
-<<<<<<< HEAD
             hashes::service_hash,
-            routing::{attempt::choose_endpoint, call::ForwardedCall},
-            rules::admission::{
-                self, AdmissionDecision, AdmissionRequest, PlannedStage, StageService,
-=======
-            routing::{
-                call::ForwardedCall, endpoint_state::service_hash, outbound::choose_endpoint,
-            },
+            routing::{call::ForwardedCall, outbound::choose_endpoint},
             rules::{
                 admission::{
                     self, AdmissionDecision, AdmissionRequest, PlannedStage, StageService,
                 },
                 retry_after::STAGE_FAILED,
->>>>>>> routing
             },
             stages::chain::{self, ChainError, ChainRequest, Results},
             state::Gateway,
--- a/lib/src/gateway/rules/mod.rs
+++ b/lib/src/gateway/rules/mod.rs
@@ -8,13 +8,10 @@
 pub mod endpoint_choice;
 pub mod endpoint_pace;
 pub mod engine_pace;
-<<<<<<< HEAD
 pub mod gossip;
 pub mod liveness;
-pub mod pause;
-=======
 pub mod outcome;
->>>>>>> routing
+pub mod pause;
 pub(crate) mod piece_order;
 pub mod reply_proof;
 pub mod resume;
--- a/lib/tests/test_decision_pins.rs
+++ b/lib/tests/test_decision_pins.rs
@@ -15,13 +15,9 @@
                 admission::{
                     AdmissionDecision, AdmissionRequest, PlannedStage, StageService, decide,
                 },
-<<<<<<< HEAD
                 coordinator::Coordinator,
-                progress::Progress,
-=======
                 outcome::{AttemptHistory, UnansweredEnd},
                 retry::may_retry,
->>>>>>> routing
                 retry_budget::{BudgetLimits, WindowBudget},
             },
             serving::settings::Bounds,
