--- a/lib/src/settings/values/words.rs
+++ b/lib/src/settings/values/words.rs
@@ -1,7 +1,6 @@
 //! Settings that are one of a few words.
 
 use {
-    serde::{Deserialize, Serialize},
     std::{fmt, str::FromStr},
     thiserror::Error,
 };
@@ -19,9 +18,9 @@
 macro_rules! word_enum {
     ($(#[$doc:meta])* $name:ident { $($(#[$vdoc:meta])* $variant:ident = $text:literal,)* }) => {
         $(#[$doc])*
-        #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+        #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
         pub enum $name {
-            $($(#[$vdoc])* #[serde(rename = $text)] $variant,)*
+            $($(#[$vdoc])* $variant,)*
         }
 
         impl FromStr for $name {
