--- a/lib/src/settings/document/mod.rs
+++ b/lib/src/settings/document/mod.rs
@@ -1,17 +1,14 @@
 //! JSON with comments, as values that know their places.
 //!
-//! [`parse`] turns text into a [`Value`]; [`ObjectReader`] takes an object's fields one by one and
-//! reports everything that is missing, malformed or unknown. It owns the syntax of settings files,
-//! and relies on `shared::findings` for places and reports; it knows no setting.
+//! [`parse_bytes`] turns text into a [`Value`]; [`ObjectReader`] takes an object's fields one by one
+//! and reports everything that is missing, malformed or unknown. It owns the syntax of settings
+//! files, and relies on `shared::findings` for places and reports; it knows no setting.
 
 mod object_reader;
 mod parse;
 mod text_lines;
 
-pub use {
-    object_reader::ObjectReader,
-    parse::{MAX_DEPTH, parse, parse_bytes},
-};
+pub use {object_reader::ObjectReader, parse::parse_bytes};
 
 use crate::shared::findings::Place;
 
--- a/lib/src/settings/document/parse.rs
+++ b/lib/src/settings/document/parse.rs
@@ -19,7 +19,7 @@
 /// Most levels of nesting accepted; deeper input is refused before it is parsed, because the
 /// parser calls itself once a level. Chosen, not measured; `test_settings_tree::damaged_text`
 /// goes beyond it.
-pub const MAX_DEPTH: usize = 64;
+const MAX_DEPTH: usize = 64;
 
 /// Only comments and trailing commas go beyond plain JSON.
 const OPTIONS: ParseOptions = ParseOptions {
@@ -54,12 +54,8 @@
     None
 }
 
-/// Parses JSON with comments; `file` names the text in places.
-///
-/// # Errors
-///
-/// Returns the syntax error, or every field that an object has twice, with places.
-pub fn parse(file: &str, text: &str) -> Result<Value, Findings> {
+/// Parses text; fails on the first syntax error, or with every field that an object has twice.
+fn parse(file: &str, text: &str) -> Result<Value, Findings> {
     let lines = TextLines::new(file, text);
     if let Some(offset) = first_too_deep(text) {
         let message = format!("values are nested more than {MAX_DEPTH} deep");
@@ -83,11 +79,12 @@
     findings.into_result(value)
 }
 
-/// Parses bytes that may not be UTF-8; `file` names them in places.
+/// Parses JSON with comments; `file` names the bytes in places.
 ///
 /// # Errors
 ///
-/// As [`parse`], and where the bytes aren't UTF-8.
+/// Returns, with places, the first byte that isn't UTF-8, the first syntax error, or every field
+/// that an object has twice.
 pub fn parse_bytes(file: &str, bytes: &[u8]) -> Result<Value, Findings> {
     let text = str::from_utf8(bytes).map_err(|error| {
         let valid = String::from_utf8_lossy(&bytes[..error.valid_up_to()]);
