--- a/lib/src/pipeline/decision/core.rs
+++ b/lib/src/pipeline/decision/core.rs
@@ -9,8 +9,8 @@
 //!
 //! The core owns all requests, attempts and pools, and the only source of random numbers, seeded
 //! once: the same events at the same times give the same actions. Each request gets one final
-//! answer. This module holds the life of a request; `admit`, `send` and [`attempt`](super::attempt)
-//! extend it.
+//! answer. This module holds the life of a request; `admit`, `send`, [`attempt`](super::attempt)
+//! and `finish` extend it.
 
 use {
     crate::{
@@ -33,8 +33,8 @@
         },
         shared::{
             ids::{AttemptId, CustomerId, DataCentreId, EndpointId, RequestId, ServiceId},
-            problem::{Code, Outcome, Problem},
-            units::{Millis, Time, WorkMillis},
+            problem::Problem,
+            units::{Millis, Time},
         },
     },
     foldhash::HashMap,
@@ -262,32 +262,6 @@
         }
     }
 
-    /// Refuses a request that was never admitted.
-    fn finish_unstarted(&mut self, request: RequestId, problem: Problem) {
-        crate::invariant!(
-            problem.outcome == Outcome::NotRun,
-            "request {request} was refused as {}",
-            problem.outcome
-        );
-        self.counters.refused(problem.code);
-        self.actions.push(Action::Finish {
-            request,
-            result: Err(problem),
-        });
-    }
-
-    /// Ends a request whose caller has left, unless an attempt has to be left to its end.
-    fn left(&mut self, now: Time, id: RequestId) {
-        let Some(request) = self.requests.get_mut(&id) else {
-            return;
-        };
-        request.abandoned = true;
-        if request.progress().must_end() {
-            return;
-        }
-        self.fail(now, id, Code::DeadlineExceeded, "the caller left".into());
-    }
-
     fn tick(&mut self, now: Time) {
         while let Some(timer) = self.timers.pop(now) {
             match timer {
@@ -297,65 +271,6 @@
         }
     }
 
-    fn deadline(&mut self, now: Time, id: RequestId) {
-        if self.requests.contains_key(&id) {
-            let detail = "the request's time is over".to_owned();
-            self.fail(now, id, Code::DeadlineExceeded, detail);
-        }
-    }
-
-    /// Ends a request without an answer; the outcome follows from its attempts.
-    pub(crate) fn fail(&mut self, now: Time, id: RequestId, code: Code, detail: String) {
-        let Some(request) = self.requests.get(&id) else {
-            return;
-        };
-        let wait = self
-            .pools
-            .pool(&request.current().service)
-            .map(|pool| pool.retry_after(now));
-        let problem = request.problem(code, detail, wait);
-        self.finish(now, id, Err(problem));
-    }
-
-    /// Ends a request: cancels its attempts, accounts for its costs and answers its caller.
-    pub(crate) fn finish(&mut self, now: Time, id: RequestId, result: Result<Answer, Problem>) {
-        self.cancel_attempts(now, id);
-        let Some(request) = self.requests.remove(&id) else {
-            return;
-        };
-        if let Some(used) = self.customers.get_mut(&request.customer) {
-            used.leave();
-        }
-        let useful = result.is_ok() && now <= request.deadline && !request.abandoned;
-        self.costs.add(&request, useful);
-        match &result {
-            Ok(_) => self.counters.answered(useful),
-            Err(problem) => self.counters.failed(problem),
-        }
-        if !request.abandoned {
-            self.actions.push(Action::Finish {
-                request: id,
-                result,
-            });
-        }
-    }
-
-    /// Cancels all attempts still in flight for a request: the losers when its stage is done, or
-    /// all when it ends.
-    pub(crate) fn cancel_attempts(&mut self, now: Time, id: RequestId) {
-        let Some(request) = self.requests.get_mut(&id) else {
-            return;
-        };
-        let service = request.current().service.clone();
-        for attempt in std::mem::take(&mut request.live) {
-            let spent = WorkMillis(now.millis_since(attempt.sent));
-            request.add_wasted(spent);
-            self.attempts.remove(&attempt.id);
-            self.pools.cancelled(&service, &attempt);
-            self.actions.push(Action::Cancel(attempt.id));
-        }
-    }
-
     /// Returns fresh random bits, for ids.
     pub fn random_bits(&mut self) -> u128 {
         self.rng.random()
--- a/lib/src/pipeline/decision/limit.rs
+++ b/lib/src/pipeline/decision/limit.rs
@@ -8,7 +8,7 @@
 //! isn't queued.
 //!
 //! The reason: a queue would only hide the limit from the customer, and take the daemon's memory.
-//! All figures are chosen, not measured.
+//! All figures are chosen, not measured. `test_policy_pins.rs` (`customer_limits`) pins the rule.
 
 use crate::{
     settings::values::Settings,
--- a/lib/src/pipeline/decision/mod.rs
+++ b/lib/src/pipeline/decision/mod.rs
@@ -27,6 +27,7 @@
 pub mod endpoint;
 pub mod estimate;
 pub mod fair;
+mod finish;
 pub mod limit;
 pub mod member;
 pub mod policy;
