--- /dev/null
+++ b/lib/tests/test_liveness_rule.rs
@@ -0,0 +1,185 @@
+//! When another daemon counts as alive, lost or forgotten, pinned at both sides of each bound.
+
+#![allow(clippy::unwrap_used, reason = "a failed unwrap fails the test")]
+
+use {
+    hazelyoke_lib::{
+        gateway::peers::{
+            membership::{Identity, PeerChange, Peers},
+            message::{Heartbeat, PROTOCOL, PeerNote, Phase},
+        },
+        shared::units::{Capacity, Millis, Time},
+    },
+    std::net::SocketAddr,
+};
+
+/// Largest number of known daemons in a small fleet.
+const SMALL: u8 = 12;
+
+fn address(number: u8) -> SocketAddr {
+    SocketAddr::from(([10, 0, 0, number], 7_000))
+}
+
+fn peers() -> Peers {
+    let me = Identity {
+        host: "h0".parse().unwrap(),
+        data_centre: "z".parse().unwrap(),
+        address: address(0),
+        run: 1,
+        capacity: Capacity(250),
+    };
+    Peers::new(me, &[])
+}
+
+fn heartbeat(number: u8, sequence: u64, broadcasts: bool) -> Heartbeat {
+    Heartbeat {
+        protocol: PROTOCOL,
+        host: format!("h{number}").parse().unwrap(),
+        run: 1,
+        sequence,
+        address: address(number),
+        data_centre: "z".parse().unwrap(),
+        phase: Phase::Ready,
+        table: 0,
+        fingerprint: 0,
+        catalogue: 0,
+        steady: false,
+        read_ms: None,
+        broadcasts,
+        capacity: Capacity(250),
+        joining: false,
+        peers: Vec::new(),
+        loads: Vec::new(),
+        queues: Vec::new(),
+        work: Vec::new(),
+    }
+}
+
+fn note(number: u8, age_ms: u32) -> PeerNote {
+    PeerNote {
+        address: address(number),
+        age_ms,
+        phase: Phase::Ready,
+        capacity: Capacity(250),
+    }
+}
+
+/// Makes a fleet large: others are known by gossip too old to make any of them alive.
+fn enlarge(me: &mut Peers, now: Time) {
+    let notes: Vec<PeerNote> = (100..=100 + SMALL).map(|n| note(n, 20_000)).collect();
+    me.take_roster(now, &notes);
+}
+
+/// A daemon heard at time 0 in a fleet of either size; returns whether it is alive at a time.
+fn heard_then(large: bool, broadcasts: bool, now: Time) -> bool {
+    let mut me = peers();
+    me.heard(Time(0), heartbeat(1, 1, broadcasts));
+    if large {
+        enlarge(&mut me, Time(0));
+    }
+    assert_eq!(me.is_small(), !large);
+    me.tick(now);
+    me.is_alive(&address(1))
+}
+
+#[test]
+fn silence_of_a_daemon_heard_here() {
+    for (large, broadcasts, limit) in [
+        (false, false, Millis(1_000)),
+        (false, true, Millis(1_000)),
+        (true, true, Millis(1_000)),
+        (true, false, Millis(2_500)),
+    ] {
+        let last = Time(0) + limit;
+        assert!(heard_then(large, broadcasts, Time(0)));
+        assert!(heard_then(large, broadcasts, last));
+        assert!(!heard_then(large, broadcasts, Time(last.0 + 1)));
+    }
+}
+
+#[test]
+fn gossip_in_a_large_fleet() {
+    for (age_ms, alive) in [(0, true), (2_500, true), (2_501, false), (20_000, false)] {
+        let now = Time(0) + Millis(40_000);
+        let mut me = peers();
+        enlarge(&mut me, now);
+        let changes = me.take_roster(now, &[note(1, age_ms)]);
+        assert_eq!(me.is_alive(&address(1)), alive, "{age_ms} ms");
+        assert_eq!(changes.len(), usize::from(alive));
+        me.tick(now);
+        assert_eq!(me.is_alive(&address(1)), alive, "{age_ms} ms");
+    }
+}
+
+#[test]
+fn gossip_in_a_small_fleet() {
+    let mut me = peers();
+    assert!(me.take_roster(Time(0), &[note(1, 0)]).is_empty());
+    me.tick(Time(0));
+    assert!(!me.is_alive(&address(1)));
+    assert_eq!(me.addresses().collect::<Vec<_>>(), [address(1)]);
+}
+
+#[test]
+fn gossip_keeps_a_silent_daemon() {
+    let mut me = peers();
+    me.heard(Time(0), heartbeat(1, 1, false));
+    enlarge(&mut me, Time(0));
+    let later = Time(0) + Millis(4_000);
+    me.take_roster(later, &[note(1, 1_000)]);
+    me.tick(later);
+    assert!(me.is_alive(&address(1)));
+    me.tick(later + Millis(1_500));
+    assert!(me.is_alive(&address(1)));
+    me.tick(later + Millis(1_501));
+    assert!(!me.is_alive(&address(1)));
+}
+
+#[test]
+fn age_of_gossip() {
+    let now = Time(0) + Millis(100_000);
+    for (age_ms, known) in [(0, 1), (29_999, 1), (30_000, 0), (u32::MAX, 0)] {
+        let mut me = peers();
+        me.take_roster(now, &[note(1, age_ms)]);
+        assert_eq!(me.addresses().count(), known, "{age_ms} ms");
+    }
+}
+
+#[test]
+fn forgotten_daemons() {
+    let mut me = peers();
+    me.heard(Time(0), heartbeat(1, 1, false));
+    let limit = Time(0) + Millis(60_000);
+    me.tick(Time(limit.0 - 1));
+    assert_eq!(me.addresses().count(), 1);
+    me.tick(limit);
+    assert_eq!(me.addresses().count(), 0);
+}
+
+#[test]
+fn pause_of_this_daemon() {
+    let mut me = peers();
+    me.heard(Time(0), heartbeat(1, 1, false));
+    me.heard(Time(0), heartbeat(2, 1, false));
+    let first = Time(0) + Millis(2_000);
+    me.heard(first, heartbeat(2, 2, false));
+    let lost = me.tick(first);
+    assert!(matches!(lost[..], [PeerChange::Lost(..)]));
+    // Daemon 2 is excused until a second after the pause; daemon 1 was lost before it.
+    let woken = Time(0) + Millis(9_000);
+    me.resumed(woken);
+    assert!(me.tick(woken + Millis(1_000)).is_empty());
+    assert!(me.is_alive(&address(2)));
+    assert!(!me.is_alive(&address(1)));
+    let lost = me.tick(Time(woken.0 + 1_000_001));
+    assert!(matches!(lost[..], [PeerChange::Lost(..)]));
+}
+
+#[test]
+fn joining_time() {
+    let me = peers();
+    let end = Time(0) + Millis(1_500);
+    assert!(me.is_joining(Time(0)));
+    assert!(me.is_joining(Time(end.0 - 1)));
+    assert!(!me.is_joining(end));
+}
