--- /dev/null
+++ b/lib/src/gateway/rules/coordinator.rs
@@ -0,0 +1,128 @@
+//! Which daemon coordinates a service, that is plans its calls and sums up its load?
+//!
+//! Inputs: the service's name, the address and capacity (thousandths of a core) of this daemon and of
+//! each other one, what is known of their state, the time (microseconds of this daemon's clock), and
+//! the daemons that already failed for the job at hand.
+//!
+//! Rule: rendezvous hashing among the daemons with the most capacity. Each candidate ranks by its
+//! capacity first, and then by a hash of service and address; the highest rank coordinates. A daemon
+//! is a candidate when it is alive and ready, didn't fail for this job, and wasn't passed over in the
+//! last [`PASSED_OVER`]. This daemon is a candidate once it is ready and [`SETTLED`] has passed since
+//! its start; with no candidate at all, it coordinates for itself.
+//!
+//! Reason: all daemons that know the same others agree without a message, a lost coordinator moves
+//! only its own services, and the load of coordinating goes to hosts that have the processor for it.
+//!
+//! Measured: coordinators against heartbeats to everybody in `docs/MEASUREMENTS.md`, section "The
+//! second milestone: the grown sites"; the same section has waiting for the other daemons to be
+//! known ([`SETTLED`] is chosen, not measured against other values).
+
+use {
+    crate::shared::{
+        ids::ServiceId,
+        units::{Capacity, Millis, Time},
+    },
+    std::net::{IpAddr, SocketAddr},
+    xxhash_rust::xxh3::xxh3_64_with_seed,
+};
+
+/// Time for which a daemon that failed to accept a job is passed over. Chosen, not measured: longer
+/// than it takes to notice that a coordinator is silent.
+pub const PASSED_OVER: Millis = Millis(1_500);
+
+/// Time after its start within which a daemon receives heartbeats of the others. Chosen, not
+/// measured: three heartbeats.
+pub const SETTLED: Millis = Millis(600);
+
+/// Bytes of an address as it is hashed: an IP number of either kind, and a port.
+const IP_SIZE: usize = size_of::<u128>();
+const ADDRESS_SIZE: usize = IP_SIZE + size_of::<u16>();
+
+/// The daemon that coordinates a service.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum Coordinator {
+    /// This daemon.
+    Me,
+    /// Another daemon.
+    Peer(SocketAddr),
+}
+
+/// A daemon that may coordinate.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct Candidate {
+    /// Address for other daemons.
+    pub address: SocketAddr,
+    /// Processor that it may use.
+    pub capacity: Capacity,
+}
+
+/// What this daemon knows of another one that might coordinate.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct PeerStanding {
+    /// Its address and capacity.
+    pub candidate: Candidate,
+    /// Whether it is alive.
+    pub alive: bool,
+    /// Whether it reports that it serves.
+    pub ready: bool,
+    /// End of the time for which it is passed over.
+    pub passed_over_until: Time,
+}
+
+/// Place of a candidate for one service; the highest coordinates.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct Rank {
+    capacity: Capacity,
+    hash: u64,
+}
+
+/// Returns the coordinator of a service. `ready` tells whether this daemon, `me`, may coordinate;
+/// daemons in `except` already failed for the job at hand.
+pub fn coordinator(
+    now: Time,
+    service: &ServiceId,
+    me: Candidate,
+    ready: bool,
+    peers: impl Iterator<Item = PeerStanding>,
+    except: &[SocketAddr],
+) -> Coordinator {
+    let seed = xxh3_64_with_seed(service.as_str().as_bytes(), 0);
+    let best = peers
+        .filter(|peer| peer.is_eligible(now) && !except.contains(&peer.candidate.address))
+        .map(|peer| (rank(seed, peer.candidate), peer.candidate.address))
+        .max();
+    match best {
+        Some((best, address)) if !ready || best > rank(seed, me) => Coordinator::Peer(address),
+        _ => Coordinator::Me,
+    }
+}
+
+/// Returns whether a daemon has run long enough to know the others; times count from its start.
+pub fn is_settled(now: Time) -> bool {
+    now >= Time::default() + SETTLED
+}
+
+/// Returns until when a daemon is passed over that failed to accept a job now.
+pub fn passed_over_until(now: Time) -> Time {
+    now + PASSED_OVER
+}
+
+impl PeerStanding {
+    fn is_eligible(&self, now: Time) -> bool {
+        self.alive && self.ready && self.passed_over_until <= now
+    }
+}
+
+fn rank(service_seed: u64, candidate: Candidate) -> Rank {
+    let ip = match candidate.address.ip() {
+        IpAddr::V4(ip) => u128::from(ip.to_bits()),
+        IpAddr::V6(ip) => ip.to_bits(),
+    };
+    let mut bytes = [0; ADDRESS_SIZE];
+    bytes[..IP_SIZE].copy_from_slice(&ip.to_be_bytes());
+    bytes[IP_SIZE..].copy_from_slice(&candidate.address.port().to_be_bytes());
+    Rank {
+        capacity: candidate.capacity,
+        hash: xxh3_64_with_seed(&bytes, service_seed),
+    }
+}
--- a/lib/src/gateway/rules/mod.rs
+++ b/lib/src/gateway/rules/mod.rs
@@ -2,9 +2,13 @@
 
 pub mod admission;
 pub mod backend_choice;
+pub mod catch_up;
+pub mod coordinator;
 pub mod endpoint_choice;
 pub mod endpoint_pace;
 pub mod engine_pace;
+pub mod gossip;
+pub mod liveness;
 pub(crate) mod piece_order;
 pub mod progress;
 pub mod retry_budget;
