--- a/lib/src/gateway/peers/membership.rs
+++ b/lib/src/gateway/peers/membership.rs
@@ -14,7 +14,13 @@
         gateway::{
             peers::{
                 message::{Heartbeat, LoadNote, PROTOCOL, PeerNote, Phase, QueueNote, WorkNote},
-                record::{FORGET, Peer},
+                record::Peer,
+            },
+            rules::{
+                catch_up::{self, Offer},
+                coordinator::{self, Candidate, PeerStanding},
+                gossip,
+                liveness::{self, Listening},
             },
             table::Version,
         },
@@ -24,40 +30,14 @@
         },
     },
     foldhash::HashMap,
-    rand::{SeedableRng, rngs::SmallRng, seq::IndexedRandom},
-    std::net::{IpAddr, SocketAddr},
-    xxhash_rust::xxh3::xxh3_64_with_seed,
+    rand::{SeedableRng, rngs::SmallRng},
+    std::net::SocketAddr,
 };
 
-pub use crate::gateway::peers::record::PeerChange;
-
-/// Time between two heartbeats.
-pub const HEARTBEAT: Millis = Millis(200);
-
-/// Time for which a daemon that failed to take something on is passed over as a coordinator.
-const PASSED_OVER: Millis = Millis(1_500);
-
-/// Time after its start during which a daemon asks to be told of everybody.
-const JOINING: Millis = Millis(1_500);
-
-/// Largest number of other daemons to which every heartbeat goes.
-const SMALL_FLEET: usize = 12;
-
-/// In a larger fleet: daemons drawn for one heartbeat.
-const DRAWN: usize = 6;
-
-/// Heartbeats that go to everybody after a daemon stopped to coordinate, so that all learn of it.
-const LAST_BROADCASTS: u32 = 3;
-
-/// Daemons that one heartbeat names.
-const NAMED: usize = 10;
-
-/// Bytes of an address as it is hashed: an IP number of either kind, and a port.
-const IP_SIZE: usize = size_of::<u128>();
-const ADDRESS_SIZE: usize = IP_SIZE + size_of::<u16>();
-
-/// Loads that one heartbeat carries, the largest first, so that it fits into a datagram.
-const LOADS: usize = 24;
+pub use crate::gateway::{
+    peers::record::PeerChange,
+    rules::{coordinator::Coordinator, gossip::HEARTBEAT},
+};
 
 /// What this daemon tells of itself.
 #[derive(Debug, Clone, PartialEq)]
@@ -99,15 +79,6 @@
     pub capacity: Capacity,
 }
 
-/// Who coordinates a service: sums up its load, and plans its calls if it is a stage.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Coordinator {
-    /// This daemon.
-    Me,
-    /// Another daemon.
-    Peer(SocketAddr),
-}
-
 /// The other daemons.
 #[derive(Debug)]
 pub struct Peers {
@@ -147,7 +118,7 @@
 
     /// Returns whether this daemon coordinated a service when it last told of itself.
     pub fn coordinates(&self) -> bool {
-        self.broadcasts_left == LAST_BROADCASTS
+        gossip::did_coordinate(self.broadcasts_left)
     }
 
     /// Returns all other daemons that are known.
@@ -157,7 +128,7 @@
 
     /// Returns whether every heartbeat goes to everybody.
     pub fn is_small(&self) -> bool {
-        self.known.len() <= SMALL_FLEET
+        gossip::is_small_fleet(self.known.len())
     }
 
     /// Builds the next heartbeat and returns where it goes.
@@ -170,16 +141,9 @@
             .map(|service| self.coordinator(now, service, ready, &[]))
             .collect();
         let coordinates = ready && coordinators.contains(&Coordinator::Me);
-        self.broadcasts_left = if coordinates {
-            LAST_BROADCASTS
-        } else {
-            self.broadcasts_left.saturating_sub(1)
-        };
+        self.broadcasts_left = gossip::broadcasts_left(coordinates, self.broadcasts_left);
         let targets = self.targets(&coordinators);
         let peers = self.notes(now);
-        let mut loads = beliefs.loads;
-        loads.sort_unstable_by_key(|note| std::cmp::Reverse((note.2, note.1)));
-        loads.truncate(LOADS);
         self.told_work.clone_from(&beliefs.work);
         let heartbeat = Heartbeat {
             protocol: PROTOCOL,
@@ -198,7 +162,7 @@
             capacity: self.me.capacity,
             joining: self.is_joining(now),
             peers,
-            loads,
+            loads: gossip::largest_loads(beliefs.loads),
             queues: beliefs.queues,
             work: beliefs.work,
         };
@@ -207,29 +171,20 @@
 
     /// Draws where a heartbeat goes.
     fn targets(&mut self, coordinators: &[Coordinator]) -> Vec<SocketAddr> {
-        let mut all: Vec<SocketAddr> = self.known.keys().copied().collect();
-        all.sort_unstable();
-        let mut targets = if self.is_small() || self.broadcasts_left > 0 {
-            all
-        } else {
-            all.sample(&mut self.rng, DRAWN).copied().collect()
-        };
+        let known = self.known.keys().copied().collect();
+        let mut targets = gossip::draw_targets(known, self.broadcasts_left, &mut self.rng);
         let coordinators = coordinators.iter().filter_map(|one| match one {
             Coordinator::Peer(address) => Some(*address),
             Coordinator::Me => None,
         });
         let unheard = self.seeds.iter().filter(|seed| !self.is_alive(seed));
-        for address in coordinators.chain(unheard.copied()) {
-            if !targets.contains(&address) {
-                targets.push(address);
-            }
-        }
+        gossip::add_targets(&mut targets, coordinators.chain(unheard.copied()));
         targets
     }
 
     /// Returns whether this daemon has just started; times count from the start of the process.
     pub fn is_joining(&self, now: Time) -> bool {
-        now < Time::default() + JOINING
+        liveness::is_joining(now)
     }
 
     /// Returns the living daemons, for one that asks to be told of everybody; nothing in a small
@@ -245,16 +200,16 @@
     pub fn take_roster(&mut self, now: Time, notes: &[PeerNote]) -> Vec<PeerChange> {
         let me = self.me.address;
         let others = || {
-            let recent = notes.iter().filter(|note| note.is_recent());
+            let recent = notes.iter().filter(|note| liveness::is_recent(note.age()));
             recent.filter(move |note| note.address != me)
         };
         // Whether hearsay counts depends on the size of the fleet, these daemons included.
         for note in others() {
             self.known.entry(note.address).or_insert(Peer::new(now));
         }
-        let small = self.is_small();
+        let listening = self.listening();
         others()
-            .filter_map(|note| self.heard_of(now, note, small))
+            .filter_map(|note| self.heard_of(now, note, listening))
             .collect()
     }
 
@@ -262,7 +217,7 @@
     fn notes(&mut self, now: Time) -> Vec<PeerNote> {
         let mut notes = self.living(now);
         notes.sort_unstable_by_key(|note| note.address);
-        notes.sample(&mut self.rng, NAMED).cloned().collect()
+        gossip::draw_named(&notes, &mut self.rng)
     }
 
     fn living(&self, now: Time) -> Vec<PeerNote> {
@@ -313,10 +268,9 @@
     }
 
     /// Takes in what another daemon knows of a third one.
-    fn heard_of(&mut self, now: Time, note: &PeerNote, small: bool) -> Option<PeerChange> {
-        let age = Millis(u64::from(note.age_ms));
+    fn heard_of(&mut self, now: Time, note: &PeerNote, listening: Listening) -> Option<PeerChange> {
         let peer = self.known.entry(note.address).or_insert(Peer::new(now));
-        let seen = Time(now.0.saturating_sub(age.0 * 1000));
+        let seen = liveness::sign_time(now, note.age());
         if peer.seen.is_some_and(|known| known >= seen) {
             return None;
         }
@@ -324,7 +278,7 @@
         peer.seen = Some(seen);
         peer.phase = note.phase;
         peer.capacity = note.capacity;
-        if !peer.alive && peer.has_sign(now, Time::default(), small) {
+        if !peer.alive && liveness::is_alive(now, peer.life_signs(), listening) {
             peer.alive = true;
             return Some(PeerChange::Met(note.address, peer.host()));
         }
@@ -336,16 +290,21 @@
         self.awake = now;
     }
 
+    fn listening(&self) -> Listening {
+        Listening {
+            small_fleet: self.is_small(),
+            awake: self.awake,
+        }
+    }
+
     /// Notes who has been silent for too long, and who counts as alive now that the fleet is large
     /// enough for hearsay.
     pub fn tick(&mut self, now: Time) -> Vec<PeerChange> {
         let mut changes = Vec::new();
-        let (small, awake) = (self.is_small(), self.awake);
+        let listening = self.listening();
         for (address, peer) in &mut self.known {
             let was_alive = peer.alive;
-            // Only a living daemon is excused for what was missed in a pause.
-            let awake = if was_alive { awake } else { Time::default() };
-            peer.alive = peer.has_sign(now, awake, small);
+            peer.alive = liveness::is_alive(now, peer.life_signs(), listening);
             match (was_alive, peer.alive) {
                 (true, false) => changes.push(PeerChange::Lost(*address, peer.host())),
                 (false, true) => changes.push(PeerChange::Met(*address, peer.host())),
@@ -353,14 +312,14 @@
             }
         }
         self.known
-            .retain(|_, peer| peer.alive || now.since(peer.known) < FORGET.to_duration());
+            .retain(|_, peer| peer.alive || !liveness::is_forgotten(now, peer.known));
         changes
     }
 
     /// Passes a daemon over as a coordinator for a while: it didn't take on what it was given.
     pub fn pass_over(&mut self, now: Time, address: &SocketAddr) {
         if let Some(peer) = self.known.get_mut(address) {
-            peer.passed_over_until = now + PASSED_OVER;
+            peer.passed_over_until = coordinator::passed_over_until(now);
         }
     }
 
@@ -405,19 +364,21 @@
     }
 
     /// Returns a daemon whose table is newer than `version`, the newest first.
-    pub fn newer_table(&self, version: Version) -> Option<(SocketAddr, Version)> {
-        self.alive()
-            .filter(|heartbeat| heartbeat.table > version)
-            .max_by_key(|heartbeat| heartbeat.table)
-            .map(|heartbeat| (heartbeat.address, heartbeat.table))
+    pub fn newer_table(&self, version: Version) -> Option<SocketAddr> {
+        let offers = self.alive().map(|heartbeat| Offer {
+            address: heartbeat.address,
+            revision: heartbeat.table,
+        });
+        catch_up::newest(offers, version)
     }
 
     /// Returns a daemon whose list of endpoints is newer than `revision`, the newest first.
-    pub fn newer_catalogue(&self, revision: u64) -> Option<(SocketAddr, u64)> {
-        self.alive()
-            .filter(|heartbeat| heartbeat.catalogue > revision)
-            .max_by_key(|heartbeat| heartbeat.catalogue)
-            .map(|heartbeat| (heartbeat.address, heartbeat.catalogue))
+    pub fn newer_catalogue(&self, revision: u64) -> Option<SocketAddr> {
+        let offers = self.alive().map(|heartbeat| Offer {
+            address: heartbeat.address,
+            revision: heartbeat.catalogue,
+        });
+        catch_up::newest(offers, revision)
     }
 
     /// Returns who coordinates a service: one of the daemons with the most processor that serve,
@@ -429,29 +390,19 @@
         ready: bool,
         except: &[SocketAddr],
     ) -> Coordinator {
-        let seed = xxh3_64_with_seed(service.as_str().as_bytes(), 0);
-        let rank = |address: &SocketAddr, capacity: Capacity| {
-            let ip = match address.ip() {
-                IpAddr::V4(ip) => u128::from(ip.to_bits()),
-                IpAddr::V6(ip) => ip.to_bits(),
-            };
-            let mut bytes = [0; ADDRESS_SIZE];
-            bytes[..IP_SIZE].copy_from_slice(&ip.to_be_bytes());
-            bytes[IP_SIZE..].copy_from_slice(&address.port().to_be_bytes());
-            (capacity, xxh3_64_with_seed(&bytes, seed))
+        let me = Candidate {
+            address: self.me.address,
+            capacity: self.me.capacity,
         };
-        let best = self
-            .known
-            .iter()
-            .filter(|(_, peer)| peer.alive && peer.phase == Phase::Ready)
-            .filter(|(address, peer)| peer.passed_over_until <= now && !except.contains(address))
-            .map(|(address, peer)| (rank(address, peer.capacity), *address))
-            .max();
-        match best {
-            Some((best, address)) if !ready || best > rank(&self.me.address, self.me.capacity) => {
-                Coordinator::Peer(address)
-            }
-            _ => Coordinator::Me,
-        }
+        let peers = self.known.iter().map(|(address, peer)| PeerStanding {
+            candidate: Candidate {
+                address: *address,
+                capacity: peer.capacity,
+            },
+            alive: peer.alive,
+            ready: peer.phase == Phase::Ready,
+            passed_over_until: peer.passed_over_until,
+        });
+        coordinator::coordinator(now, service, me, ready, peers, except)
     }
 }
--- a/lib/src/gateway/peers/record.rs
+++ b/lib/src/gateway/peers/record.rs
@@ -2,7 +2,10 @@
 
 use {
     crate::{
-        gateway::peers::message::{Heartbeat, PeerNote, Phase},
+        gateway::{
+            peers::message::{Heartbeat, PeerNote, Phase},
+            rules::liveness::LifeSigns,
+        },
         shared::{
             ids::HostId,
             units::{Capacity, Millis, Time},
@@ -11,15 +14,6 @@
     std::net::SocketAddr,
 };
 
-/// Time without a heartbeat after which a daemon counts as lost that sends each one to everybody.
-const SILENCE: Millis = Millis(1_000);
-
-/// Time without any sign of life after which another daemon counts as lost.
-const HEARSAY_SILENCE: Millis = Millis(2_500);
-
-/// Time after which an address that was never heard from, or no longer, is forgotten.
-pub(crate) const FORGET: Millis = Millis(60_000);
-
 /// What is known of one other daemon.
 #[derive(Debug, Clone)]
 pub(crate) struct Peer {
@@ -52,23 +46,21 @@
         Some(heartbeat.host.clone())
     }
 
-    /// Returns whether there has been a sign of life lately. `direct` tells that the daemon should
-    /// be heard here itself; nothing counts as silence that fell before `awake`.
-    pub(crate) fn has_sign(&self, now: Time, awake: Time, direct: bool) -> bool {
-        let broadcasts = self.heard.as_ref().is_some_and(|(_, last)| last.broadcasts);
-        let (last, silence) = if direct || broadcasts {
-            (self.heard.as_ref().map(|(heard, _)| *heard), SILENCE)
-        } else {
-            (self.seen, HEARSAY_SILENCE)
-        };
-        last.is_some_and(|last| now.since(last.max(awake)) <= silence.to_duration())
+    /// Returns what the rule of liveness asks of a daemon.
+    pub(crate) fn life_signs(&self) -> LifeSigns {
+        LifeSigns {
+            heartbeat: self.heard.as_ref().map(|(heard, _)| *heard),
+            sign: self.seen,
+            broadcasts: self.heard.as_ref().is_some_and(|(_, last)| last.broadcasts),
+            alive: self.alive,
+        }
     }
 }
 
 impl PeerNote {
-    /// Returns whether the sign of life is recent enough to be worth knowing.
-    pub(crate) fn is_recent(&self) -> bool {
-        u64::from(self.age_ms) < FORGET.0 / 2
+    /// Returns the age of the sign of life when the note was sent.
+    pub(crate) fn age(&self) -> Millis {
+        Millis(u64::from(self.age_ms))
     }
 }
 
--- a/lib/src/gateway/peers/relay.rs
+++ b/lib/src/gateway/peers/relay.rs
@@ -13,6 +13,10 @@
                 },
                 pause::PauseDetector,
             },
+            rules::{
+                catch_up::{self, DirectoryReading, ListFetch},
+                gossip::{DIGEST_LOADS, ROSTER_PEERS},
+            },
             stages::job::{JobEnd, StageJob},
             state::Gateway,
             wire::listen::accept_each,
@@ -40,15 +44,6 @@
 /// Largest datagram accepted.
 const DATAGRAM: usize = 16 * 1024;
 
-/// Loads in one datagram.
-const DIGEST_LOADS: usize = 80;
-
-/// Daemons in one part of a roster.
-const ROSTER_PEERS: usize = 40;
-
-/// Heartbeats heard without a directory before a list is asked of a peer.
-const LIST_LAG: Millis = Millis(500);
-
 /// Accepts links from other daemons for good.
 pub async fn serve_links<D: Dialect>(gateway: Rc<Gateway<D>>, listener: TcpListener) {
     accept_each(listener, "link.accept_failed", |stream, from| {
@@ -379,15 +374,15 @@
     let version = gateway.published().map_or(0, |p| p.table.version);
     let mut state = gateway.state.borrow_mut();
     let changed = state.catalogue.changed();
-    let is_behind = state.peers.newer_table(version).is_some()
+    let newer = state.peers.newer_table(version).is_some()
         || state.peers.newer_catalogue(changed).is_some();
-    state.behind = is_behind.then_some(state.behind.unwrap_or(now));
+    state.behind = catch_up::behind_since(now, state.behind, newer);
 }
 
 async fn catch_up_table<D: Dialect>(gateway: &Gateway<D>) {
     let version = gateway.published().map_or(0, |p| p.table.version);
     let newer = gateway.state.borrow().peers.newer_table(version);
-    let Some((peer, _)) = newer else { return };
+    let Some(peer) = newer else { return };
     let asked =
         tokio::time::timeout(FETCH_LIMIT, gateway.links.ask(peer, LinkRequest::Table)).await;
     if let Ok(Some(LinkReply::Table { bytes })) = asked {
@@ -398,25 +393,26 @@
 
 async fn catch_up_endpoints<D: Dialect>(gateway: &Gateway<D>) {
     let now = gateway.now();
-    let wait = gateway.settings.bounds.directory_wait();
     let covered = gateway.is_covered();
     let newer = {
         let state = gateway.state.borrow();
-        let heard = state.contact.heard.unwrap_or_default();
-        let reads = !covered && now.since(heard) < wait + LIST_LAG.to_duration();
-        if reads && state.listed {
+        let reading = DirectoryReading {
+            covered,
+            answered: state.contact.heard.unwrap_or_default(),
+            wait: gateway.settings.bounds.directory_wait(),
+        };
+        let known = state.listed.then(|| state.catalogue.changed());
+        let Some(fetch) = catch_up::list_fetch(now, known, reading) else {
             return;
-        }
-        let known = if state.listed {
-            state.catalogue.changed()
-        } else {
-            0
         };
-        let newer = state.peers.newer_catalogue(known);
-        newer.map(|(peer, _)| (peer, state.listed.then_some(known)))
+        let newer = state.peers.newer_catalogue(fetch.known());
+        newer.map(|peer| (peer, fetch))
+    };
+    let Some((peer, fetch)) = newer else { return };
+    let ask = match fetch {
+        ListFetch::Whole => LinkRequest::Endpoints,
+        ListFetch::Changes(known) => LinkRequest::Changes(known),
     };
-    let Some((peer, known)) = newer else { return };
-    let ask = known.map_or(LinkRequest::Endpoints, LinkRequest::Changes);
     let asked = tokio::time::timeout(FETCH_LIMIT, gateway.links.ask(peer, ask)).await;
     let source = format!("peer {peer}");
     match asked {
--- a/lib/src/gateway/state.rs
+++ b/lib/src/gateway/state.rs
@@ -16,7 +16,7 @@
                 message::Phase,
             },
             routing::endpoint_states::EndpointStates,
-            rules::retry_budget::WindowBudget,
+            rules::{catch_up, coordinator, retry_budget::WindowBudget},
             serving::{metrics::GatewayMetrics, settings::GatewaySettings},
             stages::{queues::Planning, workload::Workload},
             table::{Table, Version},
@@ -42,12 +42,6 @@
 /// Time beyond the wait of a call for changes after which a peer's reading counts as out of date.
 const READ_SLACK: Millis = Millis(400);
 
-/// Time after its start within which a daemon hears of the others.
-const SETTLED: Millis = Millis(600);
-
-/// Time for which a peer may be known to have something newer before the directory is asked.
-const BEHIND: Millis = Millis(600);
-
 /// A table together with the bytes it was read from.
 #[derive(Debug)]
 pub struct PublishedTable {
@@ -95,13 +89,10 @@
     /// Returns whether peers tell this daemon in time what the directory holds, so that it needn't
     /// read it itself.
     fn is_covered(&self, now: Time, wait: Duration) -> bool {
-        let is_behind = self
-            .behind
-            .is_some_and(|since| now.since(since) > BEHIND.to_duration());
         let bound = wait + READ_SLACK.to_duration();
         !self.peers.is_small()
             && !self.peers.coordinates()
-            && !is_behind
+            && !catch_up::is_behind(now, self.behind)
             && self
                 .peers
                 .read_age(now)
@@ -206,7 +197,7 @@
 
     /// Returns whether this daemon has run long enough to know the others.
     pub fn is_settled(&self) -> bool {
-        self.now() >= Time::default() + SETTLED
+        coordinator::is_settled(self.now())
     }
 
     /// Returns whether this daemon may coordinate services.
