--- /dev/null
+++ b/lib/src/gateway/peers/catch_up.rs
@@ -0,0 +1,101 @@
+//! Fetches a newer table, and a newer list of endpoints, from daemons that report one.
+//!
+//! The rule is [`rules::catch_up`](crate::gateway::rules::catch_up); this module looks with each
+//! heartbeat whether it applies, and asks.
+
+use {
+    crate::gateway::{
+        dialect::Dialect,
+        peers::{
+            link_socket::FETCH_LIMIT,
+            message::{LinkReply, LinkRequest},
+        },
+        rules::{
+            catch_up::{self, DirectoryReading, ListFetch},
+            gossip::HEARTBEAT,
+        },
+        state::Gateway,
+    },
+    bytes::Bytes,
+    std::{net::SocketAddr, rc::Rc},
+    tokio::time::{MissedTickBehavior, interval, timeout},
+};
+
+/// Fetches for good what is newer at other daemons.
+pub async fn run_catch_up<D: Dialect>(gateway: Rc<Gateway<D>>) {
+    let mut ticks = interval(HEARTBEAT.to_duration());
+    ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
+    loop {
+        ticks.tick().await;
+        note_behind(&gateway);
+        catch_up_table(&gateway).await;
+        catch_up_endpoints(&gateway).await;
+        note_behind(&gateway);
+    }
+}
+
+/// Notes since when a peer has something newer than this daemon.
+fn note_behind<D: Dialect>(gateway: &Gateway<D>) {
+    let now = gateway.now();
+    let version = gateway.published().map_or(0, |p| p.table.version);
+    let mut state = gateway.state.borrow_mut();
+    let changed = state.catalogue.changed();
+    let newer = state.peers.newer_table(version).is_some()
+        || state.peers.newer_catalogue(changed).is_some();
+    state.behind = catch_up::behind_since(now, state.behind, newer);
+}
+
+async fn catch_up_table<D: Dialect>(gateway: &Gateway<D>) {
+    let version = gateway.published().map_or(0, |p| p.table.version);
+    let newer = gateway.state.borrow().peers.newer_table(version);
+    let Some(peer) = newer else { return };
+    if let Some(LinkReply::Table { bytes }) = fetch(gateway, peer, LinkRequest::Table).await {
+        gateway.adopt_table(&Bytes::from(bytes), &format!("peer {peer}"));
+    }
+}
+
+async fn catch_up_endpoints<D: Dialect>(gateway: &Gateway<D>) {
+    let Some((peer, list)) = newer_list(gateway) else {
+        return;
+    };
+    let request = match list {
+        ListFetch::Whole => LinkRequest::Endpoints,
+        ListFetch::Changes(known) => LinkRequest::Changes(known),
+    };
+    let source = format!("peer {peer}");
+    match fetch(gateway, peer, request).await {
+        Some(LinkReply::Endpoints { revision, entries }) => {
+            gateway.replace_endpoints(revision, entries, &source);
+        }
+        Some(LinkReply::Changes(changes)) => gateway.apply_changes(changes, &source),
+        // A peer that can't answer is asked again, or another one, with the next heartbeat.
+        _ => {}
+    }
+}
+
+/// Returns the daemon to ask for a newer list of endpoints, and for how much of it.
+fn newer_list<D: Dialect>(gateway: &Gateway<D>) -> Option<(SocketAddr, ListFetch)> {
+    let now = gateway.now();
+    let covered = gateway.is_covered();
+    let state = gateway.state.borrow();
+    let reading = DirectoryReading {
+        covered,
+        answered: state.contact.heard.unwrap_or_default(),
+        wait: gateway.settings.bounds.directory_wait(),
+    };
+    let known = state.listed.then(|| state.catalogue.changed());
+    let list = catch_up::list_fetch(now, known, reading)?;
+    let peer = state.peers.newer_catalogue(list.known())?;
+    Some((peer, list))
+}
+
+/// Asks a peer; nothing if it doesn't answer within [`FETCH_LIMIT`].
+async fn fetch<D: Dialect>(
+    gateway: &Gateway<D>,
+    peer: SocketAddr,
+    request: LinkRequest,
+) -> Option<LinkReply> {
+    timeout(FETCH_LIMIT, gateway.links.request(peer, request))
+        .await
+        .ok()?
+}
--- /dev/null
+++ b/lib/src/gateway/peers/heartbeats.rs
@@ -0,0 +1,77 @@
+//! Sends this daemon's heartbeats, and the load digests of the services that it coordinates.
+//!
+//! Relies on [`Peers`](crate::gateway::peers::membership::Peers) for what a heartbeat says and to
+//! whom it goes.
+
+use {
+    crate::{
+        gateway::{
+            dialect::Dialect,
+            peers::{
+                changes::apply_changes,
+                message::{Datagram, LoadDigest, PROTOCOL},
+                pause::PauseDetector,
+                sockets::send_datagram,
+            },
+            rules::gossip::{DIGEST_LOADS, HEARTBEAT},
+            state::Gateway,
+        },
+        shared::units::Time,
+    },
+    std::{net::SocketAddr, rc::Rc},
+    tokio::{
+        net::UdpSocket,
+        time::{MissedTickBehavior, interval},
+    },
+};
+
+/// Sends heartbeats for good, and notes with each who is alive and what others have in flight.
+pub async fn run_heartbeats<D: Dialect>(gateway: Rc<Gateway<D>>, socket: Rc<UdpSocket>) {
+    let mut ticks = interval(HEARTBEAT.to_duration());
+    ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
+    let mut pauses = PauseDetector::default();
+    loop {
+        ticks.tick().await;
+        let now = gateway.now();
+        if let Some(gap) = pauses.look(now) {
+            log::warn!(gap_ms = gap.as_millis() as u64; "pause.noticed");
+            gateway.state.borrow_mut().peers.resumed(now);
+        }
+        send_heartbeat(&gateway, &socket, now);
+        send_load_digest(&gateway, &socket);
+        gateway.state.borrow_mut().update_peer_loads(now);
+        gateway.settle_doubts();
+    }
+}
+
+fn send_heartbeat<D: Dialect>(gateway: &Gateway<D>, socket: &UdpSocket, now: Time) {
+    let report = gateway.beliefs();
+    let changes = gateway.state.borrow_mut().peers.tick(now);
+    apply_changes(gateway, &changes);
+    let (heartbeat, targets) = gateway.state.borrow_mut().peers.heartbeat(now, report);
+    let datagram = Datagram::Heartbeat(heartbeat);
+    send_datagram(socket, &datagram, targets.into_iter());
+}
+
+/// Sends everybody what is in flight at the endpoints that this daemon coordinates; needed only where
+/// not every daemon receives the heartbeats of every other one.
+fn send_load_digest<D: Dialect>(gateway: &Gateway<D>, socket: &UdpSocket) {
+    let now = gateway.now();
+    let ready = gateway.may_coordinate();
+    let state = gateway.state.borrow();
+    if state.peers.is_small() || !ready {
+        return;
+    }
+    let loads = state.coordinated_loads(now, ready);
+    let everybody: Vec<SocketAddr> = state.peers.addresses().collect();
+    drop(state);
+    for part in loads.chunks(DIGEST_LOADS) {
+        gateway.state.borrow_mut().sums.take(now, part);
+        let digest = LoadDigest {
+            protocol: PROTOCOL,
+            loads: part.to_vec(),
+        };
+        let datagram = Datagram::Loads(digest);
+        send_datagram(socket, &datagram, everybody.iter().copied());
+    }
+}
--- /dev/null
+++ b/lib/src/gateway/peers/job_message.rs
@@ -0,0 +1,72 @@
+//! Translates jobs to and from the message that hands them to another daemon.
+//!
+//! Daemons share no clock: a job holds times on its daemon's own clock, a message the time that is
+//! left.
+
+use crate::{
+    gateway::{
+        peers::message::{JobOrder, LinkReply},
+        stages::job::{JobEnd, StageJob},
+    },
+    shared::{
+        ids::ServiceId,
+        units::{ByteSize, Millis, Time},
+    },
+};
+
+/// Microseconds in a millisecond.
+const MICROS: u64 = 1_000;
+
+impl JobOrder {
+    /// Turns a job into a message at a time on this daemon's clock.
+    pub(crate) fn from_job(now: Time, service: &ServiceId, job: &StageJob) -> Self {
+        let objective_us = job.objective.0 as i64 - now.0 as i64;
+        Self {
+            service: service.clone(),
+            request: job.request.clone(),
+            stage: job.stage,
+            pieces: job.pieces,
+            input: job.input.clone(),
+            remaining_ms: job.deadline.since(now).as_millis() as u64,
+            objective_ms: objective_us / MICROS as i64,
+            rank: job.rank,
+            result: job.result.0,
+            home: job.home.clone(),
+            moved: job.moved.0,
+        }
+    }
+
+    /// Turns a message that was received now into a job.
+    pub(crate) fn into_job(self, now: Time) -> StageJob {
+        StageJob {
+            request: self.request,
+            stage: self.stage,
+            pieces: self.pieces,
+            input: self.input,
+            deadline: now + Millis(self.remaining_ms),
+            objective: time_from(now, self.objective_ms),
+            rank: self.rank,
+            result: ByteSize(self.result),
+            home: self.home,
+            moved: ByteSize(self.moved),
+        }
+    }
+}
+
+/// Returns the time that is some milliseconds from now, or was as many ago if they are negative; at
+/// the earliest, the start of this daemon.
+fn time_from(now: Time, offset_ms: i64) -> Time {
+    if offset_ms >= 0 {
+        now + Millis(offset_ms as u64)
+    } else {
+        Time(now.0.saturating_sub(offset_ms.unsigned_abs() * MICROS))
+    }
+}
+
+/// Reads how a job ended at another daemon; nothing if that daemon doesn't say.
+pub(crate) fn job_end(reply: Option<LinkReply>) -> Option<JobEnd> {
+    match reply {
+        Some(LinkReply::Job(end)) => Some(end),
+        _ => None,
+    }
+}
--- /dev/null
+++ b/lib/src/gateway/peers/link_server.rs
@@ -0,0 +1,149 @@
+//! Replies to the requests that other daemons send on links.
+//!
+//! Each request runs in a task of its own, so that a job in hand holds up no other one. The end of a
+//! link ends its requests.
+
+use {
+    crate::gateway::{
+        dialect::Dialect,
+        peers::{
+            link_socket::{LinkError, LinkSocket, QUEUE, config, read, send, upgraded},
+            message::{Frame, JobOrder, LinkReply, LinkRequest, Phase, decode, encode},
+        },
+        state::Gateway,
+        wire::listen::accept_each,
+    },
+    foldhash::HashMap,
+    futures_util::StreamExt,
+    std::rc::Rc,
+    tokio::{
+        net::{TcpListener, TcpStream},
+        sync::mpsc,
+        task::{self, AbortHandle, JoinSet},
+    },
+    tokio_tungstenite::accept_async_with_config,
+};
+
+/// Accepts links from other daemons for good.
+pub async fn serve_links<D: Dialect>(gateway: Rc<Gateway<D>>, listener: TcpListener) {
+    accept_each(listener, "link.accept_failed", |stream, from| {
+        let gateway = gateway.clone();
+        task::spawn_local(async move {
+            if let Err(error) = serve_link(gateway, stream).await {
+                log::info!(from:% = from, error:%; "link.ended");
+            }
+        });
+    })
+    .await;
+}
+
+async fn serve_link<D: Dialect>(
+    gateway: Rc<Gateway<D>>,
+    stream: TcpStream,
+) -> Result<(), LinkError> {
+    let mut socket = accept_link(stream).await?;
+    let (replies, mut finished) = mpsc::channel::<Frame<LinkReply>>(QUEUE);
+    let mut tasks = JoinSet::new();
+    let mut running: HashMap<u64, AbortHandle> = HashMap::default();
+    loop {
+        tokio::select! {
+            Some(frame) = finished.recv() => {
+                running.remove(&frame.number);
+                send(&mut socket, encode(&frame)).await?;
+            }
+            // A task that ended has sent its reply; one that was cancelled has none.
+            Some(_) = tasks.join_next() => {}
+            message = socket.next() => {
+                let Some(bytes) = read(message)? else { continue };
+                let frame: Frame<LinkRequest> = decode(&bytes)?;
+                if let LinkRequest::Cancel(number) = frame.content {
+                    if let Some(task) = running.remove(&number) {
+                        task.abort();
+                    }
+                    continue;
+                }
+                let number = frame.number;
+                let task = tasks.spawn_local(reply_to(gateway.clone(), frame, replies.clone()));
+                running.insert(number, task);
+            }
+        }
+    }
+}
+
+async fn accept_link(stream: TcpStream) -> Result<LinkSocket, LinkError> {
+    stream.set_nodelay(true)?;
+    upgraded(accept_async_with_config(stream, Some(config()))).await
+}
+
+async fn reply_to<D: Dialect>(
+    gateway: Rc<Gateway<D>>,
+    frame: Frame<LinkRequest>,
+    replies: mpsc::Sender<Frame<LinkReply>>,
+) {
+    let reply = Frame {
+        number: frame.number,
+        content: reply(&gateway, frame.content).await,
+    };
+    // The link may have ended meanwhile; then nobody waits for the reply.
+    let _ = replies.send(reply).await;
+}
+
+async fn reply<D: Dialect>(gateway: &Gateway<D>, request: LinkRequest) -> LinkReply {
+    match request {
+        LinkRequest::Table => table(gateway),
+        LinkRequest::Endpoints => endpoints(gateway),
+        LinkRequest::Changes(revision) => changes(gateway, revision),
+        LinkRequest::Job(order) => run_job(gateway, order).await,
+        LinkRequest::Release(service, handles) => {
+            gateway
+                .state
+                .borrow_mut()
+                .planning
+                .release(&service, handles);
+            gateway.work.notify_one();
+            LinkReply::Done
+        }
+        // The link itself cancels; what it cancels has no reply.
+        LinkRequest::Cancel(_) => LinkReply::Done,
+    }
+}
+
+fn table<D: Dialect>(gateway: &Gateway<D>) -> LinkReply {
+    match gateway.published() {
+        Some(published) => LinkReply::Table {
+            bytes: published.bytes.to_vec(),
+        },
+        None => LinkReply::Unable,
+    }
+}
+
+/// Replies with the whole list of endpoints.
+fn endpoints<D: Dialect>(gateway: &Gateway<D>) -> LinkReply {
+    let state = gateway.state.borrow();
+    if !state.listed {
+        return LinkReply::Unable;
+    }
+    let entries = state.catalogue.entries();
+    LinkReply::Endpoints {
+        revision: state.catalogue.revision(),
+        entries: entries.map(|entry| (**entry).clone()).collect(),
+    }
+}
+
+/// Replies with what changed after a revision, or with everything if that is no longer known.
+fn changes<D: Dialect>(gateway: &Gateway<D>, revision: u64) -> LinkReply {
+    let changes = gateway.state.borrow().catalogue.changes_since(revision);
+    match changes {
+        Some(changes) => LinkReply::Changes(changes),
+        None => endpoints(gateway),
+    }
+}
+
+async fn run_job<D: Dialect>(gateway: &Gateway<D>, order: JobOrder) -> LinkReply {
+    if gateway.phase() == Phase::Starting {
+        return LinkReply::Unable;
+    }
+    let service = order.service.clone();
+    let job = order.into_job(gateway.now());
+    LinkReply::Job(gateway.make_here(&service, job).await)
+}
--- /dev/null
+++ b/lib/src/gateway/peers/link_socket.rs
@@ -0,0 +1,87 @@
+//! The WebSocket under a link, the same at both ends: its limits, its errors, sending and reading.
+
+use {
+    crate::gateway::peers::message::{MAX_MESSAGE, MessageError},
+    bytes::Bytes,
+    futures_util::SinkExt,
+    std::{io, time::Duration},
+    thiserror::Error,
+    tokio::{net::TcpStream, time::timeout},
+    tokio_tungstenite::{
+        WebSocketStream,
+        tungstenite::{self, Message, protocol::WebSocketConfig},
+    },
+};
+
+/// Longest time to connect, and again to upgrade the connection: chosen, not measured.
+pub(crate) const LINK_LIMIT: Duration = Duration::from_millis(300);
+
+/// Longest time for a table or a list, and for the other end to accept a message: chosen, not
+/// measured.
+pub(crate) const FETCH_LIMIT: Duration = Duration::from_millis(1_500);
+
+/// Messages that may wait on one link before it counts as stuck: chosen, not measured.
+pub(crate) const QUEUE: usize = 1_024;
+
+/// A link over one TCP connection.
+pub(crate) type LinkSocket = WebSocketStream<TcpStream>;
+
+/// Why a link ended, or never came up.
+#[derive(Debug, Error)]
+pub(crate) enum LinkError {
+    /// No TCP connection came up, or it couldn't be set up.
+    #[error("no connection: {0}")]
+    Connection(#[from] io::Error),
+    /// The other end didn't answer the upgrade in time; it may be stuck or no daemon.
+    #[error("no upgrade within {LINK_LIMIT:?}")]
+    UpgradeTime,
+    /// The connection failed, or the other end doesn't speak WebSocket.
+    #[error("link failed: {0}")]
+    Socket(#[from] tungstenite::Error),
+    /// The other end didn't accept a message in time.
+    #[error("the other end didn't read for {FETCH_LIMIT:?}")]
+    WriteTime,
+    /// The other end closed the link.
+    #[error("closed by the other end")]
+    Closed,
+    /// The other end sent something else than a message of its kind.
+    #[error(transparent)]
+    Message(#[from] MessageError),
+}
+
+/// Returns the limits on messages.
+pub(crate) fn config() -> WebSocketConfig {
+    WebSocketConfig::default()
+        .max_message_size(Some(MAX_MESSAGE))
+        .max_frame_size(Some(MAX_MESSAGE))
+}
+
+/// Waits for an upgrade, for [`LINK_LIMIT`] at most.
+pub(crate) async fn upgraded<T>(
+    upgrade: impl Future<Output = Result<T, tungstenite::Error>>,
+) -> Result<T, LinkError> {
+    let upgraded = timeout(LINK_LIMIT, upgrade)
+        .await
+        .map_err(|_| LinkError::UpgradeTime)??;
+    Ok(upgraded)
+}
+
+/// Sends one message.
+pub(crate) async fn send(socket: &mut LinkSocket, bytes: Vec<u8>) -> Result<(), LinkError> {
+    timeout(FETCH_LIMIT, socket.send(Message::Binary(bytes.into())))
+        .await
+        .map_err(|_| LinkError::WriteTime)??;
+    Ok(())
+}
+
+/// Returns the bytes of a message; nothing for one that carries none, such as a ping.
+pub(crate) fn read(
+    message: Option<Result<Message, tungstenite::Error>>,
+) -> Result<Option<Bytes>, LinkError> {
+    match message {
+        None | Some(Ok(Message::Close(_))) => Err(LinkError::Closed),
+        Some(Err(error)) => Err(error.into()),
+        Some(Ok(Message::Binary(bytes))) => Ok(Some(bytes)),
+        Some(Ok(_)) => Ok(None),
+    }
+}
--- a/lib/src/gateway/peers/membership.rs
+++ b/lib/src/gateway/peers/membership.rs
@@ -35,7 +35,7 @@
 };
 
 pub use crate::gateway::{
-    peers::record::PeerChange,
+    peers::changes::PeerChange,
     rules::{coordinator::Coordinator, gossip::HEARTBEAT},
 };
 
--- /dev/null
+++ b/lib/src/gateway/peers/receive.rs
@@ -0,0 +1,94 @@
+//! Receives other daemons' datagrams, and answers a daemon that has just started with a roster.
+
+use {
+    crate::gateway::{
+        dialect::Dialect,
+        peers::{
+            changes::apply_changes,
+            message::{Datagram, Heartbeat, PROTOCOL, Roster, decode},
+            sockets::{DATAGRAM, send_datagram},
+        },
+        rules::gossip::{HEARTBEAT, ROSTER_PEERS},
+        state::Gateway,
+    },
+    std::{iter, net::SocketAddr, rc::Rc},
+    tokio::net::UdpSocket,
+};
+
+/// Receives datagrams for good.
+pub async fn receive_datagrams<D: Dialect>(gateway: Rc<Gateway<D>>, socket: Rc<UdpSocket>) {
+    let mut buffer = vec![0; DATAGRAM];
+    loop {
+        match socket.recv_from(&mut buffer).await {
+            Ok((length, from)) => receive_datagram(&gateway, &socket, &buffer[..length], from),
+            Err(error) => {
+                log::warn!(error:%; "heartbeat.receive_failed");
+                tokio::time::sleep(HEARTBEAT.to_duration()).await;
+            }
+        }
+    }
+}
+
+fn receive_datagram<D: Dialect>(
+    gateway: &Gateway<D>,
+    socket: &UdpSocket,
+    bytes: &[u8],
+    from: SocketAddr,
+) {
+    let datagram: Datagram = match decode(bytes) {
+        Ok(datagram) => datagram,
+        Err(error) => {
+            log::debug!(from:% = from, error:%; "heartbeat.refused");
+            return;
+        }
+    };
+    let protocol = datagram.protocol();
+    if protocol != PROTOCOL {
+        log::warn!(from:% = from, protocol; "heartbeat.refused");
+        return;
+    }
+    let now = gateway.now();
+    match datagram {
+        Datagram::Heartbeat(heartbeat) => receive_heartbeat(gateway, socket, heartbeat, from),
+        Datagram::Loads(digest) => gateway.state.borrow_mut().sums.take(now, &digest.loads),
+        Datagram::Roster(roster) => {
+            let mut state = gateway.state.borrow_mut();
+            let changes = state.peers.take_roster(now, &roster.peers);
+            drop(state);
+            apply_changes(gateway, &changes);
+        }
+    }
+}
+
+fn receive_heartbeat<D: Dialect>(
+    gateway: &Gateway<D>,
+    socket: &UdpSocket,
+    heartbeat: Heartbeat,
+    from: SocketAddr,
+) {
+    // A daemon speaks for itself alone.
+    if heartbeat.address.ip() != from.ip() {
+        log::warn!(from:% = from, protocol = heartbeat.protocol; "heartbeat.refused");
+        return;
+    }
+    let now = gateway.now();
+    let (joining, sender) = (heartbeat.joining, heartbeat.address);
+    let changes = gateway.state.borrow_mut().peers.heard(now, heartbeat);
+    apply_changes(gateway, &changes);
+    if joining {
+        send_roster(gateway, socket, sender);
+    }
+}
+
+/// Sends a daemon that has just started the daemons that are alive.
+fn send_roster<D: Dialect>(gateway: &Gateway<D>, socket: &UdpSocket, newcomer: SocketAddr) {
+    let living = gateway.state.borrow().peers.roster(gateway.now());
+    for part in living.chunks(ROSTER_PEERS) {
+        let roster = Roster {
+            protocol: PROTOCOL,
+            peers: part.to_vec(),
+        };
+        let datagram = Datagram::Roster(roster);
+        send_datagram(socket, &datagram, iter::once(newcomer));
+    }
+}
--- a/lib/src/gateway/peers/record.rs
+++ b/lib/src/gateway/peers/record.rs
@@ -1,17 +1,14 @@
 //! What is known of one other daemon, and whether it counts as alive.
 
-use {
-    crate::{
-        gateway::{
-            peers::message::{Heartbeat, PeerNote, Phase},
-            rules::liveness::LifeSigns,
-        },
-        shared::{
-            ids::HostId,
-            units::{Capacity, Millis, Time},
-        },
+use crate::{
+    gateway::{
+        peers::message::{Heartbeat, PeerNote, Phase},
+        rules::liveness::LifeSigns,
+    },
+    shared::{
+        ids::HostId,
+        units::{Capacity, Millis, Time},
     },
-    std::net::SocketAddr,
 };
 
 /// What is known of one other daemon.
@@ -63,14 +60,3 @@
         Millis(u64::from(self.age_ms))
     }
 }
-
-/// A change in who is alive; the host is known once it was heard.
-#[derive(Debug, Clone, PartialEq, Eq)]
-pub enum PeerChange {
-    /// A daemon was heard or heard of for the first time, or again.
-    Met(SocketAddr, Option<HostId>),
-    /// A daemon started anew since it was last heard.
-    Restarted(SocketAddr, Option<HostId>),
-    /// A daemon has been silent for too long.
-    Lost(SocketAddr, Option<HostId>),
-}
--- a/lib/src/gateway/serving/server.rs
+++ b/lib/src/gateway/serving/server.rs
@@ -8,7 +8,7 @@
                 follow::follow,
                 source::{Directory, Topic},
             },
-            peers::relay,
+            peers::{catch_up, heartbeats, link_server, receive, sockets},
             serving::{
                 ingress::{self, ListenerState},
                 operator,
@@ -79,7 +79,7 @@
             address: settings.peer,
             source,
         };
-        let (links, datagrams) = relay::bind(settings.peer).await.map_err(peer_error)?;
+        let (links, datagrams) = sockets::bind(settings.peer).await.map_err(peer_error)?;
         settings.peer = links.local_addr().map_err(peer_error)?;
         let callers = bind("callers", settings.listen).await?;
         let listen = callers.local_addr().unwrap_or(settings.listen);
@@ -106,10 +106,13 @@
         };
         server.spawn(follow(gateway.clone(), directory.clone(), Topic::Table));
         server.spawn(follow(gateway.clone(), directory, Topic::Endpoints));
-        server.spawn(relay::run_heartbeats(gateway.clone(), datagrams.clone()));
-        server.spawn(relay::hear_heartbeats(gateway.clone(), datagrams));
-        server.spawn(relay::serve_links(gateway.clone(), links));
-        server.spawn(relay::run_catch_up(gateway.clone()));
+        server.spawn(heartbeats::run_heartbeats(
+            gateway.clone(),
+            datagrams.clone(),
+        ));
+        server.spawn(receive::receive_datagrams(gateway.clone(), datagrams));
+        server.spawn(link_server::serve_links(gateway.clone(), links));
+        server.spawn(catch_up::run_catch_up(gateway.clone()));
         server.spawn(run_planner(gateway.clone()));
         server.spawn(run_releases(gateway.clone()));
         server.spawn(operator::serve(gateway.clone(), ready));
--- a/lib/src/gateway/stages/chain.rs
+++ b/lib/src/gateway/stages/chain.rs
@@ -4,7 +4,11 @@
     crate::{
         gateway::{
             dialect::{Dialect, Inbound},
-            peers::{membership::Coordinator, message::LinkRequest, relay},
+            peers::{
+                job_message,
+                membership::Coordinator,
+                message::{JobOrder, LinkRequest},
+            },
             rules::{admission, endpoint_choice::InputLocation},
             stages::{
                 job::{JobEnd, PieceInput, ResultHandle, StageJob},
@@ -373,9 +377,9 @@
             tokio::time::sleep(SETTLE_LOOK).await;
             continue;
         };
-        let order = relay::order_of(gateway, service, &job);
-        let reply = gateway.links.ask(peer, LinkRequest::Job(order)).await;
-        if let Some(end) = relay::job_end(reply) {
+        let order = JobOrder::from_job(gateway.now(), service, &job);
+        let reply = gateway.links.request(peer, LinkRequest::Job(order)).await;
+        if let Some(end) = job_message::job_end(reply) {
             return end;
         }
         log::warn!(request = &*job.request, service:% = service, peer:% = peer; "planner.lost");
--- a/lib/src/gateway/stages/release.rs
+++ b/lib/src/gateway/stages/release.rs
@@ -30,6 +30,6 @@
             .release(service, handles),
         Coordinator::Peer(peer) => gateway
             .links
-            .tell(peer, LinkRequest::Release(service.clone(), handles)),
+            .notify(peer, LinkRequest::Release(service.clone(), handles)),
     }
 }
