--- a/lib/src/gateway/peers/heartbeats.rs
+++ b/lib/src/gateway/peers/heartbeats.rs
@@ -35,7 +35,7 @@
         let now = gateway.now();
         if let Some(gap) = pauses.look(now) {
             log::warn!(gap_ms = gap.as_millis() as u64; "pause.noticed");
-            gateway.state.borrow_mut().peers.resumed(now);
+            gateway.state.borrow_mut().peers.end_pause(now);
         }
         send_heartbeat(&gateway, &socket, now);
         send_load_digest(&gateway, &socket);
@@ -45,12 +45,12 @@
 }
 
 fn send_heartbeat<D: Dialect>(gateway: &Gateway<D>, socket: &UdpSocket, now: Time) {
-    let report = gateway.beliefs();
-    let changes = gateway.state.borrow_mut().peers.tick(now);
+    let report = gateway.self_report();
+    let changes = gateway.state.borrow_mut().peers.update_liveness(now);
     apply_changes(gateway, &changes);
-    let (heartbeat, targets) = gateway.state.borrow_mut().peers.heartbeat(now, report);
-    let datagram = Datagram::Heartbeat(heartbeat);
-    send_datagram(socket, &datagram, targets.into_iter());
+    let outgoing = gateway.state.borrow_mut().peers.heartbeat(now, report);
+    let datagram = Datagram::Heartbeat(outgoing.heartbeat);
+    send_datagram(socket, &datagram, outgoing.targets.into_iter());
 }
 
 /// Sends everybody what is in flight at the endpoints that this daemon coordinates; needed only where
@@ -66,7 +66,7 @@
     let everybody: Vec<SocketAddr> = state.peers.addresses().collect();
     drop(state);
     for part in loads.chunks(DIGEST_LOADS) {
-        gateway.state.borrow_mut().sums.take(now, part);
+        gateway.state.borrow_mut().sums.merge(now, part);
         let digest = LoadDigest {
             protocol: PROTOCOL,
             loads: part.to_vec(),
--- a/lib/src/gateway/peers/mod.rs
+++ b/lib/src/gateway/peers/mod.rs
@@ -1,4 +1,10 @@
-//! Messages between daemons, membership, and what daemons report of themselves.
+//! The other daemons: heartbeats in datagrams, links for requests, and what is known of each.
+//!
+//! There is no leader and no store behind it: each daemon keeps its own view, from heartbeats that it
+//! receives and from gossip in them. [`membership`] holds that view; [`heartbeats`], [`receive`] and
+//! [`catch_up`] are the tasks that keep it up to date; [`links`] and [`link_server`] are the two ends
+//! of a link; [`message`] is what goes over the wire. The rules are in
+//! [`rules`](crate::gateway::rules).
 
 pub mod catch_up;
 pub(crate) mod changes;
@@ -10,9 +16,11 @@
 pub mod load_sums;
 pub mod membership;
 pub mod message;
+pub mod outgoing;
 pub mod pause;
+pub(crate) mod queries;
 pub mod receive;
 pub(crate) mod record;
-pub(crate) mod self_report;
+pub(crate) mod reports;
+pub mod self_report;
 pub mod sockets;
-pub(crate) mod sums;
--- /dev/null
+++ b/lib/src/gateway/peers/outgoing.rs
@@ -0,0 +1,116 @@
+//! This daemon's own heartbeat: what it says, and to whom it goes.
+
+use {
+    crate::{
+        gateway::{
+            peers::{
+                membership::{Coordinator, Peers},
+                message::{Heartbeat, PROTOCOL, PeerNote, Phase},
+                self_report::SelfReport,
+            },
+            rules::{gossip, liveness},
+        },
+        shared::units::Time,
+    },
+    std::net::SocketAddr,
+};
+
+/// A heartbeat, and the daemons that get it.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub struct OutgoingHeartbeat {
+    /// The heartbeat.
+    pub heartbeat: Heartbeat,
+    /// Addresses of the daemons that get it, each once.
+    pub targets: Vec<SocketAddr>,
+}
+
+impl Peers {
+    /// Returns whether this daemon coordinated a service when it built its last heartbeat.
+    pub fn coordinates(&self) -> bool {
+        gossip::did_coordinate(self.broadcasts_left)
+    }
+
+    /// Returns whether this daemon has just started; times count from the start of the process.
+    pub fn is_joining(&self, now: Time) -> bool {
+        liveness::is_joining(now)
+    }
+
+    /// Builds the next heartbeat.
+    pub fn heartbeat(&mut self, now: Time, report: SelfReport) -> OutgoingHeartbeat {
+        self.sequence += 1;
+        let coordinators = self.coordinators(now, &report);
+        let coordinates = report.phase == Phase::Ready && coordinators.contains(&Coordinator::Me);
+        self.broadcasts_left = gossip::broadcasts_left(coordinates, self.broadcasts_left);
+        let targets = self.targets(&coordinators);
+        let peers = self.named_peers(now);
+        self.reported_work.clone_from(&report.work);
+        let heartbeat = Heartbeat {
+            protocol: PROTOCOL,
+            host: self.me.host.clone(),
+            run: self.me.run,
+            sequence: self.sequence,
+            address: self.me.address,
+            data_centre: self.me.data_centre.clone(),
+            phase: report.phase,
+            table: report.table,
+            fingerprint: report.fingerprint,
+            catalogue: report.catalogue,
+            steady: report.steady,
+            read_ms: report.read_ms,
+            broadcasts: coordinates,
+            capacity: self.me.capacity,
+            joining: self.is_joining(now),
+            peers,
+            loads: gossip::largest_loads(report.loads),
+            queues: report.queues,
+            work: report.work,
+        };
+        OutgoingHeartbeat { heartbeat, targets }
+    }
+
+    /// Returns the living daemons, for one that has just started; nothing in a small fleet, where
+    /// everybody's heartbeat arrives soon.
+    pub fn roster(&self, now: Time) -> Vec<PeerNote> {
+        if self.is_small() {
+            return Vec::new();
+        }
+        self.living(now)
+    }
+
+    fn coordinators(&self, now: Time, report: &SelfReport) -> Vec<Coordinator> {
+        let ready = report.phase == Phase::Ready;
+        report
+            .services
+            .iter()
+            .map(|service| self.coordinator(now, service, ready, &[]))
+            .collect()
+    }
+
+    /// Draws the daemons that get a heartbeat.
+    fn targets(&mut self, coordinators: &[Coordinator]) -> Vec<SocketAddr> {
+        let known = self.known.keys().copied().collect();
+        let mut targets = gossip::draw_targets(known, self.broadcasts_left, &mut self.rng);
+        let coordinators = coordinators.iter().filter_map(|one| match one {
+            Coordinator::Peer(address) => Some(*address),
+            Coordinator::Me => None,
+        });
+        let missing_seeds = self.seeds.iter().filter(|seed| !self.is_alive(seed));
+        gossip::add_targets(&mut targets, coordinators.chain(missing_seeds.copied()));
+        targets
+    }
+
+    /// Draws the daemons that a heartbeat names.
+    fn named_peers(&mut self, now: Time) -> Vec<PeerNote> {
+        let mut living = self.living(now);
+        living.sort_unstable_by_key(|note| note.address);
+        gossip::draw_named(&living, &mut self.rng)
+    }
+
+    fn living(&self, now: Time) -> Vec<PeerNote> {
+        self.known
+            .iter()
+            .filter(|(_, peer)| peer.alive)
+            .filter_map(|(address, peer)| peer.note(now, *address))
+            .collect()
+    }
+}
--- a/lib/src/gateway/peers/pause.rs
+++ b/lib/src/gateway/peers/pause.rs
@@ -1,14 +1,18 @@
-//! Notices that the process stood still: what it believed before may be long out of date.
+//! Notices that the process stood still: what it knew before may be long out of date.
+//!
+//! A pure rule: the caller looks at the clock with every heartbeat, and a gap of [`PAUSE`] or more
+//! between two looks is a pause, of a suspended host for example. What follows of it is in
+//! [`rules::liveness`](crate::gateway::rules::liveness).
 
 use {
     crate::shared::units::{Millis, Time},
     std::time::Duration,
 };
 
-/// Time without a look that counts as a pause.
+/// Time without a look that counts as a pause. Chosen, not measured: three heartbeats.
 const PAUSE: Millis = Millis(600);
 
-/// Looks at the clock again and again.
+/// Detects pauses from the times of looks.
 #[derive(Debug, Default)]
 pub struct PauseDetector {
     last: Option<Time>,
--- a/lib/src/gateway/peers/receive.rs
+++ b/lib/src/gateway/peers/receive.rs
@@ -50,10 +50,10 @@
     let now = gateway.now();
     match datagram {
         Datagram::Heartbeat(heartbeat) => receive_heartbeat(gateway, socket, heartbeat, from),
-        Datagram::Loads(digest) => gateway.state.borrow_mut().sums.take(now, &digest.loads),
+        Datagram::Loads(digest) => gateway.state.borrow_mut().sums.merge(now, &digest.loads),
         Datagram::Roster(roster) => {
             let mut state = gateway.state.borrow_mut();
-            let changes = state.peers.take_roster(now, &roster.peers);
+            let changes = state.peers.merge_roster(now, &roster.peers);
             drop(state);
             apply_changes(gateway, &changes);
         }
@@ -73,7 +73,11 @@
     }
     let now = gateway.now();
     let (joining, sender) = (heartbeat.joining, heartbeat.address);
-    let changes = gateway.state.borrow_mut().peers.heard(now, heartbeat);
+    let changes = gateway
+        .state
+        .borrow_mut()
+        .peers
+        .receive_heartbeat(now, heartbeat);
     apply_changes(gateway, &changes);
     if joining {
         send_roster(gateway, socket, sender);
--- a/lib/src/gateway/peers/record.rs
+++ b/lib/src/gateway/peers/record.rs
@@ -1,26 +1,40 @@
-//! What is known of one other daemon, and whether it counts as alive.
+//! The record of one other daemon.
 
-use crate::{
-    gateway::{
-        peers::message::{Heartbeat, PeerNote, Phase},
-        rules::liveness::LifeSigns,
-    },
-    shared::{
-        ids::HostId,
-        units::{Capacity, Millis, Time},
+use {
+    crate::{
+        gateway::{
+            peers::message::{Heartbeat, PeerNote, Phase},
+            rules::{
+                coordinator::{Candidate, PeerStanding},
+                liveness::LifeSigns,
+            },
+        },
+        shared::{
+            ids::HostId,
+            units::{Capacity, Millis, Time},
+        },
     },
+    std::net::SocketAddr,
 };
 
+/// A heartbeat, and when it was received.
+#[derive(Debug, Clone)]
+pub(crate) struct ReceivedHeartbeat {
+    pub(crate) at: Time,
+    pub(crate) heartbeat: Heartbeat,
+}
+
 /// What is known of one other daemon.
 #[derive(Debug, Clone)]
 pub(crate) struct Peer {
-    /// When its address was last told or heard.
-    pub(crate) known: Time,
-    /// Last sign of life, here or elsewhere.
-    pub(crate) seen: Option<Time>,
+    /// When a heartbeat or gossip last gave its address.
+    pub(crate) last_mention: Time,
+    /// Last sign of life, received here or by a third daemon.
+    pub(crate) last_sign: Option<Time>,
+    pub(crate) last_heartbeat: Option<ReceivedHeartbeat>,
     pub(crate) phase: Phase,
     pub(crate) capacity: Capacity,
-    pub(crate) heard: Option<(Time, Heartbeat)>,
+    /// End of the time for which it is passed over as a coordinator.
     pub(crate) passed_over_until: Time,
     pub(crate) alive: bool,
 }
@@ -28,30 +42,69 @@
 impl Peer {
     pub(crate) fn new(now: Time) -> Self {
         Self {
-            known: now,
-            seen: None,
+            last_mention: now,
+            last_sign: None,
+            last_heartbeat: None,
             phase: Phase::Starting,
             capacity: Capacity::default(),
-            heard: None,
             passed_over_until: Time::default(),
             alive: false,
         }
     }
 
+    /// Returns its host, once a heartbeat was received.
     pub(crate) fn host(&self) -> Option<HostId> {
-        let (_, heartbeat) = self.heard.as_ref()?;
-        Some(heartbeat.host.clone())
+        let last = self.last_heartbeat.as_ref()?;
+        Some(last.heartbeat.host.clone())
+    }
+
+    /// Returns whether a heartbeat isn't newer than the last one of the same process.
+    pub(crate) fn is_outdated(&self, next: &Heartbeat) -> bool {
+        self.last_heartbeat.as_ref().is_some_and(|last| {
+            last.heartbeat.run == next.run && last.heartbeat.sequence >= next.sequence
+        })
+    }
+
+    /// Returns whether a heartbeat is of another process than the last one.
+    pub(crate) fn is_restart(&self, next: &Heartbeat) -> bool {
+        self.last_heartbeat
+            .as_ref()
+            .is_some_and(|last| last.heartbeat.run != next.run)
     }
 
-    /// Returns what the rule of liveness asks of a daemon.
+    /// Returns the inputs of the rule of liveness.
     pub(crate) fn life_signs(&self) -> LifeSigns {
+        let last = self.last_heartbeat.as_ref();
         LifeSigns {
-            heartbeat: self.heard.as_ref().map(|(heard, _)| *heard),
-            sign: self.seen,
-            broadcasts: self.heard.as_ref().is_some_and(|(_, last)| last.broadcasts),
+            heartbeat: last.map(|last| last.at),
+            sign: self.last_sign,
+            broadcasts: last.is_some_and(|last| last.heartbeat.broadcasts),
             alive: self.alive,
         }
     }
+
+    /// Returns the inputs of the rule of coordinators.
+    pub(crate) fn standing(&self, address: SocketAddr) -> PeerStanding {
+        PeerStanding {
+            candidate: Candidate {
+                address,
+                capacity: self.capacity,
+            },
+            alive: self.alive,
+            ready: self.phase == Phase::Ready,
+            passed_over_until: self.passed_over_until,
+        }
+    }
+
+    /// Returns what this daemon passes on of another one; nothing without a sign of life.
+    pub(crate) fn note(&self, now: Time, address: SocketAddr) -> Option<PeerNote> {
+        Some(PeerNote {
+            address,
+            age_ms: now.since(self.last_sign?).as_millis() as u32,
+            phase: self.phase,
+            capacity: self.capacity,
+        })
+    }
 }
 
 impl PeerNote {
--- /dev/null
+++ b/lib/src/gateway/peers/reports.rs
@@ -0,0 +1,77 @@
+//! What other daemons report of loads and of outstanding work, summed up.
+//!
+//! Only heartbeats of daemons that are alive count.
+
+use {
+    crate::gateway::{
+        peers::{
+            membership::{Coordinator, Peers},
+            message::LoadNote,
+        },
+        routing::endpoint_state::PeerLoad,
+    },
+    foldhash::HashMap,
+};
+
+impl Peers {
+    /// Sums up what other daemons have in flight, by endpoint, as their heartbeats report it here.
+    pub fn reported_loads(&self) -> HashMap<u32, PeerLoad> {
+        let mut sums: HashMap<u32, PeerLoad> = HashMap::default();
+        for LoadNote(endpoint, running, prefill) in self.heartbeats().flat_map(|h| &h.loads) {
+            let sum = sums.entry(*endpoint).or_default();
+            sum.running += *running;
+            sum.prefill += f64::from(*prefill);
+        }
+        sums
+    }
+
+    /// Returns the number of a service's endpoints that accept calls, as its coordinator reports;
+    /// nothing if nobody reports it.
+    pub fn available_endpoints(&self, service: u32) -> Option<usize> {
+        let notes = self.heartbeats().flat_map(|heartbeat| &heartbeat.queues);
+        notes
+            .filter(|note| note.0 == service)
+            .map(|note| note.1 as usize)
+            .max()
+    }
+
+    /// Returns whether any daemon reports that a service's endpoints are short of room for results.
+    pub fn is_short_of_room(&self, service: u32) -> bool {
+        let mut notes = self.heartbeats().flat_map(|heartbeat| &heartbeat.queues);
+        notes.any(|note| note.0 == service && note.2)
+    }
+
+    /// Returns the outstanding pieces of a service at other daemons, as their heartbeats report it
+    /// here.
+    pub fn reported_outstanding(&self, service: u32) -> u32 {
+        let notes = self.heartbeats().flat_map(|heartbeat| &heartbeat.work);
+        notes
+            .filter(|note| note.0 == service)
+            .map(|note| note.1)
+            .fold(0, u32::saturating_add)
+    }
+
+    /// Returns the outstanding pieces of a service at other daemons: as all of them report it in a
+    /// small fleet, else as the service's coordinator sums it up.
+    pub fn outstanding(&self, service: u32, coordinator: Coordinator) -> u32 {
+        let reported = self.reported_outstanding(service);
+        let Coordinator::Peer(address) = coordinator else {
+            return reported;
+        };
+        let total = self
+            .known
+            .get(&address)
+            .and_then(|peer| peer.last_heartbeat.as_ref())
+            .and_then(|last| last.heartbeat.queues.iter().find(|note| note.0 == service))
+            .map(|note| note.3);
+        match total {
+            // The coordinator's sum has this daemon's own pieces in it, as its last heartbeat
+            // reported them.
+            Some(total) if !self.is_small() => {
+                let own = self.reported_work.iter().filter(|note| note.0 == service);
+                total.saturating_sub(own.map(|note| note.1).sum())
+            }
+            _ => reported,
+        }
+    }
+}
--- a/lib/src/gateway/serving/operator.rs
+++ b/lib/src/gateway/serving/operator.rs
@@ -111,7 +111,7 @@
 fn status<D: Dialect>(gateway: &Gateway<D>) -> GatewayStatus {
     let phase = gateway.phase();
     let state = gateway.state.borrow();
-    let peers = state.peers.alive().map(|peer| PeerStatus {
+    let peers = state.peers.heartbeats().map(|peer| PeerStatus {
         host: peer.host.to_string(),
         address: peer.address.to_string(),
         phase: peer.phase,
--- a/lib/tests/test_coordinator_rule.rs
+++ b/lib/tests/test_coordinator_rule.rs
@@ -72,7 +72,7 @@
 fn fleet(size: u16) -> Peers {
     let mut me = peers(0);
     for number in 1..size {
-        me.heard(Time(0), heartbeat(number, Phase::Ready, capacity(number)));
+        me.receive_heartbeat(Time(0), heartbeat(number, Phase::Ready, capacity(number)));
     }
     me
 }
@@ -104,7 +104,7 @@
 fn equal_capacities() {
     let mut me = peers(0);
     for number in 1..20 {
-        me.heard(Time(0), heartbeat(number, Phase::Ready, capacity(0)));
+        me.receive_heartbeat(Time(0), heartbeat(number, Phase::Ready, capacity(0)));
     }
     assert_eq!(
         coordinators(&me, Time(0), true, &[]),
@@ -142,7 +142,7 @@
     assert_eq!(coordinators(&fleet(2), Time(0), false, &[]), [1; 8]);
     // Daemon 3 has less capacity than the asking one.
     let mut weak = peers(0);
-    weak.heard(Time(0), heartbeat(3, Phase::Ready, capacity(3)));
+    weak.receive_heartbeat(Time(0), heartbeat(3, Phase::Ready, capacity(3)));
     assert_eq!(coordinators(&weak, Time(0), true, &[]), [0; 8]);
     assert_eq!(coordinators(&weak, Time(0), false, &[]), [3; 8]);
 }
@@ -151,7 +151,7 @@
 fn phases_of_others() {
     for phase in [Phase::Starting, Phase::Stopping] {
         let mut me = peers(0);
-        me.heard(Time(0), heartbeat(2, phase, capacity(2)));
+        me.receive_heartbeat(Time(0), heartbeat(2, phase, capacity(2)));
         assert_eq!(coordinators(&me, Time(0), true, &[]), [0; 8]);
         assert_eq!(coordinators(&me, Time(0), false, &[]), [0; 8]);
     }
@@ -160,16 +160,16 @@
 #[test]
 fn lost_daemons() {
     let mut me = peers(0);
-    me.heard(Time(0), heartbeat(2, Phase::Ready, capacity(2)));
+    me.receive_heartbeat(Time(0), heartbeat(2, Phase::Ready, capacity(2)));
     assert_eq!(coordinators(&me, Time(0), true, &[]), [2; 8]);
-    me.tick(Time(0) + Millis(5_000));
+    me.update_liveness(Time(0) + Millis(5_000));
     assert_eq!(coordinators(&me, Time(0), true, &[]), [0; 8]);
 }
 
 #[test]
 fn passed_over_daemons() {
     let mut me = peers(0);
-    me.heard(Time(0), heartbeat(2, Phase::Ready, capacity(2)));
+    me.receive_heartbeat(Time(0), heartbeat(2, Phase::Ready, capacity(2)));
     me.pass_over(Time(0), &address(2));
     let until = Time(0) + Millis(1_500);
     let at = |now| coordinators(&me, now, true, &[]);
--- a/lib/tests/test_decision_pins.rs
+++ b/lib/tests/test_decision_pins.rs
@@ -7,8 +7,9 @@
     hazelyoke_lib::{
         gateway::{
             peers::{
-                membership::{Coordinator, Identity, Peers, SelfReport},
+                membership::{Coordinator, Identity, Peers},
                 message::Phase,
+                self_report::SelfReport,
             },
             rules::{
                 admission::{
@@ -234,7 +235,7 @@
     Peers::new(me, &[])
 }
 
-fn beliefs(phase: Phase) -> SelfReport {
+fn report(phase: Phase) -> SelfReport {
     SelfReport {
         phase,
         table: 1,
@@ -260,8 +261,8 @@
         ("10.0.0.6:7000", 4.0, Phase::Stopping),
     ] {
         let mut other = daemon(address, cores);
-        let (heartbeat, _) = other.heartbeat(Time(0), beliefs(phase));
-        me.heard(Time(0), heartbeat);
+        let heartbeat = other.heartbeat(Time(0), report(phase)).heartbeat;
+        me.receive_heartbeat(Time(0), heartbeat);
     }
     me
 }
--- a/lib/tests/test_gossip_rule.rs
+++ b/lib/tests/test_gossip_rule.rs
@@ -5,8 +5,10 @@
 use {
     hazelyoke_lib::{
         gateway::peers::{
-            membership::{Coordinator, Identity, Peers, SelfReport},
+            membership::{Coordinator, Identity, Peers},
             message::{Heartbeat, LoadNote, Phase},
+            outgoing::OutgoingHeartbeat,
+            self_report::SelfReport,
         },
         shared::{
             ids::ServiceId,
@@ -55,7 +57,7 @@
     for number in 1..=others {
         let strength = if number == 1 { Capacity(400) } else { WEAK };
         let mut other = peers(number, strength, &[]);
-        me.heard(Time(0), heartbeat(&mut other, Phase::Ready, &[]).0);
+        me.receive_heartbeat(Time(0), heartbeat(&mut other, Phase::Ready, &[]).0);
     }
     me
 }
@@ -65,7 +67,8 @@
     phase: Phase,
     services: &[&str],
 ) -> (Heartbeat, HashSet<SocketAddr>) {
-    let (heartbeat, targets) = peers.heartbeat(Time(0), report(phase, services));
+    let OutgoingHeartbeat { heartbeat, targets } =
+        peers.heartbeat(Time(0), report(phase, services));
     let distinct: HashSet<SocketAddr> = targets.iter().copied().collect();
     assert_eq!(distinct.len(), targets.len(), "nobody gets it twice");
     (heartbeat, distinct)
@@ -170,7 +173,7 @@
         loads,
         ..report(Phase::Ready, &[])
     };
-    let (heartbeat, _) = me.heartbeat(Time(0), full);
+    let OutgoingHeartbeat { heartbeat, .. } = me.heartbeat(Time(0), full);
     let sent: Vec<(u32, u32)> = heartbeat
         .loads
         .iter()
--- a/lib/tests/test_large_fleet.rs
+++ b/lib/tests/test_large_fleet.rs
@@ -5,8 +5,10 @@
 use {
     hazelyoke_lib::{
         gateway::peers::{
-            membership::{Coordinator, HEARTBEAT, Identity, Peers, SelfReport},
+            membership::{Coordinator, HEARTBEAT, Identity, Peers},
             message::{Heartbeat, LoadNote, Phase, QueueNote, WorkNote},
+            outgoing::OutgoingHeartbeat,
+            self_report::SelfReport,
         },
         shared::{
             ids::ServiceId,
@@ -30,7 +32,7 @@
     SERVICES.iter().map(|name| name.parse().unwrap()).collect()
 }
 
-fn beliefs(read_ms: Option<u32>) -> SelfReport {
+fn report(read_ms: Option<u32>) -> SelfReport {
     SelfReport {
         phase: Phase::Ready,
         table: 1,
@@ -84,8 +86,9 @@
             if self.down[sender] {
                 continue;
             }
-            self.daemons[sender].tick(self.now);
-            let (heartbeat, targets) = self.daemons[sender].heartbeat(self.now, beliefs(Some(40)));
+            self.daemons[sender].update_liveness(self.now);
+            let OutgoingHeartbeat { heartbeat, targets } =
+                self.daemons[sender].heartbeat(self.now, report(Some(40)));
             self.deliver(sender, &heartbeat, &targets, &mut lost);
         }
     }
@@ -104,7 +107,7 @@
             };
             if !lost(sender, receiver) {
                 self.received[receiver] += 1;
-                self.daemons[receiver].heard(self.now, heartbeat.clone());
+                self.daemons[receiver].receive_heartbeat(self.now, heartbeat.clone());
             }
         }
     }
@@ -268,12 +271,12 @@
     fleet.now = fleet.now + Millis(5_000);
     let now = fleet.now;
     let woken = &mut fleet.daemons[7];
-    woken.resumed(now);
+    woken.end_pause(now);
     assert!(
-        woken.tick(now).is_empty(),
+        woken.update_liveness(now).is_empty(),
         "nobody is lost before he could be heard"
     );
-    let (heartbeat, _) = woken.heartbeat(now, beliefs(None));
+    let OutgoingHeartbeat { heartbeat, .. } = woken.heartbeat(now, report(None));
     assert!(!heartbeat.peers.is_empty());
     for note in &heartbeat.peers {
         assert!(
@@ -294,10 +297,10 @@
     let now = fleet.now + HEARTBEAT;
     let summed = SelfReport {
         queues: vec![QueueNote(9, 5, false, 240)],
-        ..beliefs(Some(40))
+        ..report(Some(40))
     };
-    let (heartbeat, _) = fleet.daemons[coordinator].heartbeat(now, summed);
-    fleet.daemons[7].heard(now, heartbeat);
+    let OutgoingHeartbeat { heartbeat, .. } = fleet.daemons[coordinator].heartbeat(now, summed);
+    fleet.daemons[7].receive_heartbeat(now, heartbeat);
     let at = Coordinator::Peer(address(coordinator));
     // This daemon's own three pieces are known better here.
     assert_eq!(fleet.daemons[7].outstanding(9, at), 237);
@@ -319,16 +322,16 @@
     let mut newcomer = Peers::new(me, &[address(3)]);
     assert!(newcomer.is_joining(Time(0)));
     assert!(!newcomer.is_joining(Time(0) + Millis(5_000)));
-    let (heartbeat, targets) = newcomer.heartbeat(Time(0), beliefs(None));
+    let OutgoingHeartbeat { heartbeat, targets } = newcomer.heartbeat(Time(0), report(None));
     assert!(heartbeat.joining);
     assert_eq!(targets, [address(3)]);
     // The seed's heartbeat makes it known that there are more, its roster who they are.
-    let (seed, _) = fleet.daemons[3].heartbeat(now, beliefs(Some(40)));
+    let seed = fleet.daemons[3].heartbeat(now, report(Some(40))).heartbeat;
     let roster = fleet.daemons[3].roster(now);
-    newcomer.heard(Time(0), seed);
-    newcomer.take_roster(Time(0), &roster);
+    newcomer.receive_heartbeat(Time(0), seed);
+    newcomer.merge_roster(Time(0), &roster);
     // Those heard of before the fleet was known to be large count from the next look on.
-    newcomer.tick(Time(0));
+    newcomer.update_liveness(Time(0));
     let known = newcomer.daemons();
     assert!(known >= DAEMONS - 3, "{known} of {} told", roster.len());
     let service = &services()[1];
--- a/lib/tests/test_liveness_rule.rs
+++ b/lib/tests/test_liveness_rule.rs
@@ -67,18 +67,18 @@
 /// Makes a fleet large: others are known by gossip too old to make any of them alive.
 fn enlarge(me: &mut Peers, now: Time) {
     let notes: Vec<PeerNote> = (100..=100 + SMALL).map(|n| note(n, 20_000)).collect();
-    me.take_roster(now, &notes);
+    me.merge_roster(now, &notes);
 }
 
 /// A daemon heard at time 0 in a fleet of either size; returns whether it is alive at a time.
 fn heard_then(large: bool, broadcasts: bool, now: Time) -> bool {
     let mut me = peers();
-    me.heard(Time(0), heartbeat(1, 1, broadcasts));
+    me.receive_heartbeat(Time(0), heartbeat(1, 1, broadcasts));
     if large {
         enlarge(&mut me, Time(0));
     }
     assert_eq!(me.is_small(), !large);
-    me.tick(now);
+    me.update_liveness(now);
     me.is_alive(&address(1))
 }
 
@@ -103,10 +103,10 @@
         let now = Time(0) + Millis(40_000);
         let mut me = peers();
         enlarge(&mut me, now);
-        let changes = me.take_roster(now, &[note(1, age_ms)]);
+        let changes = me.merge_roster(now, &[note(1, age_ms)]);
         assert_eq!(me.is_alive(&address(1)), alive, "{age_ms} ms");
         assert_eq!(changes.len(), usize::from(alive));
-        me.tick(now);
+        me.update_liveness(now);
         assert_eq!(me.is_alive(&address(1)), alive, "{age_ms} ms");
     }
 }
@@ -114,8 +114,8 @@
 #[test]
 fn gossip_in_a_small_fleet() {
     let mut me = peers();
-    assert!(me.take_roster(Time(0), &[note(1, 0)]).is_empty());
-    me.tick(Time(0));
+    assert!(me.merge_roster(Time(0), &[note(1, 0)]).is_empty());
+    me.update_liveness(Time(0));
     assert!(!me.is_alive(&address(1)));
     assert_eq!(me.addresses().collect::<Vec<_>>(), [address(1)]);
 }
@@ -123,15 +123,15 @@
 #[test]
 fn gossip_keeps_a_silent_daemon() {
     let mut me = peers();
-    me.heard(Time(0), heartbeat(1, 1, false));
+    me.receive_heartbeat(Time(0), heartbeat(1, 1, false));
     enlarge(&mut me, Time(0));
     let later = Time(0) + Millis(4_000);
-    me.take_roster(later, &[note(1, 1_000)]);
-    me.tick(later);
+    me.merge_roster(later, &[note(1, 1_000)]);
+    me.update_liveness(later);
     assert!(me.is_alive(&address(1)));
-    me.tick(later + Millis(1_500));
+    me.update_liveness(later + Millis(1_500));
     assert!(me.is_alive(&address(1)));
-    me.tick(later + Millis(1_501));
+    me.update_liveness(later + Millis(1_501));
     assert!(!me.is_alive(&address(1)));
 }
 
@@ -140,7 +140,7 @@
     let now = Time(0) + Millis(100_000);
     for (age_ms, known) in [(0, 1), (29_999, 1), (30_000, 0), (u32::MAX, 0)] {
         let mut me = peers();
-        me.take_roster(now, &[note(1, age_ms)]);
+        me.merge_roster(now, &[note(1, age_ms)]);
         assert_eq!(me.addresses().count(), known, "{age_ms} ms");
     }
 }
@@ -148,30 +148,30 @@
 #[test]
 fn forgotten_daemons() {
     let mut me = peers();
-    me.heard(Time(0), heartbeat(1, 1, false));
+    me.receive_heartbeat(Time(0), heartbeat(1, 1, false));
     let limit = Time(0) + Millis(60_000);
-    me.tick(Time(limit.0 - 1));
+    me.update_liveness(Time(limit.0 - 1));
     assert_eq!(me.addresses().count(), 1);
-    me.tick(limit);
+    me.update_liveness(limit);
     assert_eq!(me.addresses().count(), 0);
 }
 
 #[test]
 fn pause_of_this_daemon() {
     let mut me = peers();
-    me.heard(Time(0), heartbeat(1, 1, false));
-    me.heard(Time(0), heartbeat(2, 1, false));
+    me.receive_heartbeat(Time(0), heartbeat(1, 1, false));
+    me.receive_heartbeat(Time(0), heartbeat(2, 1, false));
     let first = Time(0) + Millis(2_000);
-    me.heard(first, heartbeat(2, 2, false));
-    let lost = me.tick(first);
+    me.receive_heartbeat(first, heartbeat(2, 2, false));
+    let lost = me.update_liveness(first);
     assert!(matches!(lost[..], [PeerChange::Lost(..)]));
     // Daemon 2 is excused until a second after the pause; daemon 1 was lost before it.
     let woken = Time(0) + Millis(9_000);
-    me.resumed(woken);
-    assert!(me.tick(woken + Millis(1_000)).is_empty());
+    me.end_pause(woken);
+    assert!(me.update_liveness(woken + Millis(1_000)).is_empty());
     assert!(me.is_alive(&address(2)));
     assert!(!me.is_alive(&address(1)));
-    let lost = me.tick(Time(woken.0 + 1_000_001));
+    let lost = me.update_liveness(Time(woken.0 + 1_000_001));
     assert!(matches!(lost[..], [PeerChange::Lost(..)]));
 }
 
--- a/lib/tests/test_peers.rs
+++ b/lib/tests/test_peers.rs
@@ -6,11 +6,13 @@
     hazelyoke_lib::{
         gateway::{
             peers::{
-                membership::{Coordinator, Identity, PeerChange, Peers, SelfReport},
+                membership::{Coordinator, Identity, PeerChange, Peers},
                 message::{
                     Frame, Heartbeat, JobOrder, LinkReply, LoadNote, PROTOCOL, Phase, QueueNote,
                     WorkNote, decode, encode,
                 },
+                outgoing::OutgoingHeartbeat,
+                self_report::SelfReport,
             },
             stages::job::{JobEnd, PieceInput, ResultHandle},
         },
@@ -38,7 +40,7 @@
     Peers::new(me, seeds)
 }
 
-fn beliefs(table: u64) -> SelfReport {
+fn report(table: u64) -> SelfReport {
     SelfReport {
         phase: Phase::Ready,
         table,
@@ -54,7 +56,7 @@
 }
 
 fn beat(peers: &mut Peers, now: Time) -> Heartbeat {
-    peers.heartbeat(now, beliefs(1)).0
+    peers.heartbeat(now, report(1)).heartbeat
 }
 
 #[test]
@@ -65,11 +67,11 @@
     for _ in 0..10 {
         now = now + Millis(200);
         for sender in 0..all.len() {
-            let (heartbeat, targets) = all[sender].heartbeat(now, beliefs(1));
+            let OutgoingHeartbeat { heartbeat, targets } = all[sender].heartbeat(now, report(1));
             for target in targets {
                 let receiver = (1..=6).position(|n| address(n) == target);
                 if let Some(receiver) = receiver {
-                    all[receiver].heard(now, heartbeat.clone());
+                    all[receiver].receive_heartbeat(now, heartbeat.clone());
                 }
             }
         }
@@ -83,13 +85,13 @@
 fn a_silent_daemon_is_lost_and_met_again() {
     let mut me = peers(1, 1, &[]);
     let mut other = peers(2, 2, &[]);
-    let met = me.heard(Time(0), beat(&mut other, Time(0)));
+    let met = me.receive_heartbeat(Time(0), beat(&mut other, Time(0)));
     assert!(matches!(met[..], [PeerChange::Met(..)]));
-    assert!(me.tick(Time(0) + Millis(900)).is_empty());
-    let lost = me.tick(Time(0) + Millis(1_100));
+    assert!(me.update_liveness(Time(0) + Millis(900)).is_empty());
+    let lost = me.update_liveness(Time(0) + Millis(1_100));
     assert!(matches!(lost[..], [PeerChange::Lost(..)]));
     assert_eq!(me.daemons(), 1);
-    let again = me.heard(Time(0) + Millis(1_200), beat(&mut other, Time(0)));
+    let again = me.receive_heartbeat(Time(0) + Millis(1_200), beat(&mut other, Time(0)));
     assert!(matches!(again[..], [PeerChange::Met(..)]));
 }
 
@@ -97,12 +99,12 @@
 fn after_a_pause_nobody_is_lost_before_he_could_be_heard() {
     let mut me = peers(1, 1, &[]);
     let mut other = peers(2, 2, &[]);
-    me.heard(Time(0), beat(&mut other, Time(0)));
+    me.receive_heartbeat(Time(0), beat(&mut other, Time(0)));
     let woken = Time(0) + Millis(5_000);
-    me.resumed(woken);
-    assert!(me.tick(woken).is_empty());
+    me.end_pause(woken);
+    assert!(me.update_liveness(woken).is_empty());
     assert_eq!(me.daemons(), 2);
-    assert_eq!(me.tick(woken + Millis(1_100)).len(), 1);
+    assert_eq!(me.update_liveness(woken + Millis(1_100)).len(), 1);
 }
 
 #[test]
@@ -111,10 +113,10 @@
     let mut other = peers(2, 2, &[]);
     let first = beat(&mut other, Time(0));
     let second = beat(&mut other, Time(0));
-    me.heard(Time(0), second);
-    assert_eq!(me.heard(Time(1), first), []);
+    me.receive_heartbeat(Time(0), second);
+    assert_eq!(me.receive_heartbeat(Time(1), first), []);
     let mut reborn = peers(2, 3, &[]);
-    let change = me.heard(Time(2), beat(&mut reborn, Time(2)));
+    let change = me.receive_heartbeat(Time(2), beat(&mut reborn, Time(2)));
     assert!(matches!(change[..], [PeerChange::Restarted(..)]));
 }
 
@@ -124,7 +126,7 @@
     let beats: Vec<Heartbeat> = all.iter_mut().map(|p| beat(p, Time(0))).collect();
     for peers in &mut all {
         for heartbeat in &beats {
-            peers.heard(Time(0), heartbeat.clone());
+            peers.receive_heartbeat(Time(0), heartbeat.clone());
         }
     }
     for name in ["enc", "retrieve", "rerank"] {
@@ -148,9 +150,9 @@
     let mut other = peers(2, 2, &[]);
     let stopping = SelfReport {
         phase: Phase::Stopping,
-        ..beliefs(1)
+        ..report(1)
     };
-    me.heard(Time(0), other.heartbeat(Time(0), stopping).0);
+    me.receive_heartbeat(Time(0), other.heartbeat(Time(0), stopping).heartbeat);
     let service: ServiceId = "enc".parse().unwrap();
     assert_eq!(
         me.coordinator(Time(0), &service, true, &[]),
@@ -163,14 +165,14 @@
     let mut me = peers(1, 1, &[]);
     for n in 2..=4 {
         let mut other = peers(n, u64::from(n), &[]);
-        me.heard(Time(0), beat(&mut other, Time(0)));
+        me.receive_heartbeat(Time(0), beat(&mut other, Time(0)));
     }
-    assert_eq!(me.loads()[&1].running, 6);
+    assert_eq!(me.reported_loads()[&1].running, 6);
     assert_eq!(me.outstanding(9, Coordinator::Me), 120);
     assert_eq!(me.available_endpoints(9), Some(3));
     assert!(me.is_short_of_room(9));
-    me.tick(Time(0) + Millis(2_000));
-    assert!(me.loads().is_empty());
+    me.update_liveness(Time(0) + Millis(2_000));
+    assert!(me.reported_loads().is_empty());
     assert_eq!(me.outstanding(9, Coordinator::Me), 0);
 }
 
@@ -180,13 +182,13 @@
     let mut other = peers(2, 2, &[]);
     let troubled = SelfReport {
         steady: false,
-        ..beliefs(1)
+        ..report(1)
     };
-    me.heard(Time(0), other.heartbeat(Time(0), troubled).0);
+    me.receive_heartbeat(Time(0), other.heartbeat(Time(0), troubled).heartbeat);
     assert!(!me.has_steady_peer());
-    me.heard(Time(1), beat(&mut other, Time(1)));
+    me.receive_heartbeat(Time(1), beat(&mut other, Time(1)));
     assert!(me.has_steady_peer());
-    me.tick(Time(0) + Millis(2_000));
+    me.update_liveness(Time(0) + Millis(2_000));
     assert!(!me.has_steady_peer());
 }
 
@@ -195,7 +197,7 @@
     let mut me = peers(1, 1, &[]);
     for n in 2..=250 {
         let mut other = peers(n, u64::from(n), &[]);
-        me.heard(Time(0), beat(&mut other, Time(0)));
+        me.receive_heartbeat(Time(0), beat(&mut other, Time(0)));
     }
     let full = SelfReport {
         loads: (0..600)
@@ -205,9 +207,9 @@
             .map(|n| QueueNote(n * 7_019_777, 9, true, 9_000))
             .collect(),
         work: (0..6).map(|n| WorkNote(n * 7_019_777, 9_000)).collect(),
-        ..beliefs(1)
+        ..report(1)
     };
-    let (heartbeat, targets) = me.heartbeat(Time(0), full);
+    let OutgoingHeartbeat { heartbeat, targets } = me.heartbeat(Time(0), full);
     assert!(targets.len() <= 12);
     let bytes = encode(&heartbeat);
     assert!(bytes.len() <= 1_400, "{} bytes", bytes.len());
@@ -262,9 +264,9 @@
         if let Ok(heartbeat) = decode::<Heartbeat>(&damaged)
             && heartbeat.protocol == PROTOCOL
         {
-            me.heard(Time(0), heartbeat);
-            me.tick(Time(0) + Millis(5_000));
-            me.heartbeat(Time(0) + Millis(5_000), beliefs(1));
+            me.receive_heartbeat(Time(0), heartbeat);
+            me.update_liveness(Time(0) + Millis(5_000));
+            me.heartbeat(Time(0) + Millis(5_000), report(1));
         }
         Ok(())
     });
