--- /dev/null
+++ b/lib/src/gateway/hashes.rs
@@ -0,0 +1,30 @@
+//! Short hashes of names, for messages between daemons that have to fit into a datagram.
+//!
+//! Two names may share a hash; then the loads of both count for each, which costs a worse choice and
+//! breaks nothing.
+
+use {
+    crate::shared::ids::{EndpointId, ServiceId},
+    serde::{Deserialize, Serialize},
+    xxhash_rust::xxh3::xxh3_64,
+};
+
+/// Hash of an endpoint's name.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+#[serde(transparent)]
+pub struct EndpointHash(pub u32);
+
+/// Hash of a service's name.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+#[serde(transparent)]
+pub struct ServiceHash(pub u32);
+
+/// Returns the hash of an endpoint's name: the lower half of its XXH3.
+pub fn endpoint_hash(id: &EndpointId) -> EndpointHash {
+    EndpointHash(xxh3_64(id.as_str().as_bytes()) as u32)
+}
+
+/// Returns the hash of a service's name: the lower half of its XXH3.
+pub fn service_hash(service: &ServiceId) -> ServiceHash {
+    ServiceHash(xxh3_64(service.as_str().as_bytes()) as u32)
+}
--- a/lib/src/gateway/mod.rs
+++ b/lib/src/gateway/mod.rs
@@ -7,6 +7,7 @@
 
 pub mod dialect;
 pub mod directory;
+pub mod hashes;
 pub mod peers;
 pub mod routing;
 pub mod rules;
--- a/lib/src/gateway/peers/load_sums.rs
+++ b/lib/src/gateway/peers/load_sums.rs
@@ -7,8 +7,9 @@
 use {
     crate::{
         gateway::{
+            hashes::{EndpointHash, endpoint_hash},
             peers::{membership::Coordinator, message::LoadNote},
-            routing::endpoint_state::{PeerLoad, endpoint_hash},
+            routing::endpoint_state::PeerLoad,
             state::GatewayState,
         },
         shared::units::{Millis, Time},
@@ -23,7 +24,7 @@
 /// Sums of loads by endpoint, as coordinators sent them.
 #[derive(Debug, Default)]
 pub struct LoadSums {
-    sums: HashMap<u32, LoadSum>,
+    sums: HashMap<EndpointHash, LoadSum>,
 }
 
 /// The sum at one endpoint, and when it was received.
@@ -36,12 +37,12 @@
 impl LoadSums {
     /// Merges sums; an endpoint that isn't named keeps its last one.
     pub fn merge(&mut self, now: Time, loads: &[LoadNote]) {
-        for LoadNote(endpoint, running, prefill) in loads {
+        for note in loads {
             let load = PeerLoad {
-                running: *running,
-                prefill: f64::from(*prefill),
+                running: note.running,
+                prefill: f64::from(note.prefill),
             };
-            self.sums.insert(*endpoint, LoadSum { at: now, load });
+            self.sums.insert(note.endpoint, LoadSum { at: now, load });
         }
     }
 
@@ -52,7 +53,7 @@
     }
 
     /// Returns the sums by endpoint, this daemon's own part included.
-    pub fn by_endpoint(&self) -> HashMap<u32, PeerLoad> {
+    pub fn by_endpoint(&self) -> HashMap<EndpointHash, PeerLoad> {
         let loads = self.sums.iter();
         loads.map(|(endpoint, sum)| (*endpoint, sum.load)).collect()
     }
@@ -74,10 +75,13 @@
             })
             .flat_map(|service| self.endpoints.service(&service.id))
             .map(|member| {
-                let id = endpoint_hash(&member.entry.id);
-                let others = reported.get(&id).copied().unwrap_or_default();
-                let prefill = member.prefill + others.prefill;
-                LoadNote(id, member.running + others.running, prefill as u32)
+                let endpoint = endpoint_hash(&member.entry.id);
+                let others = reported.get(&endpoint).copied().unwrap_or_default();
+                LoadNote {
+                    endpoint,
+                    running: member.running + others.running,
+                    prefill: (member.prefill + others.prefill) as u32,
+                }
             })
             .collect()
     }
--- a/lib/src/gateway/peers/message.rs
+++ b/lib/src/gateway/peers/message.rs
@@ -4,6 +4,7 @@
     crate::{
         gateway::{
             directory::catalogue::{EndpointChanges, EndpointEntry},
+            hashes::{EndpointHash, ServiceHash},
             stages::job::{JobEnd, PieceInput, ResultHandle},
             table::Version,
         },
@@ -62,38 +63,95 @@
     pub capacity: Capacity,
 }
 
-/// What is in flight at one endpoint.
+/// Load at one endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct LoadNote(
-    /// Short name of the endpoint.
-    pub u32,
+#[serde(into = "(EndpointHash, u32, u32)", from = "(EndpointHash, u32, u32)")]
+pub struct LoadNote {
+    /// The endpoint.
+    pub endpoint: EndpointHash,
     /// Requests in flight.
-    pub u32,
-    /// Prompt tokens not read yet.
-    pub u32,
-);
+    pub running: u32,
+    /// Prompt tokens that the endpoint hasn't read yet.
+    pub prefill: u32,
+}
+
+impl From<LoadNote> for (EndpointHash, u32, u32) {
+    fn from(note: LoadNote) -> Self {
+        (note.endpoint, note.running, note.prefill)
+    }
+}
+
+impl From<(EndpointHash, u32, u32)> for LoadNote {
+    fn from((endpoint, running, prefill): (EndpointHash, u32, u32)) -> Self {
+        Self {
+            endpoint,
+            running,
+            prefill,
+        }
+    }
+}
 
-/// What the daemon that plans for a service knows of its endpoints.
+/// State of a stage service, as the daemon reports that plans its calls.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct QueueNote(
-    /// Short name of the service.
-    pub u32,
-    /// Endpoints that take calls and are about as fast as usual.
-    pub u32,
+#[serde(
+    into = "(ServiceHash, u32, bool, u32)",
+    from = "(ServiceHash, u32, bool, u32)"
+)]
+pub struct QueueNote {
+    /// The service.
+    pub service: ServiceHash,
+    /// Endpoints that accept calls and are about as fast as usual.
+    pub endpoints: u32,
     /// Whether they are short of room for results.
-    pub bool,
-    /// Pieces that any daemon has taken on and that aren't made yet, as far as the planner knows.
-    pub u32,
-);
+    pub short_of_room: bool,
+    /// Outstanding pieces at all daemons, as far as the planning one knows.
+    pub outstanding: u32,
+}
+
+impl From<QueueNote> for (ServiceHash, u32, bool, u32) {
+    fn from(note: QueueNote) -> Self {
+        (
+            note.service,
+            note.endpoints,
+            note.short_of_room,
+            note.outstanding,
+        )
+    }
+}
 
-/// Pieces that a daemon has taken on and that aren't made yet.
+impl From<(ServiceHash, u32, bool, u32)> for QueueNote {
+    fn from(note: (ServiceHash, u32, bool, u32)) -> Self {
+        let (service, endpoints, short_of_room, outstanding) = note;
+        Self {
+            service,
+            endpoints,
+            short_of_room,
+            outstanding,
+        }
+    }
+}
+
+/// Outstanding pieces of a service at one daemon.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct WorkNote(
-    /// Short name of the service.
-    pub u32,
-    /// The pieces.
-    pub u32,
-);
+#[serde(into = "(ServiceHash, u32)", from = "(ServiceHash, u32)")]
+pub struct WorkNote {
+    /// The service.
+    pub service: ServiceHash,
+    /// Pieces without a result.
+    pub pieces: u32,
+}
+
+impl From<WorkNote> for (ServiceHash, u32) {
+    fn from(note: WorkNote) -> Self {
+        (note.service, note.pieces)
+    }
+}
+
+impl From<(ServiceHash, u32)> for WorkNote {
+    fn from((service, pieces): (ServiceHash, u32)) -> Self {
+        Self { service, pieces }
+    }
+}
 
 /// A datagram that tells that its sender is alive and what it knows.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
--- a/lib/src/gateway/peers/self_report.rs
+++ b/lib/src/gateway/peers/self_report.rs
@@ -3,11 +3,11 @@
 use crate::{
     gateway::{
         dialect::Dialect,
+        hashes::{endpoint_hash, service_hash},
         peers::{
             membership::Coordinator,
             message::{LoadNote, Phase, QueueNote, WorkNote},
         },
-        routing::endpoint_state::{endpoint_hash, service_hash},
         state::{Gateway, GatewayState},
         table::Version,
     },
@@ -57,9 +57,10 @@
         self.endpoints
             .members()
             .filter(|member| member.running > 0)
-            .map(|member| {
-                let id = endpoint_hash(&member.entry.id);
-                LoadNote(id, member.running, member.prefill as u32)
+            .map(|member| LoadNote {
+                endpoint: endpoint_hash(&member.entry.id),
+                running: member.running,
+                prefill: member.prefill as u32,
             })
             .collect()
     }
--- a/lib/src/gateway/routing/endpoint_state.rs
+++ b/lib/src/gateway/routing/endpoint_state.rs
@@ -14,12 +14,10 @@
         },
         shared::{
             health::{Health, HealthState},
-            ids::{EndpointId, ServiceId},
             units::Time,
         },
     },
     std::sync::Arc,
-    xxhash_rust::xxh3::xxh3_64,
 };
 
 /// Load that other daemons put on an endpoint.
@@ -186,13 +184,3 @@
         is_due
     }
 }
-
-/// Returns a short name of an endpoint for messages between daemons.
-pub fn endpoint_hash(id: &EndpointId) -> u32 {
-    xxh3_64(id.as_str().as_bytes()) as u32
-}
-
-/// Returns a short name of a service for messages between daemons.
-pub fn service_hash(service: &ServiceId) -> u32 {
-    xxh3_64(service.as_str().as_bytes()) as u32
-}
--- a/lib/src/gateway/routing/endpoint_states.rs
+++ b/lib/src/gateway/routing/endpoint_states.rs
@@ -8,7 +8,8 @@
         gateway::{
             dialect::{Prompt, ReplyLoad},
             directory::catalogue::EndpointEntry,
-            routing::endpoint_state::{EndpointOutcome, EndpointState, PeerLoad, endpoint_hash},
+            hashes::{EndpointHash, endpoint_hash},
+            routing::endpoint_state::{EndpointOutcome, EndpointState, PeerLoad},
             rules::endpoint_choice::{self, Candidate, EndpointChoice, Placement},
         },
         shared::{
@@ -132,7 +133,7 @@
     }
 
     /// Sets the load that other daemons put on each endpoint; one that isn't named has none.
-    pub fn set_peer_loads(&mut self, loads: &HashMap<u32, PeerLoad>) {
+    pub fn set_peer_loads(&mut self, loads: &HashMap<EndpointHash, PeerLoad>) {
         for member in self.members.values_mut() {
             let key = endpoint_hash(&member.entry.id);
             member.peers = loads.get(&key).copied().unwrap_or_default();
@@ -141,7 +142,7 @@
 
     /// Sets the load that other daemons put on each endpoint, from the sums over all daemons: this
     /// daemon's own part is subtracted.
-    pub fn set_total_loads(&mut self, loads: &HashMap<u32, PeerLoad>) {
+    pub fn set_total_loads(&mut self, loads: &HashMap<EndpointHash, PeerLoad>) {
         for member in self.members.values_mut() {
             let key = endpoint_hash(&member.entry.id);
             let total = loads.get(&key).copied().unwrap_or_default();
--- a/lib/src/gateway/routing/stages.rs
+++ b/lib/src/gateway/routing/stages.rs
@@ -4,9 +4,8 @@
     crate::{
         gateway::{
             dialect::{Dialect, Inbound},
-            routing::{
-                attempt::choose_endpoint, call::ForwardedCall, endpoint_state::service_hash,
-            },
+            hashes::service_hash,
+            routing::{attempt::choose_endpoint, call::ForwardedCall},
             rules::admission::{
                 self, AdmissionDecision, AdmissionRequest, PlannedStage, StageService,
             },
--- a/lib/src/gateway/rules/gossip.rs
+++ b/lib/src/gateway/rules/gossip.rs
@@ -105,7 +105,7 @@
 /// Returns the loads that a heartbeat carries: those with the most prompt tokens, and of equal ones
 /// those with the most requests.
 pub fn largest_loads(mut loads: Vec<LoadNote>) -> Vec<LoadNote> {
-    loads.sort_unstable_by_key(|load| Reverse((load.2, load.1)));
+    loads.sort_unstable_by_key(|load| Reverse((load.prefill, load.running)));
     loads.truncate(LOADS);
     loads
 }
--- a/lib/src/gateway/stages/planner.rs
+++ b/lib/src/gateway/stages/planner.rs
@@ -4,7 +4,7 @@
     crate::{
         gateway::{
             dialect::Dialect,
-            routing::endpoint_state::service_hash,
+            hashes::service_hash,
             stages::{
                 batch_call::{BatchCall, CallEnd},
                 job::{JobEnd, JobId, PieceEnd, ResultHandle, StageJob},
--- a/lib/src/gateway/stages/queues.rs
+++ b/lib/src/gateway/stages/queues.rs
@@ -3,8 +3,9 @@
 use {
     crate::{
         gateway::{
+            hashes::service_hash,
             peers::message::QueueNote,
-            routing::{endpoint_state::service_hash, endpoint_states::EndpointStates},
+            routing::endpoint_states::EndpointStates,
             rules::retry_budget::{BudgetLimits, WindowBudget},
             stages::{
                 batch_call::{BatchCall, CallEnd},
@@ -70,10 +71,11 @@
         self.queues
             .iter()
             .filter(|(id, queue)| queue.jobs() > 0 || mine(id))
-            .map(|(id, queue)| {
-                let endpoints = queue.available_workers(now) as u32;
-                let short = queue.is_short_of_room(now);
-                QueueNote(service_hash(id), endpoints, short, total(id))
+            .map(|(id, queue)| QueueNote {
+                service: service_hash(id),
+                endpoints: queue.available_workers(now) as u32,
+                short_of_room: queue.is_short_of_room(now),
+                outstanding: total(id),
             })
             .collect()
     }
--- a/lib/src/gateway/stages/workload.rs
+++ b/lib/src/gateway/stages/workload.rs
@@ -2,7 +2,7 @@
 
 use {
     crate::{
-        gateway::{peers::message::WorkNote, routing::endpoint_state::service_hash},
+        gateway::{hashes::service_hash, peers::message::WorkNote},
         shared::ids::ServiceId,
     },
     foldhash::HashMap,
@@ -18,8 +18,11 @@
     /// Returns what is told to other daemons.
     pub fn notes(&self) -> Vec<WorkNote> {
         let some = self.outstanding.iter().filter(|(_, pieces)| **pieces > 0);
-        some.map(|(service, pieces)| WorkNote(service_hash(service), *pieces))
-            .collect()
+        some.map(|(service, pieces)| WorkNote {
+            service: service_hash(service),
+            pieces: *pieces,
+        })
+        .collect()
     }
 
     /// Returns the pieces taken on by this daemon.
--- a/lib/tests/test_fleet_choice.rs
+++ b/lib/tests/test_fleet_choice.rs
@@ -7,8 +7,9 @@
         gateway::{
             dialect::{Prompt, PromptPart},
             directory::catalogue::EndpointEntry,
+            hashes::endpoint_hash,
             routing::{
-                endpoint_state::{EndpointOutcome, PeerLoad, endpoint_hash},
+                endpoint_state::{EndpointOutcome, PeerLoad},
                 endpoint_states::EndpointStates,
             },
             rules::endpoint_choice::{EndpointChoice, InputLocation, Placement},
--- a/lib/tests/test_fleet_pins.rs
+++ b/lib/tests/test_fleet_pins.rs
@@ -8,8 +8,9 @@
         gateway::{
             dialect::{Prompt, PromptPart, ReplyLoad},
             directory::catalogue::EndpointEntry,
+            hashes::{endpoint_hash, service_hash},
             routing::{
-                endpoint_state::{EndpointOutcome, PeerLoad, endpoint_hash, service_hash},
+                endpoint_state::{EndpointOutcome, PeerLoad},
                 endpoint_states::EndpointStates,
             },
             rules::{
@@ -268,8 +269,8 @@
 fn names_pinned() {
     let mut lines = String::new();
     for name in ["e1", "endpoint-2", "chat-large", "rerank"] {
-        let endpoint = endpoint_hash(&name.parse().unwrap());
-        let service = service_hash(&name.parse().unwrap());
+        let endpoint = endpoint_hash(&name.parse().unwrap()).0;
+        let service = service_hash(&name.parse().unwrap()).0;
         writeln!(lines, "{name}: {endpoint:08x} {service:08x}").unwrap();
     }
     let choices = [("a", 1.0), ("b", 3.0), ("c", 0.0), ("d", 0.5)];
--- a/lib/tests/test_gossip_rule.rs
+++ b/lib/tests/test_gossip_rule.rs
@@ -4,11 +4,14 @@
 
 use {
     hazelyoke_lib::{
-        gateway::peers::{
-            membership::{Coordinator, Identity, Peers},
-            message::{Heartbeat, LoadNote, Phase},
-            outgoing::OutgoingHeartbeat,
-            self_report::SelfReport,
+        gateway::{
+            hashes::EndpointHash,
+            peers::{
+                membership::{Coordinator, Identity, Peers},
+                message::{Heartbeat, LoadNote, Phase},
+                outgoing::OutgoingHeartbeat,
+                self_report::SelfReport,
+            },
         },
         shared::{
             ids::ServiceId,
@@ -167,7 +170,11 @@
 fn largest_loads() {
     let mut me = peers(0, WEAK, &[]);
     let loads = (0..40)
-        .map(|n| LoadNote(n, n * 7 % 5, n * 11 % 13))
+        .map(|n| LoadNote {
+            endpoint: EndpointHash(n),
+            running: n * 7 % 5,
+            prefill: n * 11 % 13,
+        })
         .collect();
     let full = SelfReport {
         loads,
@@ -177,7 +184,7 @@
     let sent: Vec<(u32, u32)> = heartbeat
         .loads
         .iter()
-        .map(|LoadNote(_, running, prefill)| (*prefill, *running))
+        .map(|load| (load.prefill, load.running))
         .collect();
     assert_eq!(sent.len(), 24);
     assert!(sent.is_sorted_by(|a, b| a >= b));
--- a/lib/tests/test_large_fleet.rs
+++ b/lib/tests/test_large_fleet.rs
@@ -4,11 +4,14 @@
 
 use {
     hazelyoke_lib::{
-        gateway::peers::{
-            membership::{Coordinator, HEARTBEAT, Identity, Peers},
-            message::{Heartbeat, LoadNote, Phase, QueueNote, WorkNote},
-            outgoing::OutgoingHeartbeat,
-            self_report::SelfReport,
+        gateway::{
+            hashes::{EndpointHash, ServiceHash},
+            peers::{
+                membership::{Coordinator, HEARTBEAT, Identity, Peers},
+                message::{Heartbeat, LoadNote, Phase, QueueNote, WorkNote},
+                outgoing::OutgoingHeartbeat,
+                self_report::SelfReport,
+            },
         },
         shared::{
             ids::ServiceId,
@@ -32,6 +35,30 @@
     SERVICES.iter().map(|name| name.parse().unwrap()).collect()
 }
 
+fn load(endpoint: u32, running: u32, prefill: u32) -> LoadNote {
+    LoadNote {
+        endpoint: EndpointHash(endpoint),
+        running,
+        prefill,
+    }
+}
+
+fn queue(service: u32, endpoints: u32, short_of_room: bool, outstanding: u32) -> QueueNote {
+    QueueNote {
+        service: ServiceHash(service),
+        endpoints,
+        short_of_room,
+        outstanding,
+    }
+}
+
+fn work(service: u32, pieces: u32) -> WorkNote {
+    WorkNote {
+        service: ServiceHash(service),
+        pieces,
+    }
+}
+
 fn report(read_ms: Option<u32>) -> SelfReport {
     SelfReport {
         phase: Phase::Ready,
@@ -40,9 +67,9 @@
         catalogue: 0,
         steady: true,
         read_ms,
-        loads: vec![LoadNote(1, 2, 300)],
+        loads: vec![load(1, 2, 300)],
         queues: Vec::new(),
-        work: vec![WorkNote(9, 3)],
+        work: vec![work(9, 3)],
         services: services(),
     }
 }
@@ -296,14 +323,14 @@
     assert_ne!(coordinator, 7);
     let now = fleet.now + HEARTBEAT;
     let summed = SelfReport {
-        queues: vec![QueueNote(9, 5, false, 240)],
+        queues: vec![queue(9, 5, false, 240)],
         ..report(Some(40))
     };
     let OutgoingHeartbeat { heartbeat, .. } = fleet.daemons[coordinator].heartbeat(now, summed);
     fleet.daemons[7].receive_heartbeat(now, heartbeat);
     let at = Coordinator::Peer(address(coordinator));
     // This daemon's own three pieces are known better here.
-    assert_eq!(fleet.daemons[7].outstanding(9, at), 237);
+    assert_eq!(fleet.daemons[7].outstanding(ServiceHash(9), at), 237);
 }
 
 #[test]
--- a/lib/tests/test_message_bytes.rs
+++ b/lib/tests/test_message_bytes.rs
@@ -9,6 +9,7 @@
     hazelyoke_lib::{
         gateway::{
             directory::catalogue::{EndpointChanges, EndpointEntry, GoneEndpoint},
+            hashes::{EndpointHash, ServiceHash},
             peers::message::{
                 Datagram, Frame, Heartbeat, JobOrder, LinkReply, LinkRequest, LoadDigest, LoadNote,
                 PROTOCOL, PeerNote, Phase, QueueNote, Roster, WorkNote, decode, encode,
@@ -65,8 +66,32 @@
     ]
 }
 
+fn load(endpoint: u32, running: u32, prefill: u32) -> LoadNote {
+    LoadNote {
+        endpoint: EndpointHash(endpoint),
+        running,
+        prefill,
+    }
+}
+
+fn queue(service: u32, endpoints: u32, short_of_room: bool, outstanding: u32) -> QueueNote {
+    QueueNote {
+        service: ServiceHash(service),
+        endpoints,
+        short_of_room,
+        outstanding,
+    }
+}
+
+fn work(service: u32, pieces: u32) -> WorkNote {
+    WorkNote {
+        service: ServiceHash(service),
+        pieces,
+    }
+}
+
 fn load_notes() -> Vec<LoadNote> {
-    vec![LoadNote(0xdead_beef, 3, 90_000), LoadNote(7, 0, 12)]
+    vec![load(0xdead_beef, 3, 90_000), load(7, 0, 12)]
 }
 
 fn heartbeat(phase: Phase, read_ms: Option<u32>) -> Heartbeat {
@@ -88,11 +113,8 @@
         joining: true,
         peers: peer_notes(),
         loads: load_notes(),
-        queues: vec![
-            QueueNote(0x0bad_cafe, 9, true, 700),
-            QueueNote(2, 0, false, 0),
-        ],
-        work: vec![WorkNote(0x0bad_cafe, 44), WorkNote(5, 300)],
+        queues: vec![queue(0x0bad_cafe, 9, true, 700), queue(2, 0, false, 0)],
+        work: vec![work(0x0bad_cafe, 44), work(5, 300)],
     }
 }
 
--- a/lib/tests/test_peers.rs
+++ b/lib/tests/test_peers.rs
@@ -5,6 +5,7 @@
 use {
     hazelyoke_lib::{
         gateway::{
+            hashes::{EndpointHash, ServiceHash},
             peers::{
                 membership::{Coordinator, Identity, PeerChange, Peers},
                 message::{
@@ -40,6 +41,30 @@
     Peers::new(me, seeds)
 }
 
+fn load(endpoint: u32, running: u32, prefill: u32) -> LoadNote {
+    LoadNote {
+        endpoint: EndpointHash(endpoint),
+        running,
+        prefill,
+    }
+}
+
+fn queue(service: u32, endpoints: u32, short_of_room: bool, outstanding: u32) -> QueueNote {
+    QueueNote {
+        service: ServiceHash(service),
+        endpoints,
+        short_of_room,
+        outstanding,
+    }
+}
+
+fn work(service: u32, pieces: u32) -> WorkNote {
+    WorkNote {
+        service: ServiceHash(service),
+        pieces,
+    }
+}
+
 fn report(table: u64) -> SelfReport {
     SelfReport {
         phase: Phase::Ready,
@@ -48,9 +73,9 @@
         catalogue: 0,
         steady: true,
         read_ms: None,
-        loads: vec![LoadNote(1, 2, 300)],
-        queues: vec![QueueNote(9, 3, true, 70)],
-        work: vec![WorkNote(9, 40)],
+        loads: vec![load(1, 2, 300)],
+        queues: vec![queue(9, 3, true, 70)],
+        work: vec![work(9, 40)],
         services: Vec::new(),
     }
 }
@@ -167,13 +192,13 @@
         let mut other = peers(n, u64::from(n), &[]);
         me.receive_heartbeat(Time(0), beat(&mut other, Time(0)));
     }
-    assert_eq!(me.reported_loads()[&1].running, 6);
-    assert_eq!(me.outstanding(9, Coordinator::Me), 120);
-    assert_eq!(me.available_endpoints(9), Some(3));
-    assert!(me.is_short_of_room(9));
+    assert_eq!(me.reported_loads()[&EndpointHash(1)].running, 6);
+    assert_eq!(me.outstanding(ServiceHash(9), Coordinator::Me), 120);
+    assert_eq!(me.available_endpoints(ServiceHash(9)), Some(3));
+    assert!(me.is_short_of_room(ServiceHash(9)));
     me.update_liveness(Time(0) + Millis(2_000));
     assert!(me.reported_loads().is_empty());
-    assert_eq!(me.outstanding(9, Coordinator::Me), 0);
+    assert_eq!(me.outstanding(ServiceHash(9), Coordinator::Me), 0);
 }
 
 #[test]
@@ -200,13 +225,11 @@
         me.receive_heartbeat(Time(0), beat(&mut other, Time(0)));
     }
     let full = SelfReport {
-        loads: (0..600)
-            .map(|n| LoadNote(n * 7_019_777, 60, 90_000))
-            .collect(),
+        loads: (0..600).map(|n| load(n * 7_019_777, 60, 90_000)).collect(),
         queues: (0..6)
-            .map(|n| QueueNote(n * 7_019_777, 9, true, 9_000))
+            .map(|n| queue(n * 7_019_777, 9, true, 9_000))
             .collect(),
-        work: (0..6).map(|n| WorkNote(n * 7_019_777, 9_000)).collect(),
+        work: (0..6).map(|n| work(n * 7_019_777, 9_000)).collect(),
         ..report(1)
     };
     let OutgoingHeartbeat { heartbeat, targets } = me.heartbeat(Time(0), full);
