--- a/lib/src/gateway/peers/job_message.rs
+++ b/lib/src/gateway/peers/job_message.rs
@@ -19,7 +19,7 @@
 
 impl JobOrder {
     /// Turns a job into a message at a time on this daemon's clock.
-    pub(crate) fn from_job(now: Time, service: &ServiceId, job: &StageJob) -> Self {
+    pub fn from_job(now: Time, service: &ServiceId, job: &StageJob) -> Self {
         let objective_us = job.objective.0 as i64 - now.0 as i64;
         Self {
             service: service.clone(),
@@ -37,7 +37,7 @@
     }
 
     /// Turns a message that was received now into a job.
-    pub(crate) fn into_job(self, now: Time) -> StageJob {
+    pub fn into_job(self, now: Time) -> StageJob {
         StageJob {
             request: self.request,
             stage: self.stage,
--- a/lib/src/gateway/peers/message.rs
+++ b/lib/src/gateway/peers/message.rs
@@ -1,4 +1,8 @@
-//! What daemons say to each other: heartbeats in datagrams, and frames on links.
+//! Messages between daemons: datagrams with heartbeats, and frames of requests and replies on links.
+//!
+//! All are CBOR. Fields of datagrams have names of one letter, and notes are arrays without names, so
+//! that a heartbeat fits into a datagram; `lib/tests/test_message_bytes.rs` pins the bytes. Daemons
+//! share no clock, so that every time in a message is relative to when it was sent.
 
 use {
     crate::{
@@ -21,13 +25,16 @@
 /// Version of these messages; a daemon ignores all others.
 pub const PROTOCOL: u16 = 2;
 
-/// Largest message accepted.
+/// Largest message accepted on a link, in bytes: chosen, not measured, well above a table or a list.
 pub const MAX_MESSAGE: usize = 8 << 20;
 
-/// Reports bytes that are no message.
+/// Room made for a message before it is encoded, in bytes: about the size of a heartbeat.
+const CAPACITY: usize = 512;
+
+/// Reports bytes that aren't a message.
 #[derive(Debug, Error)]
 pub enum MessageError {
-    /// The message can't be decoded.
+    /// The bytes can't be decoded; the sender may be of another version.
     #[error("not a message: {0}")]
     Decode(String),
     /// The message is of another version.
@@ -35,27 +42,27 @@
     Version(u16),
 }
 
-/// How far a daemon is.
+/// Phase of a daemon's life.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Phase {
-    /// It doesn't know yet what it needs to serve.
+    /// It doesn't know its table or the endpoints yet, or not the other daemons.
     Starting,
     /// It serves.
     Ready,
-    /// It is about to end.
+    /// It finishes what is in flight, and ends.
     Stopping,
 }
 
-/// A daemon that the sender of a heartbeat knows of.
+/// Gossip about a daemon that the sender knows.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PeerNote {
     /// Its address for other daemons.
     #[serde(rename = "a")]
     pub address: SocketAddr,
-    /// Milliseconds since its last sign of life, as the sender knows.
+    /// Age of its last sign of life that the sender knows, in milliseconds.
     #[serde(rename = "g")]
     pub age_ms: u32,
-    /// How far it was then.
+    /// Its phase then.
     #[serde(rename = "p")]
     pub phase: Phase,
     /// Processor that it may use.
@@ -153,7 +160,7 @@
     }
 }
 
-/// A datagram that tells that its sender is alive and what it knows.
+/// A sign of life of its sender, with what it reports of itself and of some other daemons.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Heartbeat {
     /// Version of the messages.
@@ -162,10 +169,10 @@
     /// Name of the host.
     #[serde(rename = "h")]
     pub host: HostId,
-    /// Tells one life of the process from another.
+    /// Number drawn at the start of the process, to tell it from the one before.
     #[serde(rename = "r")]
     pub run: u64,
-    /// Counts the heartbeats of this life.
+    /// Counts the heartbeats of this process.
     #[serde(rename = "s")]
     pub sequence: u64,
     /// Address for other daemons.
@@ -174,7 +181,7 @@
     /// Data centre.
     #[serde(rename = "d")]
     pub data_centre: DataCentreId,
-    /// How far it is.
+    /// Phase of its life.
     #[serde(rename = "p")]
     pub phase: Phase,
     /// Version of its table; 0 for none.
@@ -183,14 +190,14 @@
     /// Fingerprint of its table.
     #[serde(rename = "f")]
     pub fingerprint: u64,
-    /// Revision of its list of endpoints.
+    /// Revision of the last change in its list of endpoints.
     #[serde(rename = "c")]
     pub catalogue: u64,
-    /// Whether it has reached the directory without a failure for a while.
+    /// Whether it has read the directory without a failure for a while.
     #[serde(rename = "k")]
     pub steady: bool,
-    /// Milliseconds since the directory last answered it for every topic; nothing if it doesn't read
-    /// the directory itself.
+    /// Milliseconds since the directory last answered it for every topic; nothing if others shouldn't
+    /// rely on its reading.
     #[serde(rename = "e")]
     pub read_ms: Option<u32>,
     /// Whether it sends each heartbeat to every daemon it knows.
@@ -199,36 +206,35 @@
     /// Processor that it may use.
     #[serde(rename = "m")]
     pub capacity: Capacity,
-    /// Whether it has just started, and asks to be told of everybody.
+    /// Whether it has just started, and asks for the roster.
     #[serde(rename = "j")]
     pub joining: bool,
-    /// Some daemons that it knows of.
+    /// Gossip about some living daemons.
     #[serde(rename = "n")]
     pub peers: Vec<PeerNote>,
-    /// What it has in flight.
+    /// Its requests in flight, the largest loads.
     #[serde(rename = "l")]
     pub loads: Vec<LoadNote>,
-    /// What it plans.
+    /// The stage services that it plans for.
     #[serde(rename = "q")]
     pub queues: Vec<QueueNote>,
-    /// What it has taken on.
+    /// Its outstanding pieces.
     #[serde(rename = "w")]
     pub work: Vec<WorkNote>,
 }
 
-/// What all daemons together have in flight at endpoints, as a coordinator sums it up; one datagram
-/// holds a part of it.
+/// Loads of all daemons together, as a coordinator sums them up; one datagram holds a part of them.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoadDigest {
     /// Version of the messages.
     #[serde(rename = "v")]
     pub protocol: u16,
-    /// The sums; an endpoint that isn't named tells nothing.
+    /// The sums; of an endpoint that isn't named, nothing is said.
     #[serde(rename = "l")]
     pub loads: Vec<LoadNote>,
 }
 
-/// Living daemons, in parts that fit into a datagram.
+/// Living daemons, for one that has just started; one datagram holds a part of them.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Roster {
     /// Version of the messages.
@@ -248,13 +254,13 @@
     /// Sums of loads.
     #[serde(rename = "d")]
     Loads(LoadDigest),
-    /// Daemons that are alive, told to one that has just started.
+    /// Daemons that are alive.
     #[serde(rename = "r")]
     Roster(Roster),
 }
 
 impl Datagram {
-    /// Returns the version of the messages that its sender speaks.
+    /// Returns the version of the messages that its sender uses.
     pub fn protocol(&self) -> u16 {
         match self {
             Self::Heartbeat(heartbeat) => heartbeat.protocol,
@@ -264,10 +270,10 @@
     }
 }
 
-/// A job handed to the daemon that plans for its service; times are relative.
+/// A job, as it is handed to the coordinator of its service.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JobOrder {
-    /// Service that does it.
+    /// Service that runs it.
     pub service: ServiceId,
     /// Request it belongs to.
     pub request: Arc<str>,
@@ -275,23 +281,23 @@
     pub stage: u32,
     /// Number of pieces.
     pub pieces: u32,
-    /// What each is made from.
+    /// Input of each.
     pub input: PieceInput,
-    /// Time left of the request.
+    /// Time left to the deadline of the request, in milliseconds.
     pub remaining_ms: u64,
-    /// Time left for the answer to be worth most; negative if that time is over.
+    /// Time left to the objective of the stage, in milliseconds; negative if it has passed.
     pub objective_ms: i64,
-    /// Rank of the request.
+    /// Rank of the request; 0 goes first.
     pub rank: u32,
-    /// Usual size of one result.
+    /// Usual size of one result, in bytes.
     pub result: u64,
-    /// Data centre where the results will probably be taken.
+    /// Data centre where the results will probably be used.
     pub home: Option<DataCentreId>,
-    /// Bytes that cross between data centres if one piece is made elsewhere.
+    /// Bytes that cross between data centres if one piece runs elsewhere.
     pub moved: u64,
 }
 
-/// What is asked on a link.
+/// A request on a link.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum LinkRequest {
     /// Send the table.
@@ -300,15 +306,15 @@
     Endpoints,
     /// Send what changed in the list of endpoints after a revision.
     Changes(u64),
-    /// Make the pieces of a stage.
+    /// Run the pieces of a stage.
     Job(JobOrder),
-    /// Forget a job: the number of its frame.
+    /// Cancel the request in the frame of this number.
     Cancel(u64),
-    /// Results that are no longer needed.
+    /// Release results that are no longer needed.
     Release(ServiceId, Vec<ResultHandle>),
 }
 
-/// What is answered on a link.
+/// A reply on a link.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum LinkReply {
     /// The table as it was published.
@@ -328,13 +334,13 @@
     Changes(EndpointChanges),
     /// How a job ended.
     Job(JobEnd),
-    /// It is done, and nothing is to be told of it.
+    /// It is done, and there is nothing to report.
     Done,
-    /// The daemon can't do what is asked.
+    /// The daemon can't, because it lacks a table or a list.
     Unable,
 }
 
-/// One message of a link; an answer carries the number of what it answers.
+/// One message on a link; a reply has the number of its request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Frame<T> {
     /// Its number.
@@ -375,10 +381,14 @@
 }
 
 /// Encodes a message.
+///
+/// # Panics
+///
+/// Never for the messages of this module: each of their values has a form in CBOR, and writing into
+/// memory can't fail.
 pub fn encode(message: &impl Serialize) -> Vec<u8> {
-    let mut bytes = Vec::with_capacity(512);
-    // Writing into memory fails for no message of these types.
-    let _ = ciborium::into_writer(message, &mut bytes);
+    let mut bytes = Vec::with_capacity(CAPACITY);
+    ciborium::into_writer(message, &mut bytes).expect("a message has a form in CBOR");
     bytes
 }
 
@@ -386,7 +396,7 @@
 ///
 /// # Errors
 ///
-/// Returns an error when the bytes are no message of the type.
+/// Returns an error when the bytes aren't a message of the type.
 pub fn decode<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, MessageError> {
     ciborium::from_reader(bytes).map_err(|error| MessageError::Decode(error.to_string()))
 }
