--- a/lib/src/gateway/hashes.rs
+++ b/lib/src/gateway/hashes.rs
@@ -1,7 +1,7 @@
 //! Short hashes of names, for messages between daemons that have to fit into a datagram.
 //!
-//! Two names may share a hash; then the loads of both count for each, which costs a worse choice and
-//! breaks nothing.
+//! Two names may share a hash; then the loads of both count for each, which costs a worse choice
+//! and breaks nothing.
 
 use {
     crate::shared::ids::{EndpointId, ServiceId},
--- a/lib/src/gateway/peers/heartbeats.rs
+++ b/lib/src/gateway/peers/heartbeats.rs
@@ -53,8 +53,8 @@
     send_datagram(socket, &datagram, outgoing.targets.into_iter());
 }
 
-/// Sends everybody what is in flight at the endpoints that this daemon coordinates; needed only where
-/// not every daemon receives the heartbeats of every other one.
+/// Sends everybody what is in flight at the endpoints that this daemon coordinates; needed only
+/// where not every daemon receives the heartbeats of every other one.
 fn send_load_digest<D: Dialect>(gateway: &Gateway<D>, socket: &UdpSocket) {
     let now = gateway.now();
     let ready = gateway.may_coordinate();
--- a/lib/src/gateway/peers/job_message.rs
+++ b/lib/src/gateway/peers/job_message.rs
@@ -53,8 +53,8 @@
     }
 }
 
-/// Returns the time that is some milliseconds from now, or was as many ago if they are negative; at
-/// the earliest, the start of this daemon.
+/// Returns the time that is some milliseconds from now, or was as many ago if they are negative;
+/// at the earliest, the start of this daemon.
 fn time_from(now: Time, offset_ms: i64) -> Time {
     if offset_ms >= 0 {
         now + Millis(offset_ms as u64)
--- a/lib/src/gateway/peers/link_server.rs
+++ b/lib/src/gateway/peers/link_server.rs
@@ -1,7 +1,7 @@
 //! Replies to the requests that other daemons send on links.
 //!
-//! Each request runs in a task of its own, so that a job in hand holds up no other one. The end of a
-//! link ends its requests.
+//! Each request runs in a task of its own, so that a job in hand holds up no other one. The end of
+//! a link ends its requests.
 
 use {
     crate::gateway::{
--- a/lib/src/gateway/peers/links.rs
+++ b/lib/src/gateway/peers/links.rs
@@ -1,8 +1,8 @@
 //! Links to other daemons: WebSocket connections with one CBOR frame a message.
 //!
-//! The daemon that opened a link requests, the other one replies. [`Links`] owns all links that this
-//! daemon opened; each runs in a task of its own. A link to a daemon that falls silent is closed,
-//! which ends what waits on it at once.
+//! The daemon that opened a link requests, the other one replies. [`Links`] owns all links that
+//! this daemon opened; each runs in a task of its own. A link to a daemon that falls silent is
+//! closed, which ends what waits on it at once.
 
 use {
     crate::gateway::{
@@ -44,8 +44,8 @@
 }
 
 impl Links {
-    /// Sends a request to another daemon and waits for the reply; nothing if the link breaks or has
-    /// too much waiting. Dropping it cancels the request.
+    /// Sends a request to another daemon and waits for the reply; nothing if the link breaks or
+    /// has too much waiting. Dropping it cancels the request.
     pub async fn request(&self, peer: SocketAddr, content: LinkRequest) -> Option<LinkReply> {
         let requests = self.link(peer).requests;
         let (reply, receiver) = oneshot::channel();
--- a/lib/src/gateway/peers/load_sums.rs
+++ b/lib/src/gateway/peers/load_sums.rs
@@ -86,8 +86,8 @@
             .collect()
     }
 
-    /// Updates what other daemons have in flight at each endpoint: as each of them reports it, or as
-    /// coordinators sum it up, this daemon's own part left out.
+    /// Updates what other daemons have in flight at each endpoint: as each of them reports it, or
+    /// as coordinators sum it up, this daemon's own part left out.
     pub fn update_peer_loads(&mut self, now: Time) {
         if self.peers.is_small() {
             let loads = self.peers.reported_loads();
--- a/lib/src/gateway/peers/membership.rs
+++ b/lib/src/gateway/peers/membership.rs
@@ -1,10 +1,10 @@
-//! Membership: the other daemons as this one knows them, and how heartbeats and gossip change that.
+//! Membership: the other daemons as this one knows them, and how heartbeats and gossip change
+//! that.
 //!
 //! A daemon starts from a few seed addresses, any of which may be dead, and learns of others from
 //! heartbeats and rosters. [`Peers`] owns what is known of each. Its other parts are
-//! [`outgoing`](crate::gateway::peers::outgoing) (this daemon's own heartbeat),
-//! [`queries`](crate::gateway::peers::queries) and [`reports`](crate::gateway::peers::reports) (what
-//! others report). The rules are [`rules::liveness`](crate::gateway::rules::liveness),
+//! [`outgoing`](crate::gateway::peers::outgoing) (this daemon's own heartbeat), `queries`, and
+//! `reports` (what others report). The rules are [`rules::liveness`](crate::gateway::rules::liveness),
 //! [`rules::gossip`](crate::gateway::rules::gossip) and
 //! [`rules::coordinator`](crate::gateway::rules::coordinator).
 
--- a/lib/src/gateway/peers/message.rs
+++ b/lib/src/gateway/peers/message.rs
@@ -1,8 +1,9 @@
-//! Messages between daemons: datagrams with heartbeats, and frames of requests and replies on links.
+//! Messages between daemons: datagrams with heartbeats, and frames of requests and replies on
+//! links.
 //!
-//! All are CBOR. Fields of datagrams have names of one letter, and notes are arrays without names, so
-//! that a heartbeat fits into a datagram; `lib/tests/test_message_bytes.rs` pins the bytes. Daemons
-//! share no clock, so that every time in a message is relative to when it was sent.
+//! All are CBOR. Fields of datagrams have names of one letter, and notes are arrays without names,
+//! so that a heartbeat fits into a datagram; `lib/tests/test_message_bytes.rs` pins the bytes.
+//! Daemons share no clock, so that every time in a message is relative to when it was sent.
 
 use {
     crate::{
@@ -25,10 +26,12 @@
 /// Version of these messages; a daemon ignores all others.
 pub const PROTOCOL: u16 = 2;
 
-/// Largest message accepted on a link, in bytes: chosen, not measured, well above a table or a list.
+/// Largest message accepted on a link, in bytes: chosen, not measured, well above a table or a
+/// list.
 pub const MAX_MESSAGE: usize = 8 << 20;
 
-/// Room made for a message before it is encoded, in bytes: about the size of a heartbeat.
+/// Capacity reserved for a message before it is encoded, in bytes: chosen, not measured, about the
+/// size of a heartbeat.
 const CAPACITY: usize = 512;
 
 /// Reports bytes that aren't a message.
@@ -37,9 +40,6 @@
     /// The bytes can't be decoded; the sender may be of another version.
     #[error("not a message: {0}")]
     Decode(String),
-    /// The message is of another version.
-    #[error("a message of version {0}, not {PROTOCOL}")]
-    Version(u16),
 }
 
 /// Phase of a daemon's life.
@@ -196,8 +196,8 @@
     /// Whether it has read the directory without a failure for a while.
     #[serde(rename = "k")]
     pub steady: bool,
-    /// Milliseconds since the directory last answered it for every topic; nothing if others shouldn't
-    /// rely on its reading.
+    /// Milliseconds since the directory last answered it for every topic; nothing if others
+    /// shouldn't rely on its reading.
     #[serde(rename = "e")]
     pub read_ms: Option<u32>,
     /// Whether it sends each heartbeat to every daemon it knows.
@@ -223,7 +223,8 @@
     pub work: Vec<WorkNote>,
 }
 
-/// Loads of all daemons together, as a coordinator sums them up; one datagram holds a part of them.
+/// Loads of all daemons together, as a coordinator sums them up; one datagram holds a part of
+/// them.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoadDigest {
     /// Version of the messages.
@@ -384,8 +385,8 @@
 ///
 /// # Panics
 ///
-/// Never for the messages of this module: each of their values has a form in CBOR, and writing into
-/// memory can't fail.
+/// Never for the messages of this module: each of their values has a form in CBOR, and writing
+/// into memory can't fail.
 pub fn encode(message: &impl Serialize) -> Vec<u8> {
     let mut bytes = Vec::with_capacity(CAPACITY);
     ciborium::into_writer(message, &mut bytes).expect("a message has a form in CBOR");
--- a/lib/src/gateway/peers/queries.rs
+++ b/lib/src/gateway/peers/queries.rs
@@ -49,8 +49,8 @@
         self.heartbeats().any(|heartbeat| heartbeat.steady)
     }
 
-    /// Returns the time since the directory last answered the daemon that read it last, among those
-    /// that send everybody their heartbeats.
+    /// Returns the time since the directory last answered the daemon that read it last, among
+    /// those that send everybody their heartbeats.
     pub fn read_age(&self, now: Time) -> Option<Millis> {
         self.received()
             .filter(|last| last.heartbeat.broadcasts)
--- a/lib/src/gateway/peers/reports.rs
+++ b/lib/src/gateway/peers/reports.rs
@@ -33,7 +33,8 @@
             .max()
     }
 
-    /// Returns whether any daemon reports that a service's endpoints are short of room for results.
+    /// Returns whether any daemon reports that a service's endpoints are short of room for
+    /// results.
     pub fn is_short_of_room(&self, service: ServiceHash) -> bool {
         let mut notes = self.heartbeats().flat_map(|heartbeat| &heartbeat.queues);
         notes.any(|note| note.service == service && note.short_of_room)
--- a/lib/src/gateway/peers/sockets.rs
+++ b/lib/src/gateway/peers/sockets.rs
@@ -38,8 +38,8 @@
 ) {
     let bytes = encode(datagram);
     for target in targets {
-        // Any datagram may be lost on its way, and each is followed by a newer one; one that can't be
-        // sent is no different.
+        // Any datagram may be lost on its way, and each is followed by a newer one; one that can't
+        // be sent is no different.
         let _ = socket.try_send_to(&bytes, target);
     }
 }
--- a/lib/src/gateway/rules/catch_up.rs
+++ b/lib/src/gateway/rules/catch_up.rs
@@ -1,17 +1,17 @@
 //! Which daemon is asked for a newer table or a newer list of endpoints, and when?
 //!
 //! Inputs: versions of tables and revisions of lists as living daemons report them; the version or
-//! revision known here; the time (microseconds of this daemon's clock) of the directory's last answer;
-//! the longest time that the directory holds a call for changes.
+//! revision known here; the time (microseconds of this daemon's clock) of the directory's last
+//! answer; the longest time that the directory holds a call for changes.
 //!
 //! Rule: a newer table is fetched from the daemon that reports the newest. A newer list is fetched
 //! the same way, but only by a daemon that has no list yet, that leaves reading the directory to
 //! others, or that the directory hasn't answered for [`LIST_LAG`] longer than it holds a call; one
-//! that has a list asks for its changes alone. A daemon that knows of something newer for more than
-//! [`BEHIND`] without getting it reads the directory itself.
+//! that has a list asks for its changes alone. A daemon that knows of something newer for more
+//! than [`BEHIND`] without getting it reads the directory itself.
 //!
-//! Reason: tables are rare and whole, so that the fastest way wins; lists change all the time, and the
-//! directory has them first for whoever reads it.
+//! Reason: tables are rare and whole, so that the fastest way wins; lists change all the time, and
+//! the directory has them first for whoever reads it.
 //!
 //! Measured: calls of the store by few readers in `docs/MEASUREMENTS.md`, section "The second
 //! milestone: the grown sites". The single figures are chosen, not measured.
@@ -21,12 +21,12 @@
     std::{net::SocketAddr, time::Duration},
 };
 
-/// Time beyond the wait of a call for changes after which a silent directory counts as out of reach,
-/// so that a peer is asked for the list. Chosen, not measured.
+/// Time beyond the wait of a call for changes after which a silent directory counts as out of
+/// reach, so that a peer is asked for the list. Chosen, not measured.
 pub const LIST_LAG: Millis = Millis(500);
 
-/// Time for which a peer may be known to have something newer before the directory is read. Chosen,
-/// not measured: three heartbeats.
+/// Time for which a peer may be known to have something newer before the directory is read.
+/// Chosen, not measured: three heartbeats.
 pub const BEHIND: Millis = Millis(600);
 
 /// A table or a list that another daemon reports.
--- a/lib/src/gateway/rules/coordinator.rs
+++ b/lib/src/gateway/rules/coordinator.rs
@@ -1,17 +1,18 @@
 //! Which daemon coordinates a service, that is plans its calls and sums up its load?
 //!
-//! Inputs: the service's name, the address and capacity (thousandths of a core) of this daemon and of
-//! each other one, what is known of their state, the time (microseconds of this daemon's clock), and
-//! the daemons that already failed for the job at hand.
+//! Inputs: the service's name, the address and capacity (thousandths of a core) of this daemon and
+//! of each other one, what is known of their state, the time (microseconds of this daemon's
+//! clock), and the daemons that already failed for the job at hand.
 //!
 //! Rule: rendezvous hashing among the daemons with the most capacity. Each candidate ranks by its
-//! capacity first, and then by a hash of service and address; the highest rank coordinates. A daemon
-//! is a candidate when it is alive and ready, didn't fail for this job, and wasn't passed over in the
-//! last [`PASSED_OVER`]. This daemon is a candidate once it is ready and [`SETTLED`] has passed since
-//! its start; with no candidate at all, it coordinates for itself.
+//! capacity first, and then by a hash of service and address; the highest rank coordinates. A
+//! daemon is a candidate when it is alive and ready, didn't fail for this job, and wasn't passed
+//! over in the last [`PASSED_OVER`]. This daemon is a candidate once it is ready and [`SETTLED`]
+//! has passed since its start; with no candidate at all, it coordinates for itself.
 //!
 //! Reason: all daemons that know the same others agree without a message, a lost coordinator moves
-//! only its own services, and the load of coordinating goes to hosts that have the processor for it.
+//! only its own services, and the load of coordinating goes to hosts that have the processor for
+//! it.
 //!
 //! Measured: coordinators against heartbeats to everybody in `docs/MEASUREMENTS.md`, section "The
 //! second milestone: the grown sites"; the same section has waiting for the other daemons to be
@@ -26,8 +27,8 @@
     xxhash_rust::xxh3::xxh3_64_with_seed,
 };
 
-/// Time for which a daemon that failed to accept a job is passed over. Chosen, not measured: longer
-/// than it takes to notice that a coordinator is silent.
+/// Time for which a daemon that failed to accept a job is passed over. Chosen, not measured:
+/// longer than it takes to notice that a coordinator is silent.
 pub const PASSED_OVER: Millis = Millis(1_500);
 
 /// Time after its start within which a daemon receives heartbeats of the others. Chosen, not
--- a/lib/src/gateway/rules/gossip.rs
+++ b/lib/src/gateway/rules/gossip.rs
@@ -4,19 +4,19 @@
 //! seeds that aren't alive, whether this daemon coordinates, the loads in flight (requests, prompt
 //! tokens), and a generator of random numbers.
 //!
-//! Rule: in a fleet of at most [`SMALL_FLEET`] other daemons each heartbeat goes to everybody. In a
-//! larger one a daemon that coordinates, or did so within its last [`LAST_BROADCASTS`] heartbeats,
-//! sends to everybody; any other sends to [`DRAWN`] daemons drawn anew each time, to the coordinators,
-//! and to seeds that aren't alive. A heartbeat names [`NAMED`] living daemons drawn anew each time and
-//! the [`LOADS`] largest loads.
+//! Rule: in a fleet of at most [`SMALL_FLEET`] other daemons each heartbeat goes to everybody. In
+//! a larger one a daemon that coordinates, or did so within its last [`LAST_BROADCASTS`]
+//! heartbeats, sends to everybody; any other sends to [`DRAWN`] daemons drawn anew each time, to
+//! the coordinators, and to seeds that aren't alive. A heartbeat names [`NAMED`] living daemons
+//! drawn anew each time and the [`LOADS`] largest loads.
 //!
-//! Reason: what one daemon sends and receives doesn't grow with the fleet, coordinators alone receive
-//! everything, and gossip still reaches everybody within seconds. A heartbeat fits into one datagram
-//! that no network splits.
+//! Reason: what one daemon sends and receives doesn't grow with the fleet, coordinators alone
+//! receive everything, and gossip still reaches everybody within seconds. A heartbeat fits into
+//! one datagram that no network splits.
 //!
-//! Measured: `docs/MEASUREMENTS.md`, section "The second milestone: the grown sites" (heartbeats to
-//! twelve drawn daemons and to all 80 against coordinators); tests `heartbeats_received_stay_few` and
-//! `a_heartbeat_of_a_large_fleet_fits_into_a_datagram`.
+//! Measured: `docs/MEASUREMENTS.md`, section "The second milestone: the grown sites" (heartbeats
+//! to twelve drawn daemons and to all 80 against coordinators); tests
+//! `heartbeats_received_stay_few` and `a_heartbeat_of_a_large_fleet_fits_into_a_datagram`.
 //!
 //! The only type from outside of the rules is the load as heartbeats carry it, a plain value.
 
@@ -36,8 +36,8 @@
 /// Daemons drawn for one heartbeat of a larger fleet. Chosen, not measured against other values.
 pub const DRAWN: usize = 6;
 
-/// Heartbeats that go to everybody after a daemon stopped coordinating, so that all learn of it even
-/// if two are lost; the one that first reports it counts. Chosen, not measured.
+/// Heartbeats that go to everybody from the last one as a coordinator on, so that all learn that
+/// it stopped even if one of the two that say so is lost. Chosen, not measured.
 pub const LAST_BROADCASTS: u32 = 3;
 
 /// Daemons that one heartbeat names, bounded so that it fits into a datagram: test
@@ -72,8 +72,8 @@
     broadcasts_left == LAST_BROADCASTS
 }
 
-/// Draws the daemons that get a heartbeat whatever their part: all `known` ones, in the order of their
-/// addresses, or some of them.
+/// Draws the daemons that get a heartbeat whatever their part: all `known` ones, in the order of
+/// their addresses, or some of them.
 pub fn draw_targets(
     mut known: Vec<SocketAddr>,
     broadcasts_left: u32,
@@ -87,8 +87,8 @@
     }
 }
 
-/// Adds daemons that have to get a heartbeat, coordinators and seeds that aren't alive, to those that
-/// get it anyway.
+/// Adds daemons that have to get a heartbeat, coordinators and seeds that aren't alive, to those
+/// that get it anyway.
 pub fn add_targets(targets: &mut Vec<SocketAddr>, required: impl Iterator<Item = SocketAddr>) {
     for address in required {
         if !targets.contains(&address) {
@@ -102,8 +102,8 @@
     living.sample(rng, NAMED).cloned().collect()
 }
 
-/// Returns the loads that a heartbeat carries: those with the most prompt tokens, and of equal ones
-/// those with the most requests.
+/// Returns the loads that a heartbeat carries: those with the most prompt tokens, and of equal
+/// ones those with the most requests.
 pub fn largest_loads(mut loads: Vec<LoadNote>) -> Vec<LoadNote> {
     loads.sort_unstable_by_key(|load| Reverse((load.prefill, load.running)));
     loads.truncate(LOADS);
--- a/lib/src/gateway/rules/liveness.rs
+++ b/lib/src/gateway/rules/liveness.rs
@@ -1,14 +1,15 @@
 //! Is another daemon alive, lost, or to be forgotten?
 //!
-//! Inputs: the times (microseconds of this daemon's clock) of its last heartbeat here and of its last
-//! sign of life anywhere, as gossip brought it; whether it sends each heartbeat to everybody; whether
-//! the fleet is small; when this process last woke from a pause.
+//! Inputs: the times (microseconds of this daemon's clock) of its last heartbeat here and of its
+//! last sign of life anywhere, as gossip brought it; whether it sends each heartbeat to everybody;
+//! whether the fleet is small; when this process last woke from a pause.
 //!
-//! Rule: a daemon whose every heartbeat should arrive here, because the fleet is small or because it
-//! broadcasts, is alive while its last heartbeat is at most [`SILENCE`] old. Any other daemon is alive
-//! while its last sign of life is at most [`GOSSIP_SILENCE`] old. Time before the end of a pause of
-//! this process isn't silence of a daemon that was alive when the pause began. A daemon that is lost
-//! is forgotten [`FORGET`] after its last sign of life, and gossip older than half of that is ignored.
+//! Rule: a daemon whose every heartbeat should arrive here, because the fleet is small or because
+//! it broadcasts, is alive while its last heartbeat is at most [`SILENCE`] old. Any other daemon
+//! is alive while its last sign of life is at most [`GOSSIP_SILENCE`] old. Time before the end of
+//! a pause of this process isn't silence of a daemon that was alive when the pause began. A daemon
+//! that is lost is forgotten [`FORGET`] after its last sign of life, and gossip older than half of
+//! that is ignored.
 //!
 //! Reason: where few heartbeats are received of each daemon, one second of silence means nothing;
 //! where all should arrive, five missed ones mean that the daemon or the way to it is gone. Each
@@ -20,8 +21,8 @@
 
 use crate::shared::units::{Millis, Time};
 
-/// Time without a heartbeat after which a daemon is lost whose every heartbeat should arrive. Chosen,
-/// not measured: five heartbeats.
+/// Time without a heartbeat after which a daemon is lost whose every heartbeat should arrive.
+/// Chosen, not measured: five heartbeats.
 pub const SILENCE: Millis = Millis(1_000);
 
 /// Time without a sign of life after which a daemon known by gossip is lost. Chosen, not measured.
@@ -30,8 +31,8 @@
 /// Time after which the address of a lost daemon is forgotten. Chosen, not measured.
 pub const FORGET: Millis = Millis(60_000);
 
-/// Age from which gossip is ignored: half of the time for which addresses are kept, so that daemons
-/// don't go on reminding each other of a dead one.
+/// Age from which gossip is ignored: half of the time for which addresses are kept, so that
+/// daemons don't go on reminding each other of a dead one.
 pub const STALE_GOSSIP: Millis = Millis(FORGET.0 / 2);
 
 /// Time after its start during which a daemon asks for the roster of all daemons. Chosen, not
--- a/lib/tests/test_coordinator_rule.rs
+++ b/lib/tests/test_coordinator_rule.rs
@@ -4,9 +4,12 @@
 
 use {
     hazelyoke_lib::{
-        gateway::peers::{
-            membership::{Coordinator, Identity, Peers},
-            message::{Heartbeat, PROTOCOL, Phase},
+        gateway::{
+            peers::{
+                membership::{Coordinator, Identity, Peers},
+                message::{Heartbeat, PROTOCOL, Phase},
+            },
+            rules::coordinator::is_settled,
         },
         shared::{
             ids::ServiceId,
@@ -177,3 +180,12 @@
     assert_eq!(at(Time(until.0 - 1)), [0; 8]);
     assert_eq!(at(until), [2; 8]);
 }
+
+#[test]
+fn settled_daemons() {
+    let end = Time(0) + Millis(600);
+    assert!(!is_settled(Time(0)));
+    assert!(!is_settled(Time(end.0 - 1)));
+    assert!(is_settled(end));
+    assert!(is_settled(Time(u64::MAX)));
+}
--- a/lib/tests/test_liveness_rule.rs
+++ b/lib/tests/test_liveness_rule.rs
@@ -7,10 +7,11 @@
         gateway::peers::{
             membership::{Identity, PeerChange, Peers},
             message::{Heartbeat, PROTOCOL, PeerNote, Phase},
+            pause::PauseDetector,
         },
         shared::units::{Capacity, Millis, Time},
     },
-    std::net::SocketAddr,
+    std::{net::SocketAddr, time::Duration},
 };
 
 /// Largest number of known daemons in a small fleet.
@@ -183,3 +184,13 @@
     assert!(me.is_joining(Time(end.0 - 1)));
     assert!(!me.is_joining(end));
 }
+
+#[test]
+fn length_of_a_pause() {
+    let mut pauses = PauseDetector::default();
+    assert_eq!(pauses.look(Time(5)), None);
+    assert_eq!(pauses.look(Time(5 + 599_999)), None);
+    let gap = pauses.look(Time(5 + 599_999 + 600_000));
+    assert_eq!(gap, Some(Duration::from_millis(600)));
+    assert_eq!(pauses.look(Time(5 + 599_999 + 600_000)), None);
+}
