--- a/lib/src/gateway/peers/heartbeats.rs
+++ b/lib/src/gateway/peers/heartbeats.rs
@@ -1,7 +1,7 @@
 //! Sends this daemon's heartbeats, and the load digests of the services that it coordinates.
 //!
-//! Relies on [`Peers`](crate::gateway::peers::membership::Peers) for what a heartbeat says and to
-//! whom it goes.
+//! Relies on [`Peers`](crate::gateway::peers::membership::Peers) for the contents and the
+//! targets of a heartbeat.
 
 use {
     crate::{
--- a/lib/src/gateway/peers/job_message.rs
+++ b/lib/src/gateway/peers/job_message.rs
@@ -63,7 +63,8 @@
     }
 }
 
-/// Reads how a job ended at another daemon; nothing if that daemon doesn't say.
+/// Reads how a job ended at another daemon; nothing without a reply, or if that daemon
+/// can't run jobs.
 pub(crate) fn job_end(reply: Option<LinkReply>) -> Option<JobEnd> {
     match reply {
         Some(LinkReply::Job(end)) => Some(end),
--- a/lib/src/gateway/peers/link_server.rs
+++ b/lib/src/gateway/peers/link_server.rs
@@ -103,7 +103,7 @@
             gateway.work.notify_one();
             LinkReply::Done
         }
-        // The link itself cancels; what it cancels has no reply.
+        // The link cancels before it gets here, and a cancelled request has no reply.
         LinkRequest::Cancel(_) => LinkReply::Done,
     }
 }
--- a/lib/src/gateway/peers/load_sums.rs
+++ b/lib/src/gateway/peers/load_sums.rs
@@ -1,5 +1,5 @@
-//! What all daemons together have in flight at endpoints: summed up by the coordinator of each
-//! service, and used by everybody to choose among endpoints.
+//! Loads of all daemons together at endpoints: summed up by the coordinator of each service, and
+//! used by everybody to choose among endpoints.
 //!
 //! In a small fleet every daemon receives every heartbeat and sums up by itself; in a larger one
 //! coordinators send their sums in load digests.
--- a/lib/src/gateway/peers/message.rs
+++ b/lib/src/gateway/peers/message.rs
@@ -109,7 +109,7 @@
     pub service: ServiceHash,
     /// Endpoints that accept calls and are about as fast as usual.
     pub endpoints: u32,
-    /// Whether they are short of room for results.
+    /// Set if they are short of room for results.
     pub short_of_room: bool,
     /// Outstanding pieces at all daemons, as far as the planning one knows.
     pub outstanding: u32,
@@ -193,20 +193,20 @@
     /// Revision of the last change in its list of endpoints.
     #[serde(rename = "c")]
     pub catalogue: u64,
-    /// Whether it has read the directory without a failure for a while.
+    /// Set if it has read the directory without a failure for a while.
     #[serde(rename = "k")]
     pub steady: bool,
     /// Milliseconds since the directory last answered it for every topic; nothing if others
     /// shouldn't rely on its reading.
     #[serde(rename = "e")]
     pub read_ms: Option<u32>,
-    /// Whether it sends each heartbeat to every daemon it knows.
+    /// Set if it sends each heartbeat to every daemon it knows.
     #[serde(rename = "b")]
     pub broadcasts: bool,
     /// Processor that it may use.
     #[serde(rename = "m")]
     pub capacity: Capacity,
-    /// Whether it has just started, and asks for the roster.
+    /// Set if it has just started; the receiver sends it a roster.
     #[serde(rename = "j")]
     pub joining: bool,
     /// Gossip about some living daemons.
@@ -230,7 +230,7 @@
     /// Version of the messages.
     #[serde(rename = "v")]
     pub protocol: u16,
-    /// The sums; of an endpoint that isn't named, nothing is said.
+    /// The sums; those of endpoints that aren't named stay as they are.
     #[serde(rename = "l")]
     pub loads: Vec<LoadNote>,
 }
@@ -305,7 +305,7 @@
     Table,
     /// Send the list of endpoints.
     Endpoints,
-    /// Send what changed in the list of endpoints after a revision.
+    /// Send the changes in the list of endpoints after a revision.
     Changes(u64),
     /// Run the pieces of a stage.
     Job(JobOrder),
@@ -331,7 +331,7 @@
         /// The list.
         entries: Vec<EndpointEntry>,
     },
-    /// What changed in the list of endpoints.
+    /// Changes in the list of endpoints.
     Changes(EndpointChanges),
     /// How a job ended.
     Job(JobEnd),
--- a/lib/src/gateway/peers/outgoing.rs
+++ b/lib/src/gateway/peers/outgoing.rs
@@ -1,4 +1,4 @@
-//! This daemon's own heartbeat: what it says, and to whom it goes.
+//! This daemon's own heartbeat: its contents and its targets.
 
 use {
     crate::{
--- a/lib/src/gateway/peers/pause.rs
+++ b/lib/src/gateway/peers/pause.rs
@@ -1,7 +1,7 @@
 //! Notices that the process stood still: what it knew before may be long out of date.
 //!
 //! A pure rule: the caller looks at the clock with every heartbeat, and a gap of [`PAUSE`] or more
-//! between two looks is a pause, of a suspended host for example. What follows of it is in
+//! between two looks is a pause, of a suspended host for example. Its effect is in
 //! [`rules::liveness`](crate::gateway::rules::liveness).
 
 use {
--- a/lib/src/gateway/peers/queries.rs
+++ b/lib/src/gateway/peers/queries.rs
@@ -79,7 +79,7 @@
         catch_up::newest(offers, revision)
     }
 
-    /// Returns the coordinator of a service. `ready` tells whether this daemon may coordinate;
+    /// Returns the coordinator of a service. `ready` is set if this daemon may coordinate;
     /// daemons in `except` already failed for the job at hand.
     pub fn coordinator(
         &self,
--- a/lib/src/gateway/peers/receive.rs
+++ b/lib/src/gateway/peers/receive.rs
@@ -85,7 +85,7 @@
 }
 
 /// Sends a daemon that has just started the daemons that are alive.
-fn send_roster<D: Dialect>(gateway: &Gateway<D>, socket: &UdpSocket, newcomer: SocketAddr) {
+fn send_roster<D: Dialect>(gateway: &Gateway<D>, socket: &UdpSocket, joining: SocketAddr) {
     let living = gateway.state.borrow().peers.roster(gateway.now());
     for part in living.chunks(ROSTER_PEERS) {
         let roster = Roster {
@@ -93,6 +93,6 @@
             peers: part.to_vec(),
         };
         let datagram = Datagram::Roster(roster);
-        send_datagram(socket, &datagram, iter::once(newcomer));
+        send_datagram(socket, &datagram, iter::once(joining));
     }
 }
--- a/lib/src/gateway/peers/record.rs
+++ b/lib/src/gateway/peers/record.rs
@@ -24,7 +24,7 @@
     pub(crate) heartbeat: Heartbeat,
 }
 
-/// What is known of one other daemon.
+/// Everything known of one other daemon.
 #[derive(Debug, Clone)]
 pub(crate) struct Peer {
     /// When a heartbeat or gossip last gave its address.
@@ -96,7 +96,7 @@
         }
     }
 
-    /// Returns what this daemon passes on of another one; nothing without a sign of life.
+    /// Returns the gossip about the daemon; nothing without a sign of life.
     pub(crate) fn note(&self, now: Time, address: SocketAddr) -> Option<PeerNote> {
         Some(PeerNote {
             address,
--- a/lib/src/gateway/peers/reports.rs
+++ b/lib/src/gateway/peers/reports.rs
@@ -1,4 +1,4 @@
-//! What other daemons report of loads and of outstanding work, summed up.
+//! Sums of the loads and the outstanding work that other daemons report.
 //!
 //! Only heartbeats of daemons that are alive count.
 
--- a/lib/src/gateway/peers/self_report.rs
+++ b/lib/src/gateway/peers/self_report.rs
@@ -1,4 +1,4 @@
-//! What this daemon reports of itself with each heartbeat.
+//! The report of this daemon about itself that goes out with each heartbeat.
 
 use crate::{
     gateway::{
@@ -14,7 +14,7 @@
     shared::{ids::ServiceId, units::Time},
 };
 
-/// What this daemon reports of itself.
+/// Report of this daemon about itself.
 #[derive(Debug, Clone, PartialEq)]
 pub struct SelfReport {
     /// Phase of its life.
@@ -25,7 +25,7 @@
     pub fingerprint: u64,
     /// Revision of the last change in its list of endpoints.
     pub catalogue: u64,
-    /// Whether it has read the directory without a failure for a while.
+    /// Set if it has read the directory without a failure for a while.
     pub steady: bool,
     /// Milliseconds since the directory last answered it for every topic.
     pub read_ms: Option<u32>,
@@ -77,7 +77,7 @@
 }
 
 impl<D: Dialect> Gateway<D> {
-    /// Returns what this daemon reports of itself.
+    /// Gathers the report of this daemon about itself.
     pub fn self_report(&self) -> SelfReport {
         let now = self.now();
         let ready = self.may_coordinate();
--- a/lib/src/gateway/rules/catch_up.rs
+++ b/lib/src/gateway/rules/catch_up.rs
@@ -41,7 +41,7 @@
 /// How this daemon stands with the directory.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct DirectoryReading {
-    /// Whether it leaves reading the directory to others just now.
+    /// Set while it leaves reading the directory to others.
     pub covered: bool,
     /// Last answer of the directory; the start of this daemon if there was none.
     pub answered: Time,
@@ -54,7 +54,7 @@
 pub enum ListFetch {
     /// The whole list.
     Whole,
-    /// What changed after a revision.
+    /// The changes after a revision.
     Changes(u64),
 }
 
--- a/lib/src/gateway/rules/coordinator.rs
+++ b/lib/src/gateway/rules/coordinator.rs
@@ -57,14 +57,14 @@
     pub capacity: Capacity,
 }
 
-/// What this daemon knows of another one that might coordinate.
+/// Standing of another daemon that might coordinate.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PeerStanding {
     /// Its address and capacity.
     pub candidate: Candidate,
-    /// Whether it is alive.
+    /// Set if it is alive.
     pub alive: bool,
-    /// Whether it reports that it serves.
+    /// Set if it reports that it serves.
     pub ready: bool,
     /// End of the time for which it is passed over.
     pub passed_over_until: Time,
@@ -77,7 +77,7 @@
     hash: u64,
 }
 
-/// Returns the coordinator of a service. `ready` tells whether this daemon, `me`, may coordinate;
+/// Returns the coordinator of a service. `ready` is set if this daemon, `me`, may coordinate;
 /// daemons in `except` already failed for the job at hand.
 pub fn coordinator(
     now: Time,
--- a/lib/src/gateway/rules/gossip.rs
+++ b/lib/src/gateway/rules/gossip.rs
@@ -1,4 +1,4 @@
-//! To whom does a heartbeat go, and what does it name?
+//! Which daemons get a heartbeat, and which daemons and loads does it name?
 //!
 //! Inputs: the number of other daemons known, their addresses, the coordinators of services, the
 //! seeds that aren't alive, whether this daemon coordinates, the loads in flight (requests, prompt
@@ -37,7 +37,7 @@
 pub const DRAWN: usize = 6;
 
 /// Heartbeats that go to everybody from the last one as a coordinator on, so that all learn that
-/// it stopped even if one of the two that say so is lost. Chosen, not measured.
+/// it stopped even if one of the two that report it is lost. Chosen, not measured.
 pub const LAST_BROADCASTS: u32 = 3;
 
 /// Daemons that one heartbeat names, bounded so that it fits into a datagram: test
@@ -97,7 +97,7 @@
     }
 }
 
-/// Draws what a heartbeat names of all living daemons.
+/// Draws the living daemons that a heartbeat names.
 pub fn draw_named<T: Clone>(living: &[T], rng: &mut impl Rng) -> Vec<T> {
     living.sample(rng, NAMED).cloned().collect()
 }
--- a/lib/src/gateway/rules/liveness.rs
+++ b/lib/src/gateway/rules/liveness.rs
@@ -39,23 +39,23 @@
 /// measured.
 pub const JOINING: Millis = Millis(1_500);
 
-/// What is known of a daemon's signs of life.
+/// Signs of life of a daemon.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LifeSigns {
     /// When its last heartbeat was received here.
     pub heartbeat: Option<Time>,
     /// Last sign of life, received here or by a third daemon.
     pub sign: Option<Time>,
-    /// Whether its last heartbeat said that it sends each one to everybody.
+    /// Set if it sends each heartbeat to everybody, by its last one.
     pub broadcasts: bool,
-    /// Whether it counted as alive until now.
+    /// Set if it counted as alive until now.
     pub alive: bool,
 }
 
-/// What this daemon could have received.
+/// Conditions under which this daemon receives signs of life.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Listening {
-    /// Whether the fleet is so small that every heartbeat goes to everybody.
+    /// Set if the fleet is so small that every heartbeat goes to everybody.
     pub small_fleet: bool,
     /// When this process last woke from a pause; zero if there was none.
     pub awake: Time,
