--- a/lib/src/gateway/peers/membership.rs
+++ b/lib/src/gateway/peers/membership.rs
@@ -4,7 +4,8 @@
 //! A daemon starts from a few seed addresses, any of which may be dead, and learns of others from
 //! heartbeats and rosters. [`Peers`] owns what is known of each. Its other parts are
 //! [`outgoing`](crate::gateway::peers::outgoing) (this daemon's own heartbeat), `queries`, and
-//! `reports` (what others report). The rules are [`rules::liveness`](crate::gateway::rules::liveness),
+//! `reports` (what others report). The rules are
+//! [`rules::liveness`](crate::gateway::rules::liveness),
 //! [`rules::gossip`](crate::gateway::rules::gossip) and
 //! [`rules::coordinator`](crate::gateway::rules::coordinator).
 
