--- a/lib/src/gateway/peers/changes.rs
+++ b/lib/src/gateway/peers/changes.rs
@@ -1,23 +1,6 @@
-//! Changes in who is alive: their log events, and the end of links to daemons that are gone.
+//! Effects of changes in who is alive: a log event, and the end of links to daemons that are gone.
 
-use {
-    crate::{
-        gateway::{dialect::Dialect, state::Gateway},
-        shared::ids::HostId,
-    },
-    std::net::SocketAddr,
-};
-
-/// A change in who is alive; the host is known once a heartbeat of the daemon was received.
-#[derive(Debug, Clone, PartialEq, Eq)]
-pub enum PeerChange {
-    /// A daemon is alive for the first time, or again.
-    Met(SocketAddr, Option<HostId>),
-    /// A daemon that is alive started anew since its last heartbeat.
-    Restarted(SocketAddr, Option<HostId>),
-    /// A daemon has been silent for too long.
-    Lost(SocketAddr, Option<HostId>),
-}
+use crate::gateway::{dialect::Dialect, peers::peer_change::PeerChange, state::Gateway};
 
 /// Logs changes, and closes the links to daemons that were lost or started anew.
 pub(crate) fn apply_changes<D: Dialect>(gateway: &Gateway<D>, changes: &[PeerChange]) {
--- a/lib/src/gateway/peers/membership.rs
+++ b/lib/src/gateway/peers/membership.rs
@@ -14,6 +14,7 @@
         gateway::{
             peers::{
                 message::{Heartbeat, PeerNote, WorkNote},
+                peer_change::PeerChange,
                 record::{Peer, ReceivedHeartbeat},
             },
             rules::{
@@ -31,11 +32,6 @@
     std::net::SocketAddr,
 };
 
-pub use crate::gateway::{
-    peers::changes::PeerChange,
-    rules::{coordinator::Coordinator, gossip::HEARTBEAT},
-};
-
 /// Identity of this daemon.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Identity {
--- a/lib/src/gateway/peers/mod.rs
+++ b/lib/src/gateway/peers/mod.rs
@@ -18,6 +18,8 @@
 pub mod message;
 pub mod outgoing;
 pub mod pause;
+pub mod peer_change;
+pub(crate) mod peer_loads;
 pub(crate) mod queries;
 pub mod receive;
 pub(crate) mod record;
--- a/lib/src/gateway/peers/outgoing.rs
+++ b/lib/src/gateway/peers/outgoing.rs
@@ -4,11 +4,11 @@
     crate::{
         gateway::{
             peers::{
-                membership::{Coordinator, Peers},
+                membership::Peers,
                 message::{Heartbeat, PROTOCOL, PeerNote, Phase},
                 self_report::SelfReport,
             },
-            rules::{gossip, liveness},
+            rules::{coordinator::Coordinator, gossip, liveness},
         },
         shared::units::Time,
     },
--- a/lib/src/gateway/peers/queries.rs
+++ b/lib/src/gateway/peers/queries.rs
@@ -3,14 +3,10 @@
 use {
     crate::{
         gateway::{
-            peers::{
-                membership::{Coordinator, Peers},
-                message::Heartbeat,
-                record::ReceivedHeartbeat,
-            },
+            peers::{membership::Peers, message::Heartbeat, record::ReceivedHeartbeat},
             rules::{
                 catch_up::{self, Offer},
-                coordinator::{self, Candidate},
+                coordinator::{self, Candidate, Coordinator},
             },
             table::Version,
         },
--- a/lib/src/gateway/peers/reports.rs
+++ b/lib/src/gateway/peers/reports.rs
@@ -5,8 +5,9 @@
 use {
     crate::gateway::{
         hashes::{EndpointHash, ServiceHash},
-        peers::membership::{Coordinator, Peers},
+        peers::membership::Peers,
         routing::endpoint_state::PeerLoad,
+        rules::coordinator::Coordinator,
     },
     foldhash::HashMap,
 };
--- a/lib/src/gateway/peers/self_report.rs
+++ b/lib/src/gateway/peers/self_report.rs
@@ -4,10 +4,8 @@
     gateway::{
         dialect::Dialect,
         hashes::{endpoint_hash, service_hash},
-        peers::{
-            membership::Coordinator,
-            message::{LoadNote, Phase, QueueNote, WorkNote},
-        },
+        peers::message::{LoadNote, Phase, QueueNote, WorkNote},
+        rules::coordinator::Coordinator,
         state::{Gateway, GatewayState},
         table::Version,
     },
--- a/lib/src/gateway/stages/chain.rs
+++ b/lib/src/gateway/stages/chain.rs
@@ -6,10 +6,9 @@
             dialect::{Dialect, Inbound},
             peers::{
                 job_message,
-                membership::Coordinator,
                 message::{JobOrder, LinkRequest},
             },
-            rules::{admission, endpoint_choice::InputLocation},
+            rules::{admission, coordinator::Coordinator, endpoint_choice::InputLocation},
             stages::{
                 job::{JobEnd, PieceInput, ResultHandle, StageJob},
                 release::release,
--- a/lib/src/gateway/stages/release.rs
+++ b/lib/src/gateway/stages/release.rs
@@ -2,10 +2,8 @@
 
 use crate::{
     gateway::{
-        dialect::Dialect,
-        peers::{membership::Coordinator, message::LinkRequest},
-        stages::job::ResultHandle,
-        state::Gateway,
+        dialect::Dialect, peers::message::LinkRequest, rules::coordinator::Coordinator,
+        stages::job::ResultHandle, state::Gateway,
     },
     shared::ids::ServiceId,
 };
--- a/lib/tests/test_coordinator_rule.rs
+++ b/lib/tests/test_coordinator_rule.rs
@@ -6,10 +6,10 @@
     hazelyoke_lib::{
         gateway::{
             peers::{
-                membership::{Coordinator, Identity, Peers},
+                membership::{Identity, Peers},
                 message::{Heartbeat, PROTOCOL, Phase},
             },
-            rules::coordinator::is_settled,
+            rules::coordinator::{Coordinator, is_settled},
         },
         shared::{
             ids::ServiceId,
--- a/lib/tests/test_decision_pins.rs
+++ b/lib/tests/test_decision_pins.rs
@@ -7,7 +7,7 @@
     hazelyoke_lib::{
         gateway::{
             peers::{
-                membership::{Coordinator, Identity, Peers},
+                membership::{Identity, Peers},
                 message::Phase,
                 self_report::SelfReport,
             },
@@ -15,6 +15,7 @@
                 admission::{
                     AdmissionDecision, AdmissionRequest, PlannedStage, StageService, decide,
                 },
+                coordinator::Coordinator,
                 progress::Progress,
                 retry_budget::{BudgetLimits, WindowBudget},
             },
--- a/lib/tests/test_gossip_rule.rs
+++ b/lib/tests/test_gossip_rule.rs
@@ -7,11 +7,12 @@
         gateway::{
             hashes::EndpointHash,
             peers::{
-                membership::{Coordinator, Identity, Peers},
+                membership::{Identity, Peers},
                 message::{Heartbeat, LoadNote, Phase},
                 outgoing::OutgoingHeartbeat,
                 self_report::SelfReport,
             },
+            rules::coordinator::Coordinator,
         },
         shared::{
             ids::ServiceId,
--- a/lib/tests/test_large_fleet.rs
+++ b/lib/tests/test_large_fleet.rs
@@ -7,11 +7,12 @@
         gateway::{
             hashes::{EndpointHash, ServiceHash},
             peers::{
-                membership::{Coordinator, HEARTBEAT, Identity, Peers},
+                membership::{Identity, Peers},
                 message::{Heartbeat, LoadNote, Phase, QueueNote, WorkNote},
                 outgoing::OutgoingHeartbeat,
                 self_report::SelfReport,
             },
+            rules::{coordinator::Coordinator, gossip::HEARTBEAT},
         },
         shared::{
             ids::ServiceId,
--- a/lib/tests/test_liveness_rule.rs
+++ b/lib/tests/test_liveness_rule.rs
@@ -5,9 +5,10 @@
 use {
     hazelyoke_lib::{
         gateway::peers::{
-            membership::{Identity, PeerChange, Peers},
+            membership::{Identity, Peers},
             message::{Heartbeat, PROTOCOL, PeerNote, Phase},
             pause::PauseDetector,
+            peer_change::PeerChange,
         },
         shared::units::{Capacity, Millis, Time},
     },
--- a/lib/tests/test_peers.rs
+++ b/lib/tests/test_peers.rs
@@ -7,14 +7,16 @@
         gateway::{
             hashes::{EndpointHash, ServiceHash},
             peers::{
-                membership::{Coordinator, Identity, PeerChange, Peers},
+                membership::{Identity, Peers},
                 message::{
                     Frame, Heartbeat, JobOrder, LinkReply, LoadNote, PROTOCOL, Phase, QueueNote,
                     WorkNote, decode, encode,
                 },
                 outgoing::OutgoingHeartbeat,
+                peer_change::PeerChange,
                 self_report::SelfReport,
             },
+            rules::coordinator::Coordinator,
             stages::job::{JobEnd, PieceInput, ResultHandle},
         },
         shared::{
