--- a/lib/src/gateway/peers/catch_up.rs
+++ b/lib/src/gateway/peers/catch_up.rs
@@ -21,6 +21,12 @@
     tokio::time::{MissedTickBehavior, interval, timeout},
 };
 
+/// A newer list of endpoints at another daemon.
+struct NewerList {
+    peer: SocketAddr,
+    fetch: ListFetch,
+}
+
 /// Fetches for good what is newer at other daemons.
 pub async fn run_catch_up<D: Dialect>(gateway: Rc<Gateway<D>>) {
     let mut ticks = interval(HEARTBEAT.to_duration());
@@ -55,15 +61,15 @@
 }
 
 async fn catch_up_endpoints<D: Dialect>(gateway: &Gateway<D>) {
-    let Some((peer, list)) = newer_list(gateway) else {
+    let Some(newer) = newer_list(gateway) else {
         return;
     };
-    let request = match list {
+    let request = match newer.fetch {
         ListFetch::Whole => LinkRequest::Endpoints,
         ListFetch::Changes(known) => LinkRequest::Changes(known),
     };
-    let source = format!("peer {peer}");
-    match fetch(gateway, peer, request).await {
+    let source = format!("peer {}", newer.peer);
+    match fetch(gateway, newer.peer, request).await {
         Some(LinkReply::Endpoints { revision, entries }) => {
             gateway.replace_endpoints(revision, entries, &source);
         }
@@ -73,8 +79,8 @@
     }
 }
 
-/// Returns the daemon to ask for a newer list of endpoints, and for how much of it.
-fn newer_list<D: Dialect>(gateway: &Gateway<D>) -> Option<(SocketAddr, ListFetch)> {
+/// Returns the newer list of endpoints that should be fetched now, if there is one.
+fn newer_list<D: Dialect>(gateway: &Gateway<D>) -> Option<NewerList> {
     let now = gateway.now();
     let covered = gateway.is_covered();
     let state = gateway.state.borrow();
@@ -84,9 +90,9 @@
         wait: gateway.settings.bounds.directory_wait(),
     };
     let known = state.listed.then(|| state.catalogue.changed());
-    let list = catch_up::list_fetch(now, known, reading)?;
-    let peer = state.peers.newer_catalogue(list.known())?;
-    Some((peer, list))
+    let fetch = catch_up::list_fetch(now, known, reading)?;
+    let peer = state.peers.newer_catalogue(fetch.known())?;
+    Some(NewerList { peer, fetch })
 }
 
 /// Asks a peer; nothing if it doesn't answer within [`FETCH_LIMIT`].
--- a/lib/src/gateway/peers/heartbeats.rs
+++ b/lib/src/gateway/peers/heartbeats.rs
@@ -10,10 +10,12 @@
             peers::{
                 changes::apply_changes,
                 message::{Datagram, LoadDigest, PROTOCOL},
-                pause::PauseDetector,
                 sockets::send_datagram,
             },
-            rules::gossip::{DIGEST_LOADS, HEARTBEAT},
+            rules::{
+                gossip::{DIGEST_LOADS, HEARTBEAT},
+                pause::PauseDetector,
+            },
             state::Gateway,
         },
         shared::units::Time,
--- a/lib/src/gateway/peers/mod.rs
+++ b/lib/src/gateway/peers/mod.rs
@@ -17,7 +17,6 @@
 pub mod membership;
 pub mod message;
 pub mod outgoing;
-pub mod pause;
 pub mod peer_change;
 pub(crate) mod peer_loads;
 pub(crate) mod queries;
--- a/lib/src/gateway/rules/gossip.rs
+++ b/lib/src/gateway/rules/gossip.rs
@@ -26,8 +26,7 @@
     std::{cmp::Reverse, net::SocketAddr},
 };
 
-/// Time between two heartbeats. Chosen, not measured against other values; its cost is in
-/// `docs/MEASUREMENTS.md`, section "Decisions of a forwarding daemon".
+/// Time between two heartbeats. Chosen, not measured against other values.
 pub const HEARTBEAT: Millis = Millis(200);
 
 /// Largest number of other daemons to which every heartbeat goes. Chosen, not measured.
--- a/lib/src/gateway/rules/mod.rs
+++ b/lib/src/gateway/rules/mod.rs
@@ -9,6 +9,7 @@
 pub mod engine_pace;
 pub mod gossip;
 pub mod liveness;
+pub mod pause;
 pub(crate) mod piece_order;
 pub mod progress;
 pub mod retry_budget;
--- a/lib/src/gateway/peers/pause.rs
+++ b/lib/src/gateway/rules/pause.rs
@@ -1,8 +1,14 @@
-//! Notices that the process stood still: what it knew before may be long out of date.
+//! Did this process stand still, so that what it knew before may be long out of date?
 //!
-//! A pure rule: the caller looks at the clock with every heartbeat, and a gap of [`PAUSE`] or more
-//! between two looks is a pause, of a suspended host for example. Its effect is in
-//! [`rules::liveness`](crate::gateway::rules::liveness).
+//! Inputs: the times (microseconds of this daemon's clock) at which it looked at the clock, one
+//! with every heartbeat that it sends.
+//!
+//! Rule: a gap of [`PAUSE`] or more between two looks is a pause.
+//!
+//! Reason: a suspended host or a stuck process received nothing meanwhile, and must not take the
+//! others for lost; the effect is in [`liveness`](crate::gateway::rules::liveness).
+//!
+//! Chosen, not measured.
 
 use {
     crate::shared::units::{Millis, Time},
--- a/lib/tests/test_liveness_rule.rs
+++ b/lib/tests/test_liveness_rule.rs
@@ -4,11 +4,13 @@
 
 use {
     hazelyoke_lib::{
-        gateway::peers::{
-            membership::{Identity, Peers},
-            message::{Heartbeat, PROTOCOL, PeerNote, Phase},
-            pause::PauseDetector,
-            peer_change::PeerChange,
+        gateway::{
+            peers::{
+                membership::{Identity, Peers},
+                message::{Heartbeat, PROTOCOL, PeerNote, Phase},
+                peer_change::PeerChange,
+            },
+            rules::pause::PauseDetector,
         },
         shared::units::{Capacity, Millis, Time},
     },
