--- a/lib/tests/test_bad_endpoints.rs
+++ b/lib/tests/test_bad_endpoints.rs
@@ -6,11 +6,11 @@
     hazelyoke_testutils::{
         endpoint::Run,
         expect,
-        faults::Damage,
+        faults::{Damage, StreamBreak},
         fixture::{Fixture, TOKENS, summary_steps, wait_for},
         http_client::{Caller, CallerReply, CallerRequest},
     },
-    std::ops::RangeInclusive,
+    tokio::sync::watch,
 };
 
 const DAMAGES: [Damage; 6] = [
@@ -73,12 +73,17 @@
 async fn resumed_stream() {
     let fixture = Fixture::start().await;
     let (_daemon, caller) = fixture.daemon().await;
+    let (tokens, received) = watch::channel(0);
     for server in &fixture.endpoints["llm"] {
-        server.endpoint.faults.break_stream(3);
+        let received = received.clone();
+        let at = StreamBreak { token: 3, received };
+        server.endpoint.faults.break_stream(at);
     }
     let request = CallerRequest::new("/v1/pipelines/summary", "market", "{\"question\":1}")
         .header("accept", "text/event-stream");
-    let reply = caller.post(request).await.unwrap();
+    let count = |body: &[u8]| String::from_utf8_lossy(body).matches("\"index\":").count() as u32;
+    let reply = caller.follow(request, |body| _ = tokens.send_replace(count(body)));
+    let reply = reply.await.unwrap();
     let text = String::from_utf8(reply.body.to_vec()).unwrap();
     for index in 0..TOKENS {
         let token = format!("\"index\":{index},");
@@ -87,9 +92,10 @@
     assert_eq!(text.matches("event: done").count(), 1, "{text}");
     let engines = fixture.endpoints["llm"].iter();
     let runs: Vec<Run> = engines.flat_map(|server| server.endpoint.runs()).collect();
-    // Tokens that were sent but not received when the connection broke are generated again.
-    let resumed = |range: RangeInclusive<u32>| runs.iter().any(|run| range.contains(&run.resumed));
-    assert!(resumed(0..=0) && resumed(1..=3), "{runs:?}");
+    let mut resumed: Vec<u32> = runs.iter().map(|run| run.resumed).collect();
+    resumed.sort_unstable();
+    // Both engines break off once; no token that the caller has is generated again.
+    assert_eq!(resumed, [0, 3, 3], "{runs:?}");
 }
 
 #[tokio::test]
--- a/lib/testutils/src/engine.rs
+++ b/lib/testutils/src/engine.rs
@@ -6,7 +6,7 @@
     crate::{
         endpoint::{Endpoint, EndpointServer, PromptBytes},
         expect::token,
-        faults::Damage,
+        faults::{Damage, StreamBreak},
         http_server::{ReplyBody, Server, empty_body, whole_body},
         prefix_cache::PrefixCache,
     },
@@ -189,7 +189,7 @@
         from: call.resume_tokens,
         to: model.tokens.min(call.max_tokens),
         damage,
-        break_at: endpoint.faults.take_break(),
+        stream_break: endpoint.faults.take_break(),
     };
     let reply = endpoint.reply_head(&headers, started);
     let (events, received) = mpsc::channel(QUEUE);
@@ -206,7 +206,7 @@
     from: u32,
     to: u32,
     damage: Option<Damage>,
-    break_at: Option<u32>,
+    stream_break: Option<StreamBreak>,
 }
 
 type Events = mpsc::Sender<Result<Frame<Bytes>, io::Error>>;
@@ -258,9 +258,10 @@
     // Points in time, not pauses: the timer's rounding would else add up over a generation.
     tokio::time::sleep_until(next).await;
     for index in generation.from..generation.to {
-        if generation.break_at == Some(index) {
-            send_frame(events, Err(io::Error::other("broken off"))).await?;
-            return Err(StreamEnded);
+        if let Some(at) = &generation.stream_break
+            && at.token == index
+        {
+            return break_off(at, events).await;
         }
         let share = f64::from(endpoint.running()) / f64::from(model.batch);
         let pause = model.token.mul_f64(1.0 + model.batch_cost * share);
@@ -272,6 +273,16 @@
     Ok(())
 }
 
+/// Breaks a stream off as soon as its reader has all tokens before the break.
+async fn break_off(at: &StreamBreak, events: &Events) -> Result<(), StreamEnded> {
+    let mut received = at.received.clone();
+    let caught_up = received.wait_for(|&tokens| tokens >= at.token).await;
+    // An error means that the reader is gone.
+    caught_up.map_err(|_| StreamEnded)?;
+    send_frame(events, Err(io::Error::other("broken off"))).await?;
+    Err(StreamEnded)
+}
+
 /// Ends a stream as its damage says.
 async fn end_stream(
     generation: &Generation,
--- a/lib/testutils/src/faults.rs
+++ b/lib/testutils/src/faults.rs
@@ -1,8 +1,11 @@
 //! How a stand-in endpoint misbehaves, changeable while it runs.
 
-use std::sync::{
-    Mutex,
-    atomic::{AtomicBool, AtomicU32, Ordering},
+use {
+    std::sync::{
+        Mutex,
+        atomic::{AtomicBool, AtomicU32, Ordering},
+    },
+    tokio::sync::watch,
 };
 
 /// Damage of a reply.
@@ -35,6 +38,19 @@
     draws: u64,
 }
 
+/// A break of one stream at a fixed token.
+///
+/// An HTTP server that fails a body drops what it hasn't written yet, so a break right after a
+/// token may lose any number of tokens before it. A break therefore waits until the reader has all
+/// of them.
+#[derive(Debug, Clone)]
+pub struct StreamBreak {
+    /// Token before which the stream breaks off.
+    pub token: u32,
+    /// Number of tokens that the reader has received.
+    pub received: watch::Receiver<u32>,
+}
+
 /// Faults of one endpoint.
 #[derive(Debug)]
 pub struct Faults {
@@ -43,8 +59,8 @@
     damage: Mutex<Option<DamagePlan>>,
     frozen: AtomicBool,
     leaving: AtomicBool,
-    /// Token before which a stream breaks off, once.
-    break_at: Mutex<Option<u32>>,
+    /// Break of the next stream, once.
+    stream_break: Mutex<Option<StreamBreak>>,
 }
 
 impl Default for Faults {
@@ -54,7 +70,7 @@
             damage: Mutex::new(None),
             frozen: AtomicBool::new(false),
             leaving: AtomicBool::new(false),
-            break_at: Mutex::new(None),
+            stream_break: Mutex::new(None),
         }
     }
 }
@@ -114,13 +130,16 @@
         self.leaving.load(Ordering::Relaxed)
     }
 
-    /// Breaks the next stream off before this token, once.
-    pub fn break_stream(&self, token: u32) {
-        *self.break_at.lock().expect("no panic while held") = Some(token);
+    /// Breaks the next stream off, once.
+    pub fn break_stream(&self, at: StreamBreak) {
+        *self.stream_break.lock().expect("no panic while held") = Some(at);
     }
 
-    /// Takes the token before which a stream breaks off.
-    pub fn take_break(&self) -> Option<u32> {
-        self.break_at.lock().expect("no panic while held").take()
+    /// Takes the break of the next stream.
+    pub fn take_break(&self) -> Option<StreamBreak> {
+        self.stream_break
+            .lock()
+            .expect("no panic while held")
+            .take()
     }
 }
--- a/lib/testutils/src/http_client.rs
+++ b/lib/testutils/src/http_client.rs
@@ -1,7 +1,7 @@
 //! A caller of the daemons' interface, for tests and the bench.
 
 use {
-    bytes::Bytes,
+    bytes::{Bytes, BytesMut},
     http::{HeaderMap, Method, Request, StatusCode},
     http_body_util::{BodyExt, Full},
     hyper::body::Incoming,
@@ -107,7 +107,21 @@
     ///
     /// Returns a message when there is no whole response.
     pub async fn post(&self, request: CallerRequest) -> Result<CallerReply, String> {
-        read_reply(self.open(request).await?).await
+        self.follow(request, |_| {}).await
+    }
+
+    /// Sends a POST and reads the whole response; `progress` is called with all of the body so far
+    /// whenever a part of it arrives.
+    ///
+    /// # Errors
+    ///
+    /// Returns a message when there is no whole response.
+    pub async fn follow(
+        &self,
+        request: CallerRequest,
+        progress: impl FnMut(&[u8]),
+    ) -> Result<CallerReply, String> {
+        read_reply(self.open(request).await?, progress).await
     }
 
     /// Sends a GET and reads the whole response.
@@ -121,7 +135,7 @@
             headers: Vec::new(),
             body: Bytes::new(),
         };
-        read_reply(self.exchange(Method::GET, request).await?).await
+        read_reply(self.exchange(Method::GET, request).await?, |_| {}).await
     }
 
     async fn exchange(
@@ -145,16 +159,33 @@
     }
 }
 
-async fn read_reply(response: http::Response<Incoming>) -> Result<CallerReply, String> {
+async fn read_reply(
+    response: http::Response<Incoming>,
+    progress: impl FnMut(&[u8]),
+) -> Result<CallerReply, String> {
     let (head, body) = response.into_parts();
-    let body = tokio::time::timeout(PATIENCE, body.collect())
+    let body = tokio::time::timeout(PATIENCE, read_body(body, progress))
         .await
         .map_err(|_| "no end of the body".to_owned())?
-        .map_err(|error| error.to_string())?
-        .to_bytes();
+        .map_err(|error| error.to_string())?;
     Ok(CallerReply {
         status: head.status,
         headers: head.headers,
         body,
     })
 }
+
+async fn read_body(
+    mut body: Incoming,
+    mut progress: impl FnMut(&[u8]),
+) -> Result<Bytes, hyper::Error> {
+    let mut read = BytesMut::new();
+    while let Some(frame) = body.frame().await {
+        // Trailers aren't part of the body.
+        if let Ok(data) = frame?.into_data() {
+            read.extend_from_slice(&data);
+            progress(&read);
+        }
+    }
+    Ok(read.freeze())
+}
