--- /dev/null
+++ b/lib/src/pipeline/node/request_handle.rs
@@ -0,0 +1,65 @@
+//! The caller's side of one request: the deliveries that its handler receives.
+
+use {
+    crate::{
+        pipeline::{
+            decision::{core::Event, endpoint::Transport, request::Answer},
+            node::Node,
+        },
+        shared::{ids::RequestId, problem::Problem},
+    },
+    tokio::sync::mpsc,
+};
+
+/// What a caller's handler receives.
+#[derive(Debug, Clone, PartialEq)]
+pub enum Delivery {
+    /// One token of a streamed answer.
+    Token {
+        /// Its position.
+        index: u32,
+        /// Its text.
+        text: String,
+    },
+    /// The final answer; nothing follows.
+    Finished(Result<Answer, Problem>),
+}
+
+/// A caller's hold on its request; dropping it tells the daemon that the caller has left.
+#[derive(Debug)]
+pub struct RequestHandle<T: Transport> {
+    pub(super) node: Node<T>,
+    pub(super) id: RequestId,
+    pub(super) deliveries: mpsc::UnboundedReceiver<Delivery>,
+    pub(super) finished: bool,
+}
+
+impl<T: Transport> RequestHandle<T> {
+    /// Waits for the next delivery; none after the final one.
+    pub async fn next(&mut self) -> Option<Delivery> {
+        if self.finished {
+            return None;
+        }
+        let delivery = self.deliveries.recv().await?;
+        self.finished = matches!(delivery, Delivery::Finished(_));
+        Some(delivery)
+    }
+
+    /// Waits for the final answer and passes over tokens.
+    pub async fn finish(mut self) -> Option<Result<Answer, Problem>> {
+        while let Some(delivery) = self.next().await {
+            if let Delivery::Finished(result) = delivery {
+                return Some(result);
+            }
+        }
+        None
+    }
+}
+
+impl<T: Transport> Drop for RequestHandle<T> {
+    fn drop(&mut self) {
+        if !self.finished {
+            self.node.apply(Event::Left(self.id));
+        }
+    }
+}
