--- a/bench/src/report.rs
+++ b/bench/src/report.rs
@@ -133,10 +133,12 @@
 fn stage_times(installation: &Installation) -> BTreeMap<String, StageTime> {
     let mut stages: BTreeMap<String, StageTime> = BTreeMap::new();
     let daemons = installation.daemons.iter();
-    for (target, stage, cost) in daemons.flat_map(|daemon| daemon.node().snapshot().costs) {
-        let sum = stages.entry(format!("{target}/{stage}")).or_default();
-        sum.useful.0 += cost.useful.0;
-        sum.wasted.0 += cost.wasted.0;
+    for view in daemons.flat_map(|daemon| daemon.node().snapshot().costs) {
+        let sum = stages
+            .entry(format!("{}/{}", view.pipeline, view.stage))
+            .or_default();
+        sum.useful.0 += view.cost.useful.0;
+        sum.wasted.0 += view.cost.wasted.0;
     }
     stages
 }
--- a/lib/src/pipeline/api/server.rs
+++ b/lib/src/pipeline/api/server.rs
@@ -13,7 +13,7 @@
             metrics::Metrics,
             node::{Delivery, Node, RequestHandle},
             status_view::status_body,
-            trace::Hop,
+            trace::TraceSpan,
         },
         shared::{
             ids::RequestId,
@@ -235,7 +235,7 @@
     check_header_size(context.request.headers(), api.limits.headers)?;
     let options = CallOptions::try_from(&headers)?;
     let parent = headers.traceparent.as_deref();
-    let mut receive = node.tracing().hop("receive", SpanKind::Server, parent);
+    let mut receive = node.tracing().span("receive", SpanKind::Server, parent);
     let id = RequestId::from_random(node.random_bits());
     receive.set("request", id);
     let body = read_request(body, api.limits.receive).await?;
@@ -251,8 +251,8 @@
         body,
         trace_parent: receive.trace_parent(),
     };
-    let ticket = admit(&node, arrival, &receive);
-    let answer = answer(ticket, id, stream, permit, &receive, &node).await;
+    let handle = admit(&node, arrival, &receive);
+    let answer = answer(handle, id, stream, permit, &receive, &node).await;
     api.metrics.observe(started.elapsed());
     log_request(id, started, &answer);
     answer
@@ -261,35 +261,35 @@
 fn admit(
     node: &Node<HttpTransport>,
     arrival: Arrival,
-    receive: &Hop,
+    receive: &TraceSpan,
 ) -> RequestHandle<HttpTransport> {
     let parent = receive.trace_parent();
     let mut admit = node
         .tracing()
-        .hop("admit", SpanKind::Internal, parent.as_deref());
+        .span("admit", SpanKind::Internal, parent.as_deref());
     admit.set("customer", &arrival.customer);
     node.submit(arrival)
 }
 
 async fn answer(
-    mut ticket: RequestHandle<HttpTransport>,
+    mut handle: RequestHandle<HttpTransport>,
     id: RequestId,
     stream: bool,
     permit: OwnedSemaphorePermit,
-    receive: &Hop,
+    receive: &TraceSpan,
     node: &Node<HttpTransport>,
 ) -> Result<Response<Body>, ApiProblem> {
-    let first = ticket.next().await;
+    let first = handle.next().await;
     let parent = receive.trace_parent();
     let forward = node
         .tracing()
-        .hop("forward", SpanKind::Internal, parent.as_deref());
+        .span("forward", SpanKind::Internal, parent.as_deref());
     match first {
         Some(Delivery::Finished(Ok(answer))) if !stream => {
             json_response(answer.status, id, answer.body)
         }
         Some(Delivery::Finished(Err(problem))) => Err(ApiProblem::new(problem, Some(id))),
-        Some(first) => stream_response(ticket, id, first, permit, forward),
+        Some(first) => stream_response(handle, id, first, permit, forward),
         None => Err(ApiProblem::new(gone(), Some(id))),
     }
 }
--- a/lib/src/pipeline/api/stream.rs
+++ b/lib/src/pipeline/api/stream.rs
@@ -6,7 +6,7 @@
             api::problem::ApiProblem,
             endpoints::{http_call::HttpTransport, wire},
             node::{Delivery, RequestHandle},
-            trace::Hop,
+            trace::TraceSpan,
         },
         shared::{ids::RequestId, sse::write_event},
     },
@@ -42,19 +42,19 @@
 
 /// An answer in the course of being streamed; dropping it tells the daemon that the caller left.
 struct Streaming {
-    ticket: RequestHandle<HttpTransport>,
+    handle: RequestHandle<HttpTransport>,
     id: RequestId,
     first: Option<Delivery>,
     // Held until the stream ends: the request counts as in hand, and its span goes on.
     _permit: OwnedSemaphorePermit,
-    _forward: Hop,
+    _forward: TraceSpan,
 }
 
 impl Streaming {
     async fn next_event(mut self) -> Option<(Result<Frame<Bytes>, Infallible>, Self)> {
         let delivery = match self.first.take() {
             Some(first) => first,
-            None => self.ticket.next().await?,
+            None => self.handle.next().await?,
         };
         let event = event(&delivery, self.id);
         Some((Ok(Frame::data(event)), self))
@@ -90,14 +90,14 @@
 ///
 /// Returns a problem if the response can't be built.
 pub fn stream_response(
-    ticket: RequestHandle<HttpTransport>,
+    handle: RequestHandle<HttpTransport>,
     id: RequestId,
     first: Delivery,
     permit: OwnedSemaphorePermit,
-    forward: Hop,
+    forward: TraceSpan,
 ) -> Result<Response<Body>, ApiProblem> {
     let streaming = Streaming {
-        ticket,
+        handle,
         id,
         first: Some(first),
         _permit: permit,
--- a/lib/src/pipeline/daemon.rs
+++ b/lib/src/pipeline/daemon.rs
@@ -127,7 +127,7 @@
     let config = ConfigDropshot {
         bind_address: settings.listen,
         default_request_body_max_bytes: 2 * BODY_CAP,
-        // A caller that vanishes drops its handler, and with it the request's ticket.
+        // A caller that vanishes drops its handler, and with it the request's handle.
         default_handler_task_mode: HandlerTaskMode::CancelOnDisconnect,
         ..Default::default()
     };
--- a/lib/src/pipeline/metrics.rs
+++ b/lib/src/pipeline/metrics.rs
@@ -155,11 +155,12 @@
 
 fn register_costs(registry: &mut Registry, snapshot: &Snapshot) {
     let costs = Family::<StageLabels, FloatCounter>::default();
-    for (pipeline, stage, cost) in &snapshot.costs {
+    for view in &snapshot.costs {
+        let cost = &view.cost;
         for (result, spent) in [("useful", cost.useful), ("wasted", cost.wasted)] {
             let labels = StageLabels {
-                pipeline: pipeline.to_string(),
-                stage: stage.to_string(),
+                pipeline: view.pipeline.to_string(),
+                stage: view.stage.to_string(),
                 result: result.to_owned(),
             };
             costs.get_or_create(&labels).inc_by(spent.0 / 1000.0);
--- a/lib/src/pipeline/node/calls.rs
+++ b/lib/src/pipeline/node/calls.rs
@@ -1,4 +1,7 @@
-//! The tasks that run calls of endpoints.
+//! The tasks that run endpoint calls.
+//!
+//! Owns the start, the trace span and the abort of each call; the transport carries it out. Relies on
+//! the node's lock: a call is registered before its task can end.
 
 use {
     crate::{
@@ -16,19 +19,21 @@
     tokio::task::AbortHandle,
 };
 
+/// A call in flight, kept so that it can be cancelled.
 #[derive(Debug)]
-pub(super) struct Task {
+pub(super) struct CallTask {
     abort: AbortHandle,
+    /// The call as it was sent; an engine's cancel message repeats its ids.
     call: EndpointCall,
 }
 
-/// Passes tokens from a call's task to the core.
-struct Tokens<T: Transport> {
+/// Passes the tokens of one attempt to the core.
+struct CoreTokenSink<T: Transport> {
     node: Node<T>,
     attempt: AttemptId,
 }
 
-impl<T: Transport> TokenSink for Tokens<T> {
+impl<T: Transport> TokenSink for CoreTokenSink<T> {
     fn token(&mut self, index: u32, text: String) {
         self.node.apply(Event::Token {
             attempt: self.attempt,
@@ -39,48 +44,49 @@
 }
 
 impl<T: Transport> Node<T> {
+    /// Starts the task of one call; its end comes back to the core as an event.
     pub(super) fn spawn_call(&self, state: &mut NodeState, mut call: EndpointCall) {
         let attempt = call.ids.attempt;
         let parent = call.trace_parent.as_deref();
-        let mut hop = self.tracing().hop("attempt", SpanKind::Client, parent);
-        hop.set("request", call.ids.request);
-        hop.set("stage", &call.ids.stage);
-        hop.set("endpoint", &call.endpoint);
-        call.trace_parent = hop.trace_parent();
-        let remembered = call.clone();
+        let mut span = self.tracing().span("attempt", SpanKind::Client, parent);
+        span.set("request", call.ids.request);
+        span.set("stage", &call.ids.stage);
+        span.set("endpoint", &call.endpoint);
+        call.trace_parent = span.trace_parent();
+        let sent = call.clone();
         let node = self.clone();
         let task = async move {
-            let sink = Tokens {
+            let sink = CoreTokenSink {
                 node: node.clone(),
                 attempt,
             };
-            let end = node.shared.transport.call(call, sink).await;
-            hop.set("end", describe(&end));
-            drop(hop);
+            let end = node.inner.transport.call(call, sink).await;
+            span.set("end", describe_end(&end));
+            drop(span);
             let mut state = node.lock();
-            state.tasks.remove(&attempt);
+            state.calls.remove(&attempt);
             node.step(&mut state, Event::Ended { attempt, end });
         };
         let abort = tokio::spawn(task).abort_handle();
-        let task = Task {
-            abort,
-            call: remembered,
-        };
-        state.tasks.insert(attempt, task);
+        state.calls.insert(attempt, CallTask { abort, call: sent });
     }
 
+    /// Aborts a call's task; nothing to do if the call has ended. An engine is also sent a cancel
+    /// message, since its batch goes on while it doesn't notice the closed connection.
     pub(super) fn cancel_call(&self, state: &mut NodeState, attempt: AttemptId) {
-        let Some(task) = state.tasks.remove(&attempt) else {
+        let Some(task) = state.calls.remove(&attempt) else {
             return;
         };
         task.abort.abort();
         if matches!(task.call.kind, ServiceKind::Engine { .. }) {
-            let transport = self.shared.transport.clone();
+            let transport = self.inner.transport.clone();
             tokio::spawn(async move { transport.cancel(task.call).await });
         }
     }
 }
-fn describe(end: &AttemptEnd) -> String {
+
+/// Returns the text of an attempt's end for its span.
+fn describe_end(end: &AttemptEnd) -> String {
     match end {
         AttemptEnd::Answered(reply) => format!("answered {}", reply.status),
         AttemptEnd::StreamEnded { tokens, .. } => format!("streamed {tokens}"),
--- a/lib/src/pipeline/node/mod.rs
+++ b/lib/src/pipeline/node/mod.rs
@@ -1,4 +1,9 @@
-//! The shell around the core: turns sockets and timers into events, and actions into calls.
+//! The shell around the decision core: turns requests, timers and endpoints' replies into events, and
+//! the core's actions into calls and deliveries.
+//!
+//! Owns the core with its lock, the clock, the tasks of the calls in flight and the channels to the
+//! callers; decides nothing itself. Relies on `decision::core` for the decisions, on a
+//! [`Transport`] for the calls and on Tokio for tasks and timers.
 
 mod calls;
 mod reports;
@@ -8,7 +13,7 @@
 
 pub use {
     request_handle::{Delivery, RequestHandle},
-    snapshot::{EndpointView, Snapshot},
+    snapshot::{EndpointView, Snapshot, StageCostView},
     task_guard::{TaskGuard, spawn_guarded},
 };
 
@@ -20,7 +25,7 @@
                 endpoint::Transport,
                 request::Arrival,
             },
-            node::calls::Task,
+            node::calls::CallTask,
             trace::Tracing,
         },
         settings::tree::Tree,
@@ -37,22 +42,23 @@
     },
 };
 
-/// One daemon's decisions with what carries them out. Clones share the same daemon.
+/// One daemon's decision core together with the code that carries out its actions. Clones share the
+/// same core.
 #[derive(Debug)]
 pub struct Node<T> {
-    shared: Arc<Shared<T>>,
+    inner: Arc<NodeInner<T>>,
 }
 
 impl<T> Clone for Node<T> {
     fn clone(&self) -> Self {
         Self {
-            shared: self.shared.clone(),
+            inner: self.inner.clone(),
         }
     }
 }
 
 #[derive(Debug)]
-struct Shared<T> {
+struct NodeInner<T> {
     state: Mutex<NodeState>,
     transport: T,
     start: Instant,
@@ -64,19 +70,19 @@
 struct NodeState {
     core: Core,
     callers: HashMap<RequestId, mpsc::UnboundedSender<Delivery>>,
-    tasks: HashMap<AttemptId, Task>,
+    calls: HashMap<AttemptId, CallTask>,
 }
 
 impl<T: Transport> Node<T> {
-    /// Builds a daemon without a tree.
+    /// Builds a node without a tree, so that it refuses every request until one is adopted.
     pub fn new(config: CoreConfig, transport: T, tracing: Tracing) -> Self {
         let state = NodeState {
             core: Core::new(config),
             callers: HashMap::default(),
-            tasks: HashMap::default(),
+            calls: HashMap::default(),
         };
         Self {
-            shared: Arc::new(Shared {
+            inner: Arc::new(NodeInner {
                 state: Mutex::new(state),
                 transport,
                 start: Instant::now(),
@@ -86,9 +92,9 @@
         }
     }
 
-    /// Returns the starter of spans.
+    /// Returns the tracing that the node's spans go to.
     pub fn tracing(&self) -> &Tracing {
-        &self.shared.tracing
+        &self.inner.tracing
     }
 
     /// Returns fresh random bits, for a request's id.
@@ -96,7 +102,7 @@
         self.lock().core.random_bits()
     }
 
-    /// Hands in a request.
+    /// Submits a request; its deliveries come by the returned handle.
     pub fn submit(&self, arrival: Arrival) -> RequestHandle<T> {
         let id = arrival.id;
         let (sender, deliveries) = mpsc::unbounded_channel();
@@ -127,15 +133,16 @@
         self.lock().core.in_flight()
     }
 
-    /// Runs the timers until the task that awaits this is dropped.
+    /// Fires the core's timers until the task that awaits this is dropped.
     pub async fn run_timers(self) {
         loop {
             let next = self.lock().core.next_timer();
-            let changed = self.shared.timer_changed.notified();
+            let changed = self.inner.timer_changed.notified();
             match next {
                 None => changed.await,
                 Some(due) => {
-                    let due = self.shared.start + Time::since(due, Time::default());
+                    // The core's clock starts at zero together with the node.
+                    let due = self.inner.start + Time::since(due, Time::default());
                     tokio::select! {
                         () = tokio::time::sleep_until(due) => self.apply(Event::Tick),
                         () = changed => {}
@@ -145,13 +152,14 @@
         }
     }
 
-    /// Takes in one event and carries out what follows from it.
+    /// Applies one event to the core and carries out the actions that follow.
     fn apply(&self, event: Event) {
         let mut state = self.lock();
         self.step(&mut state, event);
     }
 
-    /// Actions are carried out under the lock, so that a cancel can't overtake its send.
+    /// Like [`Self::apply`], with the lock held: actions are carried out under it, so that a cancel
+    /// can't overtake its send.
     fn step(&self, state: &mut NodeState, event: Event) {
         let before = state.core.next_timer();
         let actions = state.core.step(self.now(), event);
@@ -160,7 +168,7 @@
         }
         let after = state.core.next_timer();
         if after.is_some() && (before.is_none() || after < before) {
-            self.shared.timer_changed.notify_one();
+            self.inner.timer_changed.notify_one();
         }
     }
 
@@ -174,24 +182,27 @@
                 text,
             } => {
                 if let Some(caller) = state.callers.get(&request) {
-                    // A caller that has left is reported by its ticket.
+                    // Fails only if the handle was dropped, which reports that itself.
                     let _ = caller.send(Delivery::Token { index, text });
                 }
             }
             Action::Finish { request, result } => {
                 if let Some(caller) = state.callers.remove(&request) {
+                    // As above: nobody waits any more.
                     let _ = caller.send(Delivery::Finished(result));
                 }
             }
         }
     }
 
+    /// Returns the core's time: microseconds since the node's start.
     fn now(&self) -> Time {
-        Time(self.shared.start.elapsed().as_micros() as u64)
+        Time(self.inner.start.elapsed().as_micros() as u64)
     }
 
     fn lock(&self) -> MutexGuard<'_, NodeState> {
-        // A broken invariant leaves nothing to rely on, so the panic goes on to all users.
-        self.shared.state.lock().expect("core is intact")
+        // A panic under the lock means a broken invariant: no later decision could be trusted, so
+        // every user panics too.
+        self.inner.state.lock().expect("core is intact")
     }
 }
--- a/lib/src/pipeline/node/reports.rs
+++ b/lib/src/pipeline/node/reports.rs
@@ -1,4 +1,7 @@
-//! Polling of the endpoints' load reports and cache events.
+//! Polling of the endpoints' load reports and the engines' cache events.
+//!
+//! Owns, for each engine, the number from which its cache events are read next. A report that can't be
+//! read is skipped: the core keeps the last one until it is stale, and the next round tries again.
 
 use {
     crate::{
@@ -10,14 +13,20 @@
         shared::{ids::EndpointId, units::Millis},
     },
     foldhash::HashMap,
+    futures_util::future::join_all,
+    tokio::time::MissedTickBehavior,
 };
 
+/// Number before an engine's first cache event: reads all that the engine still knows.
+const ALL_EVENTS: u64 = 0;
+
 impl<T: Transport> Node<T> {
-    /// Reads all endpoints' load reports, and engines' cache events, again and again.
+    /// Reads all endpoints' load reports, and engines' cache events, once every `interval` until the
+    /// task that awaits this is dropped.
     pub async fn run_reports(self, interval: Millis) {
         let mut ticks = tokio::time::interval(interval.to_duration());
-        ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
-        let mut seen: HashMap<EndpointId, u64> = HashMap::default();
+        ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
+        let mut next_events: HashMap<EndpointId, u64> = HashMap::default();
         loop {
             ticks.tick().await;
             let tree = self.tree();
@@ -26,22 +35,23 @@
                 service.endpoints.iter().map(move |spec| (spec, kind))
             });
             let reads = specs.map(|(spec, kind)| {
-                let after = seen.get(&spec.id).copied().unwrap_or(0);
+                let after = next_events.get(&spec.id).copied().unwrap_or(ALL_EVENTS);
                 self.read_reports(spec, kind, after)
             });
-            let read = futures_util::future::join_all(reads).await;
-            seen = read.into_iter().flatten().collect();
+            let read = join_all(reads).await;
+            // Built anew, so that endpoints that have left the tree don't pile up.
+            next_events = read.into_iter().flatten().collect();
         }
     }
 
-    /// Reads one endpoint's reports; returns from which number on its cache events come next.
+    /// Reads one endpoint's reports; returns the number of its next cache event, if it is an engine.
     async fn read_reports(
         &self,
         spec: &EndpointSpec,
         kind: &ServiceKind,
         after: u64,
     ) -> Option<(EndpointId, u64)> {
-        let transport = &self.shared.transport;
+        let transport = &self.inner.transport;
         if let Some(report) = transport.load(spec.address, kind).await {
             let endpoint = spec.id.clone();
             self.apply(Event::Load { endpoint, report });
--- a/lib/src/pipeline/node/request_handle.rs
+++ b/lib/src/pipeline/node/request_handle.rs
@@ -1,4 +1,6 @@
 //! The caller's side of one request: the deliveries that its handler receives.
+//!
+//! Owns the receiving end of the request's deliveries; the node owns the sending end.
 
 use {
     crate::{
@@ -11,12 +13,12 @@
     tokio::sync::mpsc,
 };
 
-/// What a caller's handler receives.
+/// One delivery to a caller's handler.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Delivery {
     /// One token of a streamed answer.
     Token {
-        /// Its position.
+        /// Its position in the whole generation, from 0.
         index: u32,
         /// Its text.
         text: String,
@@ -25,7 +27,8 @@
     Finished(Result<Answer, Problem>),
 }
 
-/// A caller's hold on its request; dropping it tells the daemon that the caller has left.
+/// A caller's request in progress; dropping it before the final answer reports to the core that the
+/// caller has left.
 #[derive(Debug)]
 pub struct RequestHandle<T: Transport> {
     pub(super) node: Node<T>,
@@ -35,7 +38,9 @@
 }
 
 impl<T: Transport> RequestHandle<T> {
-    /// Waits for the next delivery; none after the final one.
+    /// Waits for the next delivery.
+    ///
+    /// Returns nothing after the final one, or when the node itself is gone.
     pub async fn next(&mut self) -> Option<Delivery> {
         if self.finished {
             return None;
@@ -45,7 +50,7 @@
         Some(delivery)
     }
 
-    /// Waits for the final answer and passes over tokens.
+    /// Waits for the final answer and skips tokens; nothing when the node is gone.
     pub async fn finish(mut self) -> Option<Result<Answer, Problem>> {
         while let Some(delivery) = self.next().await {
             if let Delivery::Finished(result) = delivery {
--- a/lib/src/pipeline/trace.rs
+++ b/lib/src/pipeline/trace.rs
@@ -1,4 +1,8 @@
-//! Spans of each hop, exported over OTLP without anything waiting for the collector.
+//! Trace spans, exported over OTLP without anything waiting for the collector.
+//!
+//! Owns the queue of ended spans and the task that exports them: a full queue or a collector that
+//! fails costs spans, which are counted, and never a request's time. Relies on `opentelemetry` for
+//! sampling and on `docs/PROTOCOLS.md`, section Traces, for the form.
 
 use {
     opentelemetry::{
@@ -27,16 +31,34 @@
     tokio::sync::mpsc,
 };
 
-/// Ended spans that wait for export; more are dropped and counted.
+/// Ended spans that wait for export; more are dropped and counted. Chosen, not measured.
 const QUEUE: usize = 2_048;
 
-/// Spans exported at once.
+/// Most spans of one export. Chosen, not measured.
 const BATCH: usize = 256;
 
-/// Longest time that one export may take.
+/// Longest time that one export may take. Chosen, not measured.
 const EXPORT_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Reports a collector that can't be used.
+/// Version of the `traceparent` that is written (W3C Trace Context, as the formats below).
+const TRACE_VERSION: &str = "00";
+
+/// Version that no `traceparent` may have.
+const INVALID_VERSION: &str = "ff";
+
+/// Hexadecimal digits of a trace's id.
+const TRACE_ID_DIGITS: usize = 32;
+
+/// Hexadecimal digits of a span's id.
+const SPAN_ID_DIGITS: usize = 16;
+
+/// Hexadecimal digits of one byte: the version, or the flags.
+const BYTE_DIGITS: usize = 2;
+
+/// Base of the digits.
+const HEX: u32 = 16;
+
+/// The collector's URL can't be used.
 #[derive(Debug, Error)]
 #[error("traces.collector {collector:?} can't be used: {reason}; give an http:// URL")]
 pub struct TraceError {
@@ -51,19 +73,24 @@
     dropped: Arc<AtomicU64>,
 }
 
-/// A span that may not be recorded.
+/// A span, or only its parent when nothing is traced; the span ends when it is dropped.
 #[derive(Debug, Default)]
-pub struct Hop {
+pub struct TraceSpan {
     span: Option<Span>,
     parent: Option<SpanContext>,
 }
 
 impl Tracing {
-    /// Starts exporting to a collector, with this share of new traces sampled.
+    /// Starts exporting to the collector at an `http://` URL; `share`, from 0 to 1, of the new
+    /// traces are sampled.
     ///
     /// # Errors
     ///
     /// Returns an error when the collector's address can't be used.
+    ///
+    /// # Panics
+    ///
+    /// Panics outside of a Tokio runtime, which runs the export.
     pub fn export_to(collector: &str, share: f64, host: &str) -> Result<Self, TraceError> {
         let exporter = SpanExporter::builder()
             .with_http()
@@ -104,11 +131,13 @@
         self.dropped.load(Ordering::Relaxed)
     }
 
-    /// Starts the span of a hop under a parent's `traceparent`, if there is one.
-    pub fn hop(&self, name: &'static str, kind: SpanKind, parent: Option<&str>) -> Hop {
+    /// Starts a span under a parent's `traceparent`.
+    ///
+    /// A parent that can't be parsed counts as none, as W3C Trace Context requires.
+    pub fn span(&self, name: &'static str, kind: SpanKind, parent: Option<&str>) -> TraceSpan {
         let parent = parent.and_then(parse_parent);
         let Some(tracer) = &self.tracer else {
-            return Hop { span: None, parent };
+            return TraceSpan { span: None, parent };
         };
         let context = match &parent {
             Some(context) => Context::new().with_remote_span_context(context.clone()),
@@ -116,14 +145,14 @@
         };
         let builder = SpanBuilder::from_name(name).with_kind(kind);
         let span = tracer.build_with_context(builder, &context);
-        Hop {
+        TraceSpan {
             span: Some(span),
             parent: None,
         }
     }
 }
 
-impl Hop {
+impl TraceSpan {
     /// Adds an attribute.
     pub fn set(&mut self, key: &'static str, value: impl ToString) {
         if let Some(span) = &mut self.span
@@ -145,24 +174,29 @@
 
 fn write_parent(context: &SpanContext) -> String {
     format!(
-        "00-{}-{}-{:02x}",
+        "{TRACE_VERSION}-{}-{}-{:02x}",
         context.trace_id(),
         context.span_id(),
         context.trace_flags().to_u8()
     )
 }
 
-/// Reads a W3C `traceparent`; anything else is no parent.
+/// Parses a W3C `traceparent`. The caller's header is optional and unchecked, so anything else is
+/// no parent and the trace starts here.
 fn parse_parent(text: &str) -> Option<SpanContext> {
     let mut parts = text.split('-');
     let version = parts.next()?;
-    let trace = parts.next().filter(|part| part.len() == 32)?;
-    let span = parts.next().filter(|part| part.len() == 16)?;
-    let flags = parts.next().filter(|part| part.len() == 2)?;
-    if version.len() != 2 || version == "ff" || (version == "00" && parts.next().is_some()) {
+    let trace = parts.next().filter(|part| part.len() == TRACE_ID_DIGITS)?;
+    let span = parts.next().filter(|part| part.len() == SPAN_ID_DIGITS)?;
+    let flags = parts.next().filter(|part| part.len() == BYTE_DIGITS)?;
+    if version.len() != BYTE_DIGITS || version == INVALID_VERSION {
+        return None;
+    }
+    // Only later versions may append fields.
+    if version == TRACE_VERSION && parts.next().is_some() {
         return None;
     }
-    let flags = u8::from_str_radix(flags, 16).ok()?;
+    let flags = u8::from_str_radix(flags, HEX).ok()?;
     let context = SpanContext::new(
         TraceId::from_hex(trace).ok()?,
         SpanId::from_hex(span).ok()?,
@@ -173,7 +207,7 @@
     context.is_valid().then_some(context)
 }
 
-/// Hands ended spans to the exporting task, and counts those that don't fit.
+/// Queues ended spans for the exporting task, and counts those that don't fit.
 #[derive(Debug)]
 struct QueueProcessor {
     queue: mpsc::Sender<SpanData>,
@@ -198,6 +232,8 @@
     }
 }
 
+/// Exports ended spans until all tracers are dropped. A failed export isn't retried: its spans are
+/// counted as dropped, which `/metrics` reports, so that the queue keeps draining.
 async fn export_all(
     exporter: SpanExporter,
     mut ended: mpsc::Receiver<SpanData>,
