--- a/lib/src/pipeline/api/server.rs
+++ b/lib/src/pipeline/api/server.rs
@@ -9,7 +9,7 @@
                 stream::stream_response,
             },
             decision::request::{Arrival, Target},
-            endpoints::http_call::HttpTransport,
+            endpoints::http_transport::HttpTransport,
             metrics::Metrics,
             node::{Delivery, Node, RequestHandle},
             status_view::status_body,
--- a/lib/src/pipeline/api/status_client.rs
+++ b/lib/src/pipeline/api/status_client.rs
@@ -1,10 +1,10 @@
 //! Client of a daemon's status report, for the command line and tests.
 //!
-//! It owns the limits on size and time of one read, and relies on `endpoints::http_call` for HTTP.
+//! It owns the limits on size and time of one read, and relies on `endpoints::http_get` for HTTP.
 
 use {
     crate::{
-        pipeline::endpoints::http_call::get,
+        pipeline::endpoints::http_get::get,
         shared::{
             status::StatusBody,
             units::{ByteSize, Millis},
--- a/lib/src/pipeline/api/stream.rs
+++ b/lib/src/pipeline/api/stream.rs
@@ -4,7 +4,7 @@
     crate::{
         pipeline::{
             api::problem::ApiProblem,
-            endpoints::{http_call::HttpTransport, wire},
+            endpoints::{http_transport::HttpTransport, wire},
             node::{Delivery, RequestHandle},
             trace::TraceSpan,
         },
--- a/lib/src/pipeline/config_service.rs
+++ b/lib/src/pipeline/config_service.rs
@@ -2,7 +2,7 @@
 
 use {
     crate::{
-        pipeline::endpoints::http_call::get,
+        pipeline::endpoints::http_get::get,
         settings::{
             raw_tree::{RawTree, ValueSource},
             tree::Tree,
--- a/lib/src/pipeline/daemon.rs
+++ b/lib/src/pipeline/daemon.rs
@@ -7,7 +7,7 @@
             config_service::{ConfigClient, ConfigError, FetchedTree},
             daemon_settings::{ConfigSettings, DaemonSettings},
             decision::core::CoreConfig,
-            endpoints::http_call::HttpTransport,
+            endpoints::http_transport::HttpTransport,
             node::{Node, TaskGuard, spawn_guarded},
             trace::{TraceError, Tracing},
         },
--- a/lib/src/pipeline/endpoints/engine_client.rs
+++ b/lib/src/pipeline/endpoints/engine_client.rs
@@ -5,7 +5,8 @@
         pipeline::{
             decision::endpoint::{AttemptEnd, EndpointCall, FailCause, TokenSink},
             endpoints::{
-                http_call::{Body, HttpTransport, call_request, check_head},
+                http_call::{Body, call_request, check_head},
+                http_transport::HttpTransport,
                 wire::{self, GenerateBody, StreamEvent},
             },
         },
--- a/lib/src/pipeline/endpoints/plain_client.rs
+++ b/lib/src/pipeline/endpoints/plain_client.rs
@@ -4,7 +4,8 @@
     pipeline::{
         decision::endpoint::{AttemptEnd, EndpointCall, EndpointReply, FailCause},
         endpoints::{
-            http_call::{Body, HttpTransport, call_request, check_head, read_body},
+            http_call::{Body, call_request, check_head, read_body},
+            http_transport::HttpTransport,
             wire,
         },
     },
