--- a/lib/src/pipeline/api/status_client.rs
+++ b/lib/src/pipeline/api/status_client.rs
@@ -4,13 +4,15 @@
 
 use {
     crate::{
-        pipeline::endpoints::http_get::get,
+        pipeline::endpoints::http_get::{HttpGetError, get},
         shared::{
             status::StatusBody,
             units::{ByteSize, Millis},
         },
     },
+    bytes::Bytes,
     http::StatusCode,
+    http_body_util::Empty,
     hyper_util::{client::legacy::Client, rt::TokioExecutor},
     std::net::SocketAddr,
     thiserror::Error,
@@ -27,7 +29,7 @@
 pub enum StatusError {
     /// The daemon doesn't answer, or not in time.
     #[error("{0}")]
-    Unreachable(String),
+    Unreachable(HttpGetError),
     /// The daemon answers with a status other than success.
     #[error("{uri}: status {status}")]
     Refused {
@@ -55,11 +57,12 @@
 pub async fn fetch(address: SocketAddr) -> Result<StatusBody, StatusError> {
     let client = Client::builder(TokioExecutor::new()).build_http();
     let uri = format!("http://{address}/v1/status");
-    let (_, status, body) = get(&client, &uri, MAX_STATUS, STATUS_TIMEOUT)
+    let reply = get::<Empty<Bytes>>(&client, &uri, MAX_STATUS, STATUS_TIMEOUT)
         .await
         .map_err(StatusError::Unreachable)?;
+    let status = reply.status;
     if !status.is_success() {
         return Err(StatusError::Refused { uri, status });
     }
-    serde_json::from_slice(&body).map_err(|error| StatusError::Malformed { uri, error })
+    serde_json::from_slice(&reply.body).map_err(|error| StatusError::Malformed { uri, error })
 }
--- a/lib/src/pipeline/config_service.rs
+++ b/lib/src/pipeline/config_service.rs
@@ -1,8 +1,11 @@
-//! Adapter for the platform's configuration service, which can only be read.
+//! Client of the configuration service, which can only be read.
+//!
+//! Owns the bounds of one read and of one tree, and the rounds in which the values of a tree are
+//! fetched. Relies on `settings` to check a tree and on `http_get` for HTTP.
 
 use {
     crate::{
-        pipeline::endpoints::http_get::get,
+        pipeline::endpoints::http_get::{HttpGetError, get},
         settings::{
             raw_tree::{RawTree, ValueSource},
             tree::Tree,
@@ -28,29 +31,46 @@
     xxhash_rust::xxh3::Xxh3,
 };
 
-/// Largest value that the service holds.
+/// Largest value that the service holds. Chosen, not measured.
 const VALUE_SIZE: ByteSize = ByteSize(1 << 20);
 
-/// Longest time for one read; the service answers in milliseconds.
+/// Longest time for one read; the service answers in milliseconds. Chosen, not measured.
 const READ_TIMEOUT: Millis = Millis(2_000);
 
-/// Longest name of a value, in bytes.
+/// Longest name of a value, in bytes. Chosen, not measured.
 const MAX_VALUE_NAME: usize = 256;
 
-/// Most values that one tree may span.
+/// Most values that one tree may span. Chosen, not measured.
 const MAX_VALUES: usize = 64;
 
-/// Why no tree could be had.
+/// A tree can't be read.
 #[derive(Debug, Error)]
 pub enum ConfigError {
-    /// The service didn't answer as it should.
+    /// The service doesn't answer, or not within the bounds of a read.
     #[error("the configuration service can't be read: {0}")]
-    Unreadable(String),
+    Unreadable(#[source] HttpGetError),
+    /// The service answers with another status than 200: mostly, it doesn't have the value.
+    #[error("the configuration service can't be read: {uri}: status {status}")]
+    Refused {
+        /// URI of the value.
+        uri: String,
+        /// Status of the response.
+        status: StatusCode,
+    },
+    /// The tree names too many values.
+    #[error(
+        "the configuration service can't be read: the tree spans more than {MAX_VALUES} values"
+    )]
+    TooManyValues,
     /// The tree is invalid; the last good one stays.
     #[error("the settings tree is invalid:\n{0}")]
     Invalid(Findings),
 }
 
+/// Byte after each name and value in the hash, so that their borders count: neither a name nor
+/// JSON contains it.
+const VALUE_END: u8 = 0;
+
 /// A tree together with the fingerprint of the values it was read from.
 #[derive(Debug)]
 pub struct FetchedTree {
@@ -69,7 +89,7 @@
     address: SocketAddr,
 }
 
-/// Values fetched so far; asks that can't be met are noted for the next round.
+/// Values fetched so far; names that are missing are noted for the next round of fetches.
 #[derive(Debug, Default)]
 struct FetchedValues {
     values: BTreeMap<String, Bytes>,
@@ -111,13 +131,14 @@
     /// Returns an error when the service can't be reached or doesn't have the value.
     pub async fn value(&self, name: &str) -> Result<Bytes, ConfigError> {
         let uri = format!("http://{}/v1/values/{name}", self.address);
-        let (_, status, body) = get(&self.client, &uri, VALUE_SIZE, READ_TIMEOUT)
+        let reply = get(&self.client, &uri, VALUE_SIZE, READ_TIMEOUT)
             .await
             .map_err(ConfigError::Unreadable)?;
-        if status != StatusCode::OK {
-            return Err(ConfigError::Unreadable(format!("{uri}: status {status}")));
+        if reply.status != StatusCode::OK {
+            let status = reply.status;
+            return Err(ConfigError::Refused { uri, status });
         }
-        Ok(body)
+        Ok(reply.body)
     }
 
     /// Reads a tree with all the values it spans, and checks it; nothing if its root value is
@@ -148,8 +169,7 @@
                 return finish_tree(raw, root, &fetched);
             }
             if fetched.values.len() + wanted.len() > MAX_VALUES {
-                let message = format!("the tree spans more than {MAX_VALUES} values");
-                return Err(ConfigError::Unreadable(message));
+                return Err(ConfigError::TooManyValues);
             }
             for name in wanted {
                 let value = self.value(&name).await?;
@@ -168,13 +188,17 @@
     let mut hash = Xxh3::new();
     for (name, value) in &fetched.values {
         hash.update(name.as_bytes());
-        hash.update(&[0]);
+        hash.update(&[VALUE_END]);
         hash.update(value);
-        hash.update(&[0]);
+        hash.update(&[VALUE_END]);
     }
     Ok(FetchedTree {
         tree,
-        root: fetched.values.get(root).cloned().unwrap_or_default(),
+        root: fetched
+            .values
+            .get(root)
+            .expect("the root value was fetched first")
+            .clone(),
         hash: hash.digest(),
     })
 }
--- a/lib/src/pipeline/endpoints/engine_client.rs
+++ b/lib/src/pipeline/endpoints/engine_client.rs
@@ -1,11 +1,14 @@
-//! Adapter for model engines: a generation is a stream of events with a clear end.
+//! Client of model engines: a generation is a stream of events with an explicit end.
+//!
+//! Owns the reading of a stream and its limits: silence, size and number of tokens. Relies on
+//! `http_call` for the call and its head, and on `shared::sse` for events.
 
 use {
     crate::{
         pipeline::{
             decision::endpoint::{AttemptEnd, EndpointCall, FailCause, TokenSink},
             endpoints::{
-                http_call::{Body, call_request, check_head},
+                http_call::{CallBody, call_request, check_head},
                 http_transport::HttpTransport,
                 wire::{self, GenerateBody, StreamEvent},
             },
@@ -20,13 +23,13 @@
     std::time::Duration,
 };
 
-/// Longest silence within a stream; an engine sends tokens far more often.
+/// Longest silence within a stream; an engine sends tokens far more often. Chosen, not measured.
 const SILENCE_LIMIT: Duration = Duration::from_secs(10);
 
-/// Longest time to tell an engine that nobody waits any more.
+/// Longest time to send an engine a cancel message. Chosen, not measured.
 const CANCEL_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Runs one generation and hands each token to `sink`.
+/// Runs one generation and passes each token to `sink`; returns the attempt's end.
 pub async fn generate(
     transport: &HttpTransport,
     call: EndpointCall,
@@ -43,6 +46,7 @@
     sink: impl TokenSink,
 ) -> Result<AttemptEnd, AttemptEnd> {
     let garbage = AttemptEnd::Failed(FailCause::Garbage);
+    // Neither fails for a call of the core, which checked its parts and the input's JSON.
     let body = generate_body(call).ok_or_else(|| garbage.clone())?;
     let request = call_request(call, wire::GENERATE_PATH)
         .body(body)
@@ -55,7 +59,8 @@
     Ok(read_stream(response.into_body(), call, sink).await)
 }
 
-fn generate_body(call: &EndpointCall) -> Option<Body> {
+/// Returns the body of a generation; none if the call isn't an engine's or its input isn't JSON.
+fn generate_body(call: &EndpointCall) -> Option<CallBody> {
     let ServiceKind::Engine { model } = &call.kind else {
         return None;
     };
@@ -68,7 +73,7 @@
         resume_text: &call.resume.text,
     };
     let json = serde_json::to_vec(&body).ok()?;
-    Some(Body::new(Bytes::from(json)))
+    Some(CallBody::new(Bytes::from(json)))
 }
 
 async fn read_stream(
@@ -81,10 +86,11 @@
     loop {
         let frame = match tokio::time::timeout(SILENCE_LIMIT, body.frame()).await {
             Ok(Some(Ok(frame))) => frame,
-            // An end without the announced one is a stream that broke off.
+            // An end without a `done` event is a stream that broke off.
             Ok(Some(Err(_)) | None) => return AttemptEnd::Failed(FailCause::Broken),
             Err(_) => return AttemptEnd::Failed(FailCause::Timeout),
         };
+        // Trailers carry nothing of the protocol.
         let Ok(data) = frame.into_data() else {
             continue;
         };
@@ -93,15 +99,15 @@
             return AttemptEnd::Failed(FailCause::TooLarge);
         }
         while let Some(event) = events.next_event() {
-            if let Some(end) = take_event(&event, call.max_tokens, &mut sink) {
+            if let Some(end) = handle_event(&event, call.max_tokens, &mut sink) {
                 return end;
             }
         }
     }
 }
 
-/// Takes one event; returns the attempt's end if this was the last.
-fn take_event(event: &[u8], max_tokens: u32, sink: &mut impl TokenSink) -> Option<AttemptEnd> {
+/// Handles one event; returns the attempt's end if this was the last.
+fn handle_event(event: &[u8], max_tokens: u32, sink: &mut impl TokenSink) -> Option<AttemptEnd> {
     match serde_json::from_slice::<StreamEvent>(event) {
         Ok(StreamEvent::Token { index, .. }) if index >= max_tokens => {
             Some(AttemptEnd::Failed(FailCause::TooLarge))
@@ -123,11 +129,12 @@
     }
 }
 
-/// Tells an engine that nobody waits for a generation any more.
+/// Sends an engine the message that nobody waits for a generation any more.
 pub async fn cancel(transport: &HttpTransport, call: EndpointCall) {
-    let Ok(request) = call_request(&call, wire::CANCEL_PATH).body(Body::default()) else {
+    let Ok(request) = call_request(&call, wire::CANCEL_PATH).body(CallBody::default()) else {
+        // Can't happen: the call itself was sent with the same headers.
         return;
     };
-    // Best effort: an engine that can't be told finds out when the connection closes.
+    // Best effort: an engine that the message doesn't reach notices the closed connection.
     let _ = tokio::time::timeout(CANCEL_TIMEOUT, transport.send(request)).await;
 }
--- a/lib/src/pipeline/endpoints/http_call.rs
+++ b/lib/src/pipeline/endpoints/http_call.rs
@@ -1,4 +1,7 @@
 //! One call of an endpoint over HTTP: its request, and the checks of its reply.
+//!
+//! Owns the order of the checks that are the same for all kinds of services: ids first, since a reply
+//! to another call says nothing about this one, then the status. Relies on `wire` for names.
 
 use {
     crate::{
@@ -14,8 +17,8 @@
     hyper::body::Incoming,
 };
 
-/// Body of the client's requests.
-pub type Body = Full<Bytes>;
+/// Body of a call's request.
+pub type CallBody = Full<Bytes>;
 
 /// Starts the request of a call, with all of its headers.
 pub fn call_request(call: &EndpointCall, path: &str) -> Builder {
@@ -37,19 +40,19 @@
     builder
 }
 
-/// Judges the head of a reply before its body is read.
+/// Checks the head of a reply before its body is read.
 ///
 /// # Errors
 ///
-/// Returns how the attempt ended when the body doesn't matter any more.
+/// Returns the attempt's end when the body doesn't matter any more.
 pub fn check_head<B>(call: &EndpointCall, response: &Response<B>) -> Result<(), AttemptEnd> {
     let headers = response.headers();
     if !wire::ids_match(headers, &call.ids) {
         return Err(AttemptEnd::Failed(FailCause::WrongIds));
     }
     if response.status().is_server_error() {
-        let said = headers.get(wire::NOT_RUN_HEADER).map(HeaderValue::as_bytes);
-        return Err(match said {
+        let not_run = headers.get(wire::NOT_RUN_HEADER).map(HeaderValue::as_bytes);
+        return Err(match not_run {
             Some(cause) if cause == wire::LEAVING.as_bytes() => {
                 AttemptEnd::NotRun(NotRunCause::Leaving)
             }
@@ -64,7 +67,7 @@
 ///
 /// # Errors
 ///
-/// Returns why the body can't be used.
+/// Returns the cause when the body is too large or breaks off.
 pub async fn read_body(body: Incoming, limit: ByteSize) -> Result<Bytes, FailCause> {
     let limited = Limited::new(body, limit.0 as usize);
     match limited.collect().await {
--- a/lib/src/pipeline/endpoints/http_transport.rs
+++ b/lib/src/pipeline/endpoints/http_transport.rs
@@ -1,4 +1,8 @@
-//! The transport to endpoints over HTTP: a client for each kind of service.
+//! The transport to endpoints over HTTP.
+//!
+//! Owns the connection pool and its limits, and the dispatch to the client of each kind of service.
+//! Sends nothing twice by itself: retries are the core's decision. Relies on `hyper_util` for pooled
+//! HTTP/1.1 connections.
 
 use {
     crate::{
@@ -12,12 +16,13 @@
             },
             endpoints::{
                 engine_client,
-                http_call::{Body, read_body},
+                http_call::CallBody,
+                http_get::{HttpGetError, get},
                 plain_client, wire,
             },
         },
         settings::tree::ServiceKind,
-        shared::units::ByteSize,
+        shared::units::{ByteSize, Millis},
     },
     http::{Request, Response},
     hyper::body::Incoming,
@@ -29,29 +34,29 @@
     std::{net::SocketAddr, time::Duration},
 };
 
-/// Longest time to set up a connection.
+/// Longest time to set up a connection. Chosen, not measured.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Idle time after which a pooled connection is closed; shorter than servers' usual ones, so that
-/// a call rarely meets a connection that its endpoint is closing.
+/// a call rarely meets a connection that its endpoint is closing. Chosen, not measured.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// Idle connections kept for one endpoint.
+/// Most idle connections kept for one endpoint. Chosen, not measured.
 const IDLE_CONNECTIONS: usize = 64;
 
-/// Longest time for a report of an endpoint.
-const LOAD_TIMEOUT: Duration = Duration::from_millis(500);
+/// Longest time to read a report of an endpoint. Chosen, not measured.
+const REPORT_TIMEOUT: Millis = Millis(500);
 
-/// Largest load report.
+/// Largest load report. Chosen, not measured: far above its five numbers.
 const LOAD_SIZE: ByteSize = ByteSize(4096);
 
-/// Largest answer with cache events.
+/// Largest reply with cache events. Chosen, not measured.
 const EVENTS_SIZE: ByteSize = ByteSize(256 * 1024);
 
 /// Calls endpoints over HTTP/1.1.
 #[derive(Debug, Clone)]
 pub struct HttpTransport {
-    client: Client<HttpConnector, Body>,
+    client: Client<HttpConnector, CallBody>,
 }
 
 impl Default for HttpTransport {
@@ -77,10 +82,12 @@
 
     /// Sends one request and waits for the head of its response.
     ///
+    /// Sets no time limit: the core cancels the call when the request's deadline is over.
+    ///
     /// # Errors
     ///
-    /// Returns how the attempt ended when there is no head.
-    pub async fn send(&self, request: Request<Body>) -> Result<Response<Incoming>, AttemptEnd> {
+    /// Returns the attempt's end when there is no head.
+    pub async fn send(&self, request: Request<CallBody>) -> Result<Response<Incoming>, AttemptEnd> {
         self.client
             .request(request)
             .await
@@ -89,26 +96,19 @@
 }
 
 impl HttpTransport {
-    /// Reads what an endpoint reports of itself; nothing if it doesn't do so soon.
-    pub(crate) async fn get_json<R: DeserializeOwned>(
+    /// Reads what an endpoint reports of itself, within [`REPORT_TIMEOUT`].
+    async fn get_json<R: DeserializeOwned>(
         &self,
         uri: String,
         limit: ByteSize,
-    ) -> Option<R> {
-        let request = Request::get(uri).body(Body::default()).ok()?;
-        let read = async {
-            let response = self.send(request).await.ok()?;
-            let body = read_body(response.into_body(), limit).await.ok()?;
-            serde_json::from_slice(&body).ok()
-        };
-        tokio::time::timeout(LOAD_TIMEOUT, read)
-            .await
-            .ok()
-            .flatten()
+    ) -> Result<R, HttpGetError> {
+        let reply = get(&self.client, &uri, limit, REPORT_TIMEOUT).await?;
+        serde_json::from_slice(&reply.body).map_err(|error| HttpGetError::Json { uri, error })
     }
 }
 
-/// A refused connection means that no byte was sent; anything else may have reached the endpoint.
+/// Returns the end of an attempt without a reply: a connection that wasn't set up carried no byte of
+/// the call; anything else may have reached the endpoint.
 fn end_without_reply(error: &ClientError) -> AttemptEnd {
     if error.is_connect() {
         AttemptEnd::NotRun(NotRunCause::Unreachable)
@@ -133,11 +133,14 @@
 
     async fn cache_events(&self, address: SocketAddr, after: u64) -> Option<CacheEvents> {
         let uri = format!("http://{address}{}?after={after}", wire::CACHE_PATH);
-        self.get_json(uri, EVENTS_SIZE).await
+        // No event of its own for a failed read: the next round reads from the same number again.
+        self.get_json(uri, EVENTS_SIZE).await.ok()
     }
 
     async fn load(&self, address: SocketAddr, _kind: &ServiceKind) -> Option<LoadReport> {
         let uri = format!("http://{address}{}", wire::LOAD_PATH);
-        self.get_json(uri, LOAD_SIZE).await
+        // No event of its own for a failed read: the core goes on with the last report until that is
+        // stale, and calls show whether the endpoint is healthy.
+        self.get_json(uri, LOAD_SIZE).await.ok()
     }
 }
--- a/lib/src/pipeline/endpoints/mod.rs
+++ b/lib/src/pipeline/endpoints/mod.rs
@@ -1,4 +1,7 @@
 //! Clients for the endpoints of pipelines.
+//!
+//! `http_transport` carries out the core's calls: by `plain_client` or `engine_client`, which share
+//! `http_call`. `wire` holds the protocol's names and forms, `http_get` reads single resources.
 
 pub(crate) mod engine_client;
 pub(crate) mod http_call;
--- a/lib/src/pipeline/endpoints/plain_client.rs
+++ b/lib/src/pipeline/endpoints/plain_client.rs
@@ -1,10 +1,12 @@
-//! Adapter for plain services: one POST, one whole reply.
+//! Client of plain services: one POST, one whole reply.
+//!
+//! Owns the check of a plain reply's status and body; `http_call` owns the rest.
 
 use crate::{
     pipeline::{
         decision::endpoint::{AttemptEnd, EndpointCall, EndpointReply, FailCause},
         endpoints::{
-            http_call::{Body, call_request, check_head, read_body},
+            http_call::{CallBody, call_request, check_head, read_body},
             http_transport::HttpTransport,
             wire,
         },
@@ -25,22 +27,24 @@
     call: &EndpointCall,
 ) -> Result<EndpointReply, AttemptEnd> {
     let request = call_request(call, wire::CALL_PATH)
-        .body(Body::new(call.input.clone()))
+        .body(CallBody::new(call.input.clone()))
+        // Can't fail: ids, address and key were checked when they were parsed.
         .map_err(|_| AttemptEnd::Failed(FailCause::Garbage))?;
     let response = transport.send(request).await?;
     check_head(call, &response)?;
-    let status = response.status().as_u16();
+    let status = response.status();
     let served = wire::served(response.headers());
     let body = read_body(response.into_body(), call.max_reply)
         .await
         .map_err(AttemptEnd::Failed)?;
     let is_json = json::check(&body).is_ok();
-    let usable = (200..300).contains(&status) || (400..500).contains(&status);
+    // A caller's error is the service's answer to this input; elsewhere it would be the same.
+    let usable = status.is_success() || status.is_client_error();
     if !is_json || !usable {
         return Err(AttemptEnd::Failed(FailCause::Garbage));
     }
     Ok(EndpointReply {
-        status,
+        status: status.as_u16(),
         body,
         served,
     })
--- a/lib/src/pipeline/endpoints/wire.rs
+++ b/lib/src/pipeline/endpoints/wire.rs
@@ -1,4 +1,6 @@
 //! Names and forms of the endpoints' protocol; `docs/PROTOCOLS.md` states each assumption.
+//!
+//! Owns the headers, paths and bodies that both clients use; holds no rule and does no I/O.
 
 use {
     crate::{
@@ -38,9 +40,9 @@
 pub const CALL_PATH: &str = "/v1/call";
 /// Path of an engine's generation.
 pub const GENERATE_PATH: &str = "/v1/generate";
-/// Path by which an engine is told that nobody waits any more.
+/// Path of the message to an engine that nobody waits any more.
 pub const CANCEL_PATH: &str = "/v1/cancel";
-/// Path of an engine's cache events; `?after=` and a number follow.
+/// Path of an engine's cache events; `?after=` and the number of the last known one follow.
 pub const CACHE_PATH: &str = "/v1/cache-events";
 /// Path of an endpoint's load report.
 pub const LOAD_PATH: &str = "/v1/load";
@@ -48,7 +50,7 @@
 /// Body of a generation.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct GenerateBody<'a> {
-    /// Model that is asked for.
+    /// Model that generates.
     pub model: &'a str,
     /// Input of the stage.
     #[serde(borrow)]
@@ -78,7 +80,7 @@
         tokens: u32,
         /// Milliseconds that the engine spent.
         served_ms: Option<WorkMillis>,
-        /// What it says of its prefill.
+        /// Time and cached bytes of its prefill, if the engine reports them.
         #[serde(default)]
         prefill: Option<Prefill>,
     },
@@ -97,13 +99,15 @@
 }
 
 /// Returns the endpoint time that a reply states.
+///
+/// The header is optional; an unusable value counts as none, and the core measures the time itself.
 pub fn served(headers: &HeaderMap) -> Option<WorkMillis> {
     let text = headers.get(SERVED_HEADER).and_then(header_text)?;
     let ms: f64 = text.parse().ok()?;
     (ms.is_finite() && ms >= 0.0).then_some(WorkMillis(ms))
 }
 
-/// Returns a header's value as text.
+/// Returns a header's value as text; none if it isn't visible ASCII.
 pub fn header_text(value: &HeaderValue) -> Option<&str> {
     value.to_str().ok()
 }
--- a/lib/src/pipeline/node/snapshot.rs
+++ b/lib/src/pipeline/node/snapshot.rs
@@ -6,12 +6,8 @@
     crate::{
         pipeline::{
             decision::{
-                core::Core,
-                counters::Counters,
-                endpoint::Transport,
-                member::PoolMember,
-                pool::Pool,
-                stage_costs::StageCost,
+                core::Core, counters::Counters, endpoint::Transport, member::PoolMember,
+                pool::Pool, stage_costs::StageCost,
             },
             node::Node,
         },
