--- a/bench/src/installation.rs
+++ b/bench/src/installation.rs
@@ -12,7 +12,7 @@
     anyhow::Result,
     hazelyoke_lib::{
         pipeline::{
-            api::server::ApiLimits,
+            api::context::ApiLimits,
             daemon::Daemon,
             daemon_settings::{ConfigSettings, DaemonSettings},
         },
--- /dev/null
+++ b/lib/src/pipeline/api/call.rs
@@ -0,0 +1,125 @@
+//! One call of a caller: from its head to its answer or the start of its stream.
+
+use {
+    crate::{
+        pipeline::{
+            api::{
+                body::read_request,
+                context::ApiContext,
+                headers::{CallHeaders, CallOptions, check_header_size},
+                problem::{ApiProblem, json_response},
+                stream::stream_response,
+            },
+            decision::request::{Arrival, Target},
+            endpoints::http_transport::HttpTransport,
+            node::{Delivery, Node, RequestHandle},
+            trace::TraceSpan,
+        },
+        shared::{
+            ids::RequestId,
+            problem::{Code, Outcome, Problem},
+        },
+    },
+    dropshot::{Body, RequestContext, StreamingBody},
+    http::Response,
+    opentelemetry::trace::SpanKind,
+    std::{sync::Arc, time::Instant},
+    tokio::sync::OwnedSemaphorePermit,
+};
+
+pub(super) async fn serve(
+    context: RequestContext<Arc<ApiContext>>,
+    target: Result<Target, ApiProblem>,
+    headers: CallHeaders,
+    body: StreamingBody,
+) -> Result<Response<Body>, ApiProblem> {
+    let started = Instant::now();
+    let target = target?;
+    let api = context.context();
+    let node = api.node.clone();
+    let permit = api.permit()?;
+    check_header_size(context.request.headers(), api.limits.headers)?;
+    let options = CallOptions::try_from(&headers)?;
+    let parent = headers.traceparent.as_deref();
+    let mut receive = node.tracing().span("receive", SpanKind::Server, parent);
+    let id = RequestId::from_random(node.random_bits());
+    receive.set("request", id);
+    let body = read_request(body, api.limits.receive).await?;
+    let stream = options.stream;
+    let arrival = Arrival {
+        id,
+        customer: options.customer,
+        target,
+        remaining: options.remaining,
+        priority: options.priority,
+        key: options.key,
+        stream,
+        body,
+        trace_parent: receive.trace_parent(),
+    };
+    let handle = admit(&node, arrival, &receive);
+    let answer = answer(handle, id, stream, permit, &receive, &node).await;
+    api.metrics.observe(started.elapsed());
+    log_request(id, started, &answer);
+    answer
+}
+
+fn admit(
+    node: &Node<HttpTransport>,
+    arrival: Arrival,
+    receive: &TraceSpan,
+) -> RequestHandle<HttpTransport> {
+    let parent = receive.trace_parent();
+    let mut admit = node
+        .tracing()
+        .span("admit", SpanKind::Internal, parent.as_deref());
+    admit.set("customer", &arrival.customer);
+    node.submit(arrival)
+}
+
+async fn answer(
+    mut handle: RequestHandle<HttpTransport>,
+    id: RequestId,
+    stream: bool,
+    permit: OwnedSemaphorePermit,
+    receive: &TraceSpan,
+    node: &Node<HttpTransport>,
+) -> Result<Response<Body>, ApiProblem> {
+    let first = handle.next().await;
+    let parent = receive.trace_parent();
+    let forward = node
+        .tracing()
+        .span("forward", SpanKind::Internal, parent.as_deref());
+    match first {
+        Some(Delivery::Finished(Ok(answer))) if !stream => {
+            json_response(answer.status, id, answer.body)
+        }
+        Some(Delivery::Finished(Err(problem))) => Err(ApiProblem::new(problem, Some(id))),
+        Some(first) => stream_response(handle, id, first, permit, forward),
+        None => Err(ApiProblem::new(gone(), Some(id))),
+    }
+}
+
+/// The daemon ends every request; this is for the case that it is torn down itself.
+fn gone() -> Problem {
+    Problem {
+        code: Code::Internal,
+        outcome: Outcome::Unknown,
+        detail: "the daemon stopped".into(),
+        retry_after: None,
+    }
+}
+
+fn log_request(id: RequestId, started: Instant, answer: &Result<Response<Body>, ApiProblem>) {
+    let ms = started.elapsed().as_millis() as u64;
+    let request = id.to_string();
+    match answer {
+        Ok(response) => {
+            log::info!(request, status = response.status().as_u16(), ms; "request answered");
+        }
+        Err(problem) => {
+            let body = problem.body();
+            log::info!(request, code = body.code, outcome = body.outcome, ms; "request refused or failed");
+        }
+    }
+}
--- a/lib/src/pipeline/api/headers.rs
+++ b/lib/src/pipeline/api/headers.rs
@@ -9,7 +9,8 @@
         settings::values::Priority,
         shared::{
             ids::{CustomerId, IdempotencyKey},
-            units::Millis,
+            problem::{Code, Problem},
+            units::{ByteSize, Millis},
         },
     },
     async_trait::async_trait,
@@ -145,3 +146,15 @@
         ))),
     }
 }
+
+pub(super) fn check_header_size(headers: &HeaderMap, limit: ByteSize) -> Result<(), ApiProblem> {
+    let size: usize = headers
+        .iter()
+        .map(|(name, value)| name.as_str().len() + value.len())
+        .sum();
+    if size as u64 <= limit.0 {
+        return Ok(());
+    }
+    let detail = format!("the headers have {size} bytes, {limit} are allowed");
+    Err(Problem::not_run(Code::HeadersTooLarge, detail).into())
+}
--- a/lib/src/pipeline/api/mod.rs
+++ b/lib/src/pipeline/api/mod.rs
@@ -1,5 +1,8 @@
 //! The pipeline daemon's HTTP interface.
 
+pub(crate) mod body;
+pub(crate) mod call;
+pub mod context;
 pub mod headers;
 pub mod problem;
 pub mod server;
--- a/lib/src/pipeline/daemon.rs
+++ b/lib/src/pipeline/daemon.rs
@@ -3,7 +3,7 @@
 use {
     crate::{
         pipeline::{
-            api::server::{self, ApiContext, BODY_CAP},
+            api::{body::BODY_CAP, context::ApiContext, server},
             config_service::{ConfigClient, ConfigError, FetchedTree},
             daemon_settings::{ConfigSettings, DaemonSettings},
             decision::core::CoreConfig,
--- a/lib/src/pipeline/daemon_settings.rs
+++ b/lib/src/pipeline/daemon_settings.rs
@@ -2,7 +2,7 @@
 
 use {
     crate::{
-        pipeline::api::server::ApiLimits,
+        pipeline::api::context::ApiLimits,
         settings::document::{self, ObjectReader},
         shared::{
             findings::{Findings, Place},
--- a/lib/testutils/src/fixture.rs
+++ b/lib/testutils/src/fixture.rs
@@ -13,7 +13,7 @@
     },
     hazelyoke_lib::{
         pipeline::{
-            api::server::ApiLimits,
+            api::context::ApiLimits,
             daemon::Daemon,
             daemon_settings::{ConfigSettings, DaemonSettings, TraceSettings},
         },
