--- a/lib/src/pipeline/api/body.rs
+++ b/lib/src/pipeline/api/body.rs
@@ -1,4 +1,7 @@
 //! Reading of a caller's body.
+//!
+//! Owns the cap on a body's size and its form as JSON; the tree's own limit on size is checked by the
+//! core, which knows the pipeline.
 
 use {
     crate::{
@@ -14,10 +17,12 @@
     futures_util::TryStreamExt,
 };
 
-/// Largest body that is read at all; settings can only allow less.
+/// Largest body that is read at all, in bytes; settings can only allow less. Chosen, not measured.
 pub const BODY_CAP: usize = 16 * 1024 * 1024;
 
-/// `dropshot`'s own refusal of a body over its cap doesn't say what is wrong, so that cap is higher.
+/// Cap of `dropshot` itself, in bytes: above ours, since its refusal doesn't say what is wrong.
+pub const DROPSHOT_CAP: usize = 2 * BODY_CAP;
+
 fn check_body_size(size: usize) -> Result<(), ApiProblem> {
     if size <= BODY_CAP {
         return Ok(());
@@ -26,11 +31,14 @@
     Err(Problem::not_run(Code::BodyTooLarge, detail).into())
 }
 
-/// Reads a whole JSON body within its time; the settings' size limit is checked by the core.
+/// Reads a whole JSON body within its time.
+///
+/// # Errors
+///
+/// Returns a problem when the body breaks off, is too large, comes too slowly or isn't JSON.
 pub(super) async fn read_request(body: StreamingBody, limit: Millis) -> Result<Bytes, ApiProblem> {
-    let stream = body.into_stream();
-    let stream = stream.map_err(ApiProblem::from);
-    let read = stream.try_fold(BytesMut::new(), |mut whole, chunk| async move {
+    let chunks = body.into_stream().map_err(ApiProblem::from);
+    let read = chunks.try_fold(BytesMut::new(), |mut whole, chunk| async move {
         whole.extend_from_slice(&chunk);
         check_body_size(whole.len())?;
         Ok(whole)
--- a/lib/src/pipeline/api/call.rs
+++ b/lib/src/pipeline/api/call.rs
@@ -1,4 +1,7 @@
 //! One call of a caller: from its head to its answer or the start of its stream.
+//!
+//! Owns the order of the checks, the spans and the log line of a call. Relies on the node for the
+//! decisions.
 
 use {
     crate::{
@@ -27,6 +30,11 @@
     tokio::sync::OwnedSemaphorePermit,
 };
 
+/// Serves one call: permit and checks first, since they cost least, then the body, then the node.
+///
+/// # Errors
+///
+/// Returns the problem that ends the call, with its request's id once it has one.
 pub(super) async fn serve(
     context: RequestContext<Arc<ApiContext>>,
     target: Result<Target, ApiProblem>,
@@ -57,14 +65,15 @@
         body,
         trace_parent: receive.trace_parent(),
     };
-    let handle = admit(&node, arrival, &receive);
-    let answer = answer(handle, id, stream, permit, &receive, &node).await;
+    let handle = submit(&node, arrival, &receive);
+    let answer = respond_to(handle, id, stream, permit, &receive, &node).await;
     api.metrics.observe(started.elapsed());
     log_request(id, started, &answer);
     answer
 }
 
-fn admit(
+/// Submits a request to the node within the span of its admission.
+fn submit(
     node: &Node<HttpTransport>,
     arrival: Arrival,
     receive: &TraceSpan,
@@ -77,7 +86,9 @@
     node.submit(arrival)
 }
 
-async fn answer(
+/// Waits for the first delivery and builds the response from it: the whole answer, or the start of
+/// the stream.
+async fn respond_to(
     mut handle: RequestHandle<HttpTransport>,
     id: RequestId,
     stream: bool,
@@ -92,16 +103,17 @@
         .span("forward", SpanKind::Internal, parent.as_deref());
     match first {
         Some(Delivery::Finished(Ok(answer))) if !stream => {
-            json_response(answer.status, id, answer.body)
+            Ok(json_response(answer.status, id, answer.body))
         }
         Some(Delivery::Finished(Err(problem))) => Err(ApiProblem::new(problem, Some(id))),
-        Some(first) => stream_response(handle, id, first, permit, forward),
-        None => Err(ApiProblem::new(gone(), Some(id))),
+        Some(first) => Ok(stream_response(handle, id, first, permit, forward)),
+        None => Err(ApiProblem::new(node_gone(), Some(id))),
     }
 }
 
-/// The daemon ends every request; this is for the case that it is torn down itself.
-fn gone() -> Problem {
+/// Returns the problem of a request without a final delivery: the node ends every request, so this
+/// only happens while it is torn down.
+fn node_gone() -> Problem {
     Problem {
         code: Code::Internal,
         outcome: Outcome::Unknown,
@@ -110,6 +122,7 @@
     }
 }
 
+/// Logs the end of a call, or the start of its stream.
 fn log_request(id: RequestId, started: Instant, answer: &Result<Response<Body>, ApiProblem>) {
     let ms = started.elapsed().as_millis() as u64;
     let request = id.to_string();
--- a/lib/src/pipeline/api/headers.rs
+++ b/lib/src/pipeline/api/headers.rs
@@ -1,4 +1,7 @@
 //! Headers of a caller's request: as they come, and as they are checked.
+//!
+//! Owns their names, their limits and the problem of each that is wrong. The comments of
+//! [`CallHeaders`] are published in `docs/openapi.json`.
 
 use {
     crate::{
@@ -24,9 +27,12 @@
     std::{fmt::Display, str::FromStr},
 };
 
-/// Longest time left that a caller may name.
+/// Longest time left that a caller may name: one hour. Chosen, not measured.
 const MAX_DEADLINE: Millis = Millis(3_600_000);
 
+/// Header with the customer; only callers use it, so it isn't among the endpoints' headers.
+const CUSTOMER_HEADER: &str = "x-customer";
+
 /// Media type by which a caller asks for tokens as they come.
 const EVENT_STREAM: &str = "text/event-stream";
 
@@ -60,7 +66,7 @@
             Some(String::from_utf8_lossy(value.as_bytes()).into_owned())
         };
         Self {
-            customer: text("x-customer"),
+            customer: text(CUSTOMER_HEADER),
             deadline: text(wire::DEADLINE_HEADER),
             priority: text(wire::PRIORITY_HEADER),
             key: text(wire::KEY_HEADER),
@@ -96,7 +102,7 @@
     pub priority: Option<Priority>,
     /// Key under which the request may be repeated.
     pub key: Option<IdempotencyKey>,
-    /// Whether tokens are passed on as they come.
+    /// True if tokens are passed on as they come.
     pub stream: bool,
 }
 
@@ -105,12 +111,13 @@
 
     fn try_from(headers: &CallHeaders) -> Result<Self, ApiProblem> {
         let Some(customer) = &headers.customer else {
-            return Err(bad_request("x-customer is missing"));
+            return Err(bad_request(format!("{CUSTOMER_HEADER} is missing")));
         };
         let remaining = headers.deadline.as_deref().map(parse_deadline);
+        // No `accept` accepts anything, and a whole answer is the usual form.
         let accept = headers.accept.as_deref().unwrap_or_default();
         Ok(Self {
-            customer: parse_header("x-customer", customer)?,
+            customer: parse_header(CUSTOMER_HEADER, customer)?,
             remaining: remaining.transpose()?,
             priority: parse_optional(wire::PRIORITY_HEADER, headers.priority.as_deref())?,
             key: parse_optional(wire::KEY_HEADER, headers.key.as_deref())?,
@@ -147,6 +154,11 @@
     }
 }
 
+/// Checks the size of all names and values together, in bytes.
+///
+/// # Errors
+///
+/// Returns a `headers_too_large` problem.
 pub(super) fn check_header_size(headers: &HeaderMap, limit: ByteSize) -> Result<(), ApiProblem> {
     let size: usize = headers
         .iter()
--- a/lib/src/pipeline/api/problem.rs
+++ b/lib/src/pipeline/api/problem.rs
@@ -1,11 +1,18 @@
 //! Problems as callers see them: `application/problem+json` (RFC 9457).
+//!
+//! Owns the form of problems and of whole answers as responses; `shared::problem` owns the codes and
+//! outcomes.
 
 use {
-    crate::shared::{
-        ids::RequestId,
-        problem::{Code, Outcome, Problem},
-        units::Millis,
+    crate::{
+        pipeline::endpoints::wire,
+        shared::{
+            ids::RequestId,
+            problem::{Code, Problem},
+            units::Millis,
+        },
     },
+    bytes::Bytes,
     dropshot::{Body, ErrorStatusCode, HttpError, HttpResponseError},
     http::{Response, StatusCode, header},
     schemars::JsonSchema,
@@ -16,6 +23,9 @@
 /// Media type of problems.
 pub const PROBLEM_TYPE: &str = "application/problem+json";
 
+/// Milliseconds of the unit of `retry-after` (RFC 9110, section 10.2.3).
+const MILLIS_PER_SECOND: u64 = 1_000;
+
 /// Body of a problem.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 pub struct ProblemBody {
@@ -79,13 +89,13 @@
     }
 }
 
-/// `dropshot` refuses in its extractors, before anything could run.
+/// `dropshot` refuses in its extractors, before any of the work could run.
 impl From<HttpError> for ApiProblem {
     fn from(error: HttpError) -> Self {
-        let code = match error.status_code.as_u16() {
-            404 | 405 => Code::NotFound,
-            413 => Code::BodyTooLarge,
-            400..500 => Code::BadRequest,
+        let code = match error.status_code.as_status() {
+            StatusCode::NOT_FOUND | StatusCode::METHOD_NOT_ALLOWED => Code::NotFound,
+            StatusCode::PAYLOAD_TOO_LARGE => Code::BodyTooLarge,
+            status if status.is_client_error() => Code::BadRequest,
             _ => Code::Internal,
         };
         Problem::not_run(code, error.external_message).into()
@@ -108,6 +118,7 @@
 /// by [`respond`] themselves.
 impl HttpResponseError for ProblemBody {
     fn status_code(&self) -> ErrorStatusCode {
+        // Every code has a status from 400 on, so the fallback never counts.
         ErrorStatusCode::from_u16(self.status).unwrap_or(ErrorStatusCode::INTERNAL_SERVER_ERROR)
     }
 }
@@ -127,12 +138,12 @@
         Err(problem) => problem,
     };
     let body = problem.body();
-    let json = serde_json::to_string(&body).unwrap_or_default();
+    let json = serde_json::to_string(&body).expect("texts and numbers are JSON");
     let mut builder = Response::builder()
         .status(body.status)
         .header(header::CONTENT_TYPE, PROBLEM_TYPE);
     if let Some(wait) = problem.problem.retry_after {
-        builder = builder.header(header::RETRY_AFTER, wait.0.div_ceil(1000));
+        builder = builder.header(header::RETRY_AFTER, wait.0.div_ceil(MILLIS_PER_SECOND));
     }
     builder.body(json.into()).map_err(|_| body)
 }
@@ -143,31 +154,13 @@
 }
 
 /// Builds the response of a whole answer.
-///
-/// # Errors
-///
-/// Returns an internal problem if the response can't be built.
-pub fn json_response(
-    status: u16,
-    request: RequestId,
-    body: bytes::Bytes,
-) -> Result<Response<Body>, ApiProblem> {
+pub fn json_response(status: u16, request: RequestId, body: Bytes) -> Response<Body> {
+    // An answer's status came from a response, so it is valid.
     let status = StatusCode::from_u16(status).unwrap_or(StatusCode::OK);
     Response::builder()
         .status(status)
         .header(header::CONTENT_TYPE, "application/json")
-        .header(
-            crate::pipeline::endpoints::wire::REQUEST_HEADER,
-            request.to_string(),
-        )
+        .header(wire::REQUEST_HEADER, request.to_string())
         .body(body.into())
-        .map_err(|error| {
-            let problem = Problem {
-                code: Code::Internal,
-                outcome: Outcome::Unknown,
-                detail: error.to_string(),
-                retry_after: None,
-            };
-            ApiProblem::new(problem, Some(request))
-        })
+        .expect("fixed headers and an id are valid")
 }
--- a/lib/src/pipeline/api/server.rs
+++ b/lib/src/pipeline/api/server.rs
@@ -1,4 +1,7 @@
 //! The description of the HTTP interface: its paths, with a handler for each.
+//!
+//! Owns the paths and their documentation, which is published in `docs/openapi.json`. The handlers
+//! only translate; `call` carries out the work.
 
 use {
     crate::{
@@ -7,7 +10,7 @@
                 call::serve,
                 context::ApiContext,
                 headers::{CallHeaders, parse_header},
-                problem::{ProblemBody, bad_request, respond},
+                problem::{ProblemBody, respond},
             },
             decision::request::Target,
             metrics,
@@ -28,6 +31,9 @@
     std::sync::Arc,
 };
 
+/// Version of the interface in its document; the paths begin with its major number.
+const INTERFACE_VERSION: semver::Version = semver::Version::new(1, 0, 0);
+
 #[derive(Debug, Deserialize, JsonSchema)]
 struct PipelinePath {
     /// Name of the pipeline.
@@ -40,7 +46,7 @@
     service: String,
 }
 
-/// Builds the description of the interface, from which its OpenAPI document is made.
+/// Builds the description of the interface, from which its OpenAPI document is generated.
 ///
 /// # Errors
 ///
@@ -62,7 +68,7 @@
 ///
 /// Panics if the handlers contradict each other, which a test rules out.
 pub fn openapi() -> serde_json::Value {
-    let version = semver::Version::new(1, 0, 0);
+    let version = INTERFACE_VERSION;
     describe()
         .expect("handlers agree with each other")
         .openapi("hazelyoke", version)
@@ -129,8 +135,8 @@
     let response = Response::builder()
         .header(header::CONTENT_TYPE, metrics::CONTENT_TYPE)
         .body(text.into())
-        .map_err(|error| bad_request(error.to_string()));
-    respond(response)
+        .expect("a fixed header is valid");
+    respond(Ok(response))
 }
 
 /// Report the daemon's state, for `hazelyoke status`
--- a/lib/src/pipeline/api/stream.rs
+++ b/lib/src/pipeline/api/stream.rs
@@ -1,4 +1,7 @@
 //! Streamed answers: tokens as they come, then exactly one final event.
+//!
+//! Owns the names and data of the events, and a stream's hold on its request. Relies on the node's
+//! promise that one final delivery follows the tokens.
 
 use {
     crate::{
@@ -23,9 +26,9 @@
 
 /// Name of the event that carries one token.
 pub const TOKEN_EVENT: &str = "token";
-/// Name of the event that ends a whole answer.
+/// Name of the event that ends a complete answer.
 pub const DONE_EVENT: &str = "done";
-/// Name of the event that ends an answer that can't become whole.
+/// Name of the event that ends an answer that can't be completed.
 pub const PROBLEM_EVENT: &str = "problem";
 
 #[derive(Debug, Serialize)]
@@ -40,12 +43,12 @@
     request_id: String,
 }
 
-/// An answer in the course of being streamed; dropping it tells the daemon that the caller left.
+/// An answer that is being streamed; dropping it early reports to the core that the caller has left.
 struct Streaming {
     handle: RequestHandle<HttpTransport>,
     id: RequestId,
     first: Option<Delivery>,
-    // Held until the stream ends: the request counts as in hand, and its span goes on.
+    // Held until the stream ends: the request counts as in flight, and its span goes on.
     _permit: OwnedSemaphorePermit,
     _forward: TraceSpan,
 }
@@ -85,17 +88,13 @@
 }
 
 /// Builds the response of a streamed answer that starts with `first`.
-///
-/// # Errors
-///
-/// Returns a problem if the response can't be built.
 pub fn stream_response(
     handle: RequestHandle<HttpTransport>,
     id: RequestId,
     first: Delivery,
     permit: OwnedSemaphorePermit,
     forward: TraceSpan,
-) -> Result<Response<Body>, ApiProblem> {
+) -> Response<Body> {
     let streaming = Streaming {
         handle,
         id,
@@ -109,5 +108,5 @@
         .header(header::CACHE_CONTROL, "no-store")
         .header(wire::REQUEST_HEADER, id.to_string())
         .body(Body::wrap(StreamBody::new(events)))
-        .map_err(|error| crate::pipeline::api::problem::bad_request(error.to_string()))
+        .expect("fixed headers and an id are valid")
 }
--- a/lib/src/pipeline/daemon.rs
+++ b/lib/src/pipeline/daemon.rs
@@ -1,9 +1,12 @@
-//! Puts a daemon together from its settings, and takes it apart again without cutting requests.
+//! Assembles a daemon from its settings, and stops it without cutting requests.
+//!
+//! Owns the server, the node and the background tasks, among them the one that follows the settings
+//! tree. Relies on `shared::adoption` to judge a tree's version.
 
 use {
     crate::{
         pipeline::{
-            api::{body::BODY_CAP, context::ApiContext, server},
+            api::{body::DROPSHOT_CAP, context::ApiContext, server},
             config_service::{ConfigClient, ConfigError, FetchedTree},
             daemon_settings::{ConfigSettings, DaemonSettings},
             decision::core::CoreConfig,
@@ -13,7 +16,10 @@
         },
         shared::adoption::{TreeMark, VersionVerdict, judge},
     },
-    dropshot::{ConfigDropshot, HandlerTaskMode, HttpServer, ServerBuilder},
+    dropshot::{
+        ApiDescriptionRegisterError, BuildError, ConfigDropshot, HandlerTaskMode, HttpServer,
+        ServerBuilder,
+    },
     slog::Drain,
     std::{
         net::SocketAddr,
@@ -22,7 +28,7 @@
     thiserror::Error,
 };
 
-/// Why a daemon can't start.
+/// A daemon can't start.
 #[derive(Debug, Error)]
 pub enum DaemonStartError {
     /// The interface for callers can't be served.
@@ -30,15 +36,26 @@
     Serve {
         /// Address from the settings.
         address: SocketAddr,
-        /// What failed.
-        reason: String,
+        /// Cause of the failure; not a `source`, since the text already has it.
+        reason: ServeError,
     },
     /// Traces can't be exported.
     #[error(transparent)]
     Trace(#[from] TraceError),
 }
 
-/// A running daemon.
+/// The server of the interface can't start.
+#[derive(Debug, Error)]
+pub enum ServeError {
+    /// Two handlers contradict each other, which a test rules out.
+    #[error(transparent)]
+    Interface(#[from] ApiDescriptionRegisterError),
+    /// The address can't be bound.
+    #[error(transparent)]
+    Server(#[from] BuildError),
+}
+
+/// A running daemon; dropping it ends its background tasks.
 pub struct Daemon {
     server: HttpServer<Arc<ApiContext>>,
     node: Node<HttpTransport>,
@@ -53,6 +70,10 @@
     /// # Errors
     ///
     /// Returns an error when the address can't be served or traces can't be exported.
+    ///
+    /// # Panics
+    ///
+    /// Panics outside of a Tokio runtime, which runs the daemon's tasks.
     pub fn start(settings: DaemonSettings) -> Result<Self, DaemonStartError> {
         let tracing = match &settings.traces {
             Some(traces) => {
@@ -89,13 +110,13 @@
         self.server.local_addr()
     }
 
-    /// Returns the daemon's decisions, for reports and tests.
+    /// Returns the daemon's node, for reports and tests.
     pub fn node(&self) -> &Node<HttpTransport> {
         &self.node
     }
 
-    /// Stops without cutting a request: not ready, a grace for the balancer to notice, then the
-    /// requests in flight end.
+    /// Stops without cutting a request: the daemon reports that it isn't ready, waits the grace period
+    /// in which the balancer notices, and then waits for the requests in flight.
     pub async fn stop(self) {
         let context = self.server.app_private();
         context.stopping.store(true, Ordering::Release);
@@ -116,17 +137,17 @@
     settings: &DaemonSettings,
     node: &Node<HttpTransport>,
 ) -> Result<HttpServer<Arc<ApiContext>>, DaemonStartError> {
-    let failed = |reason: String| DaemonStartError::Serve {
+    let failed = |reason: ServeError| DaemonStartError::Serve {
         address: settings.listen,
         reason,
     };
     let host = settings.host.to_string();
     let context = ApiContext::new(node.clone(), host, settings.limits);
-    let description = server::describe().map_err(|error| failed(error.to_string()))?;
+    let description = server::describe().map_err(|error| failed(error.into()))?;
     let log = slog::Logger::root(slog_stdlog::StdLog.fuse(), slog::o!());
     let config = ConfigDropshot {
         bind_address: settings.listen,
-        default_request_body_max_bytes: 2 * BODY_CAP,
+        default_request_body_max_bytes: DROPSHOT_CAP,
         // A caller that vanishes drops its handler, and with it the request's handle.
         default_handler_task_mode: HandlerTaskMode::CancelOnDisconnect,
         ..Default::default()
@@ -134,10 +155,11 @@
     ServerBuilder::new(description, Arc::new(context), log)
         .config(config)
         .start()
-        .map_err(|error| failed(error.to_string()))
+        .map_err(|error| failed(error.into()))
 }
 
-/// Reads the tree again and again; silence of the service changes nothing in service.
+/// Polls the configuration service for a new tree until the task that awaits this is dropped. The tree
+/// in force stays while the service doesn't answer or its tree is invalid.
 async fn watch_tree(context: Arc<ApiContext>, settings: ConfigSettings) {
     let client = ConfigClient::new(settings.address);
     let mut current = None;
@@ -152,7 +174,7 @@
             Ok(None) => {}
             Ok(Some(fetched)) => {
                 root = Some(fetched.root.clone());
-                take_tree(&context, &mut current, fetched);
+                adopt_newer(&context, &mut current, fetched);
             }
             Err(error) => {
                 if matches!(error, ConfigError::Invalid(_)) {
@@ -164,7 +186,8 @@
     }
 }
 
-fn take_tree(context: &ApiContext, current: &mut Option<TreeMark>, fetched: FetchedTree) {
+/// Adopts a valid tree if its version is newer than the `current` one.
+fn adopt_newer(context: &ApiContext, current: &mut Option<TreeMark>, fetched: FetchedTree) {
     let read = TreeMark {
         version: fetched.tree.version,
         hash: fetched.hash,
--- a/lib/src/pipeline/daemon_settings.rs
+++ b/lib/src/pipeline/daemon_settings.rs
@@ -1,4 +1,7 @@
-//! Settings of one daemon: who it is, where it listens, whom it asks.
+//! Settings of one daemon: its name and place, its address, and where it reads the settings tree.
+//!
+//! Owns the fields' names, their defaults and the checks across fields. Relies on
+//! `settings::document` for JSON with comments and the places of findings.
 
 use {
     crate::{
@@ -13,14 +16,28 @@
     std::net::SocketAddr,
 };
 
-/// Defaults of what may be left out.
+/// Default cost of a call into another data centre. Chosen, not measured.
 const DEFAULT_HOP: Millis = Millis(1);
+
+/// Default time between two reads of an endpoint's load. Chosen, not measured.
 const DEFAULT_LOAD_INTERVAL: Millis = Millis(100);
+
+/// Default time between two reads of the tree. Chosen, not measured.
 const DEFAULT_POLL: Millis = Millis(1_000);
+
+/// Default of the most requests in flight. Chosen, not measured.
 const DEFAULT_REQUESTS: Count = Count(2_000);
+
+/// Default size of all headers of a request. Chosen, not measured.
 const DEFAULT_HEADERS: ByteSize = ByteSize(16 * 1024);
+
+/// Default time for a request's body to arrive. Chosen, not measured.
 const DEFAULT_RECEIVE: Millis = Millis(5_000);
+
+/// Default time that the balancer has to notice a stop. Chosen, not measured.
 const DEFAULT_GRACE: Millis = Millis(5_000);
+
+/// Default share of new traces that is kept. Chosen, not measured.
 const DEFAULT_SAMPLE: Share = Share(0.01);
 
 /// Checked settings of one daemon.
@@ -40,7 +57,7 @@
     pub load_interval: Millis,
     /// Limits towards callers.
     pub limits: ApiLimits,
-    /// Time that the balancer has to notice a stop, during which requests are still taken.
+    /// Time that the balancer has to notice a stop, during which requests are still accepted.
     pub stop_grace: Millis,
     /// Where traces go, if anywhere.
     pub traces: Option<TraceSettings>,
--- a/lib/src/pipeline/metrics.rs
+++ b/lib/src/pipeline/metrics.rs
@@ -1,4 +1,7 @@
 //! Metrics in the OpenMetrics text form.
+//!
+//! Owns the metrics' names, help texts and labels, which `docs/OPERATIONS.md` lists. Most values come
+//! from a snapshot when they are read; only those that a snapshot doesn't hold are kept here.
 
 use {
     crate::pipeline::node::Snapshot,
@@ -21,13 +24,21 @@
 /// Media type of the text form.
 pub const CONTENT_TYPE: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
 
-/// Buckets of the request time: from 2 ms on, each twice the one before, up to 16 s.
+/// Upper bound of the request time's first bucket, in seconds. Chosen, not measured.
 const FIRST_BUCKET: f64 = 0.002;
+
+/// Factor from each bucket's bound to the next. Chosen, not measured.
+const BUCKET_FACTOR: f64 = 2.0;
+
+/// Number of buckets: the last bound is 16.384 s. Chosen, not measured.
 const BUCKETS: u16 = 14;
 
+/// Milliseconds in a second, the base unit of times in OpenMetrics.
+const MILLIS_PER_SECOND: f64 = 1_000.0;
+
 type FloatCounter = Counter<f64, AtomicU64>;
 
-/// Measures that can't be derived from a snapshot.
+/// Metrics that can't be derived from a snapshot.
 #[derive(Debug)]
 pub struct Metrics {
     request_seconds: Histogram,
@@ -36,7 +47,7 @@
 
 impl Default for Metrics {
     fn default() -> Self {
-        let buckets = exponential_buckets(FIRST_BUCKET, 2.0, BUCKETS);
+        let buckets = exponential_buckets(FIRST_BUCKET, BUCKET_FACTOR, BUCKETS);
         Self {
             request_seconds: Histogram::new(buckets),
             refused_trees: AtomicU64::new(0),
@@ -63,12 +74,12 @@
 }
 
 impl Metrics {
-    /// Notes the time from a request's head to its answer or the start of its stream.
+    /// Records the time from a request's head to its answer or the start of its stream.
     pub fn observe(&self, took: Duration) {
         self.request_seconds.observe(took.as_secs_f64());
     }
 
-    /// Notes a tree that was refused.
+    /// Counts a tree that was refused.
     pub fn tree_refused(&self) {
         self.refused_trees.fetch_add(1, Ordering::Relaxed);
     }
@@ -163,7 +174,9 @@
                 stage: view.stage.to_string(),
                 result: result.to_owned(),
             };
-            costs.get_or_create(&labels).inc_by(spent.0 / 1000.0);
+            costs
+                .get_or_create(&labels)
+                .inc_by(spent.0 / MILLIS_PER_SECOND);
         }
     }
     let help = "Endpoint time spent, by pipeline and stage";
--- a/lib/src/pipeline/node/snapshot.rs
+++ b/lib/src/pipeline/node/snapshot.rs
@@ -53,7 +53,7 @@
     pub service: String,
     /// Its name.
     pub endpoint: String,
-    /// Whether it may get new work.
+    /// True if it may get new work.
     pub open: bool,
     /// This daemon's calls in flight.
     pub in_flight: u32,
