--- a/lib/src/pipeline/endpoints/http_transport.rs
+++ b/lib/src/pipeline/endpoints/http_transport.rs
@@ -1,26 +1,122 @@
-//! The transport to endpoints over HTTP: a client for each kind of service.
+//! The transport to endpoints over HTTP.
+//!
+//! Owns the connection pool and its limits, and the dispatch to the client of each kind of service.
+//! Sends nothing twice by itself: retries are the core's decision. Relies on `hyper_util` for pooled
+//! HTTP/1.1 connections.
 
 use {
     crate::{
         pipeline::{
             decision::{
-                endpoint::{AttemptEnd, EndpointCall, LoadReport, TokenSink, Transport},
+                endpoint::{
+                    AttemptEnd, EndpointCall, FailCause, LoadReport, NotRunCause, TokenSink,
+                    Transport,
+                },
                 prefix::CacheEvents,
             },
-            endpoints::{engine_client, http_call::HttpTransport, plain_client, wire},
+            endpoints::{
+                engine_client,
+                http_call::CallBody,
+                http_get::{HttpGetError, get},
+                plain_client, wire,
+            },
         },
         settings::tree::ServiceKind,
-        shared::units::ByteSize,
+        shared::units::{ByteSize, Millis},
+    },
+    http::{Request, Response},
+    hyper::body::Incoming,
+    hyper_util::{
+        client::legacy::{Client, Error as ClientError, connect::HttpConnector},
+        rt::{TokioExecutor, TokioTimer},
     },
-    std::net::SocketAddr,
+    serde::de::DeserializeOwned,
+    std::{net::SocketAddr, time::Duration},
 };
 
-/// Largest load report.
+/// Longest time to set up a connection. Chosen, not measured.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
+
+/// Idle time after which a pooled connection is closed; shorter than servers' usual ones, so that
+/// a call rarely meets a connection that its endpoint is closing. Chosen, not measured.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(4);
+
+/// Most idle connections kept for one endpoint. Chosen, not measured.
+const IDLE_CONNECTIONS: usize = 64;
+
+/// Longest time to read a report of an endpoint. Chosen, not measured.
+const REPORT_TIMEOUT: Millis = Millis(500);
+
+/// Largest load report. Chosen, not measured: far above its five numbers.
 const LOAD_SIZE: ByteSize = ByteSize(4096);
 
-/// Largest answer with cache events.
+/// Largest reply with cache events. Chosen, not measured.
 const EVENTS_SIZE: ByteSize = ByteSize(256 * 1024);
 
+/// Calls endpoints over HTTP/1.1.
+#[derive(Debug, Clone)]
+pub struct HttpTransport {
+    client: Client<HttpConnector, CallBody>,
+}
+
+impl Default for HttpTransport {
+    fn default() -> Self {
+        Self::new()
+    }
+}
+
+impl HttpTransport {
+    /// Builds the client; it connects when it is first used.
+    pub fn new() -> Self {
+        let mut connector = HttpConnector::new();
+        connector.set_nodelay(true);
+        connector.set_connect_timeout(Some(CONNECT_TIMEOUT));
+        let client = Client::builder(TokioExecutor::new())
+            .pool_timer(TokioTimer::new())
+            .pool_idle_timeout(IDLE_TIMEOUT)
+            .pool_max_idle_per_host(IDLE_CONNECTIONS)
+            .retry_canceled_requests(false)
+            .build(connector);
+        Self { client }
+    }
+
+    /// Sends one request and waits for the head of its response.
+    ///
+    /// Sets no time limit: the core cancels the call when the request's deadline is over.
+    ///
+    /// # Errors
+    ///
+    /// Returns the attempt's end when there is no head.
+    pub async fn send(&self, request: Request<CallBody>) -> Result<Response<Incoming>, AttemptEnd> {
+        self.client
+            .request(request)
+            .await
+            .map_err(|error| end_without_reply(&error))
+    }
+}
+
+impl HttpTransport {
+    /// Reads what an endpoint reports of itself, within [`REPORT_TIMEOUT`].
+    async fn get_json<R: DeserializeOwned>(
+        &self,
+        uri: String,
+        limit: ByteSize,
+    ) -> Result<R, HttpGetError> {
+        let reply = get(&self.client, &uri, limit, REPORT_TIMEOUT).await?;
+        serde_json::from_slice(&reply.body).map_err(|error| HttpGetError::Json { uri, error })
+    }
+}
+
+/// Returns the end of an attempt without a reply: a connection that wasn't set up carried no byte of
+/// the call; anything else may have reached the endpoint.
+fn end_without_reply(error: &ClientError) -> AttemptEnd {
+    if error.is_connect() {
+        AttemptEnd::NotRun(NotRunCause::Unreachable)
+    } else {
+        AttemptEnd::Failed(FailCause::Broken)
+    }
+}
+
 impl Transport for HttpTransport {
     async fn call(&self, call: EndpointCall, sink: impl TokenSink + 'static) -> AttemptEnd {
         match call.kind {
@@ -37,11 +133,14 @@
 
     async fn cache_events(&self, address: SocketAddr, after: u64) -> Option<CacheEvents> {
         let uri = format!("http://{address}{}?after={after}", wire::CACHE_PATH);
-        self.get_json(uri, EVENTS_SIZE).await
+        // No event of its own for a failed read: the next round reads from the same number again.
+        self.get_json(uri, EVENTS_SIZE).await.ok()
     }
 
     async fn load(&self, address: SocketAddr, _kind: &ServiceKind) -> Option<LoadReport> {
         let uri = format!("http://{address}{}", wire::LOAD_PATH);
-        self.get_json(uri, LOAD_SIZE).await
+        // No event of its own for a failed read: the core goes on with the last report until that is
+        // stale, and calls show whether the endpoint is healthy.
+        self.get_json(uri, LOAD_SIZE).await.ok()
     }
 }
--- /dev/null
+++ b/lib/src/pipeline/node/calls.rs
@@ -0,0 +1,96 @@
+//! The tasks that run endpoint calls.
+//!
+//! Owns the start, the trace span and the abort of each call; the transport carries it out. Relies on
+//! the node's lock: a call is registered before its task can end.
+
+use {
+    crate::{
+        pipeline::{
+            decision::{
+                core::Event,
+                endpoint::{AttemptEnd, EndpointCall, TokenSink, Transport},
+            },
+            node::{Node, NodeState},
+        },
+        settings::tree::ServiceKind,
+        shared::ids::AttemptId,
+    },
+    opentelemetry::trace::SpanKind,
+    tokio::task::AbortHandle,
+};
+
+/// A call in flight, kept so that it can be cancelled.
+#[derive(Debug)]
+pub(super) struct CallTask {
+    abort: AbortHandle,
+    /// The call as it was sent; an engine's cancel message repeats its ids.
+    call: EndpointCall,
+}
+
+/// Passes the tokens of one attempt to the core.
+struct CoreTokenSink<T: Transport> {
+    node: Node<T>,
+    attempt: AttemptId,
+}
+
+impl<T: Transport> TokenSink for CoreTokenSink<T> {
+    fn token(&mut self, index: u32, text: String) {
+        self.node.apply(Event::Token {
+            attempt: self.attempt,
+            index,
+            text,
+        });
+    }
+}
+
+impl<T: Transport> Node<T> {
+    /// Starts the task of one call; its end comes back to the core as an event.
+    pub(super) fn spawn_call(&self, state: &mut NodeState, mut call: EndpointCall) {
+        let attempt = call.ids.attempt;
+        let parent = call.trace_parent.as_deref();
+        let mut span = self.tracing().span("attempt", SpanKind::Client, parent);
+        span.set("request", call.ids.request);
+        span.set("stage", &call.ids.stage);
+        span.set("endpoint", &call.endpoint);
+        call.trace_parent = span.trace_parent();
+        let sent = call.clone();
+        let node = self.clone();
+        let task = async move {
+            let sink = CoreTokenSink {
+                node: node.clone(),
+                attempt,
+            };
+            let end = node.inner.transport.call(call, sink).await;
+            span.set("end", describe_end(&end));
+            drop(span);
+            let mut state = node.lock();
+            state.calls.remove(&attempt);
+            node.step(&mut state, Event::Ended { attempt, end });
+        };
+        let abort = tokio::spawn(task).abort_handle();
+        state.calls.insert(attempt, CallTask { abort, call: sent });
+    }
+
+    /// Aborts a call's task; nothing to do if the call has ended. An engine is also sent a cancel
+    /// message, since its batch goes on while it doesn't notice the closed connection.
+    pub(super) fn cancel_call(&self, state: &mut NodeState, attempt: AttemptId) {
+        let Some(task) = state.calls.remove(&attempt) else {
+            return;
+        };
+        task.abort.abort();
+        if matches!(task.call.kind, ServiceKind::Engine { .. }) {
+            let transport = self.inner.transport.clone();
+            tokio::spawn(async move { transport.cancel(task.call).await });
+        }
+    }
+}
+
+/// Returns the text of an attempt's end for its span.
+fn describe_end(end: &AttemptEnd) -> String {
+    match end {
+        AttemptEnd::Answered(reply) => format!("answered {}", reply.status),
+        AttemptEnd::StreamEnded { tokens, .. } => format!("streamed {tokens}"),
+        AttemptEnd::NotRun(cause) => format!("not run: {cause}"),
+        AttemptEnd::Failed(cause) => format!("failed: {cause}"),
+    }
+}
