--- a/lib/src/gateway/directory/contact.rs
+++ b/lib/src/gateway/directory/contact.rs
@@ -24,13 +24,13 @@
 
 impl DirectoryContact {
     /// Returns whether the directory failed lately.
-    pub(crate) fn is_doubtful(&self, now: Time) -> bool {
+    pub fn is_doubtful(&self, now: Time) -> bool {
         self.failed
             .is_some_and(|failed| now.since(failed) < OUTAGE.to_duration())
     }
 
     /// Returns whether the directory has been read without a failure for a while.
-    pub(crate) fn is_steady(&self, now: Time) -> bool {
+    pub fn is_steady(&self, now: Time) -> bool {
         let since = self.failed.unwrap_or_default();
         let heard = self.heard.unwrap_or_default();
         let reads = now.since(heard) < CALM.to_duration();
--- a/lib/tests/test_gateway_bounds.rs
+++ b/lib/tests/test_gateway_bounds.rs
@@ -34,3 +34,47 @@
     assert_eq!(bounds(2_000, 1_000, 1_200).doubt(), Millis(400));
     assert_eq!(bounds(2_000, 100, 1_200).doubt(), Millis(200));
 }
+
+#[test]
+fn suspect_time_spread() {
+    // (drain, heartbeat, suspect time), in milliseconds.
+    for (drain, heartbeat, expected) in [
+        (0, 0, 200),
+        (2_000, 0, 200),
+        (2_000, 171, 200),
+        (2_000, 172, 200),
+        (2_000, 173, 201),
+        (2_000, 600, 700),
+        (2_000, 1_199, 1_398),
+        (2_000, 1_200, 1_400),
+        (2_000, 1_201, 1_400),
+        (2_000, 60_000, 1_400),
+        (799, 1_200, 200),
+        (800, 1_200, 200),
+        (801, 1_200, 201),
+        (60_000, 30_000, 35_000),
+    ] {
+        let time = bounds(2_000, drain, heartbeat).doubt();
+        assert_eq!(time, Millis(expected), "{drain} {heartbeat}");
+    }
+}
+
+#[test]
+fn directory_wait_spread() {
+    // (apply, drain, wait), in milliseconds.
+    for (apply, drain, expected) in [
+        (0, 0, 200),
+        (2_000, 0, 200),
+        (399, 2_000, 200),
+        (401, 2_000, 200),
+        (402, 2_000, 201),
+        (2_000, 1_001, 500),
+        (1_999, 2_000, 999),
+        (2_000, 2_000, 1_000),
+        (60_000, 2_001, 1_000),
+        (60_000, 60_000, 1_000),
+    ] {
+        let wait = bounds(apply, drain, 1_200).directory_wait();
+        assert_eq!(wait, Duration::from_millis(expected), "{apply} {drain}");
+    }
+}
