--- a/lib/src/gateway/directory/catalogue.rs
+++ b/lib/src/gateway/directory/catalogue.rs
@@ -1,9 +1,12 @@
 //! The endpoints there are, as the directory and peers tell, and which of them may get work.
 
 use {
-    crate::shared::{
-        ids::{DataCentreId, EndpointId, ServiceId},
-        units::{Millis, Time},
+    crate::{
+        gateway::rules::suspect_entry::is_suspect,
+        shared::{
+            ids::{DataCentreId, EndpointId, ServiceId},
+            units::{Millis, Time},
+        },
     },
     foldhash::{HashMap, HashSet},
     serde::{Deserialize, Serialize},
@@ -50,8 +53,9 @@
     pub id: EndpointId,
     /// Revision at which it vanished.
     pub revision: u64,
-    /// Whether it may have lapsed although the endpoint lives.
-    pub doubted: bool,
+    /// Whether it may have lapsed although the endpoint lives; daemons exchange it as `doubted`.
+    #[serde(rename = "doubted")]
+    pub suspect: bool,
 }
 
 /// Why a catalogue changed.
@@ -63,15 +67,15 @@
     Draining(Arc<EndpointEntry>),
     /// An endpoint's entry is gone.
     Gone(Arc<EndpointEntry>),
-    /// An endpoint's entry vanished while the directory couldn't be read; it stays for a while.
-    Doubted(Arc<EndpointEntry>),
+    /// An endpoint's entry vanished while the directory couldn't be read; it is used for a while yet.
+    Suspect(Arc<EndpointEntry>),
 }
 
 /// The endpoints as of one revision of the directory.
 #[derive(Debug, Clone)]
 pub struct Catalogue {
-    /// Time for which vanished entries are doubted.
-    doubt: Millis,
+    /// Time for which suspect endpoints are used.
+    suspect_time: Millis,
     revision: u64,
     /// Revision of the last change that was taken in.
     changed: u64,
@@ -80,21 +84,21 @@
     complete_from: u64,
     entries: HashMap<EndpointId, Arc<EndpointEntry>>,
     /// Endpoints without an entry that may yet be alive, with the time until which they are used.
-    doubted: HashMap<EndpointId, Time>,
+    suspects: HashMap<EndpointId, Time>,
 }
 
 impl Catalogue {
-    /// Starts without entries; `doubt` is the time for which entries stay in use that vanished while
-    /// the directory was out of reach.
-    pub fn new(doubt: Millis) -> Self {
+    /// Starts without entries; endpoints whose entries vanish in an outage of the directory are used
+    /// for `suspect_time` more.
+    pub fn new(suspect_time: Millis) -> Self {
         Self {
-            doubt,
+            suspect_time,
             revision: 0,
             changed: 0,
             changes: VecDeque::new(),
             complete_from: u64::MAX,
             entries: HashMap::default(),
-            doubted: HashMap::default(),
+            suspects: HashMap::default(),
         }
     }
 
@@ -118,13 +122,13 @@
         let mut entries = Vec::new();
         let mut gone = Vec::new();
         for (id, revision) in last {
-            let doubted = self.doubted.contains_key(id);
+            let suspect = self.suspects.contains_key(id);
             match self.entries.get(id) {
-                Some(entry) if !doubted => entries.push((**entry).clone()),
+                Some(entry) if !suspect => entries.push((**entry).clone()),
                 Some(_) | None => gone.push(GoneEndpoint {
                     id: id.clone(),
                     revision,
-                    doubted,
+                    suspect,
                 }),
             }
         }
@@ -156,8 +160,8 @@
     }
 
     /// Returns the number of endpoints without an entry that are still used.
-    pub fn doubted(&self) -> usize {
-        self.doubted.len()
+    pub fn suspects(&self) -> usize {
+        self.suspects.len()
     }
 
     /// Takes in one changed entry.
@@ -173,7 +177,7 @@
             self.note_change(entry.revision, &entry.id);
         }
         let entry = Arc::new(entry);
-        self.doubted.remove(&entry.id);
+        self.suspects.remove(&entry.id);
         self.entries.insert(entry.id.clone(), entry.clone());
         match (known, entry.draining) {
             (false, _) => Some(EndpointChange::Added(entry)),
@@ -182,33 +186,33 @@
         }
     }
 
-    /// Takes in that an entry is gone as of `revision`; `doubt` tells that the directory was out of
-    /// reach, so that it may have lapsed although its endpoint lives.
+    /// Records that an entry vanished at `revision`; in an outage of the directory it may have lapsed
+    /// although its endpoint lives.
     pub fn remove(
         &mut self,
         now: Time,
         id: &EndpointId,
         revision: u64,
-        doubt: bool,
+        is_outage: bool,
     ) -> Option<EndpointChange> {
         let known = self.entries.get(id);
         if known.is_some_and(|entry| entry.revision > revision) {
             return None;
         }
         self.note_change(revision, id);
-        self.take_out(now, id, doubt)
+        self.vanish(now, id, is_outage)
     }
 
-    fn take_out(&mut self, now: Time, id: &EndpointId, doubt: bool) -> Option<EndpointChange> {
+    fn vanish(&mut self, now: Time, id: &EndpointId, is_outage: bool) -> Option<EndpointChange> {
         let entry = self.entries.get(id)?.clone();
-        if doubt && !entry.draining {
-            if self.doubted.contains_key(id) {
+        if is_suspect(is_outage, entry.draining) {
+            if self.suspects.contains_key(id) {
                 return None;
             }
-            self.doubted.insert(id.clone(), now + self.doubt);
-            return Some(EndpointChange::Doubted(entry));
+            self.suspects.insert(id.clone(), now + self.suspect_time);
+            return Some(EndpointChange::Suspect(entry));
         }
-        self.doubted.remove(id);
+        self.suspects.remove(id);
         self.entries.remove(id);
         Some(EndpointChange::Gone(entry))
     }
@@ -224,7 +228,7 @@
         now: Time,
         revision: u64,
         list: Vec<EndpointEntry>,
-        doubt: bool,
+        is_outage: bool,
     ) -> Vec<EndpointChange> {
         let listed: HashSet<EndpointId> = list.iter().map(|entry| entry.id.clone()).collect();
         let missing: Vec<EndpointId> = self
@@ -240,7 +244,7 @@
         learnt.extend(
             missing
                 .iter()
-                .filter_map(|id| self.take_out(now, id, doubt)),
+                .filter_map(|id| self.vanish(now, id, is_outage)),
         );
         self.reached(revision);
         // What a list lacks tells no revision, so that only later changes are known one by one.
@@ -250,23 +254,24 @@
         learnt
     }
 
-    /// Drops the endpoints whose time of doubt is over.
-    pub fn settle(&mut self, now: Time) -> Vec<EndpointChange> {
+    /// Removes the suspect endpoints whose time is over.
+    pub fn expire_suspects(&mut self, now: Time) -> Vec<EndpointChange> {
         let due: Vec<EndpointId> = self
-            .doubted
+            .suspects
             .iter()
             .filter(|(_, until)| **until <= now)
             .map(|(id, _)| id.clone())
             .collect();
         due.iter()
-            .filter_map(|id| self.take_out(now, id, false))
+            .filter_map(|id| self.vanish(now, id, false))
             .collect()
     }
 
-    /// Postpones the end of all doubts while the directory can't be read at all.
-    pub fn extend_doubts(&mut self, now: Time) {
-        let until_next = now + self.doubt;
-        for until in self.doubted.values_mut() {
+    /// Starts the time of all suspects anew, since their entries can't be written while the directory
+    /// can't be read.
+    pub fn extend_suspects(&mut self, now: Time) {
+        let until_next = now + self.suspect_time;
+        for until in self.suspects.values_mut() {
             *until = until_next;
         }
     }
--- a/lib/src/gateway/directory/contact.rs
+++ b/lib/src/gateway/directory/contact.rs
@@ -1,50 +1,36 @@
-//! How far a daemon can read the directory.
+//! Times of this daemon's own reads of the directory.
+//!
+//! Owns the last answer for each topic and the last failure. How these are judged is the rule
+//! [`suspect_entry`](crate::gateway::rules::suspect_entry).
 
 use crate::{
-    gateway::directory::source::TOPICS,
+    gateway::{
+        directory::source::{TOPICS, Topic},
+        rules::suspect_entry::ReadHistory,
+    },
     shared::units::{Millis, Time},
 };
 
-/// Time without a failed read after which the directory counts as steady for this daemon.
-const CALM: Millis = Millis(3_000);
-
-/// Time after a failed read of the directory during which vanished entries are doubted.
-const OUTAGE: Millis = Millis(1_500);
-
-/// How far the directory can be read.
+/// Times of this daemon's own reads of the directory.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct DirectoryContact {
-    /// Last answer.
-    pub heard: Option<Time>,
-    /// Last failure.
-    pub failed: Option<Time>,
+    /// Last answer and last failure, whatever the topic.
+    pub reads: ReadHistory,
     /// Last answer for each topic.
-    pub(crate) topics: [Option<Time>; TOPICS],
+    topics: [Option<Time>; TOPICS],
 }
 
 impl DirectoryContact {
-    /// Returns whether the directory failed lately.
-    pub fn is_doubtful(&self, now: Time) -> bool {
-        self.failed
-            .is_some_and(|failed| now.since(failed) < OUTAGE.to_duration())
-    }
-
-    /// Returns whether the directory has been read without a failure for a while.
-    pub fn is_steady(&self, now: Time) -> bool {
-        let since = self.failed.unwrap_or_default();
-        let heard = self.heard.unwrap_or_default();
-        let reads = now.since(heard) < CALM.to_duration();
-        self.heard.is_some() && reads && !self.is_lost() && now.since(since) > CALM.to_duration()
+    /// Records an answer for a topic.
+    pub(crate) fn record_answer(&mut self, now: Time, topic: Topic) {
+        self.reads.answered = Some(now);
+        self.topics[topic as usize] = Some(now);
     }
 
-    /// Returns the time since the directory last answered for every topic.
+    /// Returns the time since the directory last answered for every topic; nothing if there is a
+    /// topic for which it never did.
     pub(crate) fn read_age(&self, now: Time) -> Option<Millis> {
         let oldest = self.topics.iter().copied().min().flatten()?;
         Some(Millis(now.since(oldest).as_millis() as u64))
     }
-
-    /// Returns whether the directory can't be read just now.
-    pub fn is_lost(&self) -> bool {
-        self.failed > self.heard
-    }
 }
--- a/lib/src/gateway/directory/mod.rs
+++ b/lib/src/gateway/directory/mod.rs
@@ -3,4 +3,5 @@
 pub mod catalogue;
 pub mod contact;
 pub mod follow;
+pub(crate) mod outage;
 pub mod source;
--- /dev/null
+++ b/lib/src/gateway/directory/outage.rs
@@ -0,0 +1,42 @@
+//! Records the reads of the directory, and logs when it is lost and regained.
+//!
+//! Relies on [`DirectoryContact`](super::contact::DirectoryContact), which holds the times.
+
+use crate::gateway::{dialect::Dialect, directory::source::Topic, state::Gateway};
+
+impl<D: Dialect> Gateway<D> {
+    /// Records that the directory answered for a topic.
+    pub fn directory_answered(&self, topic: Topic) {
+        let now = self.now();
+        let mut state = self.state.borrow_mut();
+        let before = state.contact.reads;
+        state.contact.record_answer(now, topic);
+        drop(state);
+        if before.is_lost() {
+            let for_ms = before.failed.map_or(0.0, |failed| now.millis_since(failed));
+            log::info!(for_ms; "directory.regained");
+        }
+    }
+
+    /// Records that a read of the directory failed, for the reason `error`.
+    pub fn directory_failed(&self, error: &str) {
+        let now = self.now();
+        let mut state = self.state.borrow_mut();
+        let was_lost = state.contact.reads.is_lost();
+        state.contact.reads.failed = Some(now);
+        state.catalogue.extend_suspects(now);
+        drop(state);
+        self.metrics.directory_failed();
+        if !was_lost {
+            log::warn!(error; "directory.lost");
+        }
+    }
+
+    /// Returns whether the directory has answered this daemon without a failure for a while, and no
+    /// entry is suspect any more.
+    pub fn is_directory_steady(&self) -> bool {
+        let now = self.now();
+        let state = self.state.borrow();
+        state.contact.reads.is_steady(now) && state.catalogue.suspects() == 0
+    }
+}
--- a/lib/src/gateway/peers/catch_up.rs
+++ b/lib/src/gateway/peers/catch_up.rs
@@ -86,7 +86,7 @@
     let state = gateway.state.borrow();
     let reading = DirectoryReading {
         covered,
-        answered: state.contact.heard.unwrap_or_default(),
+        answered: state.contact.reads.answered.unwrap_or_default(),
         wait: gateway.settings.bounds.directory_wait(),
     };
     let known = state.listed.then(|| state.catalogue.changed());
--- a/lib/src/gateway/peers/heartbeats.rs
+++ b/lib/src/gateway/peers/heartbeats.rs
@@ -42,7 +42,7 @@
         send_heartbeat(&gateway, &socket, now);
         send_load_digest(&gateway, &socket);
         gateway.state.borrow_mut().update_peer_loads(now);
-        gateway.settle_doubts();
+        gateway.apply_timeouts();
     }
 }
 
--- a/lib/src/gateway/peers/self_report.rs
+++ b/lib/src/gateway/peers/self_report.rs
@@ -87,7 +87,7 @@
             table: published.map_or(0, |published| published.table.version),
             fingerprint: published.map_or(0, |published| published.fingerprint),
             catalogue: state.catalogue.changed(),
-            steady: state.contact.is_steady(now),
+            steady: state.contact.reads.is_steady(now),
             read_ms: state.read_ms(now),
             loads: state.load_notes(),
             queues: state.queue_notes(now, ready),
--- a/lib/src/gateway/rules/mod.rs
+++ b/lib/src/gateway/rules/mod.rs
@@ -19,5 +19,6 @@
 pub mod retry_after;
 pub mod retry_budget;
 pub mod set_aside;
+pub mod suspect_entry;
 pub mod time_limits;
 pub mod urgency;
--- a/lib/src/gateway/serving/operator.rs
+++ b/lib/src/gateway/serving/operator.rs
@@ -141,7 +141,7 @@
         phase,
         catalogue: state.catalogue.revision(),
         jobs: state.planning.jobs(),
-        directory_lost: state.contact.is_lost(),
+        directory_lost: state.contact.reads.is_lost(),
         peers: peers.collect(),
     }
 }
--- a/lib/src/gateway/serving/settings.rs
+++ b/lib/src/gateway/serving/settings.rs
@@ -2,7 +2,7 @@
 
 use {
     crate::{
-        gateway::rules::retry_budget::BudgetLimits,
+        gateway::rules::{retry_budget::BudgetLimits, suspect_entry},
         shared::{
             ids::{DataCentreId, HostId},
             units::{Capacity, Millis},
@@ -26,12 +26,6 @@
 const LEAST_WAIT: u64 = 200;
 const LONGEST_WAIT: u64 = 1_000;
 
-/// Time kept back of the time to a drain, for hearing of it and for the next look at doubts.
-const DRAIN_KEPT: u64 = 600;
-
-/// Shortest time for which a vanished entry is doubted, in milliseconds.
-const LEAST_DOUBT: u64 = 200;
-
 impl Bounds {
     /// Returns the time for which one call waits for changes of the directory. A connection that has
     /// gone silent is noticed within it and a little, which has to be less than a change may take.
@@ -40,13 +34,10 @@
         Duration::from_millis(half.clamp(LEAST_WAIT, LONGEST_WAIT))
     }
 
-    /// Returns the time for which endpoints that vanished while the directory was out of reach stay
-    /// in use: long enough for the living ones to write themselves down again, and short enough for
-    /// one that has really left.
-    pub fn doubt(&self) -> Millis {
-        let rewritten = self.endpoint_heartbeat.0 * 7 / 6;
-        let allowed = self.drain.0.saturating_sub(DRAIN_KEPT);
-        Millis(rewritten.min(allowed).max(LEAST_DOUBT))
+    /// Returns the time for which a suspect endpoint is used; see
+    /// [`suspect_entry`](crate::gateway::rules::suspect_entry).
+    pub fn suspect_time(&self) -> Millis {
+        suspect_entry::suspect_time(self.endpoint_heartbeat, self.drain)
     }
 }
 
--- a/lib/src/gateway/state.rs
+++ b/lib/src/gateway/state.rs
@@ -16,7 +16,7 @@
                 message::Phase,
             },
             routing::endpoint_states::EndpointStates,
-            rules::{catch_up, coordinator, retry_budget::WindowBudget},
+            rules::{catch_up, coordinator, retry_budget::WindowBudget, suspect_entry::is_outage},
             serving::{metrics::GatewayMetrics, settings::GatewaySettings},
             stages::{queues::Planning, workload::Workload},
             table::{Table, Version},
@@ -42,6 +42,9 @@
 /// Time beyond the wait of a call for changes after which a peer's reading counts as out of date.
 const READ_SLACK: Millis = Millis(400);
 
+/// Source that the log names when an endpoint is removed because it was suspect for long enough.
+const SUSPECT_TIME_OVER: &str = "doubt over";
+
 /// A table together with the bytes it was read from.
 #[derive(Debug)]
 pub struct PublishedTable {
@@ -80,10 +83,9 @@
 }
 
 impl GatewayState {
-    /// Returns whether entries that vanish now may have lapsed although their endpoints live: the
-    /// directory failed lately, and not for this daemon alone.
-    fn is_doubtful(&self, now: Time) -> bool {
-        self.contact.is_doubtful(now) && !self.peers.has_steady_peer()
+    /// Returns whether entries that vanish now may have lapsed although their endpoints live.
+    fn is_outage(&self, now: Time) -> bool {
+        is_outage(now, self.contact.reads, self.peers.has_steady_peer())
     }
 
     /// Returns whether peers tell this daemon in time what the directory holds, so that it needn't
@@ -146,7 +148,7 @@
             capacity: settings.capacity,
         };
         let peers = Peers::new(me, &settings.seeds);
-        let catalogue = Catalogue::new(settings.bounds.doubt());
+        let catalogue = Catalogue::new(settings.bounds.suspect_time());
         Rc::new(Self {
             settings,
             state: RefCell::new(GatewayState {
@@ -268,13 +270,13 @@
         self.apply_change(learnt, source);
     }
 
-    /// Takes in that an entry vanished from the directory at a revision; `doubted` tells that who
-    /// noticed it doubts that the endpoint is gone.
-    pub fn remove_endpoint(&self, id: &EndpointId, revision: u64, doubted: bool, source: &str) {
+    /// Records that an entry vanished from the directory at a revision; `suspect` says that the
+    /// daemon that noticed it takes the endpoint for suspect.
+    pub fn remove_endpoint(&self, id: &EndpointId, revision: u64, suspect: bool, source: &str) {
         let now = self.now();
         let mut state = self.state.borrow_mut();
-        let doubt = doubted || state.is_doubtful(now);
-        let learnt = state.catalogue.remove(now, id, revision, doubt);
+        let is_outage = suspect || state.is_outage(now);
+        let learnt = state.catalogue.remove(now, id, revision, is_outage);
         drop(state);
         self.apply_change(learnt, source);
     }
@@ -285,7 +287,7 @@
             self.upsert_endpoint(entry, source);
         }
         for gone in changes.gone {
-            self.remove_endpoint(&gone.id, gone.revision, gone.doubted, source);
+            self.remove_endpoint(&gone.id, gone.revision, gone.suspect, source);
         }
         self.reached(changes.revision);
     }
@@ -294,7 +296,7 @@
     pub fn replace_endpoints(&self, revision: u64, list: Vec<EndpointEntry>, source: &str) {
         let now = self.now();
         let mut state = self.state.borrow_mut();
-        let doubt = state.is_doubtful(now);
+        let is_outage = state.is_outage(now);
         for entry in &list {
             let newer = state
                 .catalogue
@@ -304,7 +306,7 @@
                 state.endpoints.upsert(Arc::new(entry.clone()));
             }
         }
-        let learnt = state.catalogue.replace(now, revision, list, doubt);
+        let learnt = state.catalogue.replace(now, revision, list, is_outage);
         state.listed = true;
         drop(state);
         for one in learnt {
@@ -313,13 +315,6 @@
         self.sync_planning();
     }
 
-    /// Returns whether the directory has answered this daemon without a failure for a while.
-    pub fn is_directory_steady(&self) -> bool {
-        let now = self.now();
-        let state = self.state.borrow();
-        state.contact.is_steady(now) && state.catalogue.doubted() == 0
-    }
-
     /// Returns the revision up to which this daemon knows a topic.
     pub fn known_revision(&self, topic: Topic) -> u64 {
         match topic {
@@ -340,12 +335,12 @@
         self.state.borrow_mut().catalogue.reached(revision);
     }
 
-    /// Drops endpoints that were doubted for long enough, and opens those again that were set aside.
-    pub fn settle_doubts(&self) {
+    /// Removes suspect endpoints whose time is over, and opens those again that were set aside.
+    pub fn apply_timeouts(&self) {
         let now = self.now();
-        let learnt = self.state.borrow_mut().catalogue.settle(now);
+        let learnt = self.state.borrow_mut().catalogue.expire_suspects(now);
         for one in learnt {
-            self.apply_change(Some(one), "doubt over");
+            self.apply_change(Some(one), SUSPECT_TIME_OVER);
         }
         if self.state.borrow_mut().endpoints.reopen_replaced(now) {
             self.sync_planning();
@@ -360,7 +355,7 @@
             EndpointChange::Added(entry) => ("endpoint.added", entry),
             EndpointChange::Draining(entry) => ("endpoint.draining", entry),
             EndpointChange::Gone(entry) => ("endpoint.gone", entry),
-            EndpointChange::Doubted(entry) => ("endpoint.doubted", entry),
+            EndpointChange::Suspect(entry) => ("endpoint.doubted", entry),
         };
         log::info!(
             endpoint:% = entry.id,
@@ -376,35 +371,6 @@
         self.sync_planning();
     }
 
-    /// Notes that the directory answered for a topic.
-    pub fn directory_answered(&self, topic: Topic) {
-        let now = self.now();
-        let mut state = self.state.borrow_mut();
-        let lost = state.contact.is_lost();
-        let failed = state.contact.failed;
-        state.contact.heard = Some(now);
-        state.contact.topics[topic as usize] = Some(now);
-        drop(state);
-        if lost {
-            let for_ms = failed.map_or(0.0, |failed| now.millis_since(failed));
-            log::info!(for_ms; "directory.regained");
-        }
-    }
-
-    /// Notes that the directory didn't answer.
-    pub fn directory_failed(&self, error: &str) {
-        let now = self.now();
-        let mut state = self.state.borrow_mut();
-        let lost = state.contact.is_lost();
-        state.contact.failed = Some(now);
-        state.catalogue.extend_doubts(now);
-        drop(state);
-        self.metrics.directory_failed();
-        if !lost {
-            log::warn!(error; "directory.lost");
-        }
-    }
-
     /// Counts a request for a service.
     pub fn deposit(&self, service: &ServiceId) {
         let now = self.now();
--- a/lib/tests/test_catalogue.rs
+++ b/lib/tests/test_catalogue.rs
@@ -56,36 +56,48 @@
     let mut catalogue = catalogue();
     catalogue.put(entry("a", 1, false));
     let learnt = catalogue.remove(Time(0), &id("a"), 9, true);
-    assert!(matches!(learnt, Some(EndpointChange::Doubted(_))));
+    assert!(matches!(learnt, Some(EndpointChange::Suspect(_))));
     assert_eq!(names(&catalogue), ["a"]);
-    assert!(catalogue.settle(Time(0) + Millis(1_000)).is_empty());
-    let settled = catalogue.settle(Time(0) + Millis(1_401));
-    assert!(matches!(settled[..], [EndpointChange::Gone(_)]));
+    assert!(
+        catalogue
+            .expire_suspects(Time(0) + Millis(1_000))
+            .is_empty()
+    );
+    let expired = catalogue.expire_suspects(Time(0) + Millis(1_401));
+    assert!(matches!(expired[..], [EndpointChange::Gone(_)]));
     assert!(names(&catalogue).is_empty());
 }
 
 #[test]
-fn a_living_endpoint_that_writes_again_is_no_longer_doubted() {
+fn a_living_endpoint_that_writes_again_is_no_longer_suspect() {
     let mut catalogue = catalogue();
     catalogue.put(entry("a", 1, false));
     catalogue.remove(Time(0), &id("a"), 4, true);
     catalogue.put(entry("a", 5, false));
-    assert!(catalogue.settle(Time(0) + Millis(60_000)).is_empty());
+    assert!(
+        catalogue
+            .expire_suspects(Time(0) + Millis(60_000))
+            .is_empty()
+    );
     assert_eq!(names(&catalogue), ["a"]);
 }
 
 #[test]
-fn doubts_last_as_long_as_the_directory_is_out_of_reach() {
+fn suspects_stay_as_long_as_the_directory_is_out_of_reach() {
     let mut catalogue = catalogue();
     catalogue.put(entry("a", 1, false));
     catalogue.remove(Time(0), &id("a"), 9, true);
-    catalogue.extend_doubts(Time(0) + Millis(1_300));
-    assert!(catalogue.settle(Time(0) + Millis(2_500)).is_empty());
-    assert_eq!(catalogue.settle(Time(0) + Millis(4_000)).len(), 1);
+    catalogue.extend_suspects(Time(0) + Millis(1_300));
+    assert!(
+        catalogue
+            .expire_suspects(Time(0) + Millis(2_500))
+            .is_empty()
+    );
+    assert_eq!(catalogue.expire_suspects(Time(0) + Millis(4_000)).len(), 1);
 }
 
 #[test]
-fn an_endpoint_that_said_it_leaves_is_never_doubted() {
+fn an_endpoint_that_said_it_leaves_is_never_suspect() {
     let mut catalogue = catalogue();
     catalogue.put(entry("a", 1, false));
     let learnt = catalogue.put(entry("a", 2, true));
@@ -151,7 +163,7 @@
     let mut gone: Vec<(String, u64, bool)> = changes
         .gone
         .iter()
-        .map(|gone| (gone.id.to_string(), gone.revision, gone.doubted))
+        .map(|gone| (gone.id.to_string(), gone.revision, gone.suspect))
         .collect();
     gone.sort();
     assert_eq!(gone, [("a".into(), 7, false), ("b".into(), 6, true)]);
@@ -189,7 +201,7 @@
                     asker.put(entry);
                 }
                 for gone in changes.gone {
-                    asker.remove(Time(0), &gone.id, gone.revision, gone.doubted);
+                    asker.remove(Time(0), &gone.id, gone.revision, gone.suspect);
                 }
                 asker.reached(changes.revision);
                 assert_eq!(names(&asker), names(&told));
--- a/lib/tests/test_decision_pins.rs
+++ b/lib/tests/test_decision_pins.rs
@@ -54,7 +54,7 @@
                     endpoint_heartbeat: Millis(heartbeat),
                 };
                 let wait = bounds.directory_wait();
-                let kept = bounds.doubt();
+                let kept = bounds.suspect_time();
                 writeln!(lines, "{apply} {drain} {heartbeat}: {wait:?}, {kept}").unwrap();
             }
         }
--- a/lib/tests/test_gateway_bounds.rs
+++ b/lib/tests/test_gateway_bounds.rs
@@ -28,35 +28,11 @@
 }
 
 #[test]
-fn a_doubt_lasts_longer_than_a_living_endpoint_needs_and_ends_before_the_drain() {
-    assert_eq!(bounds(2_000, 2_000, 1_200).doubt(), Millis(1_400));
-    assert_eq!(bounds(2_000, 5_000, 1_200).doubt(), Millis(1_400));
-    assert_eq!(bounds(2_000, 1_000, 1_200).doubt(), Millis(400));
-    assert_eq!(bounds(2_000, 100, 1_200).doubt(), Millis(200));
-}
-
-#[test]
-fn suspect_time_spread() {
-    // (drain, heartbeat, suspect time), in milliseconds.
-    for (drain, heartbeat, expected) in [
-        (0, 0, 200),
-        (2_000, 0, 200),
-        (2_000, 171, 200),
-        (2_000, 172, 200),
-        (2_000, 173, 201),
-        (2_000, 600, 700),
-        (2_000, 1_199, 1_398),
-        (2_000, 1_200, 1_400),
-        (2_000, 1_201, 1_400),
-        (2_000, 60_000, 1_400),
-        (799, 1_200, 200),
-        (800, 1_200, 200),
-        (801, 1_200, 201),
-        (60_000, 30_000, 35_000),
-    ] {
-        let time = bounds(2_000, drain, heartbeat).doubt();
-        assert_eq!(time, Millis(expected), "{drain} {heartbeat}");
-    }
+fn a_suspect_is_used_longer_than_a_living_endpoint_needs_and_not_beyond_the_drain() {
+    assert_eq!(bounds(2_000, 2_000, 1_200).suspect_time(), Millis(1_400));
+    assert_eq!(bounds(2_000, 5_000, 1_200).suspect_time(), Millis(1_400));
+    assert_eq!(bounds(2_000, 1_000, 1_200).suspect_time(), Millis(400));
+    assert_eq!(bounds(2_000, 100, 1_200).suspect_time(), Millis(200));
 }
 
 #[test]
--- a/lib/tests/test_message_bytes.rs
+++ b/lib/tests/test_message_bytes.rs
@@ -145,10 +145,10 @@
 }
 
 fn changes() -> EndpointChanges {
-    let gone = |name: &str, revision, doubted| GoneEndpoint {
+    let gone = |name: &str, revision, suspect| GoneEndpoint {
         id: name.parse().unwrap(),
         revision,
-        doubted,
+        suspect,
     };
     EndpointChanges {
         revision: 70_001,
