--- a/lib/src/gateway/routing/mod.rs
+++ b/lib/src/gateway/routing/mod.rs
@@ -12,5 +12,6 @@
 pub(crate) mod progress;
 pub(crate) mod reply_stream;
 pub(crate) mod sent_parts;
+pub(crate) mod service_limits;
 pub(crate) mod stages;
 pub(crate) mod stream_resume;
--- a/lib/src/gateway/serving/server.rs
+++ b/lib/src/gateway/serving/server.rs
@@ -1,37 +1,30 @@
 //! Puts a forwarding daemon together, and takes it apart again without cutting requests.
 
 use {
-    crate::{
-        gateway::{
-            dialect::Dialect,
-            directory::{
-                follow::follow,
-                source::{Directory, Topic},
-            },
-            peers::{catch_up, heartbeats, link_server, receive, sockets},
-            serving::{
-                ingress::{self, ListenerState},
-                operator,
-                settings::GatewaySettings,
-            },
-            stages::planner::{run_planner, run_releases},
-            state::Gateway,
+    crate::gateway::{
+        dialect::Dialect,
+        directory::{
+            follow::follow,
+            source::{Directory, Topic},
         },
-        shared::units::Millis,
+        peers::{catch_up, heartbeats, link_server, receive, sockets},
+        rules::shutdown::StopSchedule,
+        serving::{
+            ingress::{self, ListenerState},
+            operator,
+            settings::GatewaySettings,
+        },
+        stages::planner::{run_planner, run_releases},
+        state::Gateway,
     },
     std::{future::Future, io, net::SocketAddr, rc::Rc, time::Duration},
     thiserror::Error,
     tokio::{net::TcpListener, sync::watch, task::AbortHandle, time::Instant},
 };
 
-/// Time that the balancer has to notice a stop, during which connections are still taken.
-const NOTICE: Millis = Millis(2_700);
-
-/// Time kept back of the grace, to end before the process is ended.
-const KEPT_GRACE: Millis = Millis(400);
-
-/// Time between two looks at what is still in flight.
-const LOOK: Duration = Duration::from_millis(20);
+/// Time between two checks of what is still in flight, and for the last answers to leave. Chosen,
+/// not measured.
+const CHECK: Duration = Duration::from_millis(20);
 
 /// Why a daemon can't start.
 #[derive(Debug, Error)]
@@ -155,22 +148,22 @@
         self.operator
     }
 
-    /// Stops without cutting a request: not ready at once, callers still taken until the balancer
-    /// has noticed, then what is in flight ends.
+    /// Stops without cutting a request: not ready at once, callers still accepted until the balancer
+    /// has noticed, then what is in flight ends. The times are the rule
+    /// [`shutdown`](crate::gateway::rules::shutdown).
     pub async fn stop(self) {
         let begun = Instant::now();
-        let grace = self.gateway.settings.grace;
-        let end = begun + Millis(grace.0.saturating_sub(KEPT_GRACE.0)).to_duration();
+        let schedule = StopSchedule::new(self.gateway.settings.grace);
+        let end = begun + schedule.end;
         self.gateway.stopping.set(true);
         log::info!(in_flight = self.gateway.in_flight.get(); "daemon.stopping");
-        let noticed = begun + NOTICE.to_duration();
-        tokio::time::sleep_until(noticed.min(end)).await;
+        tokio::time::sleep_until(begun + schedule.close).await;
         self.admission.send_replace(ListenerState::Closing);
         while Instant::now() < end && self.is_busy() {
-            tokio::time::sleep(LOOK).await;
+            tokio::time::sleep(CHECK).await;
         }
         // Answers that were just written get a moment to leave.
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(CHECK).await;
         log::info!(in_flight = self.gateway.in_flight.get(); "daemon.stopped");
     }
 
--- a/lib/src/gateway/state.rs
+++ b/lib/src/gateway/state.rs
@@ -75,7 +75,8 @@
     pub sums: LoadSums,
     /// Since when a peer is known to have a newer table or list.
     pub behind: Option<Time>,
-    budgets: HashMap<ServiceId, WindowBudget>,
+    /// Budgets of retries at each service.
+    pub(crate) budgets: HashMap<ServiceId, WindowBudget>,
 }
 
 impl GatewayState {
@@ -353,40 +354,6 @@
         self.sync_planning();
     }
 
-    /// Counts a request for a service.
-    pub fn deposit(&self, service: &ServiceId) {
-        let now = self.now();
-        self.with_budget(service, |budget| budget.deposit(now));
-    }
-
-    /// Counts one repeat at a service if the budget has it.
-    pub fn withdraw(&self, service: &ServiceId) -> bool {
-        let now = self.now();
-        let daemons = self.state.borrow().peers.daemons();
-        self.with_budget(service, |budget| budget.withdraw(now, daemons))
-    }
-
-    fn with_budget<R>(&self, service: &ServiceId, act: impl FnOnce(&mut WindowBudget) -> R) -> R {
-        let limits = self.settings.budget;
-        let mut state = self.state.borrow_mut();
-        let budget = state
-            .budgets
-            .entry(service.clone())
-            .or_insert_with(|| WindowBudget::new(limits, Time::default()));
-        act(budget)
-    }
-
-    /// Returns this daemon's part of the connections that an endpoint of a service accepts.
-    pub fn connections_each(&self, service: &ServiceId) -> u32 {
-        let published = self.published();
-        let accepted = published
-            .as_ref()
-            .and_then(|published| published.table.service(service))
-            .map_or(usize::MAX, |entry| entry.connections);
-        let daemons = self.state.borrow().peers.daemons();
-        u32::try_from((accepted / daemons).max(1)).unwrap_or(u32::MAX)
-    }
-
     /// Tells the planner which endpoints may be called.
     fn sync_planning(&self) {
         let limits = self.settings.budget;
