--- /dev/null
+++ b/lib/src/gateway/directory/adopt_table.rs
@@ -0,0 +1,103 @@
+//! Adopts a published table if it is newer than the one in force.
+//!
+//! Relies on the rule [`adoption`](crate::shared::adoption); the table in force is part of the
+//! daemon's state.
+
+use {
+    crate::{
+        gateway::{
+            dialect::Dialect,
+            state::{Gateway, PublishedTable},
+            table::{Table, Version},
+        },
+        shared::adoption::{ContentMark, VersionVerdict, judge},
+    },
+    bytes::Bytes,
+    std::rc::Rc,
+    xxhash_rust::xxh3::xxh3_64,
+};
+
+/// How a table was received.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum TableAdoption {
+    /// It is in force now.
+    Adopted,
+    /// It is the one in force, or an older one.
+    Known,
+    /// It is invalid, or has the version of another one.
+    Refused,
+}
+
+impl<D: Dialect> Gateway<D> {
+    /// Adopts a table from `source` if it is newer than the one in force.
+    pub fn adopt_table(&self, bytes: &Bytes, source: &str) -> TableAdoption {
+        let current = self.published();
+        let fingerprint = xxh3_64(bytes);
+        if current
+            .as_ref()
+            .is_some_and(|current| current.fingerprint == fingerprint)
+        {
+            // The same bytes needn't be parsed again.
+            return TableAdoption::Known;
+        }
+        let table = match D::read_table(bytes) {
+            Ok(table) => table,
+            Err(error) => {
+                log::error!(source, error:%; "table.refused");
+                self.metrics.table_refused();
+                return TableAdoption::Refused;
+            }
+        };
+        let version = table.version;
+        let read = ContentMark {
+            version,
+            fingerprint,
+        };
+        let current = mark(current.as_deref());
+        match judge(Some(current), read) {
+            VersionVerdict::Adopt => {
+                let routes = table.routes().count();
+                self.put_in_force(table, bytes, fingerprint);
+                log::info!(source, version, before = current.version, routes; "table.adopted");
+                TableAdoption::Adopted
+            }
+            VersionVerdict::Same => TableAdoption::Known,
+            VersionVerdict::Older => {
+                log::info!(source, version, current = current.version; "table.older");
+                TableAdoption::Known
+            }
+            VersionVerdict::Conflict => {
+                log::error!(source, version; "table.conflict");
+                self.metrics.table_refused();
+                TableAdoption::Refused
+            }
+        }
+    }
+
+    fn put_in_force(&self, table: Table, bytes: &Bytes, fingerprint: u64) {
+        let mut state = self.state.borrow_mut();
+        state.planning.set_services(&table);
+        state.published = Some(Rc::new(PublishedTable {
+            table,
+            bytes: bytes.clone(),
+            fingerprint,
+        }));
+        drop(state);
+        self.sync_planning();
+    }
+}
+
+/// Returns the mark of the table in force. Before the first one it is that of an empty document of
+/// version 0, so that a table has to have a version above 0.
+fn mark(current: Option<&PublishedTable>) -> ContentMark<Version> {
+    current.map_or_else(
+        || ContentMark {
+            version: Version::default(),
+            fingerprint: xxh3_64(&[]),
+        },
+        |current| ContentMark {
+            version: current.table.version,
+            fingerprint: current.fingerprint,
+        },
+    )
+}
--- a/lib/src/gateway/directory/mod.rs
+++ b/lib/src/gateway/directory/mod.rs
@@ -1,5 +1,6 @@
 //! Follows the directory that publishes the table and the endpoints.
 
+pub mod adopt_table;
 pub mod catalogue;
 pub mod contact;
 pub(crate) mod coverage;
--- a/lib/src/gateway/state.rs
+++ b/lib/src/gateway/state.rs
@@ -19,7 +19,7 @@
             rules::{catch_up, coordinator, retry_budget::WindowBudget, suspect_entry::is_outage},
             serving::{metrics::GatewayMetrics, settings::GatewaySettings},
             stages::{queues::Planning, workload::Workload},
-            table::{Table, Version},
+            table::Table,
         },
         shared::{
             ids::{EndpointId, ServiceId},
@@ -35,7 +35,6 @@
         sync::Arc,
     },
     tokio::{sync::Notify, time::Instant},
-    xxhash_rust::xxh3::xxh3_64,
 };
 
 /// Source that the log names when an endpoint is removed because it was suspect for long enough.
@@ -114,17 +113,6 @@
     dialect: PhantomData<D>,
 }
 
-/// What came of a table.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum TableAdoption {
-    /// It is in force now.
-    Adopted,
-    /// It is the one in force, or an older one.
-    Known,
-    /// It is invalid, or has the version of another one.
-    Refused,
-}
-
 impl<D: Dialect> Gateway<D> {
     /// Starts without any belief.
     pub fn new(settings: GatewaySettings) -> Rc<Self> {
@@ -201,49 +189,6 @@
         self.state.borrow().published.clone()
     }
 
-    /// Takes in a table from `source` if it is newer than the one in force.
-    pub fn adopt_table(&self, bytes: &Bytes, source: &str) -> TableAdoption {
-        let fingerprint = xxh3_64(bytes);
-        let current = self.published();
-        if current
-            .as_ref()
-            .is_some_and(|current| current.fingerprint == fingerprint)
-        {
-            return TableAdoption::Known;
-        }
-        let table = match D::read_table(bytes) {
-            Ok(table) => table,
-            Err(error) => {
-                log::error!(source, error:%; "table.refused");
-                self.metrics.table_refused();
-                return TableAdoption::Refused;
-            }
-        };
-        let old: Version = current.map_or(0, |current| current.table.version);
-        let version = table.version;
-        if version < old {
-            log::info!(source, version, current = old; "table.older");
-            return TableAdoption::Known;
-        }
-        if version == old {
-            log::error!(source, version; "table.conflict");
-            self.metrics.table_refused();
-            return TableAdoption::Refused;
-        }
-        let routes = table.routes().count();
-        let mut state = self.state.borrow_mut();
-        state.planning.set_services(&table);
-        state.published = Some(Rc::new(PublishedTable {
-            table,
-            bytes: bytes.clone(),
-            fingerprint,
-        }));
-        drop(state);
-        self.sync_planning();
-        log::info!(source, version, before = old, routes; "table.adopted");
-        TableAdoption::Adopted
-    }
-
     /// Takes in one changed entry of the directory.
     pub fn upsert_endpoint(&self, entry: EndpointEntry, source: &str) {
         let mut state = self.state.borrow_mut();
@@ -354,8 +299,8 @@
         self.sync_planning();
     }
 
-    /// Tells the planner which endpoints may be called.
-    fn sync_planning(&self) {
+    /// Gives the planner of stages the endpoints that may be called, and wakes it.
+    pub(crate) fn sync_planning(&self) {
         let limits = self.settings.budget;
         let mut guard = self.state.borrow_mut();
         let state = &mut *guard;
--- a/lib/src/pipeline/daemon.rs
+++ b/lib/src/pipeline/daemon.rs
@@ -11,7 +11,8 @@
             node::{Node, TaskGuard, spawn_guarded},
             trace::{TraceError, Tracing},
         },
-        shared::adoption::{TreeMark, VersionVerdict, judge},
+        settings::tree::TreeVersion,
+        shared::adoption::{ContentMark, VersionVerdict, judge},
     },
     dropshot::{ConfigDropshot, HandlerTaskMode, HttpServer, ServerBuilder},
     slog::Drain,
@@ -152,7 +153,7 @@
             Ok(None) => {}
             Ok(Some(fetched)) => {
                 root = Some(fetched.root.clone());
-                take_tree(&context, &mut current, fetched);
+                apply_tree(&context, &mut current, fetched);
             }
             Err(error) => {
                 if matches!(error, ConfigError::Invalid(_)) {
@@ -164,10 +165,14 @@
     }
 }
 
-fn take_tree(context: &ApiContext, current: &mut Option<TreeMark>, fetched: FetchedTree) {
-    let read = TreeMark {
+fn apply_tree(
+    context: &ApiContext,
+    current: &mut Option<ContentMark<TreeVersion>>,
+    fetched: FetchedTree,
+) {
+    let read = ContentMark {
         version: fetched.tree.version,
-        hash: fetched.hash,
+        fingerprint: fetched.hash,
     };
     match judge(*current, read) {
         VersionVerdict::Adopt => {
--- a/lib/tests/test_config_watch.rs
+++ b/lib/tests/test_config_watch.rs
@@ -5,16 +5,16 @@
 use {
     hazelyoke_lib::{
         settings::tree::TreeVersion,
-        shared::adoption::{TreeMark, VersionVerdict, judge},
+        shared::adoption::{ContentMark, VersionVerdict, judge},
     },
     hazelyoke_testutils::fixture::{Fixture, TREE, wait_for},
     std::time::Duration,
 };
 
-fn mark(version: u64, hash: u64) -> TreeMark {
-    TreeMark {
+fn mark(version: u64, fingerprint: u64) -> ContentMark<TreeVersion> {
+    ContentMark {
         version: TreeVersion(version),
-        hash,
+        fingerprint,
     }
 }
 
@@ -26,6 +26,10 @@
     assert_eq!(judge(current, mark(5, 1)), VersionVerdict::Same);
     assert_eq!(judge(current, mark(4, 1)), VersionVerdict::Older);
     assert_eq!(judge(current, mark(5, 2)), VersionVerdict::Conflict);
+    // Versions decide before content does.
+    assert_eq!(judge(current, mark(6, 1)), VersionVerdict::Adopt);
+    assert_eq!(judge(current, mark(4, 2)), VersionVerdict::Older);
+    assert_eq!(judge(None, mark(0, 0)), VersionVerdict::Adopt);
 }
 
 #[tokio::test]
