--- /dev/null
+++ b/lib/src/gateway/directory/apply.rs
@@ -0,0 +1,143 @@
+//! Applies changes of the list of endpoints to the daemon's state, and logs each.
+//!
+//! Changes come from the directory and from peers. The catalogue decides which of them count, with
+//! the rule [`suspect_entry`](crate::gateway::rules::suspect_entry); this module passes them on to
+//! the endpoints that requests are sent to and to the planner of stages.
+
+use {
+    crate::{
+        gateway::{
+            dialect::Dialect,
+            directory::{
+                catalogue::{EndpointChange, EndpointChanges, EndpointEntry},
+                source::Topic,
+            },
+            rules::suspect_entry::is_outage,
+            state::{Gateway, GatewayState},
+        },
+        shared::{ids::EndpointId, units::Time},
+    },
+    std::sync::Arc,
+};
+
+/// Source that the log names when an endpoint is removed because it was suspect for long enough.
+const SUSPECT_TIME_OVER: &str = "doubt over";
+
+impl GatewayState {
+    /// Returns whether entries that vanish now may have lapsed although their endpoints live.
+    fn is_outage(&self, now: Time) -> bool {
+        is_outage(now, self.contact.reads, self.peers.has_steady_peer())
+    }
+}
+
+impl<D: Dialect> Gateway<D> {
+    /// Applies one new or changed entry; one that is older than the known one changes nothing.
+    pub fn upsert_endpoint(&self, entry: EndpointEntry, source: &str) {
+        let mut state = self.state.borrow_mut();
+        let change = state.catalogue.put(entry.clone());
+        let known = state.catalogue.get(&entry.id);
+        if known.is_some_and(|known| known.revision == entry.revision) {
+            state.endpoints.upsert(Arc::new(entry));
+        }
+        drop(state);
+        if let Some(change) = change {
+            self.apply_change(&change, source);
+        }
+    }
+
+    /// Applies that an entry vanished at a revision; `suspect` says that the daemon that noticed it
+    /// takes the endpoint for suspect.
+    pub fn remove_endpoint(&self, id: &EndpointId, revision: u64, suspect: bool, source: &str) {
+        let now = self.now();
+        let mut state = self.state.borrow_mut();
+        let is_outage = suspect || state.is_outage(now);
+        let change = state.catalogue.remove(now, id, revision, is_outage);
+        drop(state);
+        if let Some(change) = change {
+            self.apply_change(&change, source);
+        }
+    }
+
+    /// Applies the changes that a peer knows.
+    pub fn apply_changes(&self, changes: EndpointChanges, source: &str) {
+        for entry in changes.entries {
+            self.upsert_endpoint(entry, source);
+        }
+        for gone in changes.gone {
+            self.remove_endpoint(&gone.id, gone.revision, gone.suspect, source);
+        }
+        self.advance_revision(changes.revision);
+    }
+
+    /// Applies a whole list of endpoints as of a revision.
+    pub fn replace_endpoints(&self, revision: u64, list: Vec<EndpointEntry>, source: &str) {
+        let now = self.now();
+        let mut state = self.state.borrow_mut();
+        let is_outage = state.is_outage(now);
+        for entry in &list {
+            let known = state.catalogue.get(&entry.id);
+            if known.is_none_or(|known| known.revision <= entry.revision) {
+                state.endpoints.upsert(Arc::new(entry.clone()));
+            }
+        }
+        let changes = state.catalogue.replace(now, revision, list, is_outage);
+        state.listed = true;
+        drop(state);
+        for change in changes {
+            self.apply_change(&change, source);
+        }
+        self.sync_planning();
+    }
+
+    /// Removes suspect endpoints whose time is over, and opens those again that were set aside.
+    pub fn apply_timeouts(&self) {
+        let now = self.now();
+        let changes = self.state.borrow_mut().catalogue.expire_suspects(now);
+        for change in changes {
+            self.apply_change(&change, SUSPECT_TIME_OVER);
+        }
+        if self.state.borrow_mut().endpoints.reopen_replaced(now) {
+            self.sync_planning();
+        }
+    }
+
+    /// Records that all changes up to a revision were applied.
+    pub fn advance_revision(&self, revision: u64) {
+        self.state.borrow_mut().catalogue.advance_to(revision);
+    }
+
+    /// Returns the revision from which on changes of a topic are to be read, as far as peers have
+    /// brought this daemon.
+    pub fn known_revision(&self, topic: Topic) -> u64 {
+        match topic {
+            // Reading a table again is harmless: its version tells whether it is known.
+            Topic::Table => 0,
+            Topic::Endpoints => self.state.borrow().catalogue.changed(),
+        }
+    }
+
+    fn apply_change(&self, change: &EndpointChange, source: &str) {
+        log_change(change, source);
+        if let EndpointChange::Gone(entry) = change {
+            self.state.borrow_mut().endpoints.remove(&entry.id);
+        }
+        self.sync_planning();
+    }
+}
+
+fn log_change(change: &EndpointChange, source: &str) {
+    let (event, entry) = match change {
+        EndpointChange::Added(entry) => ("endpoint.added", entry),
+        EndpointChange::Draining(entry) => ("endpoint.draining", entry),
+        EndpointChange::Gone(entry) => ("endpoint.gone", entry),
+        EndpointChange::Suspect(entry) => ("endpoint.doubted", entry),
+    };
+    log::info!(
+        endpoint:% = entry.id,
+        service:% = entry.service,
+        address:% = entry.address,
+        revision = entry.revision,
+        source;
+        "{event}"
+    );
+}
--- a/lib/src/gateway/directory/catalogue.rs
+++ b/lib/src/gateway/directory/catalogue.rs
@@ -217,8 +217,8 @@
         Some(EndpointChange::Gone(entry))
     }
 
-    /// Notes that all changes up to a revision were taken in.
-    pub fn reached(&mut self, revision: u64) {
+    /// Records that all changes up to a revision were applied.
+    pub fn advance_to(&mut self, revision: u64) {
         self.revision = self.revision.max(revision);
     }
 
@@ -246,7 +246,7 @@
                 .iter()
                 .filter_map(|id| self.vanish(now, id, is_outage)),
         );
-        self.reached(revision);
+        self.advance_to(revision);
         // What a list lacks tells no revision, so that only later changes are known one by one.
         self.changed = self.changed.max(revision);
         self.changes.clear();
--- a/lib/src/gateway/directory/follow.rs
+++ b/lib/src/gateway/directory/follow.rs
@@ -129,7 +129,7 @@
     for item in &items.items {
         apply_change(gateway, item);
     }
-    gateway.reached(items.revision);
+    gateway.advance_revision(items.revision);
 }
 
 fn apply_change<D: Dialect>(gateway: &Gateway<D>, item: &Item) {
--- a/lib/src/gateway/directory/mod.rs
+++ b/lib/src/gateway/directory/mod.rs
@@ -1,6 +1,7 @@
 //! Follows the directory that publishes the table and the endpoints.
 
 pub mod adopt_table;
+pub(crate) mod apply;
 pub mod catalogue;
 pub mod contact;
 pub(crate) mod coverage;
--- a/lib/tests/test_catalogue.rs
+++ b/lib/tests/test_catalogue.rs
@@ -131,7 +131,7 @@
 #[test]
 fn revisions_never_fall() {
     let mut catalogue = catalogue();
-    catalogue.reached(9);
+    catalogue.advance_to(9);
     catalogue.replace(Time(0), 5, Vec::new(), false);
     assert_eq!(catalogue.revision(), 9);
 }
@@ -203,7 +203,7 @@
                 for gone in changes.gone {
                     asker.remove(Time(0), &gone.id, gone.revision, gone.suspect);
                 }
-                asker.reached(changes.revision);
+                asker.advance_to(changes.revision);
                 assert_eq!(names(&asker), names(&told));
                 assert_eq!(asker.changed(), told.changed());
             }
