--- a/daemon/tests/test_process.rs
+++ b/daemon/tests/test_process.rs
@@ -9,7 +9,7 @@
     serde_json::{Value, json},
     stand_in::{
         client, loopback,
-        replica::Replica,
+        replica::{Act, Replica},
         run,
         site::{DaemonFile, free_ports, plain_table},
         store::StandInStore,
@@ -19,6 +19,7 @@
         net::SocketAddr,
         path::PathBuf,
         process::{Child, Command, Stdio},
+        time::Duration,
     },
 };
 
@@ -48,7 +49,15 @@
     }
 }
 
-fn settings_text(name: &str, [front, ready, peer]: [u16; 3], store: SocketAddr) -> String {
+/// Grace period of a daemon that a test doesn't choose, in seconds.
+const GRACE_S: f64 = 3.5;
+
+fn settings_text(
+    name: &str,
+    [front, ready, peer]: [u16; 3],
+    store: SocketAddr,
+    grace_s: f64,
+) -> String {
     let file = DaemonFile {
         name,
         ip: loopback().ip(),
@@ -57,17 +66,21 @@
         control: None,
         peer,
         seeds: &[],
-        grace_s: 3.5,
+        grace_s,
         store,
     };
     file.text()
 }
 
 async fn start(name: &str, store: &StandInStore, log: Stdio) -> Process {
+    start_with_grace(name, store, log, GRACE_S).await
+}
+
+async fn start_with_grace(name: &str, store: &StandInStore, log: Stdio, grace_s: f64) -> Process {
     let [front, ready, peer] = free_ports(loopback().ip());
     let file = format!("hazelyoked-{}-{name}.toml", std::process::id());
     let settings = std::env::temp_dir().join(file);
-    let text = settings_text(name, [front, ready, peer], store.address);
+    let text = settings_text(name, [front, ready, peer], store.address, grace_s);
     std::fs::write(&settings, text).unwrap();
     let child = Command::new(env!("CARGO_BIN_EXE_hazelyoked"))
         .arg("--platform")
@@ -154,7 +167,7 @@
         let writer = tokio::task::spawn_blocking(|| std::fs::File::create(opened).unwrap());
         let mut writer = writer.await.unwrap();
         signal(&process, "HUP");
-        let text = settings_text("starting", [front, ready, peer], store.address);
+        let text = settings_text("starting", [front, ready, peer], store.address, GRACE_S);
         std::io::Write::write_all(&mut writer, text.as_bytes()).unwrap();
         // The reload that follows finds a file.
         std::fs::remove_file(&pipe).unwrap();
@@ -183,8 +196,63 @@
             if let Some(status) = process.child.try_wait().unwrap() {
                 break status;
             }
-            tokio::time::sleep(std::time::Duration::from_millis(20)).await;
+            tokio::time::sleep(Duration::from_millis(20)).await;
         };
         assert!(status.success(), "{status}");
     });
 }
+
+/// The grace period of the settings file grows while the daemon runs; a request that needs the longer
+/// one is answered whole although the daemon stops.
+#[test]
+fn reload_takes_effect() {
+    run(async {
+        let store = StandInStore::start().await;
+        store.publish(&config());
+        let replica = Replica::start(&store, "i-1", "s").await;
+        let log = LogFile::new("reload");
+        let process = start_with_grace("reload", &store, log.stdout(), 1.0).await;
+        let before = std::fs::read_to_string(&process.settings).unwrap();
+        let changed = before.replace("graceS = 1\n", "graceS = 20\n");
+        assert_ne!(changed, before);
+        std::fs::write(&process.settings, changed).unwrap();
+        signal(&process, "HUP");
+        until(|| async { log.names("settings.reloaded") }, true).await;
+        replica.next(Act::Wait(Duration::from_secs(3), "late".into()));
+        let text = client::request("GET", "/x/1", "r1", &[], "");
+        let stop = async {
+            until(|| async { replica.seen().len() }, 1).await;
+            signal(&process, "TERM");
+        };
+        let (answer, ()) = tokio::join!(client::send(process.listen, &text), stop);
+        assert_eq!((answer.status, answer.whole), (200, true));
+        assert_eq!(answer.text(), "late");
+    });
+}
+
+/// A daemon's log in a file; removed when the test ends, whichever way.
+struct LogFile(PathBuf);
+
+impl LogFile {
+    fn new(name: &str) -> Self {
+        let file = format!("hazelyoked-{}-{name}.log", std::process::id());
+        Self(std::env::temp_dir().join(file))
+    }
+
+    fn stdout(&self) -> Stdio {
+        std::fs::File::create(&self.0).unwrap().into()
+    }
+
+    /// Returns whether an event was logged.
+    fn names(&self, event: &str) -> bool {
+        let text = std::fs::read_to_string(&self.0).unwrap();
+        text.contains(&format!("\"event\":\"{event}\""))
+    }
+}
+
+impl Drop for LogFile {
+    fn drop(&mut self) {
+        // Whoever removed it before did the same.
+        let _ = std::fs::remove_file(&self.0);
+    }
+}
