--- a/lib/src/gateway/serving/mod.rs
+++ b/lib/src/gateway/serving/mod.rs
@@ -5,3 +5,4 @@
 pub mod operator;
 pub mod server;
 pub mod settings;
+pub mod sockets;
--- a/lib/src/gateway/serving/server.rs
+++ b/lib/src/gateway/serving/server.rs
@@ -1,4 +1,8 @@
-//! Puts a forwarding daemon together, and takes it apart again without cutting requests.
+//! Starts a forwarding daemon from its settings, and stops it without cutting requests.
+//!
+//! Owns the daemon's tasks, which end with it. The sockets come from
+//! [`sockets`](super::sockets), the times of a stop from the rule
+//! [`shutdown`](crate::gateway::rules::shutdown).
 
 use {
     crate::gateway::{
@@ -7,37 +11,30 @@
             follow::follow,
             source::{Directory, Topic},
         },
-        peers::{catch_up, heartbeats, link_server, receive, sockets},
+        peers::{catch_up, heartbeats, link_server, receive},
         rules::shutdown::StopSchedule,
         serving::{
             ingress::{self, ListenerState},
             operator,
             settings::GatewaySettings,
+            sockets::{BindError, Bound, Sockets},
         },
         stages::planner::{run_planner, run_releases},
         state::Gateway,
     },
-    std::{future::Future, io, net::SocketAddr, rc::Rc, time::Duration},
-    thiserror::Error,
-    tokio::{net::TcpListener, sync::watch, task::AbortHandle, time::Instant},
+    std::{future::Future, net::SocketAddr, rc::Rc, time::Duration},
+    tokio::{
+        net::{TcpListener, UdpSocket},
+        sync::watch,
+        task::AbortHandle,
+        time::Instant,
+    },
 };
 
 /// Time between two checks of what is still in flight, and for the last answers to leave. Chosen,
 /// not measured.
 const CHECK: Duration = Duration::from_millis(20);
 
-/// Why a daemon can't start.
-#[derive(Debug, Error)]
-#[error("can't serve {purpose} on {address}: {source}; is the address free and this host's own?")]
-pub struct ServerStartError {
-    /// What the address is for.
-    pub purpose: &'static str,
-    /// The address from the settings.
-    pub address: SocketAddr,
-    /// What failed.
-    pub source: io::Error,
-}
-
 /// A running forwarding daemon. It lives on one thread, in a `LocalSet`.
 #[derive(Debug)]
 pub struct Server<D: Dialect> {
@@ -66,56 +63,32 @@
     pub async fn start(
         mut settings: GatewaySettings,
         directory: impl Directory,
-    ) -> Result<Self, ServerStartError> {
-        let peer_error = |source| ServerStartError {
-            purpose: "peers",
-            address: settings.peer,
-            source,
-        };
-        let (links, datagrams) = sockets::bind(settings.peer).await.map_err(peer_error)?;
-        settings.peer = links.local_addr().map_err(peer_error)?;
-        let callers = bind("callers", settings.listen).await?;
-        let listen = callers.local_addr().unwrap_or(settings.listen);
-        let ready = bind("readiness", settings.ready).await?;
-        let ready_address = ready.local_addr().unwrap_or(settings.ready);
-        let operators = match settings.operator {
-            Some(address) => Some(bind("operators", address).await?),
-            None => None,
-        };
-        let metrics = bind_metrics(settings.metrics).await;
+    ) -> Result<Self, BindError> {
+        let sockets = Sockets::bind(&settings).await?;
+        // A port that the system chose is what other daemons have to be told.
+        settings.peer = sockets.peer;
         let gateway: Rc<Gateway<D>> = Gateway::new(settings);
-        let directory = Rc::new(directory);
-        let datagrams = Rc::new(datagrams);
         let (admission, watched) = watch::channel(ListenerState::Open);
         let mut server = Self {
             gateway: gateway.clone(),
             admission,
             tasks: Vec::new(),
-            listen,
-            ready: ready_address,
-            operator: operators
-                .as_ref()
-                .and_then(|operators| operators.local_addr().ok()),
+            listen: sockets.callers.address,
+            ready: sockets.ready.address,
+            operator: sockets.operators.as_ref().map(|bound| bound.address),
         };
-        server.spawn(follow(gateway.clone(), directory.clone(), Topic::Table));
-        server.spawn(follow(gateway.clone(), directory, Topic::Endpoints));
-        server.spawn(heartbeats::run_heartbeats(
+        server.follow_directory(directory);
+        server.join_peers(sockets.links, sockets.datagrams);
+        server.plan_stages();
+        server.serve_operators(sockets.ready, sockets.operators, sockets.metrics);
+        server.spawn(ingress::serve(
             gateway.clone(),
-            datagrams.clone(),
+            sockets.callers.listener,
+            watched,
         ));
-        server.spawn(receive::receive_datagrams(gateway.clone(), datagrams));
-        server.spawn(link_server::serve_links(gateway.clone(), links));
-        server.spawn(catch_up::run_catch_up(gateway.clone()));
-        server.spawn(run_planner(gateway.clone()));
-        server.spawn(run_releases(gateway.clone()));
-        server.spawn(operator::serve(gateway.clone(), ready));
-        for listener in operators.into_iter().chain(metrics) {
-            server.spawn(operator::serve(gateway.clone(), listener));
-        }
-        server.spawn(ingress::serve(gateway.clone(), callers, watched));
         log::info!(
             host:% = gateway.settings.host,
-            listen:% = listen,
+            listen:% = server.listen,
             peer:% = gateway.settings.peer,
             data_centre:% = gateway.settings.data_centre;
             "daemon.started"
@@ -123,6 +96,36 @@
         Ok(server)
     }
 
+    fn follow_directory(&mut self, directory: impl Directory) {
+        let directory = Rc::new(directory);
+        for topic in [Topic::Table, Topic::Endpoints] {
+            self.spawn(follow(self.gateway.clone(), directory.clone(), topic));
+        }
+    }
+
+    fn join_peers(&mut self, links: TcpListener, datagrams: UdpSocket) {
+        let datagrams = Rc::new(datagrams);
+        let gateway = self.gateway.clone();
+        self.spawn(heartbeats::run_heartbeats(
+            gateway.clone(),
+            datagrams.clone(),
+        ));
+        self.spawn(receive::receive_datagrams(gateway.clone(), datagrams));
+        self.spawn(link_server::serve_links(gateway.clone(), links));
+        self.spawn(catch_up::run_catch_up(gateway));
+    }
+
+    fn plan_stages(&mut self) {
+        self.spawn(run_planner(self.gateway.clone()));
+        self.spawn(run_releases(self.gateway.clone()));
+    }
+
+    fn serve_operators(&mut self, ready: Bound, operators: Option<Bound>, metrics: Option<Bound>) {
+        for bound in [Some(ready), operators, metrics].into_iter().flatten() {
+            self.spawn(operator::serve(self.gateway.clone(), bound.listener));
+        }
+    }
+
     fn spawn(&mut self, task: impl Future<Output = ()> + 'static) {
         let task = tokio::task::spawn_local(task);
         self.tasks.push(task.abort_handle());
@@ -172,24 +175,3 @@
         self.gateway.in_flight.get() > 0 || jobs > 0
     }
 }
-
-async fn bind(purpose: &'static str, address: SocketAddr) -> Result<TcpListener, ServerStartError> {
-    TcpListener::bind(address)
-        .await
-        .map_err(|source| ServerStartError {
-            purpose,
-            address,
-            source,
-        })
-}
-
-/// Opens the second address for metrics; a daemon that can't have it serves all the same.
-async fn bind_metrics(address: Option<SocketAddr>) -> Option<TcpListener> {
-    match bind("metrics", address?).await {
-        Ok(listener) => Some(listener),
-        Err(error) => {
-            log::warn!(error:%; "metrics.unavailable");
-            None
-        }
-    }
-}
