--- a/lib/src/gateway/serving/ingress.rs
+++ b/lib/src/gateway/serving/ingress.rs
@@ -1,10 +1,13 @@
-//! Takes callers' connections and hands their requests on.
+//! Accepts callers' connections, and passes their requests on to routing.
+//!
+//! Owns each connection and its limits, which it reads from the table when the connection begins.
 
 use {
     crate::gateway::{
         dialect::Dialect,
         routing::forward,
         state::Gateway,
+        table::IngressLimits,
         wire::{listen::accept_each, reply::ReplyBody},
     },
     http::{HeaderValue, Request, Response, header},
@@ -17,23 +20,47 @@
     },
 };
 
-/// Limits until a table tells others.
-const IDLE: Duration = Duration::from_secs(15);
+/// Longest time until a head has arrived while there is no table. Chosen, not measured.
+const HEAD_TIME: Duration = Duration::from_secs(15);
+
+/// Largest head while there is no table, in bytes. Chosen, not measured.
 const HEAD_SIZE: usize = 16 * 1024;
 
-/// Least size of the buffer that a connection needs.
+/// Smallest buffer of a connection, in bytes: `hyper` panics below it.
 const LEAST_BUFFER: usize = 8 * 1024;
 
-/// How far a stop of this daemon is, for its connections.
+/// State of the listener for callers, as its connections have to know it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ListenerState {
-    /// Connections are taken and kept.
+    /// Connections are accepted and kept.
     Open,
-    /// No connection is taken; those that rest are closed.
+    /// No connection is accepted; idle ones are closed.
     Closing,
 }
 
-/// Accepts callers until connections are no longer taken.
+/// Limits of one connection.
+#[derive(Debug, Clone, Copy)]
+struct ConnectionLimits {
+    /// Longest time until a head has arrived, the idle time before it included.
+    head_time: Duration,
+    /// Size of the buffer, in bytes; it bounds the size of a head.
+    buffer: usize,
+}
+
+impl ConnectionLimits {
+    fn new(table: Option<IngressLimits>) -> Self {
+        let head_time = table.map_or(HEAD_TIME, |limits| {
+            limits.idle.max(limits.head_time).to_duration()
+        });
+        let head_size = table.map_or(HEAD_SIZE, |limits| limits.head.0 as usize);
+        Self {
+            head_time,
+            buffer: head_size.max(LEAST_BUFFER),
+        }
+    }
+}
+
+/// Accepts callers until the listener closes.
 pub async fn serve<D: Dialect>(
     gateway: Rc<Gateway<D>>,
     listener: TcpListener,
@@ -55,28 +82,27 @@
     stream: TcpStream,
     mut admission: watch::Receiver<ListenerState>,
 ) {
-    // Latency only; a stream without it still works.
+    // The option only shortens latency; a stream without it works.
     let _ = stream.set_nodelay(true);
     let limits = gateway
         .published()
         .and_then(|published| published.table.limits().copied());
-    let idle = limits.map_or(IDLE, |limits| {
-        limits.idle.max(limits.head_time).to_duration()
-    });
-    let head_size = limits.map_or(HEAD_SIZE, |limits| limits.head.0 as usize);
+    let limits = ConnectionLimits::new(limits);
     let service = service_fn(|request| answer(gateway.clone(), request));
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
-        .header_read_timeout(idle)
-        .max_buf_size(head_size.max(LEAST_BUFFER))
+        .header_read_timeout(limits.head_time)
+        .max_buf_size(limits.buffer)
         .serve_connection(TokioIo::new(stream), service);
     let mut connection = std::pin::pin!(connection);
     let closing = async {
-        // The sender lives as long as the daemon does.
+        // It fails only when the sender is dropped, which lives as long as the daemon.
         let _ = admission
             .wait_for(|state| *state == ListenerState::Closing)
             .await;
     };
+    // A connection ends with an error when the caller leaves or sends no HTTP; the request that it
+    // concerned has been counted where it was handled.
     tokio::select! {
         _ = connection.as_mut() => return,
         () = closing => {}
--- a/lib/src/gateway/serving/metrics.rs
+++ b/lib/src/gateway/serving/metrics.rs
@@ -1,4 +1,8 @@
 //! Counters and latency histograms of a forwarding daemon.
+//!
+//! Owns the registry. The names of metrics and the values of labels are read by dashboards
+//! (`docs/OPERATIONS.md`), so they stay also where the code uses another word: a retry is a
+//! `repeat` there.
 
 use {
     crate::{
@@ -32,7 +36,32 @@
     kind: &'static str,
 }
 
-/// What a daemon counts.
+/// All reasons of retries.
+const RETRY_REASONS: [RetryReason; 3] = [
+    RetryReason::NotRun,
+    RetryReason::Failed,
+    RetryReason::Resume,
+];
+
+/// Returns the value of the label `kind` of retries.
+fn retry_label(reason: RetryReason) -> &'static str {
+    match reason {
+        RetryReason::NotRun => "not_run",
+        RetryReason::Failed => "failed",
+        RetryReason::Resume => "resume",
+    }
+}
+
+/// Values of the label `end` beside the codes of problems.
+const ANSWERED: &str = "answered";
+const CALLER_LEFT: &str = "caller_left";
+const BROKEN_OFF: &str = "broken_off";
+
+/// Values of the label `kind` of pieces: sent for the first time, and sent again.
+const FIRST: &str = "first";
+const REPEATED: &str = "repeated";
+
+/// Counters and histograms of a daemon.
 pub struct GatewayMetrics {
     registry: Registry,
     ends: Family<EndLabels, Counter>,
@@ -54,8 +83,14 @@
     }
 }
 
+/// Bounds of the latency histograms: 13 buckets from 5 ms, each twice the one before, up to 20.48 s.
+/// Chosen, not measured.
+const FIRST_BUCKET_S: f64 = 0.005;
+const BUCKET_FACTOR: f64 = 2.0;
+const BUCKETS: u16 = 13;
+
 fn latency() -> Histogram {
-    Histogram::new(exponential_buckets(0.005, 2.0, 13))
+    Histogram::new(exponential_buckets(FIRST_BUCKET_S, BUCKET_FACTOR, BUCKETS))
 }
 
 impl Default for GatewayMetrics {
@@ -120,21 +155,21 @@
 
     /// Counts an answer that came from an endpoint.
     pub fn answered(&self, took: Duration) {
-        self.count_end("answered");
+        self.count_end(ANSWERED);
         self.duration.observe(took.as_secs_f64());
     }
 
     /// Counts a caller that left before its answer.
     pub fn caller_left(&self) {
-        self.count_end("caller_left");
+        self.count_end(CALLER_LEFT);
     }
 
     /// Counts an answer broken off midway.
     pub fn broken_off(&self) {
-        self.count_end("broken_off");
+        self.count_end(BROKEN_OFF);
     }
 
-    /// Counts a problem told to a caller.
+    /// Counts a problem that a caller got as its answer.
     pub fn problem(&self, code: Code, outcome: Outcome) {
         self.count_end(code.as_str());
         *self
@@ -151,8 +186,7 @@
 
     /// Returns the number of answers that came from endpoints.
     pub fn answers(&self) -> u64 {
-        let end = "answered";
-        self.ends.get_or_create(&EndLabels { end }).get()
+        self.ends.get_or_create(&EndLabels { end: ANSWERED }).get()
     }
 
     /// Returns the number of attempts.
@@ -162,12 +196,11 @@
 
     /// Returns the number of retries.
     pub fn retries(&self) -> u64 {
-        let kinds = ["not_run", "failed", "resume"];
-        let count = |kind| self.retries.get_or_create(&KindLabels { kind }).get();
-        kinds.into_iter().map(count).sum()
+        let count = |reason: RetryReason| self.retry_counter(reason).get();
+        RETRY_REASONS.into_iter().map(count).sum()
     }
 
-    /// Returns the problems told to callers.
+    /// Returns the problems that callers got, by code and outcome.
     pub fn problems(&self) -> Vec<ProblemCount> {
         let problems = self.problems.borrow();
         let count = |((code, outcome), count): (&(Code, Outcome), &u64)| ProblemCount {
@@ -182,32 +215,32 @@
         self.ends.get_or_create(&EndLabels { end }).inc();
     }
 
-    /// Notes the time to the head of an answer.
+    /// Observes the time to the head of an answer.
     pub fn head(&self, took: Duration) {
         self.first_event.observe(took.as_secs_f64());
     }
 
-    /// Notes the time of one stage.
+    /// Observes the time of one stage.
     pub fn stage(&self, took: Duration) {
         self.stage.observe(took.as_secs_f64());
     }
 
-    /// Counts a call of pieces.
+    /// Counts a call, and its pieces that are sent for the first time and again.
     pub fn call(&self, firsts: usize, repeated: usize) {
         self.calls.inc();
         let kind = |kind| self.pieces.get_or_create(&KindLabels { kind }).clone();
-        kind("first").inc_by(firsts as u64);
-        kind("repeated").inc_by(repeated as u64);
+        kind(FIRST).inc_by(firsts as u64);
+        kind(REPEATED).inc_by(repeated as u64);
     }
 
     /// Counts a retry.
     pub fn retry(&self, reason: RetryReason) {
-        let kind = match reason {
-            RetryReason::NotRun => "not_run",
-            RetryReason::Failed => "failed",
-            RetryReason::Resume => "resume",
-        };
-        self.retries.get_or_create(&KindLabels { kind }).inc();
+        self.retry_counter(reason).inc();
+    }
+
+    fn retry_counter(&self, reason: RetryReason) -> Counter {
+        let kind = retry_label(reason);
+        self.retries.get_or_create(&KindLabels { kind }).clone()
     }
 
     /// Counts a table that was refused.
@@ -223,8 +256,7 @@
     /// Writes everything in the text format of Prometheus.
     pub fn text(&self) -> String {
         let mut text = String::new();
-        // Writing into a string doesn't fail.
-        let _ = encode(&mut text, &self.registry);
+        encode(&mut text, &self.registry).expect("writing into a string doesn't fail");
         text
     }
 }
--- a/lib/src/gateway/serving/mod.rs
+++ b/lib/src/gateway/serving/mod.rs
@@ -6,3 +6,4 @@
 pub mod server;
 pub mod settings;
 pub mod sockets;
+pub(crate) mod status;
--- a/lib/src/gateway/serving/operator.rs
+++ b/lib/src/gateway/serving/operator.rs
@@ -1,83 +1,84 @@
-//! Small interfaces beside the callers': readiness, metrics, and what the daemon believes.
+//! Interfaces for operators: readiness, metrics and state, read-only.
+//!
+//! Each of the addresses for readiness, operators and metrics serves all three. Relies on
+//! [`GatewayStatus`] and on the daemon's metrics; owns nothing.
 
 use {
-    crate::{
-        gateway::{
-            dialect::Dialect,
-            peers::message::Phase,
-            state::Gateway,
-            wire::{listen::accept_each, reply::ReplyBody},
-        },
-        shared::status::{EndpointStatus, StatusBody},
+    crate::gateway::{
+        dialect::Dialect,
+        peers::message::Phase,
+        serving::status::GatewayStatus,
+        state::Gateway,
+        wire::{listen::accept_each, reply::ReplyBody},
     },
     http::{HeaderValue, Method, Request, Response, StatusCode, header},
     hyper::{body::Incoming, server::conn::http1, service::service_fn},
     hyper_util::rt::{TokioIo, TokioTimer},
-    serde::Serialize,
     std::{convert::Infallible, rc::Rc, time::Duration},
-    tokio::net::TcpListener,
+    tokio::net::{TcpListener, TcpStream},
 };
 
-/// Longest time for a head to arrive.
+/// Longest time for a head to arrive. Chosen, not measured.
 const HEAD_TIME: Duration = Duration::from_secs(10);
 
 /// Path of the metrics.
 const METRICS_PATH: &str = "/metrics";
 
-/// Path of what the daemon believes.
+/// Path of the daemon's state.
 const STATUS_PATH: &str = "/v1/status";
 
+/// Kinds of bodies.
+const TEXT: &str = "text/plain";
+const METRICS: &str = "text/plain; version=0.0.4";
+const JSON: &str = "application/json";
+
 /// Serves readiness, metrics and state on one address for good.
 pub async fn serve<D: Dialect>(gateway: Rc<Gateway<D>>, listener: TcpListener) {
     accept_each(listener, "operator.accept_failed", |stream, _| {
-        let gateway = gateway.clone();
-        tokio::task::spawn_local(async move {
-            let service = service_fn(|request| {
-                let response = answer(&gateway, &request);
-                async move { Ok::<_, Infallible>(response) }
-            });
-            // Whoever asked may be gone.
-            let _ = http1::Builder::new()
-                .timer(TokioTimer::new())
-                .header_read_timeout(HEAD_TIME)
-                .serve_connection(TokioIo::new(stream), service)
-                .await;
-        });
+        tokio::task::spawn_local(serve_connection(gateway.clone(), stream));
     })
     .await;
 }
 
+async fn serve_connection<D: Dialect>(gateway: Rc<Gateway<D>>, stream: TcpStream) {
+    let service = service_fn(|request| {
+        let response = answer(&gateway, &request);
+        async move { Ok::<_, Infallible>(response) }
+    });
+    // A client that left or sent no HTTP needs no answer, and no request of a caller depends on it.
+    let _ = http1::Builder::new()
+        .timer(TokioTimer::new())
+        .header_read_timeout(HEAD_TIME)
+        .serve_connection(TokioIo::new(stream), service)
+        .await;
+}
+
 fn answer<D: Dialect>(gateway: &Gateway<D>, request: &Request<Incoming>) -> Response<ReplyBody> {
     if request.method() != Method::GET {
-        return text(
-            StatusCode::METHOD_NOT_ALLOWED,
-            "text/plain",
-            "only GET\n".into(),
-        );
+        return reply(StatusCode::METHOD_NOT_ALLOWED, TEXT, "only GET\n".into());
     }
     match request.uri().path() {
-        path if path == D::READY_PATH => {
-            let status = if gateway.phase() == Phase::Ready {
-                StatusCode::OK
-            } else {
-                StatusCode::SERVICE_UNAVAILABLE
-            };
-            text(status, "text/plain", String::new())
-        }
-        METRICS_PATH => text(
-            StatusCode::OK,
-            "text/plain; version=0.0.4",
-            gateway.metrics.text(),
-        ),
-        STATUS_PATH => {
-            let json = serde_json::to_string(&status(gateway)).unwrap_or_default();
-            text(StatusCode::OK, "application/json", json)
-        }
-        _ => text(StatusCode::NOT_FOUND, "text/plain", String::new()),
+        path if path == D::READY_PATH => reply(ready_status(gateway), TEXT, String::new()),
+        METRICS_PATH => reply(StatusCode::OK, METRICS, gateway.metrics.text()),
+        STATUS_PATH => reply(StatusCode::OK, JSON, status_json(gateway)),
+        _ => reply(StatusCode::NOT_FOUND, TEXT, String::new()),
     }
 }
 
-fn text(status: StatusCode, kind: &'static str, body: String) -> Response<ReplyBody> {
+fn ready_status<D: Dialect>(gateway: &Gateway<D>) -> StatusCode {
+    if gateway.phase() == Phase::Ready {
+        StatusCode::OK
+    } else {
+        StatusCode::SERVICE_UNAVAILABLE
+    }
+}
+
+fn status_json<D: Dialect>(gateway: &Gateway<D>) -> String {
+    serde_json::to_string(&GatewayStatus::new(gateway))
+        .expect("a struct of texts, numbers and lists is valid JSON")
+}
+
+fn reply(status: StatusCode, kind: &'static str, body: String) -> Response<ReplyBody> {
     let mut response = Response::new(ReplyBody::whole(body));
     *response.status_mut() = status;
     response
@@ -85,63 +86,3 @@
         .insert(header::CONTENT_TYPE, HeaderValue::from_static(kind));
     response
 }
-
-/// What a daemon believes, for people: the state that every daemon tells, and what only a forwarding
-/// one knows.
-#[derive(Debug, Serialize)]
-struct GatewayStatus {
-    #[serde(flatten)]
-    common: StatusBody,
-    phase: Phase,
-    catalogue: u64,
-    jobs: usize,
-    directory_lost: bool,
-    peers: Vec<PeerStatus>,
-}
-
-#[derive(Debug, Serialize)]
-struct PeerStatus {
-    host: String,
-    address: String,
-    phase: Phase,
-    table: u64,
-    catalogue: u64,
-}
-
-fn status<D: Dialect>(gateway: &Gateway<D>) -> GatewayStatus {
-    let phase = gateway.phase();
-    let state = gateway.state.borrow();
-    let peers = state.peers.heartbeats().map(|peer| PeerStatus {
-        host: peer.host.to_string(),
-        address: peer.address.to_string(),
-        phase: peer.phase,
-        table: peer.table,
-        catalogue: peer.catalogue,
-    });
-    let endpoints = state.endpoints.members().map(|member| EndpointStatus {
-        service: member.entry.service.to_string(),
-        endpoint: member.entry.id.to_string(),
-        open: member.is_open(),
-        in_flight: member.running,
-    });
-    let common = StatusBody {
-        host: gateway.settings.host.to_string(),
-        ready: phase == Phase::Ready,
-        version: state.published.as_ref().map_or(0, |p| p.table.version),
-        in_flight: gateway.in_flight.get() as u64,
-        answered: gateway.metrics.answers(),
-        late: 0,
-        problems: gateway.metrics.problems(),
-        attempts: gateway.metrics.attempts(),
-        extra: gateway.metrics.retries(),
-        endpoints: endpoints.collect(),
-    };
-    GatewayStatus {
-        common,
-        phase,
-        catalogue: state.catalogue.revision(),
-        jobs: state.planning.jobs(),
-        directory_lost: state.contact.reads.is_lost(),
-        peers: peers.collect(),
-    }
-}
--- /dev/null
+++ b/lib/src/gateway/serving/status.rs
@@ -0,0 +1,93 @@
+//! State of a forwarding daemon, as operators read it in JSON.
+//!
+//! The fields that every daemon reports are [`StatusBody`]; the others only a forwarding one knows.
+//! Field names are read by `hazelyoke status` and by people's scripts.
+
+use {
+    crate::{
+        gateway::{
+            dialect::Dialect,
+            peers::message::Phase,
+            state::{Gateway, GatewayState},
+        },
+        shared::status::{EndpointStatus, StatusBody},
+    },
+    serde::Serialize,
+};
+
+/// State of one forwarding daemon.
+#[derive(Debug, Serialize)]
+pub(crate) struct GatewayStatus {
+    #[serde(flatten)]
+    common: StatusBody,
+    phase: Phase,
+    /// Revision of the directory up to which the list of endpoints is complete.
+    catalogue: u64,
+    /// Jobs of stages that this daemon plans.
+    jobs: usize,
+    directory_lost: bool,
+    peers: Vec<PeerStatus>,
+}
+
+/// Another daemon, as its last heartbeat reported it.
+#[derive(Debug, Serialize)]
+struct PeerStatus {
+    host: String,
+    address: String,
+    phase: Phase,
+    table: u64,
+    catalogue: u64,
+}
+
+impl GatewayStatus {
+    /// Reads the state of a daemon.
+    pub(crate) fn new<D: Dialect>(gateway: &Gateway<D>) -> Self {
+        let phase = gateway.phase();
+        let state = gateway.state.borrow();
+        Self {
+            common: common_status(gateway, &state, phase),
+            phase,
+            catalogue: state.catalogue.revision(),
+            jobs: state.planning.jobs(),
+            directory_lost: state.contact.reads.is_lost(),
+            peers: peer_statuses(&state),
+        }
+    }
+}
+
+fn common_status<D: Dialect>(
+    gateway: &Gateway<D>,
+    state: &GatewayState,
+    phase: Phase,
+) -> StatusBody {
+    let endpoints = state.endpoints.members().map(|member| EndpointStatus {
+        service: member.entry.service.to_string(),
+        endpoint: member.entry.id.to_string(),
+        open: member.is_open(),
+        in_flight: member.running,
+    });
+    StatusBody {
+        host: gateway.settings.host.to_string(),
+        ready: phase == Phase::Ready,
+        version: state.published.as_ref().map_or(0, |p| p.table.version),
+        in_flight: gateway.in_flight.get() as u64,
+        answered: gateway.metrics.answers(),
+        // A forwarding daemon doesn't count answers after their objective.
+        late: 0,
+        problems: gateway.metrics.problems(),
+        attempts: gateway.metrics.attempts(),
+        extra: gateway.metrics.retries(),
+        endpoints: endpoints.collect(),
+    }
+}
+
+fn peer_statuses(state: &GatewayState) -> Vec<PeerStatus> {
+    let peers = state.peers.alive().map(|peer| PeerStatus {
+        host: peer.host.to_string(),
+        address: peer.address.to_string(),
+        phase: peer.phase,
+        table: peer.table,
+        catalogue: peer.catalogue,
+    });
+    peers.collect()
+}
