--- a/daemon/src/log_lines.rs
+++ b/daemon/src/log_lines.rs
@@ -1,6 +1,7 @@
 //! Structured logs on standard output: one JSON object a line, written by a thread of its own.
 //!
-//! The queue is bounded. When nobody reads, lines are dropped and counted, and no request waits.
+//! The queue is bounded. When nobody reads, lines are dropped and counted, and no request waits. Owns
+//! the writer's thread.
 
 use {
     env_logger::{Builder, Env, Target, fmt::Formatter},
@@ -16,9 +17,12 @@
     tracing_appender::non_blocking::{ErrorCounter, NonBlocking, NonBlockingBuilder, WorkerGuard},
 };
 
-/// Lines that may wait for the writer.
+/// Lines that may wait for the writer. Chosen, not measured.
 const QUEUE: usize = 16_384;
 
+/// Factor that keeps one digit of a number after the point.
+const ONE_DIGIT: f64 = 10.0;
+
 /// Keeps the writer's thread; dropping it writes what is queued.
 pub struct LogGuard {
     _worker: WorkerGuard,
@@ -53,6 +57,7 @@
     let mut fields = Fields(Map::new());
     let at = SystemTime::now()
         .duration_since(UNIX_EPOCH)
+        // A clock that stands before 1970 gives the line the time 0; the line itself counts more.
         .map_or(0, |since| since.as_millis() as u64);
     fields.0.insert("at_ms".into(), json!(at));
     fields
@@ -61,7 +66,7 @@
     fields
         .0
         .insert("event".into(), json!(record.args().to_string()));
-    // Collecting into memory doesn't fail.
+    // `visit_pair` below returns no error.
     let _ = record.key_values().visit(&mut fields);
     let mut line = serde_json::to_vec(&fields.0)?;
     line.push(b'\n');
@@ -75,7 +80,7 @@
         let json = if let Some(number) = value.to_u64() {
             json!(number)
         } else if let Some(number) = value.to_f64() {
-            json!((number * 10.0).round() / 10.0)
+            json!((number * ONE_DIGIT).round() / ONE_DIGIT)
         } else if let Some(flag) = value.to_bool() {
             json!(flag)
         } else {
