--- a/lib/src/gateway/directory/catalogue.rs
+++ b/lib/src/gateway/directory/catalogue.rs
@@ -1,8 +1,12 @@
-//! The endpoints there are, as the directory and peers tell, and which of them may get work.
+//! The entries of the endpoints as of one revision of the directory.
+//!
+//! Owns the entries, the suspects among them with the time until which they are used, and the log of
+//! changes. Whether an entry that vanished is suspect is the rule
+//! [`suspect_entry`](crate::gateway::rules::suspect_entry). It has no clock: callers pass the time.
 
 use {
     crate::{
-        gateway::rules::suspect_entry::is_suspect,
+        gateway::{directory::change_log::ChangeLog, rules::suspect_entry::is_suspect},
         shared::{
             ids::{DataCentreId, EndpointId, ServiceId},
             units::{Millis, Time},
@@ -10,32 +14,29 @@
     },
     foldhash::{HashMap, HashSet},
     serde::{Deserialize, Serialize},
-    std::{collections::VecDeque, net::SocketAddr, sync::Arc},
+    std::{net::SocketAddr, sync::Arc},
 };
 
-/// Changes that are remembered for daemons that ask for them.
-const CHANGES_KEPT: usize = 512;
-
-/// One endpoint as the directory has it.
+/// One endpoint as the directory publishes it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EndpointEntry {
     /// Its id; a new one at each of its starts.
     pub id: EndpointId,
-    /// Service it belongs to.
+    /// Its service.
     pub service: ServiceId,
     /// Where it listens.
     pub address: SocketAddr,
     /// Data centre it stands in.
     pub data_centre: DataCentreId,
-    /// Requests it works on at the same time.
+    /// Requests that it runs at the same time.
     pub slots: u32,
-    /// Whether it said that it is leaving.
+    /// It announced that it is leaving.
     pub draining: bool,
     /// Revision of the entry in the directory.
     pub revision: u64,
 }
 
-/// What changed in a list of endpoints after a revision.
+/// Changes of the list of endpoints after a revision, as daemons exchange them.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EndpointChanges {
     /// Revision of the last change.
@@ -53,19 +54,19 @@
     pub id: EndpointId,
     /// Revision at which it vanished.
     pub revision: u64,
-    /// Whether it may have lapsed although the endpoint lives; daemons exchange it as `doubted`.
+    /// Its entry may have lapsed although the endpoint lives; daemons exchange it as `doubted`.
     #[serde(rename = "doubted")]
     pub suspect: bool,
 }
 
-/// Why a catalogue changed.
+/// A change that a catalogue has applied.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum EndpointChange {
     /// An endpoint is new.
     Added(Arc<EndpointEntry>),
-    /// An endpoint said that it is leaving.
+    /// An endpoint announced that it is leaving.
     Draining(Arc<EndpointEntry>),
-    /// An endpoint's entry is gone.
+    /// An endpoint is gone.
     Gone(Arc<EndpointEntry>),
     /// An endpoint's entry vanished while the directory couldn't be read; it is used for a while yet.
     Suspect(Arc<EndpointEntry>),
@@ -76,12 +77,9 @@
 pub struct Catalogue {
     /// Time for which suspect endpoints are used.
     suspect_time: Millis,
+    /// Revision up to which all changes were applied.
     revision: u64,
-    /// Revision of the last change that was taken in.
-    changed: u64,
-    /// The last changes, and the revision after which none is missing.
-    changes: VecDeque<(u64, EndpointId)>,
-    complete_from: u64,
+    log: ChangeLog,
     entries: HashMap<EndpointId, Arc<EndpointEntry>>,
     /// Endpoints without an entry that may yet be alive, with the time until which they are used.
     suspects: HashMap<EndpointId, Time>,
@@ -94,34 +92,27 @@
         Self {
             suspect_time,
             revision: 0,
-            changed: 0,
-            changes: VecDeque::new(),
-            complete_from: u64::MAX,
+            log: ChangeLog::default(),
             entries: HashMap::default(),
             suspects: HashMap::default(),
         }
     }
 
-    /// Returns the revision up to which changes were taken in.
+    /// Returns the revision up to which all changes were applied.
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
     /// Returns the revision of the last change of an endpoint.
     pub fn changed(&self) -> u64 {
-        self.changed
+        self.log.last()
     }
 
-    /// Returns what changed after a revision; nothing if too much has been forgotten since.
+    /// Returns the changes after a revision; nothing if too many were forgotten since.
     pub fn changes_since(&self, revision: u64) -> Option<EndpointChanges> {
-        if revision < self.complete_from {
-            return None;
-        }
-        let later = self.changes.iter().filter(|(at, _)| *at > revision);
-        let last: HashMap<&EndpointId, u64> = later.map(|(at, id)| (id, *at)).collect();
         let mut entries = Vec::new();
         let mut gone = Vec::new();
-        for (id, revision) in last {
+        for (id, revision) in self.log.since(revision)? {
             let suspect = self.suspects.contains_key(id);
             match self.entries.get(id) {
                 Some(entry) if !suspect => entries.push((**entry).clone()),
@@ -133,22 +124,12 @@
             }
         }
         Some(EndpointChanges {
-            revision: self.changed,
+            revision: self.log.last(),
             entries,
             gone,
         })
     }
 
-    fn note_change(&mut self, revision: u64, id: &EndpointId) {
-        self.changed = self.changed.max(revision);
-        self.changes.push_back((revision, id.clone()));
-        if self.changes.len() > CHANGES_KEPT
-            && let Some((forgotten, _)) = self.changes.pop_front()
-        {
-            self.complete_from = self.complete_from.max(forgotten);
-        }
-    }
-
     /// Returns all entries, those of leaving endpoints included.
     pub fn entries(&self) -> impl Iterator<Item = &Arc<EndpointEntry>> {
         self.entries.values()
@@ -164,7 +145,7 @@
         self.suspects.len()
     }
 
-    /// Takes in one changed entry.
+    /// Applies a new or changed entry; an older one than the known one changes nothing.
     pub fn put(&mut self, entry: EndpointEntry) -> Option<EndpointChange> {
         let old = self.entries.get(&entry.id);
         if old.is_some_and(|old| old.revision > entry.revision) {
@@ -174,7 +155,7 @@
         let was_open = old.is_some_and(|old| !old.draining);
         let known = old.is_some();
         if is_newer {
-            self.note_change(entry.revision, &entry.id);
+            self.log.record(entry.revision, &entry.id);
         }
         let entry = Arc::new(entry);
         self.suspects.remove(&entry.id);
@@ -199,7 +180,7 @@
         if known.is_some_and(|entry| entry.revision > revision) {
             return None;
         }
-        self.note_change(revision, id);
+        self.log.record(revision, id);
         self.vanish(now, id, is_outage)
     }
 
@@ -222,7 +203,8 @@
         self.revision = self.revision.max(revision);
     }
 
-    /// Takes in a whole list as of `revision`.
+    /// Applies a whole list as of `revision`: entries that it lacks have vanished, unless they are newer
+    /// than the list.
     pub fn replace(
         &mut self,
         now: Time,
@@ -237,21 +219,18 @@
             .filter(|entry| !listed.contains(&entry.id) && entry.revision <= revision)
             .map(|entry| entry.id.clone())
             .collect();
-        let mut learnt: Vec<EndpointChange> = list
+        let mut changes: Vec<EndpointChange> = list
             .into_iter()
             .filter_map(|entry| self.put(entry))
             .collect();
-        learnt.extend(
+        changes.extend(
             missing
                 .iter()
                 .filter_map(|id| self.vanish(now, id, is_outage)),
         );
         self.advance_to(revision);
-        // What a list lacks tells no revision, so that only later changes are known one by one.
-        self.changed = self.changed.max(revision);
-        self.changes.clear();
-        self.complete_from = self.changed;
-        learnt
+        self.log.restart(revision);
+        changes
     }
 
     /// Removes the suspect endpoints whose time is over.
--- a/lib/src/gateway/directory/mod.rs
+++ b/lib/src/gateway/directory/mod.rs
@@ -3,6 +3,7 @@
 pub mod adopt_table;
 pub(crate) mod apply;
 pub mod catalogue;
+pub(crate) mod change_log;
 pub mod contact;
 pub(crate) mod coverage;
 pub mod follow;
