--- a/lib/src/gateway/dialect.rs
+++ b/lib/src/gateway/dialect.rs
@@ -1,4 +1,8 @@
-//! What an installation's spelling of requests and replies is translated to and from.
+//! Translation between an installation's spelling of requests, replies and documents and this
+//! system's values.
+//!
+//! An installation implements [`Dialect`], which decides nothing and holds no state. The values here
+//! are what it reads and writes.
 
 use {
     crate::{
@@ -22,14 +26,14 @@
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 #[error("{place}: {message}")]
 pub struct FormError {
-    /// Where it stands.
+    /// Place in the document, or name of the header.
     pub place: String,
-    /// What is wrong.
+    /// Description of the fault.
     pub message: String,
 }
 
 impl FormError {
-    /// Builds a report.
+    /// Reports a fault at a place.
     pub fn new(place: impl Into<String>, message: impl Into<String>) -> Self {
         Self {
             place: place.into(),
@@ -41,13 +45,13 @@
 /// A part of a prompt that may be shared with other requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PromptPart {
-    /// Tells it from other parts.
+    /// Identity: equal for parts with the same text.
     pub id: u64,
     /// Its length in tokens.
     pub tokens: u32,
 }
 
-/// What a request says of its prompt.
+/// The prompt of a request, as far as its head describes it.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Prompt {
     /// Its parts, in order.
@@ -58,14 +62,14 @@
     pub tokens_out: u32,
 }
 
-/// What a caller's request says, apart from what is passed on as it is.
+/// A caller's request, apart from what is passed on unchanged.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Inbound {
     /// Id that the caller gave this request.
     pub id: Arc<str>,
-    /// Key that tells the customer.
+    /// Key that identifies the customer.
     pub key: Option<String>,
-    /// Time that the caller will wait from when it sent the request.
+    /// Time that the caller waits, counted from when it sent the request.
     pub remaining: Option<Millis>,
     /// The prompt, if there is one.
     pub prompt: Prompt,
@@ -77,7 +81,7 @@
     pub piece_key: Option<String>,
 }
 
-/// What is added to a request on its way to an endpoint.
+/// Headers that are added to a request on its way to an endpoint.
 #[derive(Debug, Clone)]
 pub struct Outbound<'a> {
     /// Endpoint that must answer, and no other.
@@ -88,37 +92,39 @@
     pub remaining: Millis,
     /// Order among the endpoint's requests; 0 goes first.
     pub urgency: u32,
-    /// Results of the stages before.
+    /// Results of the stages that ran before.
     pub inputs: &'a [ResultHandle],
-    /// Event after which the stream goes on.
+    /// Event after which the stream continues.
     pub resume_after: Option<u64>,
 }
 
-/// Load that an endpoint tells with a reply.
+/// Load that an endpoint reports with a reply.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ReplyLoad {
-    /// Requests at work.
+    /// Requests that it runs.
     pub running: u32,
     /// Requests that wait.
     pub waiting: u32,
-    /// Requests that can be at work.
+    /// Requests that it can run at the same time.
     pub slots: u32,
 }
 
-/// What the head of a reply says.
+/// The head of a reply, as far as it matters here.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct ReplyFacts {
-    /// Request it belongs to.
+    /// Request that it answers.
     pub request: Option<String>,
-    /// Whether it carries the mark of an endpoint's own work.
+    /// It carries the mark of an endpoint's own work.
     pub signed: bool,
-    /// Whether the endpoint says that it didn't run the request.
+    /// The endpoint reports that it didn't run the request.
     pub not_run: bool,
     /// Load of the endpoint.
     pub load: Option<ReplyLoad>,
 }
 
 /// The spelling of one installation. It translates and decides nothing.
+///
+/// Functions that write can't fail: they add headers and bodies from values that are valid already.
 pub trait Dialect: 'static {
     /// Path on which readiness is asked.
     const READY_PATH: &'static str;
@@ -134,7 +140,7 @@
     /// Returns what is wrong with its head.
     fn read_request(head: &request::Parts) -> Result<Inbound, FormError>;
 
-    /// Takes out of a request's headers what only this system may set, and adds what it sets.
+    /// Removes from a request's headers those that only this system may set, and adds its own.
     fn write_request(headers: &mut HeaderMap, outbound: &Outbound<'_>);
 
     /// Reads the head of a reply.
@@ -153,7 +159,7 @@
     /// Returns what is wrong with the body.
     fn read_pieces(body: &[u8]) -> Result<Vec<PieceEnd>, FormError>;
 
-    /// Writes which results are no longer needed.
+    /// Writes a release of results that are no longer needed.
     fn write_release(handles: &[ResultHandle]) -> Bytes;
 
     /// Returns the time after which a caller may come back, as headers.
--- a/lib/src/gateway/directory/apply.rs
+++ b/lib/src/gateway/directory/apply.rs
@@ -110,7 +110,7 @@
     /// brought this daemon.
     pub fn known_revision(&self, topic: Topic) -> u64 {
         match topic {
-            // Reading a table again is harmless: its version tells whether it is known.
+            // A table is read again without harm: its version shows whether it is known.
             Topic::Table => 0,
             Topic::Endpoints => self.state.borrow().catalogue.changed(),
         }
--- a/lib/src/gateway/directory/change_log.rs
+++ b/lib/src/gateway/directory/change_log.rs
@@ -55,8 +55,8 @@
         }
     }
 
-    /// Starts over from a whole list. It doesn't tell at which revisions the entries that it lacks
-    /// vanished, so that only later changes are known one by one.
+    /// Starts over from a whole list. The revisions at which the entries that it lacks vanished aren't
+    /// known, so that only later changes are.
     pub(crate) fn restart(&mut self, revision: u64) {
         self.last = self.last.max(revision);
         self.changes.clear();
--- a/lib/src/gateway/directory/mod.rs
+++ b/lib/src/gateway/directory/mod.rs
@@ -1,4 +1,9 @@
-//! Follows the directory that publishes the table and the endpoints.
+//! Follows the directory that publishes the table and the endpoints, and applies what it or peers
+//! report.
+//!
+//! `source` is the directory as a trait, `follow` reads it, `coverage` leaves the reading to peers
+//! where the rule allows it, `adopt_table` and `apply` change the daemon's state, `catalogue` and
+//! `change_log` hold the list of endpoints, `contact` and `outage` the daemon's own reads.
 
 pub mod adopt_table;
 pub(crate) mod apply;
--- a/lib/src/gateway/directory/source.rs
+++ b/lib/src/gateway/directory/source.rs
@@ -1,8 +1,13 @@
-//! The directory that publishes the table and the endpoints; it can only be read.
+//! The directory that publishes the table and the endpoints, as a trait that an installation
+//! implements. It can only be read.
 
-use {bytes::Bytes, std::future::Future, std::time::Duration, thiserror::Error};
+use {
+    bytes::Bytes,
+    std::{future::Future, time::Duration},
+    thiserror::Error,
+};
 
-/// Which part of the directory is meant.
+/// Part of the directory.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Topic {
     /// The published table.
@@ -18,11 +23,11 @@
     pub name: String,
     /// Revision of its last change.
     pub revision: u64,
-    /// The value; nothing if it was taken away.
+    /// The value; nothing if it was removed.
     pub value: Option<Bytes>,
 }
 
-/// Items together with the revision up to which they tell everything.
+/// Items, and the revision up to which they are complete.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Items {
     /// The items.
@@ -34,26 +39,36 @@
 /// Number of topics.
 pub const TOPICS: usize = 2;
 
-/// Why the directory wasn't read.
+/// Reports that the directory wasn't read.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum DirectoryError {
-    /// The changes asked for are no longer kept; the whole has to be read again.
+    /// The changes asked for are no longer kept; the topic has to be read whole again.
     #[error("the changes since then are no longer kept")]
     Compacted,
-    /// The directory said that it can't answer now.
+    /// The directory answered that it can't serve the request now.
     #[error("the directory refused: {0}")]
     Refused(String),
-    /// There was no usable answer; the connection is of no more use.
+    /// There was no usable answer; the connection can't be used any more.
     #[error("the directory didn't answer: {0}")]
     Unreachable(String),
 }
 
 /// Reads the directory; each call has its own bound in time.
 pub trait Directory: 'static {
-    /// Reads everything of a topic.
+    /// Reads a topic whole.
+    ///
+    /// # Errors
+    ///
+    /// Returns why there is no answer.
     fn list(&self, topic: Topic) -> impl Future<Output = Result<Items, DirectoryError>>;
 
-    /// Waits for changes of a topic after a revision, at most for `wait`.
+    /// Waits for changes of a topic after the revision `since`, at most for `wait`; returns no items if
+    /// there were none.
+    ///
+    /// # Errors
+    ///
+    /// Returns why there is no answer, [`DirectoryError::Compacted`] if changes after `since` are no
+    /// longer kept.
     fn changes(
         &self,
         topic: Topic,
--- a/lib/src/gateway/mod.rs
+++ b/lib/src/gateway/mod.rs
@@ -2,8 +2,11 @@
 //!
 //! A [`Table`](table::Table) says which route a request takes, a
 //! [`Directory`](directory::source::Directory) which endpoints there are, and a
-//! [`Dialect`](dialect::Dialect) how requests and replies are spelled. Everything that decides is
-//! here; an installation brings only those three translations.
+//! [`Dialect`](dialect::Dialect) how requests and replies are spelled. An installation brings only those
+//! three translations; every decision is made here.
+//!
+//! `rules` holds the decisions, pure; `directory`, `routing`, `stages` and `peers` carry them out on
+//! the state in `state`; `wire` reads and writes HTTP; `serving` starts and stops all of it.
 
 pub mod dialect;
 pub mod directory;
--- a/lib/src/gateway/serving/server.rs
+++ b/lib/src/gateway/serving/server.rs
@@ -65,7 +65,7 @@
         directory: impl Directory,
     ) -> Result<Self, BindError> {
         let sockets = Sockets::bind(&settings).await?;
-        // A port that the system chose is what other daemons have to be told.
+        // Other daemons need the port that the system chose, where the settings leave it open.
         settings.peer = sockets.peer;
         let gateway: Rc<Gateway<D>> = Gateway::new(settings);
         let (admission, watched) = watch::channel(ListenerState::Open);
--- a/lib/src/gateway/serving/settings.rs
+++ b/lib/src/gateway/serving/settings.rs
@@ -1,4 +1,7 @@
-//! What a forwarding daemon is told at its start.
+//! Checked settings of a forwarding daemon, fixed from its start on.
+//!
+//! The installation's own file is read elsewhere; times that follow from the settings are computed by
+//! the rules.
 
 use {
     crate::{
@@ -11,12 +14,12 @@
     std::{net::SocketAddr, time::Duration},
 };
 
-/// Times that the installation allows or keeps.
+/// Times that the installation promises or allows.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Bounds {
     /// Within this after its publication, a table is in force everywhere.
     pub apply: Millis,
-    /// Within this after an endpoint said that it leaves, it gets nothing new.
+    /// Within this after an endpoint announced that it is leaving, it gets nothing new.
     pub drain: Millis,
     /// Time between two writes of an endpoint's entry.
     pub endpoint_heartbeat: Millis,
@@ -41,26 +44,26 @@
 pub struct GatewaySettings {
     /// Name of the host.
     pub host: HostId,
-    /// Data centre it stands in.
+    /// Data centre of the host.
     pub data_centre: DataCentreId,
     /// Address for callers.
     pub listen: SocketAddr,
     /// Address on which readiness is asked.
     pub ready: SocketAddr,
-    /// Address for operators: metrics and state.
+    /// Address for operators: readiness, metrics and state.
     pub operator: Option<SocketAddr>,
-    /// Second address for metrics, where they are fetched at a port known beforehand.
+    /// Second address for operators, at a port known beforehand, from which metrics are fetched.
     pub metrics: Option<SocketAddr>,
     /// Address for other daemons.
     pub peer: SocketAddr,
-    /// Addresses of daemons to meet first.
+    /// Addresses of the daemons that are contacted first.
     pub seeds: Vec<SocketAddr>,
-    /// Time from a stop's signal to the end of the process.
+    /// Grace period: time from a stop's signal to the end of the process.
     pub grace: Millis,
-    /// Budget of repeats over all daemons.
+    /// Budget of retries over all daemons.
     pub budget: BudgetLimits,
-    /// Times that the installation allows or keeps.
+    /// Times that the installation promises or allows.
     pub bounds: Bounds,
-    /// Processor that this daemon may use.
+    /// Processing capacity that this daemon may use.
     pub capacity: Capacity,
 }
--- a/lib/src/gateway/serving/status.rs
+++ b/lib/src/gateway/serving/status.rs
@@ -82,7 +82,7 @@
 }
 
 fn peer_statuses(state: &GatewayState) -> Vec<PeerStatus> {
-    let peers = state.peers.alive().map(|peer| PeerStatus {
+    let peers = state.peers.heartbeats().map(|peer| PeerStatus {
         host: peer.host.to_string(),
         address: peer.address.to_string(),
         phase: peer.phase,
--- a/lib/src/gateway/state.rs
+++ b/lib/src/gateway/state.rs
@@ -62,7 +62,7 @@
     pub planning: Planning,
     /// Times of this daemon's reads of the directory.
     pub contact: DirectoryContact,
-    /// Whether a whole list of endpoints was ever applied.
+    /// A whole list of endpoints has been applied at least once.
     pub listed: bool,
     /// Pieces of stages that this daemon has accepted.
     pub workload: Workload,
@@ -92,13 +92,13 @@
     pub links: Links,
     /// Counters and histograms.
     pub metrics: GatewayMetrics,
-    /// Whether a stop was asked for.
+    /// A signal has asked for a stop.
     pub stopping: Cell<bool>,
     /// Requests without a final answer.
     pub in_flight: Cell<usize>,
     /// Wakes the planner of stages.
     pub work: Notify,
-    /// Tells this life of the process from others.
+    /// Random number that distinguishes this life of the process from others.
     pub run: u64,
     start: Instant,
     dialect: PhantomData<D>,
--- a/lib/src/gateway/table.rs
+++ b/lib/src/gateway/table.rs
@@ -1,4 +1,7 @@
 //! The routes, services and customers in force: one immutable value for each version.
+//!
+//! An installation's dialect reads a [`Table`] from the published document; nothing changes it after.
+//! Lookups by host, service and key are here, decisions about them aren't.
 
 use {
     crate::shared::{
@@ -24,7 +27,7 @@
     Stream {
         /// True if another endpoint can resume a broken stream.
         resumable: bool,
-        /// Longest pause between two events of an answer that is in time.
+        /// Longest pause between two events of an answer that counts as in time.
         gap: Millis,
     },
 }
@@ -45,7 +48,7 @@
     }
 }
 
-/// A service that may take a route's requests, and its share of them.
+/// A service that serves a route's requests, and its share of them.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Backend {
     /// The service.
@@ -57,70 +60,70 @@
 /// Work that must be finished before a route's request can run.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RouteStage {
-    /// Service that does it.
+    /// Service that runs it.
     pub service: ServiceId,
-    /// Stages whose results it needs, by their places.
+    /// Stages whose results it needs, by their places in the route's list.
     pub after: Vec<usize>,
-    /// Usual size of one result.
+    /// Usual size of one piece's result.
     pub result: ByteSize,
 }
 
-/// Where requests of one host and path go, and within which limits.
+/// Route of the requests of one host and path, with its limits.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Route {
     /// Its name, for logs.
     pub name: Arc<str>,
     /// Host that callers name, in lower case.
     pub host: Arc<str>,
-    /// Beginning of the paths it takes, with a slash at both ends.
+    /// Beginning of its paths, with a slash at both ends.
     pub prefix: Arc<str>,
     /// Kind of its requests.
     pub kind: RouteKind,
-    /// Longest time a request is held.
+    /// Longest time until a request is answered or refused.
     pub timeout: Millis,
-    /// Time within which an answer is worth most.
+    /// Objective: time within which an answer is worth most.
     pub objective: Millis,
     /// Rank; 0 goes first.
     pub rank: u32,
-    /// Services that take its requests.
+    /// Services that serve its requests.
     pub backends: Vec<Backend>,
     /// Most endpoints that one request may be sent to.
     pub attempts: u32,
-    /// Work before the request.
+    /// Stages that run before the request.
     pub stages: Vec<RouteStage>,
-    /// Whether requests need no key.
+    /// Requests need no key.
     pub public: bool,
-    /// Whether endpoints that hold the beginning of a prompt are preferred.
+    /// Endpoints that hold the beginning of a prompt are preferred.
     pub affinity: bool,
 }
 
 /// How endpoints of a service run pieces of a stage.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct BatchLimits {
-    /// Calls that an endpoint works on at the same time.
+    /// Calls that an endpoint runs at the same time.
     pub slots: usize,
     /// Most pieces in one call.
     pub pieces: usize,
-    /// Time of a call apart from its pieces, in milliseconds.
+    /// Time of a call without its pieces, in milliseconds.
     pub call_ms: f64,
     /// Time of one piece, in milliseconds.
     pub piece_ms: f64,
-    /// Room that an endpoint has for results.
+    /// Space that an endpoint has for results.
     pub room: ByteSize,
     /// Time after which an endpoint drops a result by itself.
     pub keep: Millis,
 }
 
-/// What is known of a service from the table.
+/// A service as the table describes it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ServiceEntry {
     /// Its name.
     pub id: ServiceId,
-    /// Most connections that one endpoint accepts from all callers together.
+    /// Most connections that one endpoint accepts from all daemons together.
     pub connections: usize,
-    /// Whether its endpoints generate text in batches and cache beginnings of prompts.
+    /// Its endpoints generate text in batches and cache beginnings of prompts.
     pub engine: bool,
-    /// Set for a service that runs pieces of stages.
+    /// Limits of calls; set for a service that runs pieces of stages.
     pub batch: Option<BatchLimits>,
 }
 
@@ -129,7 +132,7 @@
 pub struct CustomerEntry {
     /// Its name.
     pub id: CustomerId,
-    /// Rank; goes before that of the route, and 0 goes first.
+    /// Rank; it counts before that of the route, and 0 goes first.
     pub rank: u32,
 }
 
@@ -142,7 +145,7 @@
     pub body: ByteSize,
     /// Longest time for a head to arrive.
     pub head_time: Millis,
-    /// Longest time that a connection may rest between two requests.
+    /// Longest time that a connection may be idle between two requests.
     pub idle: Millis,
 }
 
@@ -228,7 +231,7 @@
     }
 }
 
-/// Takes the port off a host.
+/// Returns a host without its port.
 fn host_name(host: &str) -> &str {
     match host.rsplit_once(':') {
         Some((name, port)) if port.bytes().all(|byte| byte.is_ascii_digit()) => name,
--- a/lib/src/shared/adoption.rs
+++ b/lib/src/shared/adoption.rs
@@ -23,7 +23,7 @@
     pub fingerprint: u64,
 }
 
-/// What to do with a document that was read.
+/// Judgement on a document that was read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum VersionVerdict {
     /// It is newer: put it in force.
