--- a/lib/src/gateway/serving/operator.rs
+++ b/lib/src/gateway/serving/operator.rs
@@ -1,7 +1,7 @@
 //! Interfaces for operators: readiness, metrics and state, read-only.
 //!
 //! Each of the addresses for readiness, operators and metrics serves all three. Relies on
-//! [`GatewayStatus`] and on the daemon's metrics; owns nothing.
+//! `GatewayStatus` and on the daemon's metrics; owns nothing.
 
 use {
     crate::gateway::{
