--- a/lib/src/gateway/serving/settings.rs
+++ b/lib/src/gateway/serving/settings.rs
@@ -27,13 +27,13 @@
 
 impl Bounds {
     /// Returns the time for which one call waits for changes of the directory; see
-    /// [`directory_reads`](crate::gateway::rules::directory_reads).
+    /// [`directory_reads`].
     pub fn directory_wait(&self) -> Duration {
         directory_reads::call_wait(self.apply, self.drain)
     }
 
     /// Returns the time for which a suspect endpoint is used; see
-    /// [`suspect_entry`](crate::gateway::rules::suspect_entry).
+    /// [`suspect_entry`].
     pub fn suspect_time(&self) -> Millis {
         suspect_entry::suspect_time(self.endpoint_heartbeat, self.drain)
     }
--- a/lib/src/gateway/serving/sockets.rs
+++ b/lib/src/gateway/serving/sockets.rs
@@ -1,7 +1,6 @@
 //! Binds the addresses of a forwarding daemon, all before it starts anything.
 //!
-//! Relies on `peers::sockets` for the pair of sockets for other
-//! daemons.
+//! Relies on `peers` for the pair of sockets for other daemons.
 
 use {
     crate::gateway::{peers, serving::settings::GatewaySettings},
