--- a/lib/src/gateway/directory/apply.rs
+++ b/lib/src/gateway/directory/apply.rs
@@ -81,7 +81,7 @@
             }
         }
         let changes = state.catalogue.replace(now, revision, list, is_outage);
-        state.listed = true;
+        state.has_list = true;
         drop(state);
         for change in changes {
             self.apply_change(&change, source);
--- a/lib/src/gateway/directory/follow.rs
+++ b/lib/src/gateway/directory/follow.rs
@@ -109,7 +109,7 @@
         let part = rand::random_range(PAUSE_PARTS);
         tokio::time::sleep(self.backoff.pause(part)).await;
         let state = self.gateway.state.borrow();
-        self.backoff = self.backoff.next(state.reader(), state.listed);
+        self.backoff = self.backoff.next(state.reader(), state.has_list);
     }
 }
 
--- a/lib/src/gateway/peers/catch_up.rs
+++ b/lib/src/gateway/peers/catch_up.rs
@@ -48,7 +48,7 @@
     let changed = state.catalogue.changed();
     let newer = state.peers.newer_table(version).is_some()
         || state.peers.newer_catalogue(changed).is_some();
-    state.behind = catch_up::behind_since(now, state.behind, newer);
+    state.behind_since = catch_up::behind_since(now, state.behind_since, newer);
 }
 
 async fn catch_up_table<D: Dialect>(gateway: &Gateway<D>) {
@@ -89,7 +89,7 @@
         answered: state.contact.reads.answered.unwrap_or_default(),
         wait: gateway.settings.bounds.directory_wait(),
     };
-    let known = state.listed.then(|| state.catalogue.changed());
+    let known = state.has_list.then(|| state.catalogue.changed());
     let fetch = catch_up::list_fetch(now, known, reading)?;
     let peer = state.peers.newer_catalogue(fetch.known())?;
     Some(NewerList { peer, fetch })
--- a/lib/src/gateway/peers/link_server.rs
+++ b/lib/src/gateway/peers/link_server.rs
@@ -120,7 +120,7 @@
 /// Replies with the whole list of endpoints.
 fn endpoints<D: Dialect>(gateway: &Gateway<D>) -> LinkReply {
     let state = gateway.state.borrow();
-    if !state.listed {
+    if !state.has_list {
         return LinkReply::Unable;
     }
     let entries = state.catalogue.entries();
--- a/lib/src/gateway/state.rs
+++ b/lib/src/gateway/state.rs
@@ -63,13 +63,13 @@
     /// Times of this daemon's reads of the directory.
     pub contact: DirectoryContact,
     /// A whole list of endpoints has been applied at least once.
-    pub listed: bool,
+    pub has_list: bool,
     /// Pieces of stages that this daemon has accepted.
     pub workload: Workload,
     /// Requests in flight from all daemons, as coordinators sum them up.
     pub sums: LoadSums,
     /// Since when a peer is known to have a newer table or list.
-    pub behind: Option<Time>,
+    pub behind_since: Option<Time>,
     /// Budgets of retries at each service.
     pub(crate) budgets: HashMap<ServiceId, WindowBudget>,
 }
@@ -77,7 +77,7 @@
 impl GatewayState {
     /// Returns whether peers have had something newer than this daemon for too long.
     pub(crate) fn lags(&self, now: Time) -> bool {
-        catch_up::is_behind(now, self.behind)
+        catch_up::is_behind(now, self.behind_since)
     }
 }
 
@@ -126,10 +126,10 @@
                 peers,
                 planning: Planning::default(),
                 contact: DirectoryContact::default(),
-                listed: false,
+                has_list: false,
                 workload: Workload::default(),
                 sums: LoadSums::default(),
-                behind: None,
+                behind_since: None,
                 budgets: HashMap::default(),
             }),
             links: Links::default(),
@@ -158,7 +158,7 @@
         let state = self.state.borrow();
         if self.stopping.get() {
             Phase::Stopping
-        } else if state.published.is_some() && state.listed {
+        } else if state.published.is_some() && state.has_list {
             Phase::Ready
         } else {
             Phase::Starting
