--- a/lib/src/gateway/state.rs
+++ b/lib/src/gateway/state.rs
@@ -21,10 +21,7 @@
             stages::{queues::Planning, workload::Workload},
             table::Table,
         },
-        shared::{
-            ids::ServiceId,
-            units::{Millis, Time},
-        },
+        shared::{ids::ServiceId, units::Time},
     },
     bytes::Bytes,
     foldhash::HashMap,
