--- a/lib/src/gateway/serving/mod.rs
+++ b/lib/src/gateway/serving/mod.rs
@@ -5,3 +5,5 @@
 pub mod operator;
 pub mod server;
 pub mod settings;
+pub mod sockets;
+pub(crate) mod status;
--- a/lib/src/gateway/serving/settings.rs
+++ b/lib/src/gateway/serving/settings.rs
@@ -1,8 +1,11 @@
-//! What a forwarding daemon is told at its start.
+//! Checked settings of a forwarding daemon, fixed from its start on.
+//!
+//! The installation's own file is read elsewhere; times that follow from the settings are computed by
+//! the rules.
 
 use {
     crate::{
-        gateway::rules::retry_budget::BudgetLimits,
+        gateway::rules::{directory_reads, retry_budget::BudgetLimits, suspect_entry},
         shared::{
             ids::{DataCentreId, HostId},
             units::{Capacity, Millis},
@@ -11,42 +14,28 @@
     std::{net::SocketAddr, time::Duration},
 };
 
-/// Times that the installation allows or keeps.
+/// Times that the installation promises or allows.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Bounds {
     /// Within this after its publication, a table is in force everywhere.
     pub apply: Millis,
-    /// Within this after an endpoint said that it leaves, it gets nothing new.
+    /// Within this after an endpoint announced that it is leaving, it gets nothing new.
     pub drain: Millis,
     /// Time between two writes of an endpoint's entry.
     pub endpoint_heartbeat: Millis,
 }
 
-/// Bounds of the time for which one call waits for changes of the directory, in milliseconds.
-const LEAST_WAIT: u64 = 200;
-const LONGEST_WAIT: u64 = 1_000;
-
-/// Time kept back of the time to a drain, for hearing of it and for the next look at doubts.
-const DRAIN_KEPT: u64 = 600;
-
-/// Shortest time for which a vanished entry is doubted, in milliseconds.
-const LEAST_DOUBT: u64 = 200;
-
 impl Bounds {
-    /// Returns the time for which one call waits for changes of the directory. A connection that has
-    /// gone silent is noticed within it and a little, which has to be less than a change may take.
+    /// Returns the time for which one call waits for changes of the directory; see
+    /// [`directory_reads`].
     pub fn directory_wait(&self) -> Duration {
-        let half = self.apply.0.min(self.drain.0) / 2;
-        Duration::from_millis(half.clamp(LEAST_WAIT, LONGEST_WAIT))
+        directory_reads::call_wait(self.apply, self.drain)
     }
 
-    /// Returns the time for which endpoints that vanished while the directory was out of reach stay
-    /// in use: long enough for the living ones to write themselves down again, and short enough for
-    /// one that has really left.
-    pub fn doubt(&self) -> Millis {
-        let rewritten = self.endpoint_heartbeat.0 * 7 / 6;
-        let allowed = self.drain.0.saturating_sub(DRAIN_KEPT);
-        Millis(rewritten.min(allowed).max(LEAST_DOUBT))
+    /// Returns the time for which a suspect endpoint is used; see
+    /// [`suspect_entry`].
+    pub fn suspect_time(&self) -> Millis {
+        suspect_entry::suspect_time(self.endpoint_heartbeat, self.drain)
     }
 }
 
@@ -55,26 +44,26 @@
 pub struct GatewaySettings {
     /// Name of the host.
     pub host: HostId,
-    /// Data centre it stands in.
+    /// Data centre of the host.
     pub data_centre: DataCentreId,
     /// Address for callers.
     pub listen: SocketAddr,
     /// Address on which readiness is asked.
     pub ready: SocketAddr,
-    /// Address for operators: metrics and state.
+    /// Address for operators: readiness, metrics and state.
     pub operator: Option<SocketAddr>,
-    /// Second address for metrics, where they are fetched at a port known beforehand.
+    /// Second address for operators, at a port known beforehand, from which metrics are fetched.
     pub metrics: Option<SocketAddr>,
     /// Address for other daemons.
     pub peer: SocketAddr,
-    /// Addresses of daemons to meet first.
+    /// Addresses of the daemons that are contacted first.
     pub seeds: Vec<SocketAddr>,
-    /// Time from a stop's signal to the end of the process.
+    /// Grace period: time from a stop's signal to the end of the process.
     pub grace: Millis,
-    /// Budget of repeats over all daemons.
+    /// Budget of retries over all daemons.
     pub budget: BudgetLimits,
-    /// Times that the installation allows or keeps.
+    /// Times that the installation promises or allows.
     pub bounds: Bounds,
-    /// Processor that this daemon may use.
+    /// Processing capacity that this daemon may use.
     pub capacity: Capacity,
 }
--- a/lib/src/pipeline/daemon.rs
+++ b/lib/src/pipeline/daemon.rs
@@ -14,7 +14,8 @@
             node::{Node, TaskGuard, spawn_guarded},
             trace::{TraceError, Tracing},
         },
-        shared::adoption::{TreeMark, VersionVerdict, judge},
+        settings::tree::TreeVersion,
+        shared::adoption::{ContentMark, VersionVerdict, judge},
     },
     dropshot::{
         ApiDescriptionRegisterError, BuildError, ConfigDropshot, HandlerTaskMode, HttpServer,
@@ -187,10 +188,14 @@
 }
 
 /// Adopts a valid tree if its version is newer than the `current` one.
-fn adopt_newer(context: &ApiContext, current: &mut Option<TreeMark>, fetched: FetchedTree) {
-    let read = TreeMark {
+fn adopt_newer(
+    context: &ApiContext,
+    current: &mut Option<ContentMark<TreeVersion>>,
+    fetched: FetchedTree,
+) {
+    let read = ContentMark {
         version: fetched.tree.version,
-        hash: fetched.hash,
+        fingerprint: fetched.hash,
     };
     match judge(*current, read) {
         VersionVerdict::Adopt => {
--- a/lib/tests/test_gateway_bounds.rs
+++ b/lib/tests/test_gateway_bounds.rs
@@ -28,9 +28,9 @@
 }
 
 #[test]
-fn a_doubt_lasts_longer_than_a_living_endpoint_needs_and_ends_before_the_drain() {
-    assert_eq!(bounds(2_000, 2_000, 1_200).doubt(), Millis(1_400));
-    assert_eq!(bounds(2_000, 5_000, 1_200).doubt(), Millis(1_400));
-    assert_eq!(bounds(2_000, 1_000, 1_200).doubt(), Millis(400));
-    assert_eq!(bounds(2_000, 100, 1_200).doubt(), Millis(200));
+fn a_suspect_is_used_longer_than_a_living_endpoint_needs_and_not_beyond_the_drain() {
+    assert_eq!(bounds(2_000, 2_000, 1_200).suspect_time(), Millis(1_400));
+    assert_eq!(bounds(2_000, 5_000, 1_200).suspect_time(), Millis(1_400));
+    assert_eq!(bounds(2_000, 1_000, 1_200).suspect_time(), Millis(400));
+    assert_eq!(bounds(2_000, 100, 1_200).suspect_time(), Millis(200));
 }
