--- a/lib/src/gateway/rules/retry_budget.rs
+++ b/lib/src/gateway/rules/retry_budget.rs
@@ -1,77 +1,92 @@
-//! Budget of repeated sends, shared by all daemons without a word between them.
+//! May one more retry be sent to a service?
 //!
-//! The installation bounds the repeats at a service over any window: a share of the requests for
-//! it, and a fixed slack. A daemon spends the share of its own requests, and its part of the slack,
-//! worked out for more daemons than there are. A daemon that has just started leaves the slack
-//! alone, since the process before it may have spent it.
+//! Inputs: the installation's limits (`BudgetLimits`: a share, a number of retries and a window in
+//! milliseconds), the times of requests and retries so far, and the number of daemons.
+//!
+//! The installation bounds the retries at a service over any window: a share of the requests for it,
+//! and a fixed slack. Each daemon spends the share of its own requests, and its part of the slack,
+//! divided among `SPARE_DAEMONS` more than it knows. A daemon that has just started leaves the slack
+//! alone for a window, since the process before it may have spent it.
+//!
+//! So the bound holds for all daemons together although none of them asks another one. The
+//! constants were chosen, not measured; `all_daemons_together_keep_the_bound` (`test_window_budget`)
+//! shows that the bound holds with them under any order of requests, retries and restarts that it
+//! draws.
 
 use {
     crate::shared::units::{Millis, Share, Time},
     std::collections::VecDeque,
 };
 
-/// Part of the share that is spent; the rest covers differences of clocks and of windows.
+/// Part of what is allowed that is spent (a share; chosen, not measured); the rest covers
+/// differences of clocks and of windows.
 const SAFETY: f64 = 0.75;
 
-/// What the installation allows.
+/// Daemons that may be alive beyond those known (a count; chosen, not measured).
+const SPARE_DAEMONS: f64 = 2.0;
+
+/// Retries that the installation allows at a service.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct BudgetLimits {
-    /// Repeats allowed for each request.
+    /// Retries for each request.
     pub ratio: Share,
-    /// Repeats allowed beside those, over all daemons.
+    /// Retries beside those, over all daemons (a count).
     pub slack: f64,
     /// Length of the window.
     pub window: Millis,
 }
 
-/// Counts requests for a service and repeats at it, over a sliding window.
+/// Counts requests for a service and retries at it, over a sliding window.
 #[derive(Debug, Clone)]
 pub struct WindowBudget {
     limits: BudgetLimits,
     started: Time,
-    firsts: VecDeque<Time>,
-    repeats: VecDeque<Time>,
+    requests: VecDeque<Time>,
+    retries: VecDeque<Time>,
 }
 
 impl WindowBudget {
-    /// Starts with nothing spent.
+    /// Starts with nothing spent; `started` is when the daemon started.
     pub fn new(limits: BudgetLimits, started: Time) -> Self {
         Self {
             limits,
             started,
-            firsts: VecDeque::new(),
-            repeats: VecDeque::new(),
+            requests: VecDeque::new(),
+            retries: VecDeque::new(),
         }
     }
 
     /// Counts a request for the service.
     pub fn deposit(&mut self, now: Time) {
         self.expire(now);
-        self.firsts.push_back(now);
+        self.requests.push_back(now);
     }
 
-    /// Counts one repeat if the budget has it; `daemons` is the number of daemons believed alive.
+    /// Counts one retry and returns true if the budget has it; `daemons` is the number of daemons
+    /// believed alive, this one included.
     pub fn withdraw(&mut self, now: Time, daemons: usize) -> bool {
         self.expire(now);
-        if self.repeats.len() as f64 + 1.0 > self.allowed(now, daemons) {
+        if self.retries.len() as f64 + 1.0 > self.allowed(now, daemons) {
             return false;
         }
-        self.repeats.push_back(now);
+        self.retries.push_back(now);
         true
     }
 
+    /// Returns the retries that this daemon may send within one window.
     fn allowed(&self, now: Time, daemons: usize) -> f64 {
-        let earned = self.firsts.len() as f64 * self.limits.ratio.0 * SAFETY;
-        let fresh = now.since(self.started) < self.limits.window.to_duration();
-        if fresh {
+        let earned = self.requests.len() as f64 * self.limits.ratio.0 * SAFETY;
+        let is_fresh = now.since(self.started) < self.limits.window.to_duration();
+        if is_fresh {
             return earned;
         }
-        earned + self.limits.slack * SAFETY / (daemons.max(1) as f64 + 2.0)
+        earned + self.limits.slack * SAFETY / (daemons.max(1) as f64 + SPARE_DAEMONS)
     }
 
+    /// Forgets requests and retries that have left the window.
     fn expire(&mut self, now: Time) {
         let window = self.limits.window.to_duration();
-        for times in [&mut self.firsts, &mut self.repeats] {
+        for times in [&mut self.requests, &mut self.retries] {
             while times.front().is_some_and(|time| now.since(*time) >= window) {
                 times.pop_front();
             }
