--- a/lib/src/gateway/stages/batch_call.rs
+++ b/lib/src/gateway/stages/batch_call.rs
@@ -69,7 +69,7 @@
 pub(crate) enum PieceState {
     Waiting,
     Running,
-    Made(ResultHandle),
+    Completed(ResultHandle),
 }
 
 #[derive(Debug)]
@@ -108,7 +108,7 @@
 
 pub(crate) fn made(state: JobState) -> impl Iterator<Item = ResultHandle> {
     state.pieces.into_iter().filter_map(|piece| match piece {
-        PieceState::Made(handle) => Some(handle),
+        PieceState::Completed(handle) => Some(handle),
         PieceState::Waiting | PieceState::Running => None,
     })
 }
--- a/lib/src/gateway/stages/batch_queue.rs
+++ b/lib/src/gateway/stages/batch_queue.rs
@@ -444,7 +444,7 @@
         endpoint: &EndpointId,
         until: Time,
     ) {
-        if let PieceEnd::Made(handle) = end {
+        if let PieceEnd::Completed(handle) = end {
             self.piece_made((id, piece), handle, size, endpoint, until);
             return;
         }
@@ -461,7 +461,7 @@
                 }
                 self.put_back(&[(id, piece, size)], true);
             }
-            PieceEnd::Failed | PieceEnd::Made(_) => self.put_back(&[(id, piece, size)], false),
+            PieceEnd::Failed | PieceEnd::Completed(_) => self.put_back(&[(id, piece, size)], false),
         }
     }
 
@@ -480,20 +480,21 @@
             self.surplus.push(handle);
             return;
         };
-        if matches!(state.pieces[piece], PieceState::Made(_)) {
+        if matches!(state.pieces[piece], PieceState::Completed(_)) {
             self.surplus.push(handle);
             return;
         }
         if state.pieces[piece] == PieceState::Waiting {
             state.waiting -= 1;
         }
-        state.pieces[piece] = PieceState::Made(handle);
+        state.pieces[piece] = PieceState::Completed(handle);
         let whole = state
             .pieces
             .iter()
-            .all(|state| matches!(state, PieceState::Made(_)));
+            .all(|state| matches!(state, PieceState::Completed(_)));
         if whole && let Some(state) = self.jobs.remove(&id) {
-            self.ended.push((id, JobEnd::Made(made(state).collect())));
+            self.ended
+                .push((id, JobEnd::Completed(made(state).collect())));
         }
     }
 
--- a/lib/src/gateway/stages/chain.rs
+++ b/lib/src/gateway/stages/chain.rs
@@ -240,7 +240,7 @@
             continue;
         };
         match end {
-            JobEnd::Made(handles) => {
+            JobEnd::Completed(handles) => {
                 claim.settle(stage);
                 results.stages[stage].1 = Some(handles);
                 release_used(request, &mut results);
@@ -333,7 +333,7 @@
     let took = gateway.now().since(begun);
     gateway.metrics.stage(took);
     let outcome = match &end {
-        JobEnd::Made(_) => "made",
+        JobEnd::Completed(_) => "made",
         JobEnd::Late => "late",
         JobEnd::InputsGone => "inputs_gone",
         JobEnd::Failed => "failed",
--- a/lib/src/gateway/stages/job.rs
+++ b/lib/src/gateway/stages/job.rs
@@ -1,4 +1,6 @@
-//! The work before a request: pieces, jobs of pieces, and the names of results.
+//! The vocabulary of stages: pieces, jobs of pieces, and the handles of results.
+//!
+//! Values only; those that cross to other daemons keep their serialised names.
 
 use {
     crate::shared::{
@@ -9,13 +11,14 @@
     std::{fmt, net::SocketAddr, sync::Arc},
 };
 
-/// Names a result at the endpoint that made it: its address and an id of its own.
+/// Names a result at the endpoint that keeps it: the endpoint's address and an id of its own.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct ResultHandle(pub Arc<str>);
 
 impl ResultHandle {
-    /// Returns the address of the endpoint that keeps the result.
+    /// Returns the address of the endpoint that keeps the result; nothing if the endpoint wrote a
+    /// handle without one, whose result can't be released and is dropped there in time.
     pub fn address(&self) -> Option<SocketAddr> {
         self.0.split_once('/')?.0.parse().ok()
     }
@@ -27,7 +30,7 @@
     }
 }
 
-/// What a piece is made from.
+/// Input of a piece.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PieceInput {
     /// The key that the caller gave.
@@ -45,28 +48,28 @@
     pub stage: u32,
     /// Its number within the stage.
     pub piece: u32,
-    /// Time left.
+    /// Time until the request's deadline.
     pub remaining: Millis,
-    /// What it is made from.
+    /// Its input.
     pub input: PieceInput,
 }
 
 /// How a piece ended at an endpoint.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum PieceEnd {
-    /// Its result is kept under this name.
-    Made(ResultHandle),
-    /// Its time was over.
+    /// Its result is kept under this handle.
+    Completed(ResultHandle),
+    /// Its deadline had passed.
     Late,
-    /// An input is gone.
+    /// The endpoint of an input doesn't keep it any more.
     InputGone,
-    /// The endpoint has no room for the result.
+    /// The endpoint has no room for the result; the piece wasn't run.
     NoRoom,
-    /// The endpoint failed to make it.
+    /// The endpoint failed to run it.
     Failed,
 }
 
-/// Identifies a job within one daemon's life.
+/// Identifies a job within one run of one daemon.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct JobId(pub u64);
 
@@ -79,20 +82,20 @@
     pub stage: u32,
     /// Number of pieces.
     pub pieces: u32,
-    /// What each is made from.
+    /// Input of each.
     pub input: PieceInput,
-    /// When the request's time is over.
+    /// The request's deadline.
     pub deadline: Time,
-    /// When this stage should be over for the answer to be worth most.
+    /// When this stage should have ended for the answer to be worth most.
     pub objective: Time,
     /// Rank of the request; 0 goes first.
     pub rank: u32,
     /// Usual size of one result.
     pub result: ByteSize,
-    /// Data centre where the results will probably be taken.
+    /// Data centre where the results will probably be used.
     pub home: Option<DataCentreId>,
-    /// What crosses between data centres if one piece is made elsewhere: its inputs, and its result
-    /// once for each that takes it.
+    /// Bytes that cross between data centres if one piece runs elsewhere: its inputs, and its result
+    /// once for each piece that uses it.
     pub moved: ByteSize,
 }
 
@@ -100,11 +103,30 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum JobEnd {
     /// All results, in the order of their pieces.
-    Made(Vec<ResultHandle>),
-    /// It can't be made in time.
+    #[serde(rename = "Made")]
+    Completed(Vec<ResultHandle>),
+    /// It can't end in time.
     Late,
-    /// An input is gone, and the stage before has to be made again.
+    /// An input is gone, so that the stage before has to run again.
     InputsGone,
-    /// It failed as often as it is tried.
+    /// A piece failed as often as it may be sent.
     Failed,
 }
+
+impl JobEnd {
+    /// Returns the outcome as the log event `stage.ended` names it.
+    pub fn as_str(&self) -> &'static str {
+        match self {
+            Self::Completed(_) => "made",
+            Self::Late => "late",
+            Self::InputsGone => "inputs_gone",
+            Self::Failed => "failed",
+        }
+    }
+}
+
+/// Returns the number of pieces of a stage. Callers may name counts for the first stages only; a
+/// stage without a count is left out, as one with no pieces is.
+pub fn piece_count(counts: &[u32], stage: usize) -> u32 {
+    counts.get(stage).copied().unwrap_or(0)
+}
--- a/lib/src/gateway/stages/planner.rs
+++ b/lib/src/gateway/stages/planner.rs
@@ -237,7 +237,7 @@
         service:% = service,
         endpoint:% = call.entry.id,
         outcome,
-        made = count(|end| matches!(end, PieceEnd::Made(_))),
+        made = count(|end| matches!(end, PieceEnd::Completed(_))),
         no_room = count(|end| matches!(end, PieceEnd::NoRoom)),
         input_gone = count(|end| matches!(end, PieceEnd::InputGone)),
         took_ms,
--- a/lib/src/gateway/stages/queues.rs
+++ b/lib/src/gateway/stages/queues.rs
@@ -151,7 +151,7 @@
                     Some(waiter) => waiter.send(end).err(),
                     None => Some(end),
                 };
-                if let Some(JobEnd::Made(handles)) = unheard {
+                if let Some(JobEnd::Completed(handles)) = unheard {
                     self.releases
                         .entry(service.clone())
                         .or_default()
--- a/lib/tests/test_batch_queue.rs
+++ b/lib/tests/test_batch_queue.rs
@@ -86,7 +86,7 @@
 }
 
 fn all_made(call: &BatchCall) -> CallEnd {
-    let made = |piece| PieceEnd::Made(handle(call, piece));
+    let made = |piece| PieceEnd::Completed(handle(call, piece));
     CallEnd::Answered((0..call.pieces.len()).map(made).collect())
 }
 
@@ -107,7 +107,7 @@
     queue.call_ended(now + Millis(250), calls[0].id, all_made(&calls[0]));
     let ended = queue.take_ended();
     assert_eq!(ended.len(), 2);
-    let JobEnd::Made(handles) = &ended[0].1 else {
+    let JobEnd::Completed(handles) = &ended[0].1 else {
         panic!("the first job wasn't made: {ended:?}");
     };
     assert_eq!(handles.len(), 3);
@@ -167,7 +167,7 @@
     queue.call_ended(now + Millis(810), again.id, all_made(&again));
     assert_eq!(
         queue.take_ended(),
-        [(JobId(1), JobEnd::Made(vec![handle(&again, 0)]))]
+        [(JobId(1), JobEnd::Completed(vec![handle(&again, 0)]))]
     );
     queue.call_ended(now + Millis(2_000), slow.id, all_made(&slow));
     assert!(queue.take_ended().is_empty());
@@ -294,7 +294,7 @@
                         1 => PieceEnd::NoRoom,
                         2 => PieceEnd::InputGone,
                         3 => PieceEnd::Late,
-                        _ => PieceEnd::Made(handle(&call, piece)),
+                        _ => PieceEnd::Completed(handle(&call, piece)),
                     });
                 }
                 CallEnd::Answered(ends)
@@ -328,7 +328,9 @@
         for (id, end) in self.queue.take_ended() {
             let (request, pieces) = self.open.remove(&id).expect("a job ends once");
             assert!(self.over.insert(id));
-            let JobEnd::Made(handles) = end else { continue };
+            let JobEnd::Completed(handles) = end else {
+                continue;
+            };
             assert_eq!(handles.len(), pieces as usize);
             for (piece, handle) in handles.iter().enumerate() {
                 let own = format!("/{request}-{piece}-");
--- a/lib/tests/test_message_bytes.rs
+++ b/lib/tests/test_message_bytes.rs
@@ -218,7 +218,7 @@
     };
     lines.add_framed("endpoints", endpoints);
     lines.add_framed("changes", LinkReply::Changes(changes()));
-    lines.add_framed("job made", LinkReply::Job(JobEnd::Made(handles())));
+    lines.add_framed("job made", LinkReply::Job(JobEnd::Completed(handles())));
     lines.add_framed("job late", LinkReply::Job(JobEnd::Late));
     lines.add_framed("job without inputs", LinkReply::Job(JobEnd::InputsGone));
     lines.add_framed("job failed", LinkReply::Job(JobEnd::Failed));
--- a/lib/tests/test_peers.rs
+++ b/lib/tests/test_peers.rs
@@ -238,7 +238,7 @@
         LinkReply::Table {
             bytes: vec![0, 255, 7],
         },
-        LinkReply::Job(JobEnd::Made(vec![ResultHandle("a/b".into())])),
+        LinkReply::Job(JobEnd::Completed(vec![ResultHandle("a/b".into())])),
         LinkReply::Unable,
     ] {
         let frame = Frame { number: 1, content };
--- a/lib/tests/test_plan_pins.rs
+++ b/lib/tests/test_plan_pins.rs
@@ -60,7 +60,7 @@
 
 fn end_name(end: &JobEnd) -> String {
     match end {
-        JobEnd::Made(handles) => format!("{} results", handles.len()),
+        JobEnd::Completed(handles) => format!("{} results", handles.len()),
         JobEnd::Late => "late".into(),
         JobEnd::InputsGone => "inputs gone".into(),
         JobEnd::Failed => "failed".into(),
@@ -164,7 +164,7 @@
                 1 => PieceEnd::InputGone,
                 2 => PieceEnd::NoRoom,
                 3 => PieceEnd::Failed,
-                _ => PieceEnd::Made(ResultHandle(format!("{name}-{}", call.id).into())),
+                _ => PieceEnd::Completed(ResultHandle(format!("{name}-{}", call.id).into())),
             };
             ends.push(end);
         }
@@ -205,7 +205,7 @@
             let text = format!("  r{}: {}", id.0, end_name(&end));
             self.note(&text);
             // Some callers keep their results until the endpoint drops them by itself.
-            if let JobEnd::Made(handles) = end
+            if let JobEnd::Completed(handles) = end
                 && self.draws.percent(80)
             {
                 self.queue.released(&handles);
--- a/lib/tests/test_stage_pins.rs
+++ b/lib/tests/test_stage_pins.rs
@@ -186,7 +186,7 @@
                 4 | 5 => PieceEnd::NoRoom,
                 6 => PieceEnd::InputGone,
                 7 => PieceEnd::Late,
-                _ => PieceEnd::Made(handle(call, piece)),
+                _ => PieceEnd::Completed(handle(call, piece)),
             });
         }
         Ok(ends)
@@ -229,7 +229,7 @@
     fn look(&mut self) {
         for (id, end) in self.queue.take_ended() {
             let end = match end {
-                JobEnd::Made(handles) => joined(&handles),
+                JobEnd::Completed(handles) => joined(&handles),
                 JobEnd::Late => "late".into(),
                 JobEnd::InputsGone => "inputs gone".into(),
                 JobEnd::Failed => "failed".into(),
@@ -252,7 +252,7 @@
 
 fn piece_text(end: &PieceEnd) -> String {
     match end {
-        PieceEnd::Made(handle) => handle.to_string(),
+        PieceEnd::Completed(handle) => handle.to_string(),
         PieceEnd::Late => "late".into(),
         PieceEnd::InputGone => "gone".into(),
         PieceEnd::NoRoom => "room".into(),
