--- /dev/null
+++ b/lib/src/gateway/rules/result_room.rs
@@ -0,0 +1,45 @@
+//! How much room for results does an endpoint have, and when may a call's inputs be released early?
+//!
+//! Inputs: the room that the table states for an endpoint, what is believed to be kept there and
+//! what is reserved for calls in flight (bytes), and when the last pieces of a job were sent.
+//!
+//! `ROOM_USED` of the stated room is filled. An endpoint is short of room for `SHORTAGE` after a
+//! call was kept small for lack of it. The inputs of a job may be released `FETCH` after its last
+//! piece was sent, since endpoints fetch inputs when they begin a call; this is done only where the
+//! endpoints that keep them are short of room, because a piece that has to run again then finds its
+//! inputs gone, and the stages of its request start over.
+//!
+//! Sizes of results are known only about, so that an endpoint that is filled to the brim refuses
+//! results. All figures come from `docs/MEASUREMENTS.md`, "On the users' platform", except
+//! `SHORTAGE`. `calls_are_kept_within_the_room_for_results`,
+//! `inputs_are_given_up_early_only_where_room_is_short` and `test_stage_rules` pin the rule.
+
+use crate::shared::units::{ByteSize, Millis, Time};
+
+/// Part of an endpoint's room that is filled (a share; "count surplus results, fill room to 92 in
+/// 100": 0.079 -> 0.112).
+const ROOM_USED: f64 = 0.92;
+
+/// Time for which a lack of room counts after it was last met (chosen, not measured).
+const SHORTAGE: Millis = Millis(1_000);
+
+/// Time within which an endpoint has fetched the inputs of a call ("give inputs up 100 ms after the
+/// call that takes them": 0.317 -> 0.594).
+const FETCH: Millis = Millis(100);
+
+/// Returns the room that is left where `stated` is all that an endpoint has, and `taken` is kept
+/// there or reserved.
+pub fn free_room(stated: ByteSize, taken: ByteSize) -> ByteSize {
+    let usable = (stated.0 as f64 * ROOM_USED) as u64;
+    ByteSize(usable.saturating_sub(taken.0))
+}
+
+/// Returns whether a lack of room that was met at `met` still counts.
+pub fn is_shortage(now: Time, met: Time) -> bool {
+    now.since(met) < SHORTAGE.to_duration()
+}
+
+/// Returns whether endpoints have fetched the inputs of calls, the last of which was sent at `sent`.
+pub fn are_inputs_fetched(now: Time, sent: Time) -> bool {
+    now.since(sent) >= FETCH.to_duration()
+}
--- a/lib/src/gateway/stages/batch_call.rs
+++ b/lib/src/gateway/stages/batch_call.rs
@@ -1,43 +1,37 @@
-//! Calls of pieces as a planner makes them, and the state of the jobs that they come from.
+//! Calls of pieces: as they are sent, while they run, and how they end.
+//!
+//! Values only. `batch_plan` composes calls, `call_runner` sends them, `batch_results` applies their
+//! ends.
 
 use {
     crate::{
         gateway::{
             directory::catalogue::EndpointEntry,
-            stages::job::{JobId, PieceEnd, PieceTask, ResultHandle, StageJob},
+            stages::job::{JobId, PieceEnd, PieceTask},
         },
         shared::{
             ids::EndpointId,
-            units::{ByteSize, Millis, Time},
+            units::{ByteSize, Time, WorkMillis},
         },
     },
     std::sync::Arc,
 };
 
-/// Headstart that each rank gives over the next one.
-const RANK_STEP: Millis = Millis(400);
-
-/// Handicap of a job that can't meet its objective any more.
-const LATE_STEP: Millis = Millis(20_000);
-
-/// Times that one piece is tried.
-const PIECE_TRIES: u32 = 3;
-
 /// One call of one endpoint.
 #[derive(Debug, Clone)]
 pub struct BatchCall {
-    /// Tells it from other calls.
+    /// Number of the call, unique within the queue of its service.
     pub id: u64,
     /// Endpoint to call.
     pub entry: Arc<EndpointEntry>,
     /// Its pieces.
     pub pieces: Vec<PieceTask>,
-    /// Time it should take, in milliseconds.
-    pub expected_ms: f64,
+    /// Time it should take.
+    pub expected: WorkMillis,
     /// Pieces that waited when it was planned.
     pub waiting: usize,
     /// Pieces in it that were sent before.
-    pub repeated: usize,
+    pub retries: usize,
 }
 
 /// How a call ended.
@@ -45,80 +39,51 @@
 pub enum CallEnd {
     /// The endpoint answered for each piece.
     Answered(Vec<PieceEnd>),
-    /// The endpoint didn't take it.
+    /// The endpoint refused it, or wasn't reached; nothing ran.
     Refused,
-    /// The endpoint is another one, or is leaving.
+    /// Another endpoint has its address now, or it is draining; nothing ran.
     Replaced,
-    /// There was no answer.
+    /// There was no valid answer; its pieces may have run.
     Broken,
 }
 
-/// A call under way.
-#[derive(Debug)]
-pub(crate) struct RunningCall {
-    pub(crate) endpoint: EndpointId,
-    pub(crate) sent: Time,
-    pub(crate) expected_ms: f64,
-    /// StageJob, place within it, and usual size of its result.
-    pub(crate) pieces: Vec<(JobId, usize, ByteSize)>,
-    pub(crate) reserved: u64,
-    pub(crate) overdue: bool,
-}
-
-#[derive(Debug, Clone, PartialEq, Eq)]
-pub(crate) enum PieceState {
-    Waiting,
-    Running,
-    Completed(ResultHandle),
-}
-
-#[derive(Debug)]
-pub(crate) struct JobState {
-    pub(crate) job: StageJob,
-    /// When it was taken in.
-    pub(crate) added: Time,
-    /// When its last piece was sent.
-    pub(crate) last_sent: Time,
-    /// Whether its inputs were given up.
-    pub(crate) fetched: bool,
-    pub(crate) pieces: Vec<PieceState>,
-    pub(crate) tries: Vec<u32>,
-    pub(crate) waiting: usize,
-}
-
-impl JobState {
-    pub(crate) fn order(&self, now: Time) -> Time {
-        let late = if now > self.job.objective {
-            LATE_STEP.0
-        } else {
-            0
-        };
-        self.job.objective + Millis(u64::from(self.job.rank) * RANK_STEP.0 + late)
-    }
-
-    pub(crate) fn can_repeat(&self, piece: usize) -> bool {
-        self.tries[piece] < PIECE_TRIES
+impl CallEnd {
+    /// Returns the outcome as the log event `pieces.ended` names it.
+    pub fn as_str(&self) -> &'static str {
+        match self {
+            Self::Answered(_) => "answered",
+            Self::Refused => "refused",
+            Self::Replaced => "replaced",
+            Self::Broken => "broken",
+        }
     }
+}
 
-    pub(crate) fn requeue(&mut self, piece: usize) {
-        self.pieces[piece] = PieceState::Waiting;
-        self.waiting += 1;
-    }
+/// Names a piece of a job.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub(crate) struct PieceRef {
+    pub(crate) job: JobId,
+    /// Its number within the job.
+    pub(crate) piece: usize,
 }
 
-pub(crate) fn made(state: JobState) -> impl Iterator<Item = ResultHandle> {
-    state.pieces.into_iter().filter_map(|piece| match piece {
-        PieceState::Completed(handle) => Some(handle),
-        PieceState::Waiting | PieceState::Running => None,
-    })
+/// A piece in a call.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub(crate) struct SentPiece {
+    pub(crate) piece: PieceRef,
+    /// Usual size of its result.
+    pub(crate) result: ByteSize,
 }
 
-pub(crate) fn task(now: Time, job: &StageJob, piece: usize) -> PieceTask {
-    PieceTask {
-        request: job.request.clone(),
-        stage: job.stage,
-        piece: piece as u32,
-        remaining: Millis(job.deadline.since(now).as_millis() as u64),
-        input: job.input.clone(),
-    }
+/// A call in flight.
+#[derive(Debug)]
+pub(crate) struct RunningCall {
+    pub(crate) endpoint: EndpointId,
+    pub(crate) sent: Time,
+    pub(crate) expected: WorkMillis,
+    pub(crate) pieces: Vec<SentPiece>,
+    /// Room for its results, reserved at the endpoint.
+    pub(crate) reserved: ByteSize,
+    /// Set once its pieces were queued again because it took too long.
+    pub(crate) overdue: bool,
 }
--- /dev/null
+++ b/lib/src/gateway/stages/batch_results.rs
@@ -0,0 +1,123 @@
+//! Applies the ends of calls to a queue: results, retries, and what they show of an endpoint.
+//!
+//! Carries out `rules::piece_retry` and `rules::worker_pace`.
+
+use crate::{
+    gateway::{
+        rules::{
+            piece_retry::{LostSend, PieceRetry},
+            worker_pace::{Pace, PassedOver},
+        },
+        stages::{
+            batch_call::{CallEnd, PieceRef, RunningCall, SentPiece},
+            batch_queue::{BatchQueue, EndedJob},
+            job::{JobEnd, PieceEnd, ResultHandle},
+        },
+    },
+    shared::{
+        ids::EndpointId,
+        units::{Time, WorkMillis},
+    },
+};
+
+impl BatchQueue {
+    /// Applies how a call ended; a call that isn't in flight changes nothing.
+    pub fn call_ended(&mut self, now: Time, id: u64, end: CallEnd) {
+        let Some(call) = self.calls.remove(&id) else {
+            return;
+        };
+        self.update_worker(now, &call, &end);
+        match end {
+            CallEnd::Answered(ends) => {
+                for (sent, end) in call.pieces.iter().zip(ends) {
+                    self.piece_ended(now, &call.endpoint, *sent, end);
+                }
+            }
+            CallEnd::Refused | CallEnd::Replaced => self.call_lost(&call, LostSend::NotRun),
+            CallEnd::Broken => self.call_lost(&call, LostSend::MaybeRun),
+        }
+    }
+
+    fn update_worker(&mut self, now: Time, call: &RunningCall, end: &CallEnd) {
+        let Some(worker) = self.workers.get_mut(&call.endpoint) else {
+            return;
+        };
+        worker.call_ended(call.reserved);
+        match end {
+            CallEnd::Answered(_) => {
+                let elapsed = WorkMillis(now.millis_since(call.sent));
+                worker.call_answered(now, Pace::of_call(elapsed, call.expected));
+            }
+            CallEnd::Refused | CallEnd::Broken => worker.pass_over(now, PassedOver::NoAnswer),
+            // It may be called again once the directory lists it anew.
+            CallEnd::Replaced => worker.open = false,
+        }
+    }
+
+    fn call_lost(&mut self, call: &RunningCall, loss: LostSend) {
+        for sent in &call.pieces {
+            self.send_lost(sent.piece, loss);
+        }
+    }
+
+    /// Queues a piece again whose send was lost, or fails its job if it was sent too often.
+    fn send_lost(&mut self, piece: PieceRef, loss: LostSend) {
+        let Some(state) = self.jobs.get_mut(&piece.job) else {
+            return;
+        };
+        if state.send_lost(piece.piece, loss) == Some(PieceRetry::GiveUp) {
+            self.end(piece.job, JobEnd::Failed);
+        }
+    }
+
+    fn piece_ended(&mut self, now: Time, endpoint: &EndpointId, sent: SentPiece, end: PieceEnd) {
+        match end {
+            PieceEnd::Completed(handle) => self.piece_completed(now, endpoint, sent, handle),
+            PieceEnd::Late => self.end(sent.piece.job, JobEnd::Late),
+            PieceEnd::InputGone => self.end(sent.piece.job, JobEnd::InputsGone),
+            PieceEnd::NoRoom => self.piece_without_room(now, endpoint, sent.piece),
+            PieceEnd::Failed => self.send_lost(sent.piece, LostSend::MaybeRun),
+        }
+    }
+
+    fn piece_without_room(&mut self, now: Time, endpoint: &EndpointId, piece: PieceRef) {
+        // Of a job that has ended, nothing counts any more.
+        if !self.jobs.contains_key(&piece.job) {
+            return;
+        }
+        if let Some(worker) = self.workers.get_mut(endpoint) {
+            // It has less room than was believed, and gets time to clear.
+            worker.pass_over(now, PassedOver::NoRoom);
+        }
+        self.send_lost(piece, LostSend::NotRun);
+    }
+
+    /// Keeps the first result of a piece, and ends its job if it was the last one; any other result
+    /// is surplus. All of them take their endpoint's room.
+    fn piece_completed(
+        &mut self,
+        now: Time,
+        endpoint: &EndpointId,
+        sent: SentPiece,
+        handle: ResultHandle,
+    ) {
+        if let Some(worker) = self.workers.get_mut(endpoint) {
+            worker.keep(handle.clone(), sent.result, now + self.limits.keep);
+        }
+        let PieceRef { job, piece } = sent.piece;
+        let Some(state) = self.jobs.get_mut(&job) else {
+            self.surplus.push(handle);
+            return;
+        };
+        if let Err(second) = state.complete(piece, handle) {
+            self.surplus.push(second);
+            return;
+        }
+        if state.is_complete()
+            && let Some(state) = self.jobs.remove(&job)
+        {
+            let end = JobEnd::Completed(state.into_results().collect());
+            self.ended.push(EndedJob { id: job, end });
+        }
+    }
+}
--- /dev/null
+++ b/lib/src/gateway/stages/job_state.rs
@@ -0,0 +1,195 @@
+//! The state of one job: which of its pieces wait, run or are completed, and how often each was
+//! sent.
+//!
+//! Owns the count of waiting pieces, which always agrees with the states of the pieces. Relies on
+//! `rules::piece_retry` for what may be sent again.
+
+use crate::{
+    gateway::{
+        rules::{
+            piece_order::WaitingJob,
+            piece_retry::{LostSend, PieceRetry, after_loss, may_resend},
+        },
+        stages::job::{JobId, PieceInput, PieceTask, ResultHandle, StageJob},
+    },
+    shared::units::{ByteSize, Millis, Time},
+};
+
+#[derive(Debug, Clone, PartialEq, Eq)]
+enum PieceState {
+    Waiting,
+    Running,
+    Completed(ResultHandle),
+}
+
+#[derive(Debug, Clone)]
+struct Piece {
+    state: PieceState,
+    /// Sends that count.
+    tries: u32,
+}
+
+#[derive(Debug)]
+pub(crate) struct JobState {
+    job: StageJob,
+    added: Time,
+    /// When its last piece was sent.
+    last_sent: Time,
+    /// Set once its inputs were released early.
+    inputs_released: bool,
+    pieces: Vec<Piece>,
+    waiting: usize,
+}
+
+impl JobState {
+    /// Starts with all pieces waiting.
+    pub(crate) fn new(job: StageJob, now: Time) -> Self {
+        let count = job.pieces as usize;
+        let piece = Piece {
+            state: PieceState::Waiting,
+            tries: 0,
+        };
+        Self {
+            job,
+            added: now,
+            last_sent: now,
+            inputs_released: false,
+            pieces: vec![piece; count],
+            waiting: count,
+        }
+    }
+
+    pub(crate) fn pieces(&self) -> usize {
+        self.pieces.len()
+    }
+
+    pub(crate) fn waiting(&self) -> usize {
+        self.waiting
+    }
+
+    pub(crate) fn last_sent(&self) -> Time {
+        self.last_sent
+    }
+
+    pub(crate) fn deadline(&self) -> Time {
+        self.job.deadline
+    }
+
+    pub(crate) fn result_size(&self) -> ByteSize {
+        self.job.result
+    }
+
+    /// Returns what its place in the order depends on.
+    pub(crate) fn waiting_job(&self, id: JobId) -> WaitingJob<'_> {
+        WaitingJob {
+            id,
+            waiting: self.waiting,
+            added: self.added,
+            objective: self.job.objective,
+            rank: self.job.rank,
+            home: self.job.home.as_ref(),
+            moved: self.job.moved,
+        }
+    }
+
+    /// Returns how often a piece was sent, if it waits.
+    pub(crate) fn waiting_tries(&self, piece: usize) -> Option<u32> {
+        let piece = &self.pieces[piece];
+        (piece.state == PieceState::Waiting).then_some(piece.tries)
+    }
+
+    /// Notes that a waiting piece is sent, and returns it as its endpoint gets it.
+    pub(crate) fn send(&mut self, now: Time, piece: usize) -> PieceTask {
+        self.pieces[piece].state = PieceState::Running;
+        self.pieces[piece].tries += 1;
+        self.waiting -= 1;
+        self.last_sent = now;
+        PieceTask {
+            request: self.job.request.clone(),
+            stage: self.job.stage,
+            piece: piece as u32,
+            remaining: Millis(self.job.deadline.since(now).as_millis() as u64),
+            input: self.job.input.clone(),
+        }
+    }
+
+    /// Returns what becomes of a piece whose send was lost, and queues it again if it may be sent
+    /// again; nothing if it doesn't run any more, because another send of it is ahead.
+    pub(crate) fn send_lost(&mut self, piece: usize, loss: LostSend) -> Option<PieceRetry> {
+        if self.pieces[piece].state != PieceState::Running {
+            return None;
+        }
+        let retry = after_loss(self.pieces[piece].tries, loss);
+        if let PieceRetry::Requeue { tries } = retry {
+            self.pieces[piece].tries = tries;
+            self.requeue(piece);
+        }
+        Some(retry)
+    }
+
+    /// Queues a piece of an overdue call again if it runs and may be sent again; the call goes on,
+    /// and the first result counts.
+    pub(crate) fn send_overdue(&mut self, piece: usize) {
+        let is_running = self.pieces[piece].state == PieceState::Running;
+        if is_running && may_resend(self.pieces[piece].tries) {
+            self.requeue(piece);
+        }
+    }
+
+    fn requeue(&mut self, piece: usize) {
+        self.pieces[piece].state = PieceState::Waiting;
+        self.waiting += 1;
+    }
+
+    /// Keeps the result of a piece.
+    ///
+    /// # Errors
+    ///
+    /// Returns the result if the piece has one already.
+    pub(crate) fn complete(
+        &mut self,
+        piece: usize,
+        handle: ResultHandle,
+    ) -> Result<(), ResultHandle> {
+        let state = &mut self.pieces[piece].state;
+        match state {
+            PieceState::Completed(_) => return Err(handle),
+            PieceState::Waiting => self.waiting -= 1,
+            PieceState::Running => {}
+        }
+        *state = PieceState::Completed(handle);
+        Ok(())
+    }
+
+    pub(crate) fn is_complete(&self) -> bool {
+        self.pieces
+            .iter()
+            .all(|piece| matches!(piece.state, PieceState::Completed(_)))
+    }
+
+    /// Returns the results of the completed pieces, in the order of the pieces.
+    pub(crate) fn into_results(self) -> impl Iterator<Item = ResultHandle> {
+        self.pieces
+            .into_iter()
+            .filter_map(|piece| match piece.state {
+                PieceState::Completed(handle) => Some(handle),
+                PieceState::Waiting | PieceState::Running => None,
+            })
+    }
+
+    /// Returns the inputs that may be released early: those of a job that was sent whole, once, and
+    /// only if `is_short` holds for the endpoint that keeps one of them.
+    pub(crate) fn release_inputs(
+        &mut self,
+        is_short: impl Fn(&ResultHandle) -> bool,
+    ) -> &[ResultHandle] {
+        let PieceInput::Results(handles) = &self.job.input else {
+            return &[];
+        };
+        if self.inputs_released || self.waiting > 0 || !handles.iter().any(is_short) {
+            return &[];
+        }
+        self.inputs_released = true;
+        handles
+    }
+}
--- a/lib/src/gateway/stages/mod.rs
+++ b/lib/src/gateway/stages/mod.rs
@@ -1,5 +1,11 @@
 //! Runs the stages that come before a request, in batches over all daemons.
 
+mod batch_plan;
+mod batch_results;
+mod job_state;
+mod worker;
+mod workers;
+
 pub mod batch_call;
 pub mod batch_queue;
 pub mod chain;
@@ -8,5 +14,4 @@
 pub mod queues;
 pub(crate) mod release;
 pub(crate) mod work_claim;
-pub(crate) mod worker;
 pub mod workload;
--- a/lib/src/gateway/stages/planner.rs
+++ b/lib/src/gateway/stages/planner.rs
@@ -5,6 +5,7 @@
         gateway::{
             dialect::Dialect,
             routing::endpoint_state::service_hash,
+            rules::call_timing::answer_limit,
             stages::{
                 batch_call::{BatchCall, CallEnd},
                 job::{JobEnd, JobId, PieceEnd, ResultHandle, StageJob},
@@ -29,10 +30,6 @@
 /// Longest time to connect to an endpoint.
 const CONNECT_LIMIT: Duration = Duration::from_millis(250);
 
-/// Longest time for the answer to a call, beyond a multiple of what was expected.
-const CALL_LIMIT: Duration = Duration::from_millis(2_500);
-const CALL_FACTOR: f64 = 6.0;
-
 /// Largest answer to a call.
 const ANSWER_SIZE: usize = 256 * 1024;
 
@@ -119,7 +116,7 @@
         let calls = self.state.borrow_mut().planning.plan(now);
         for (service, call) in calls {
             self.metrics
-                .call(call.pieces.len() - call.repeated, call.repeated);
+                .call(call.pieces.len() - call.retries, call.retries);
             log_call(&self.call_name(&service, &call), &service, &call);
             tokio::task::spawn_local(run_call(self.clone(), service, call));
         }
@@ -133,9 +130,9 @@
         service:% = service,
         endpoint:% = call.entry.id,
         pieces = call.pieces.len(),
-        repeated = call.repeated,
+        repeated = call.retries,
         waiting = call.waiting,
-        expected_ms = call.expected_ms,
+        expected_ms = call.expected.0,
         requests:? = distinct(requests);
         "pieces.sent"
     );
@@ -204,7 +201,7 @@
 }
 
 async fn run_call<D: Dialect>(gateway: Rc<Gateway<D>>, service: ServiceId, call: BatchCall) {
-    let limit = CALL_LIMIT + Duration::from_secs_f64(call.expected_ms * CALL_FACTOR / 1_000.0);
+    let limit = answer_limit(call.expected);
     let body = D::write_pieces(&call.pieces);
     let sent = gateway.now();
     let endpoint = Some(&call.entry.id);
@@ -241,7 +238,7 @@
         no_room = count(|end| matches!(end, PieceEnd::NoRoom)),
         input_gone = count(|end| matches!(end, PieceEnd::InputGone)),
         took_ms,
-        expected_ms = call.expected_ms;
+        expected_ms = call.expected.0;
         "pieces.ended"
     );
     gateway
--- a/lib/src/gateway/stages/queues.rs
+++ b/lib/src/gateway/stages/queues.rs
@@ -1,4 +1,7 @@
-//! The queues of all services that this daemon plans for, and who waits for their jobs.
+//! The queues of all stage services that this daemon coordinates, and who waits for their jobs.
+//!
+//! Owns one `BatchQueue` a service, the channels through which ends of jobs are reported, and the
+//! results gathered for release. Relies on `batch_queue` for every decision; sends nothing.
 
 use {
     crate::{
@@ -8,7 +11,7 @@
             rules::retry_budget::{BudgetLimits, WindowBudget},
             stages::{
                 batch_call::{BatchCall, CallEnd},
-                batch_queue::BatchQueue,
+                batch_queue::{BatchQueue, EndedJob},
                 job::{JobEnd, JobId, ResultHandle, StageJob},
             },
             table::{BatchLimits, Table},
@@ -25,14 +28,41 @@
 pub struct Planning {
     queues: BTreeMap<ServiceId, BatchQueue>,
     pub(crate) limits: BTreeMap<ServiceId, BatchLimits>,
-    waiters: HashMap<JobId, oneshot::Sender<JobEnd>>,
-    services: HashMap<JobId, ServiceId>,
-    releases: HashMap<ServiceId, Vec<ResultHandle>>,
+    jobs: HashMap<JobId, QueuedJob>,
+    releases: Releases,
     last_job: u64,
 }
 
+/// A job that hasn't ended, and where its end is awaited.
+#[derive(Debug)]
+struct QueuedJob {
+    service: ServiceId,
+    waiter: oneshot::Sender<JobEnd>,
+}
+
+/// A job queued at this daemon.
+#[derive(Debug)]
+pub struct JobTicket {
+    /// Its id.
+    pub id: JobId,
+    /// Receives its end.
+    pub receiver: oneshot::Receiver<JobEnd>,
+}
+
+/// Results that are no longer needed, by the service whose endpoints keep them.
+#[derive(Debug, Default)]
+struct Releases(HashMap<ServiceId, Vec<ResultHandle>>);
+
+impl Releases {
+    fn add(&mut self, service: &ServiceId, handles: Vec<ResultHandle>) {
+        if !handles.is_empty() {
+            self.0.entry(service.clone()).or_default().extend(handles);
+        }
+    }
+}
+
 impl Planning {
-    /// Takes in which services run pieces.
+    /// Sets which services run pieces; the queue of another one stays until its jobs have ended.
     pub fn set_services(&mut self, table: &Table) {
         self.limits = table
             .services()
@@ -43,7 +73,7 @@
             .retain(|id, queue| limits.contains_key(id) || queue.jobs() > 0);
     }
 
-    /// Takes in which endpoints may be called.
+    /// Sets which endpoints may be called, and how many daemons share the budgets of retries.
     pub fn sync(&mut self, endpoints: &EndpointStates, budget: BudgetLimits, daemons: usize) {
         for (service, limits) in &self.limits {
             let queue = self.queues.entry(service.clone()).or_insert_with(|| {
@@ -59,41 +89,44 @@
         }
     }
 
-    /// Returns what others should know of the services that are `mine` to plan for, or that have
-    /// jobs in hand; `total` tells the pieces that all daemons have taken on.
+    /// Returns what other daemons should know of the services that this daemon coordinates
+    /// (`is_mine`), or that have jobs here; `outstanding` returns the pieces of a service that all
+    /// daemons have admitted and not completed.
     pub fn notes(
         &self,
         now: Time,
-        mine: impl Fn(&ServiceId) -> bool,
-        total: impl Fn(&ServiceId) -> u32,
+        is_mine: impl Fn(&ServiceId) -> bool,
+        outstanding: impl Fn(&ServiceId) -> u32,
     ) -> Vec<QueueNote> {
         self.queues
             .iter()
-            .filter(|(id, queue)| queue.jobs() > 0 || mine(id))
+            .filter(|(id, queue)| queue.jobs() > 0 || is_mine(id))
             .map(|(id, queue)| {
                 let endpoints = queue.available_workers(now) as u32;
                 let short = queue.is_short_of_room(now);
-                QueueNote(service_hash(id), endpoints, short, total(id))
+                QueueNote(service_hash(id), endpoints, short, outstanding(id))
             })
             .collect()
     }
 
+    /// Returns whether endpoints of a service had no room for results lately.
     pub(crate) fn is_short_of_room(&self, now: Time, service: &ServiceId) -> bool {
         let queue = self.queues.get(service);
         queue.is_some_and(|queue| queue.is_short_of_room(now))
     }
 
-    /// Returns the endpoints of a service that take calls, if this daemon has jobs for it in hand.
+    /// Returns the endpoints of a service that get calls, if this daemon has jobs for it.
     pub fn available_endpoints(&self, now: Time, service: &ServiceId) -> Option<usize> {
         let queue = self.queues.get(service)?;
         (queue.jobs() > 0).then(|| queue.available_workers(now))
     }
 
-    /// Returns the number of jobs in hand.
+    /// Returns the number of jobs that haven't ended.
     pub fn jobs(&self) -> usize {
-        self.services.len()
+        self.jobs.len()
     }
 
+    /// Queues a job; nothing if the service runs no pieces.
     pub(crate) fn add(
         &mut self,
         now: Time,
@@ -104,25 +137,24 @@
         self.last_job += 1;
         let id = JobId(self.last_job);
         queue.add(now, id, job);
-        let (sender, receiver) = oneshot::channel();
-        self.waiters.insert(id, sender);
-        self.services.insert(id, service.clone());
+        let (waiter, receiver) = oneshot::channel();
+        let service = service.clone();
+        self.jobs.insert(id, QueuedJob { service, waiter });
         Some(JobTicket { id, receiver })
     }
 
+    /// Drops a job without an end; one that has ended is left alone.
     pub(crate) fn cancel(&mut self, id: JobId) {
-        self.waiters.remove(&id);
-        if let Some(service) = self.services.remove(&id)
-            && let Some(queue) = self.queues.get_mut(&service)
+        if let Some(job) = self.jobs.remove(&id)
+            && let Some(queue) = self.queues.get_mut(&job.service)
         {
             queue.cancel(id);
         }
     }
 
-    /// Notes results that are no longer needed.
+    /// Gathers results that are no longer needed, for their endpoints to drop them.
     pub fn release(&mut self, service: &ServiceId, handles: Vec<ResultHandle>) {
-        let gathered = self.releases.entry(service.clone()).or_default();
-        gathered.extend(handles);
+        self.releases.add(service, handles);
     }
 
     /// Notes that an endpoint dropped results, so that it has room again.
@@ -132,6 +164,7 @@
         }
     }
 
+    /// Plans the calls to be sent now, with their services.
     pub(crate) fn plan(&mut self, now: Time) -> Vec<(ServiceId, BatchCall)> {
         let mut calls = Vec::new();
         for (service, queue) in &mut self.queues {
@@ -142,33 +175,33 @@
         calls
     }
 
-    /// Tells the ends of jobs to those who wait for them.
+    /// Applies how a call ended.
+    pub(crate) fn call_ended(&mut self, now: Time, service: &ServiceId, id: u64, end: CallEnd) {
+        if let Some(queue) = self.queues.get_mut(service) {
+            queue.call_ended(now, id, end);
+        }
+        self.settle();
+    }
+
+    /// Reports the ends of jobs to those who wait for them; results that nobody waits for are
+    /// released.
     fn settle(&mut self) {
         for (service, queue) in &mut self.queues {
-            for (id, end) in queue.take_ended() {
-                self.services.remove(&id);
-                let unheard = match self.waiters.remove(&id) {
-                    Some(waiter) => waiter.send(end).err(),
+            for EndedJob { id, end } in queue.take_ended() {
+                let unreceived = match self.jobs.remove(&id) {
+                    Some(job) => job.waiter.send(end).err(),
                     None => Some(end),
                 };
-                if let Some(JobEnd::Completed(handles)) = unheard {
-                    self.releases
-                        .entry(service.clone())
-                        .or_default()
-                        .extend(handles);
+                if let Some(JobEnd::Completed(handles)) = unreceived {
+                    self.releases.add(service, handles);
                 }
             }
-            let surplus = queue.take_surplus();
-            if !surplus.is_empty() {
-                self.releases
-                    .entry(service.clone())
-                    .or_default()
-                    .extend(surplus);
-            }
+            self.releases.add(service, queue.take_surplus());
         }
     }
 
-    /// Returns inputs that endpoints have fetched and whose makers are short of room.
+    /// Returns inputs that endpoints have fetched, and that are kept by endpoints at `short`, which
+    /// are short of room.
     pub(crate) fn take_fetched(
         &mut self,
         now: Time,
@@ -182,23 +215,8 @@
             .collect()
     }
 
-    pub(crate) fn call_ended(&mut self, now: Time, service: &ServiceId, id: u64, end: CallEnd) {
-        if let Some(queue) = self.queues.get_mut(service) {
-            queue.call_ended(now, id, end);
-        }
-        self.settle();
-    }
-
+    /// Returns the results gathered for release since the last call.
     pub(crate) fn take_releases(&mut self) -> HashMap<ServiceId, Vec<ResultHandle>> {
-        std::mem::take(&mut self.releases)
+        std::mem::take(&mut self.releases.0)
     }
 }
-
-/// A job in the hands of this daemon's planner.
-#[derive(Debug)]
-pub struct JobTicket {
-    /// Its id.
-    pub id: JobId,
-    /// Its end.
-    pub receiver: oneshot::Receiver<JobEnd>,
-}
--- a/lib/src/gateway/stages/worker.rs
+++ b/lib/src/gateway/stages/worker.rs
@@ -1,80 +1,108 @@
-//! What the planner of a stage's service knows of one endpoint: its pace and its room.
+//! The state of one endpoint of a stage as its coordinator knows it: calls, pace and results kept.
+//!
+//! Owns the counts of calls and of room reserved. Relies on `rules::worker_pace` and
+//! `rules::result_room` for what follows from them.
 
 use {
     crate::{
         gateway::{
-            directory::catalogue::EndpointEntry, stages::job::ResultHandle, table::BatchLimits,
+            directory::catalogue::EndpointEntry,
+            rules::{
+                result_room,
+                worker_pace::{KnownPace, Pace, PassedOver},
+            },
+            stages::job::ResultHandle,
         },
-        shared::units::{ByteSize, Millis, Time},
+        shared::units::{ByteSize, Time},
     },
     foldhash::HashMap,
     std::sync::Arc,
 };
 
-/// Part of an endpoint's room that is filled; sizes of results are known about only.
-const ROOM_USED: f64 = 0.92;
-
-/// Weight of a new pace in what is known, and the time for which it is believed.
-const PACE_GAIN: f64 = 0.5;
-const PACE_KEPT: Millis = Millis(3_000);
+/// A result that an endpoint is believed to keep.
+#[derive(Debug, Clone, Copy)]
+struct KeptResult {
+    size: ByteSize,
+    /// When the endpoint drops it by itself.
+    until: Time,
+}
 
 #[derive(Debug)]
 pub(crate) struct Worker {
     pub(crate) entry: Arc<EndpointEntry>,
-    pub(crate) calls: usize,
-    pub(crate) known_pace: f64,
-    pub(crate) pace_at: Time,
-    pub(crate) passed_over_until: Time,
-    /// Whether it may get calls at all.
+    /// Set while it may get calls at all.
     pub(crate) open: bool,
-    /// Results believed to be kept there: their size, and when the endpoint drops them itself.
-    pub(crate) kept: HashMap<ResultHandle, (ByteSize, Time)>,
-    pub(crate) reserved: u64,
+    calls: usize,
+    pace: KnownPace,
+    passed_over_until: Time,
+    kept: HashMap<ResultHandle, KeptResult>,
+    /// Room reserved for the results of calls in flight.
+    reserved: ByteSize,
 }
 
 impl Worker {
     pub(crate) fn new(entry: Arc<EndpointEntry>) -> Self {
         Self {
             entry,
+            open: true,
             calls: 0,
-            known_pace: 1.0,
-            pace_at: Time::default(),
+            pace: KnownPace::default(),
             passed_over_until: Time::default(),
-            open: true,
             kept: HashMap::default(),
-            reserved: 0,
+            reserved: ByteSize(0),
         }
     }
 
-    pub(crate) fn pace(&self, now: Time) -> f64 {
-        if now.since(self.pace_at) > PACE_KEPT.to_duration() {
-            1.0
-        } else {
-            self.known_pace
-        }
+    /// Returns the number of its calls in flight.
+    pub(crate) fn calls(&self) -> usize {
+        self.calls
     }
 
-    pub(crate) fn room(&mut self, now: Time, limits: &BatchLimits) -> u64 {
-        self.kept.retain(|_, (_, until)| *until > now);
-        let kept: u64 = self.kept.values().map(|(size, _)| size.0).sum();
-        let room = (limits.room.0 as f64 * ROOM_USED) as u64;
-        room.saturating_sub(kept + self.reserved)
+    pub(crate) fn pace(&self, now: Time) -> Pace {
+        self.pace.at(now)
     }
 
-    /// Notes that a call has been out for much longer than expected.
-    pub(crate) fn is_overdue(&mut self, now: Time, observed: f64) {
-        self.known_pace = self.known_pace.max(observed);
-        self.pace_at = now;
-    }
-
-    /// Returns whether a call may be planned for it.
+    /// Returns whether a call may be planned for it, apart from its calls in flight.
     pub(crate) fn is_ready(&self, now: Time) -> bool {
         self.open && self.passed_over_until <= now
     }
 
-    pub(crate) fn learn_pace(&mut self, now: Time, observed: f64) {
-        let pace = self.pace(now);
-        self.known_pace = (pace + PACE_GAIN * (observed - pace)).clamp(0.5, 20.0);
-        self.pace_at = now;
+    /// Returns the room for more results where `stated` is all the room that it has; drops results
+    /// that the endpoint has dropped by itself.
+    pub(crate) fn free_room(&mut self, now: Time, stated: ByteSize) -> ByteSize {
+        self.kept.retain(|_, result| result.until > now);
+        let kept: u64 = self.kept.values().map(|result| result.size.0).sum();
+        result_room::free_room(stated, ByteSize(kept + self.reserved.0))
+    }
+
+    pub(crate) fn call_sent(&mut self, reserved: ByteSize) {
+        self.calls += 1;
+        self.reserved.0 += reserved.0;
+    }
+
+    pub(crate) fn call_ended(&mut self, reserved: ByteSize) {
+        self.calls = self.calls.saturating_sub(1);
+        self.reserved.0 = self.reserved.0.saturating_sub(reserved.0);
+    }
+
+    pub(crate) fn call_answered(&mut self, now: Time, observed: Pace) {
+        self.pace = self.pace.after_answer(now, observed);
+    }
+
+    pub(crate) fn call_overdue(&mut self, now: Time, so_far: Pace) {
+        self.pace = self.pace.after_overdue(now, so_far);
+    }
+
+    pub(crate) fn pass_over(&mut self, now: Time, why: PassedOver) {
+        self.passed_over_until = why.until(now);
+    }
+
+    /// Notes a result that the endpoint keeps until it is released, or drops by itself at `until`.
+    pub(crate) fn keep(&mut self, handle: ResultHandle, size: ByteSize, until: Time) {
+        self.kept.insert(handle, KeptResult { size, until });
+    }
+
+    pub(crate) fn released(&mut self, handle: &ResultHandle) {
+        self.kept.remove(handle);
     }
 }
--- /dev/null
+++ b/lib/src/gateway/stages/workers.rs
@@ -0,0 +1,91 @@
+//! The endpoints of one stage, and which of them may get the next call.
+//!
+//! Owns the state of each endpoint. An endpoint that left the directory stays here until its calls
+//! have ended.
+
+use {
+    crate::{
+        gateway::{
+            directory::catalogue::EndpointEntry,
+            rules::piece_order::EndpointCounts,
+            stages::{job::ResultHandle, worker::Worker},
+        },
+        shared::{
+            ids::{DataCentreId, EndpointId},
+            units::Time,
+        },
+    },
+    foldhash::HashMap,
+    std::sync::Arc,
+};
+
+#[derive(Debug, Default)]
+pub(crate) struct Workers(HashMap<EndpointId, Worker>);
+
+impl Workers {
+    /// Sets which endpoints may be called.
+    pub(crate) fn set(&mut self, open: &[Arc<EndpointEntry>]) {
+        let is_open = |id: &EndpointId| open.iter().any(|entry| entry.id == *id);
+        self.0
+            .retain(|id, worker| worker.calls() > 0 || is_open(id));
+        for (id, worker) in &mut self.0 {
+            worker.open = is_open(id);
+        }
+        for entry in open {
+            self.0
+                .entry(entry.id.clone())
+                .or_insert_with(|| Worker::new(entry.clone()))
+                .entry = entry.clone();
+        }
+    }
+
+    pub(crate) fn get_mut(&mut self, endpoint: &EndpointId) -> Option<&mut Worker> {
+        self.0.get_mut(endpoint)
+    }
+
+    pub(crate) fn data_centre(&self, endpoint: &EndpointId) -> Option<&DataCentreId> {
+        let worker = self.0.get(endpoint)?;
+        Some(&worker.entry.data_centre)
+    }
+
+    /// Returns the number of endpoints that may get calls and aren't slow.
+    pub(crate) fn available(&self, now: Time) -> usize {
+        self.0
+            .values()
+            .filter(|worker| worker.is_ready(now) && !worker.pace(now).is_slow())
+            .count()
+    }
+
+    /// Counts the endpoints that may be called at all, by their data centres.
+    pub(crate) fn counts(&self) -> EndpointCounts {
+        let open = self.0.values().filter(|worker| worker.open);
+        EndpointCounts::new(open.map(|worker| &worker.entry.data_centre))
+    }
+
+    /// Returns the endpoints that may get a call now, the fastest first; each runs `slots` calls at
+    /// a time. Slow ones are among them only while all are slow.
+    pub(crate) fn free(&self, now: Time, slots: usize) -> Vec<EndpointId> {
+        let any_available = self.available(now) > 0;
+        let mut free: Vec<&Worker> = self
+            .0
+            .values()
+            .filter(|worker| worker.calls() < slots)
+            .filter(|worker| worker.is_ready(now))
+            .filter(|worker| !any_available || !worker.pace(now).is_slow())
+            .collect();
+        free.sort_by(|a, b| {
+            let by_pace = a.pace(now).0.total_cmp(&b.pace(now).0);
+            by_pace.then_with(|| a.entry.id.cmp(&b.entry.id))
+        });
+        free.iter().map(|worker| worker.entry.id.clone()).collect()
+    }
+
+    /// Notes that endpoints dropped results, so that they have room again.
+    pub(crate) fn released(&mut self, handles: &[ResultHandle]) {
+        for worker in self.0.values_mut() {
+            for handle in handles {
+                worker.released(handle);
+            }
+        }
+    }
+}
--- a/lib/tests/test_batch_queue.rs
+++ b/lib/tests/test_batch_queue.rs
@@ -10,7 +10,7 @@
             rules::retry_budget::{BudgetLimits, WindowBudget},
             stages::{
                 batch_call::{BatchCall, CallEnd},
-                batch_queue::BatchQueue,
+                batch_queue::{BatchQueue, EndedJob},
                 job::{JobEnd, JobId, PieceEnd, PieceInput, ResultHandle, StageJob},
             },
             table::BatchLimits,
@@ -107,7 +107,7 @@
     queue.call_ended(now + Millis(250), calls[0].id, all_made(&calls[0]));
     let ended = queue.take_ended();
     assert_eq!(ended.len(), 2);
-    let JobEnd::Completed(handles) = &ended[0].1 else {
+    let JobEnd::Completed(handles) = &ended[0].end else {
         panic!("the first job wasn't made: {ended:?}");
     };
     assert_eq!(handles.len(), 3);
@@ -163,11 +163,14 @@
     assert!(queue.plan(now + Millis(400)).is_empty());
     let again = queue.plan(now + Millis(600)).remove(0);
     assert_ne!(again.entry.id, slow.entry.id);
-    assert_eq!(again.repeated, 1);
+    assert_eq!(again.retries, 1);
     queue.call_ended(now + Millis(810), again.id, all_made(&again));
     assert_eq!(
         queue.take_ended(),
-        [(JobId(1), JobEnd::Completed(vec![handle(&again, 0)]))]
+        [EndedJob {
+            id: JobId(1),
+            end: JobEnd::Completed(vec![handle(&again, 0)])
+        }]
     );
     queue.call_ended(now + Millis(2_000), slow.id, all_made(&slow));
     assert!(queue.take_ended().is_empty());
@@ -184,7 +187,13 @@
     };
     queue.add(now, JobId(1), late);
     assert!(queue.plan(now).is_empty());
-    assert_eq!(queue.take_ended(), [(JobId(1), JobEnd::Late)]);
+    assert_eq!(
+        queue.take_ended(),
+        [EndedJob {
+            id: JobId(1),
+            end: JobEnd::Late
+        }]
+    );
 }
 
 #[test]
@@ -325,7 +334,7 @@
     }
 
     fn check(&mut self) {
-        for (id, end) in self.queue.take_ended() {
+        for EndedJob { id, end } in self.queue.take_ended() {
             let (request, pieces) = self.open.remove(&id).expect("a job ends once");
             assert!(self.over.insert(id));
             let JobEnd::Completed(handles) = end else {
--- a/lib/tests/test_plan_pins.rs
+++ b/lib/tests/test_plan_pins.rs
@@ -10,7 +10,7 @@
             rules::retry_budget::{BudgetLimits, WindowBudget},
             stages::{
                 batch_call::{BatchCall, CallEnd},
-                batch_queue::BatchQueue,
+                batch_queue::{BatchQueue, EndedJob},
                 job::{JobEnd, JobId, PieceEnd, PieceInput, ResultHandle, StageJob},
             },
             table::BatchLimits,
@@ -190,18 +190,18 @@
             let pieces = pieces.join(" ");
             let text = format!(
                 "{}: {pieces}, {}ms, {} waiting, {} repeated",
-                call.entry.id, call.expected_ms, call.waiting, call.repeated
+                call.entry.id, call.expected.0, call.waiting, call.retries
             );
             self.note(&text);
             // Now and then an endpoint is far slower than it should be.
             let factor = *self.draws.pick(&[9, 10, 10, 10, 10, 12, 15, 30]);
-            let took = Millis(call.expected_ms as u64 * factor / 10);
+            let took = Millis(call.expected.0 as u64 * factor / 10);
             self.calls.push((self.now + took, call));
         }
     }
 
     fn note_ends(&mut self) {
-        for (id, end) in self.queue.take_ended() {
+        for EndedJob { id, end } in self.queue.take_ended() {
             let text = format!("  r{}: {}", id.0, end_name(&end));
             self.note(&text);
             // Some callers keep their results until the endpoint drops them by itself.
--- a/lib/tests/test_stage_pins.rs
+++ b/lib/tests/test_stage_pins.rs
@@ -14,7 +14,7 @@
             rules::retry_budget::{BudgetLimits, WindowBudget},
             stages::{
                 batch_call::{BatchCall, CallEnd},
-                batch_queue::BatchQueue,
+                batch_queue::{BatchQueue, EndedJob},
                 job::{JobEnd, JobId, PieceEnd, PieceInput, ResultHandle, StageJob},
             },
             table::BatchLimits,
@@ -217,9 +217,9 @@
                 call.id,
                 call.entry.id,
                 joined(call.pieces.iter().map(piece)),
-                call.expected_ms,
+                call.expected.0,
                 call.waiting,
-                call.repeated
+                call.retries
             );
             self.note(&line);
             self.calls.push(call);
@@ -227,7 +227,7 @@
     }
 
     fn look(&mut self) {
-        for (id, end) in self.queue.take_ended() {
+        for EndedJob { id, end } in self.queue.take_ended() {
             let end = match end {
                 JobEnd::Completed(handles) => joined(&handles),
                 JobEnd::Late => "late".into(),
