--- a/lib/src/gateway/peers/relay.rs
+++ b/lib/src/gateway/peers/relay.rs
@@ -125,7 +125,7 @@
             }
             let service = order.service.clone();
             let job = job_of(gateway, order);
-            LinkReply::Job(gateway.make_here(&service, job).await)
+            LinkReply::Job(gateway.run_locally(&service, job).await)
         }
         LinkRequest::Release(service, handles) => {
             gateway
--- a/lib/src/gateway/serving/server.rs
+++ b/lib/src/gateway/serving/server.rs
@@ -14,7 +14,7 @@
                 operator,
                 settings::GatewaySettings,
             },
-            stages::planner::{run_planner, run_releases},
+            stages::{call_runner::run_calls, release::run_releases},
             state::Gateway,
         },
         shared::units::Millis,
@@ -110,7 +110,7 @@
         server.spawn(relay::hear_heartbeats(gateway.clone(), datagrams));
         server.spawn(relay::serve_links(gateway.clone(), links));
         server.spawn(relay::run_catch_up(gateway.clone()));
-        server.spawn(run_planner(gateway.clone()));
+        server.spawn(run_calls(gateway.clone()));
         server.spawn(run_releases(gateway.clone()));
         server.spawn(operator::serve(gateway.clone(), ready));
         for listener in operators.into_iter().chain(metrics) {
--- /dev/null
+++ b/lib/src/gateway/stages/call_runner.rs
@@ -0,0 +1,147 @@
+//! Sends the calls of the services that this daemon coordinates, and applies their ends.
+//!
+//! Owns the loop that plans whenever something has changed. Relies on `queues` for what to send, on
+//! `endpoint_post` for the exchange, and on `rules::call_timing` for how long an answer is awaited.
+
+use {
+    crate::{
+        gateway::{
+            dialect::Dialect,
+            rules::call_timing::answer_limit,
+            stages::{
+                batch_call::{BatchCall, CallEnd},
+                endpoint_post::{Post, Reply, post},
+                job::PieceEnd,
+                release::release_fetched,
+            },
+            state::Gateway,
+            wire::egress::SendError,
+        },
+        shared::{ids::ServiceId, units::WorkMillis},
+    },
+    bytes::Bytes,
+    http::StatusCode,
+    std::{rc::Rc, time::Duration},
+};
+
+/// Time between two looks at the queues while they have jobs, for what follows from time alone:
+/// overdue calls, late jobs, endpoints that were passed over (chosen, not measured).
+const LOOK: Duration = Duration::from_millis(25);
+
+/// Plans and sends calls for good, whenever something has changed, and now and then while there are
+/// jobs.
+pub async fn run_calls<D: Dialect>(gateway: Rc<Gateway<D>>) {
+    loop {
+        let is_busy = gateway.state.borrow().planning.jobs() > 0;
+        if is_busy {
+            // Either end means the same: it is time to look.
+            let _ = tokio::time::timeout(LOOK, gateway.work.notified()).await;
+        } else {
+            gateway.work.notified().await;
+        }
+        start_calls(&gateway);
+        release_fetched(&gateway);
+    }
+}
+
+fn start_calls<D: Dialect>(gateway: &Rc<Gateway<D>>) {
+    let now = gateway.now();
+    let calls = gateway.state.borrow_mut().planning.plan(now);
+    for (service, call) in calls {
+        let firsts = call.pieces.len() - call.retries;
+        gateway.metrics.call(firsts, call.retries);
+        log_start(&call_name(gateway, &service, &call), &service, &call);
+        tokio::task::spawn_local(run_call(gateway.clone(), service, call));
+    }
+}
+
+/// Names a call in logs, apart from those of other services and of other runs of the process.
+fn call_name<D: Dialect>(gateway: &Gateway<D>, service: &ServiceId, call: &BatchCall) -> String {
+    format!("{:04x}-{service}-{}", gateway.run as u16, call.id)
+}
+
+async fn run_call<D: Dialect>(gateway: Rc<Gateway<D>>, service: ServiceId, call: BatchCall) {
+    let body = D::write_pieces(&call.pieces);
+    let sent = gateway.now();
+    let end = send_call::<D>(&call, body).await;
+    let now = gateway.now();
+    let elapsed = WorkMillis(now.millis_since(sent));
+    let name = call_name(&gateway, &service, &call);
+    log_end(&name, &service, &call, &end, elapsed);
+    gateway
+        .state
+        .borrow_mut()
+        .planning
+        .call_ended(now, &service, call.id, end);
+    gateway.work.notify_one();
+}
+
+async fn send_call<D: Dialect>(call: &BatchCall, body: Bytes) -> CallEnd {
+    let reply = post::<D>(Post {
+        address: call.entry.address,
+        path: D::PIECES_PATH,
+        endpoint: Some(&call.entry.id),
+        body,
+        limit: answer_limit(call.expected),
+    })
+    .await;
+    match reply {
+        Ok(reply) => read_end::<D>(&reply, call.pieces.len()),
+        Err(SendError::NotSent(_)) => CallEnd::Refused,
+        Err(SendError::MaybeSent(_) | SendError::Broken(_)) => CallEnd::Broken,
+    }
+}
+
+fn read_end<D: Dialect>(reply: &Reply, pieces: usize) -> CallEnd {
+    match reply.status {
+        StatusCode::OK => match D::read_pieces(&reply.body) {
+            Ok(ends) if ends.len() == pieces => CallEnd::Answered(ends),
+            // An answer that can't be matched to the pieces may belong to anything; `pieces.ended`
+            // logs the call as broken.
+            Ok(_) | Err(_) => CallEnd::Broken,
+        },
+        StatusCode::MISDIRECTED_REQUEST => CallEnd::Replaced,
+        StatusCode::SERVICE_UNAVAILABLE => CallEnd::Refused,
+        _ => CallEnd::Broken,
+    }
+}
+
+fn log_start(name: &str, service: &ServiceId, call: &BatchCall) {
+    let requests = call.pieces.iter().map(|piece| &*piece.request).collect();
+    log::info!(
+        call = name,
+        service:% = service,
+        endpoint:% = call.entry.id,
+        pieces = call.pieces.len(),
+        repeated = call.retries,
+        waiting = call.waiting,
+        expected_ms = call.expected.0,
+        requests:? = distinct(requests);
+        "pieces.sent"
+    );
+}
+
+fn distinct(mut names: Vec<&str>) -> Vec<&str> {
+    names.sort_unstable();
+    names.dedup();
+    names
+}
+
+fn log_end(name: &str, service: &ServiceId, call: &BatchCall, end: &CallEnd, elapsed: WorkMillis) {
+    let count = |wanted: fn(&PieceEnd) -> bool| match end {
+        CallEnd::Answered(ends) => ends.iter().filter(|end| wanted(end)).count(),
+        CallEnd::Refused | CallEnd::Replaced | CallEnd::Broken => 0,
+    };
+    log::info!(
+        call = name,
+        service:% = service,
+        endpoint:% = call.entry.id,
+        outcome = end.as_str(),
+        made = count(|end| matches!(end, PieceEnd::Completed(_))),
+        no_room = count(|end| matches!(end, PieceEnd::NoRoom)),
+        input_gone = count(|end| matches!(end, PieceEnd::InputGone)),
+        took_ms = elapsed.0,
+        expected_ms = call.expected.0;
+        "pieces.ended"
+    );
+}
--- a/lib/src/gateway/stages/chain.rs
+++ b/lib/src/gateway/stages/chain.rs
@@ -383,5 +383,5 @@
         gateway.state.borrow_mut().peers.pass_over(now, &peer);
         failed.push(peer);
     }
-    gateway.make_here(service, job).await
+    gateway.run_locally(service, job).await
 }
--- /dev/null
+++ b/lib/src/gateway/stages/endpoint_post.rs
@@ -0,0 +1,89 @@
+//! Posts one body to an endpoint of a stage and reads the whole answer.
+//!
+//! Owns the limits of such an exchange. Relies on `wire::egress` for the connection, and on the
+//! dialect for the headers of a call.
+
+use {
+    crate::{
+        gateway::{
+            dialect::Dialect,
+            wire::egress::{self, SendError},
+        },
+        shared::ids::EndpointId,
+    },
+    bytes::Bytes,
+    http::{HeaderMap, HeaderValue, Method, Request, StatusCode, Uri, header},
+    http_body_util::{BodyExt, Full, Limited},
+    std::{net::SocketAddr, time::Duration},
+};
+
+/// Longest time to connect to an endpoint (chosen, not measured).
+pub(super) const CONNECT_LIMIT: Duration = Duration::from_millis(250);
+
+/// Largest answer to a call (bytes; chosen, not measured).
+const ANSWER_SIZE: usize = 256 * 1024;
+
+/// One body to post.
+pub(super) struct Post<'a> {
+    pub(super) address: SocketAddr,
+    pub(super) path: &'static str,
+    /// Endpoint that should answer at the address; the call is refused by any other.
+    pub(super) endpoint: Option<&'a EndpointId>,
+    pub(super) body: Bytes,
+    /// Longest time for the answer, without the time to connect.
+    pub(super) limit: Duration,
+}
+
+/// The whole answer to a post.
+pub(super) struct Reply {
+    pub(super) status: StatusCode,
+    pub(super) body: Bytes,
+}
+
+/// Posts a body.
+///
+/// # Errors
+///
+/// Returns why there is no whole answer, which says if the body may have arrived.
+///
+/// # Panics
+///
+/// Panics if the path isn't that of a URL; paths are constants of the dialect.
+pub(super) async fn post<D: Dialect>(post: Post<'_>) -> Result<Reply, SendError> {
+    let connection = egress::connect(post.address, CONNECT_LIMIT).await?;
+    let limit = post.limit;
+    let request = request_of::<D>(post);
+    let exchange = async {
+        let (response, _guard) = connection.send(request).await?;
+        let status = response.status();
+        let body = Limited::new(response.into_body(), ANSWER_SIZE);
+        match body.collect().await {
+            Ok(collected) => Ok(Reply {
+                status,
+                body: collected.to_bytes(),
+            }),
+            Err(error) => Err(SendError::Broken(error.to_string())),
+        }
+    };
+    match tokio::time::timeout(limit, exchange).await {
+        Ok(result) => result,
+        Err(_) => Err(SendError::Broken("no answer in time".into())),
+    }
+}
+
+fn request_of<D: Dialect>(post: Post<'_>) -> Request<Full<Bytes>> {
+    let mut headers = HeaderMap::new();
+    if let Some(endpoint) = post.endpoint {
+        D::write_call(&mut headers, endpoint);
+    }
+    let host = HeaderValue::from_str(&post.address.to_string())
+        .expect("a socket address is written in visible ASCII");
+    headers.insert(header::HOST, host);
+    let json = HeaderValue::from_static("application/json");
+    headers.insert(header::CONTENT_TYPE, json);
+    let mut request = Request::new(Full::new(post.body));
+    *request.method_mut() = Method::POST;
+    *request.uri_mut() = Uri::from_static(post.path);
+    *request.headers_mut() = headers;
+    request
+}
--- /dev/null
+++ b/lib/src/gateway/stages/local_job.rs
@@ -0,0 +1,46 @@
+//! Runs a job in this daemon's own queue, whether a request of its own needs it or another daemon
+//! handed it over.
+
+use crate::{
+    gateway::{
+        dialect::Dialect,
+        stages::{
+            job::{JobEnd, JobId, StageJob},
+            queues::JobTicket,
+        },
+        state::Gateway,
+    },
+    shared::ids::ServiceId,
+};
+
+/// Cancels a job when it is dropped before its end.
+struct CancelOnDrop<'a, D: Dialect> {
+    gateway: &'a Gateway<D>,
+    id: JobId,
+}
+
+impl<D: Dialect> Drop for CancelOnDrop<'_, D> {
+    fn drop(&mut self) {
+        // A job that has ended isn't in the queue any more, and stays as it ended.
+        self.gateway.state.borrow_mut().planning.cancel(self.id);
+        self.gateway.work.notify_one();
+    }
+}
+
+impl<D: Dialect> Gateway<D> {
+    /// Runs a job in this daemon's queue; dropping the future cancels the job. A service without a
+    /// queue runs no pieces, so that its job fails.
+    pub async fn run_locally(&self, service: &ServiceId, job: StageJob) -> JobEnd {
+        let now = self.now();
+        let ticket = self.state.borrow_mut().planning.add(now, service, job);
+        let Some(JobTicket { id, receiver }) = ticket else {
+            return JobEnd::Failed;
+        };
+        let cancel = CancelOnDrop { gateway: self, id };
+        self.work.notify_one();
+        // The other half is dropped only with the job, when it is cancelled.
+        let end = receiver.await.unwrap_or(JobEnd::Failed);
+        drop(cancel);
+        end
+    }
+}
--- a/lib/src/gateway/stages/release.rs
+++ b/lib/src/gateway/stages/release.rs
@@ -1,28 +1,48 @@
-//! Gives up results of stages that are no longer needed.
-
-use crate::{
-    gateway::{
-        dialect::Dialect,
-        peers::{membership::Coordinator, message::LinkRequest},
-        stages::job::ResultHandle,
-        state::Gateway,
+//! Releases results of stages that are no longer needed, so that their endpoints have room again.
+//!
+//! A result is released through the coordinator of its service, which knows what each endpoint
+//! keeps; it gathers releases for a moment and sends them to the endpoints. A release that is lost
+//! costs room only: endpoints drop results by themselves in time.
+
+use {
+    crate::{
+        gateway::{
+            dialect::Dialect,
+            peers::{membership::Coordinator, message::LinkRequest},
+            routing::endpoint_state::service_hash,
+            stages::{
+                endpoint_post::{CONNECT_LIMIT, Post, post},
+                job::ResultHandle,
+            },
+            state::Gateway,
+        },
+        shared::{ids::ServiceId, units::Time},
     },
-    shared::ids::ServiceId,
+    foldhash::{HashMap, HashSet},
+    http::StatusCode,
+    std::{collections::BTreeMap, net::SocketAddr, rc::Rc, time::Duration},
 };
 
-/// Tells the planner of a service that results are no longer needed.
-pub fn release<D: Dialect>(gateway: &Gateway<D>, service: &ServiceId, handles: Vec<ResultHandle>) {
+/// Time for which results are gathered before their release is sent (chosen, not measured).
+const GATHER: Duration = Duration::from_millis(15);
+
+/// Reports to the coordinator of a service that results are no longer needed.
+pub(crate) fn release<D: Dialect>(
+    gateway: &Gateway<D>,
+    service: &ServiceId,
+    handles: Vec<ResultHandle>,
+) {
     if handles.is_empty() {
         return;
     }
     let ready = gateway.may_coordinate();
     let now = gateway.now();
-    let planner = gateway
+    let coordinator = gateway
         .state
         .borrow()
         .peers
         .coordinator(now, service, ready, &[]);
-    match planner {
+    match coordinator {
         Coordinator::Me => gateway
             .state
             .borrow_mut()
@@ -33,3 +53,109 @@
             .tell(peer, LinkRequest::Release(service.clone(), handles)),
     }
 }
+
+/// Releases inputs that endpoints have fetched, where those that keep them are short of room.
+pub(super) fn release_fetched<D: Dialect>(gateway: &Gateway<D>) {
+    let now = gateway.now();
+    let short = short_of_room(gateway, now);
+    if short.is_empty() {
+        return;
+    }
+    let fetched = gateway
+        .state
+        .borrow_mut()
+        .planning
+        .take_fetched(now, &short);
+    for (service, handles) in by_service(gateway, fetched) {
+        release(gateway, &service, handles);
+    }
+}
+
+/// Returns the addresses of the endpoints of services that are short of room for results.
+fn short_of_room<D: Dialect>(gateway: &Gateway<D>, now: Time) -> HashSet<SocketAddr> {
+    let state = gateway.state.borrow();
+    let is_short = |service: &ServiceId| {
+        state.planning.is_short_of_room(now, service)
+            || state.peers.is_short_of_room(service_hash(service))
+    };
+    let services = state.planning.limits.keys().filter(|id| is_short(id));
+    services
+        .flat_map(|service| state.endpoints.service(service))
+        .map(|member| member.entry.address)
+        .collect()
+}
+
+/// Groups results by the services of the endpoints that keep them. Results of an endpoint that has
+/// left went with it.
+fn by_service<D: Dialect>(
+    gateway: &Gateway<D>,
+    handles: Vec<ResultHandle>,
+) -> BTreeMap<ServiceId, Vec<ResultHandle>> {
+    let state = gateway.state.borrow();
+    let mut by_service: BTreeMap<ServiceId, Vec<ResultHandle>> = BTreeMap::new();
+    for handle in handles {
+        let service = handle
+            .address()
+            .and_then(|at| state.endpoints.service_at(at));
+        if let Some(service) = service {
+            by_service.entry(service.clone()).or_default().push(handle);
+        }
+    }
+    by_service
+}
+
+/// Sends the releases gathered here to the endpoints, for good.
+pub async fn run_releases<D: Dialect>(gateway: Rc<Gateway<D>>) {
+    loop {
+        tokio::time::sleep(GATHER).await;
+        let releases = gateway.state.borrow_mut().planning.take_releases();
+        for (service, handles) in releases {
+            for (address, handles) in by_address(handles) {
+                let gateway = gateway.clone();
+                let service = service.clone();
+                tokio::task::spawn_local(async move {
+                    send_release(&gateway, &service, address, &handles).await;
+                });
+            }
+        }
+    }
+}
+
+/// Groups results by the addresses of the endpoints that keep them; a handle without an address
+/// names no endpoint that could drop its result.
+fn by_address(handles: Vec<ResultHandle>) -> HashMap<SocketAddr, Vec<ResultHandle>> {
+    let mut by_address: HashMap<SocketAddr, Vec<ResultHandle>> = HashMap::default();
+    for handle in handles {
+        if let Some(address) = handle.address() {
+            by_address.entry(address).or_default().push(handle);
+        }
+    }
+    by_address
+}
+
+/// Sends a release to one endpoint. One that doesn't confirm it drops the results by itself later;
+/// until then they count as kept.
+async fn send_release<D: Dialect>(
+    gateway: &Gateway<D>,
+    service: &ServiceId,
+    address: SocketAddr,
+    handles: &[ResultHandle],
+) {
+    let reply = post::<D>(Post {
+        address,
+        path: D::RELEASE_PATH,
+        endpoint: None,
+        body: D::write_release(handles),
+        limit: CONNECT_LIMIT,
+    })
+    .await;
+    if !reply.is_ok_and(|reply| reply.status == StatusCode::OK) {
+        return;
+    }
+    gateway
+        .state
+        .borrow_mut()
+        .planning
+        .released(service, handles);
+    gateway.work.notify_one();
+}
--- a/lib/src/gateway/state.rs
+++ b/lib/src/gateway/state.rs
@@ -70,13 +70,13 @@
     pub endpoints: EndpointStates,
     /// The other daemons.
     pub peers: Peers,
-    /// Jobs of services that this daemon plans for.
+    /// Queues of the stage services that this daemon coordinates.
     pub planning: Planning,
     /// How far the directory can be read.
     pub contact: DirectoryContact,
     /// Whether a list of endpoints was ever had.
     pub listed: bool,
-    /// What this daemon has taken on.
+    /// The outstanding pieces of this daemon's requests.
     pub workload: Workload,
     /// What all daemons have in flight, as coordinators sum it up.
     pub sums: LoadSums,
@@ -124,7 +124,7 @@
     pub stopping: Cell<bool>,
     /// Requests without a final answer.
     pub in_flight: Cell<usize>,
-    /// Wakes the planner of stages.
+    /// Wakes the loop that plans the calls of stages.
     pub work: Notify,
     /// Tells this life of the process from others.
     pub run: u64,
@@ -448,7 +448,7 @@
         u32::try_from((accepted / daemons).max(1)).unwrap_or(u32::MAX)
     }
 
-    /// Tells the planner which endpoints may be called.
+    /// Updates which endpoints of stages may be called.
     fn sync_planning(&self) {
         let limits = self.settings.budget;
         let mut guard = self.state.borrow_mut();
