--- a/lib/src/gateway/routing/attempt.rs
+++ b/lib/src/gateway/routing/attempt.rs
@@ -12,7 +12,7 @@
                 endpoint_choice::{EndpointChoice, Placement},
                 progress::Progress,
             },
-            stages::chain::Results,
+            stages::stage_results::Results,
             state::Gateway,
             wire::{
                 egress::{self, ConnectionGuard, SendError},
--- a/lib/src/gateway/routing/forward.rs
+++ b/lib/src/gateway/routing/forward.rs
@@ -16,7 +16,7 @@
             },
             rules::{endpoint_choice::EndpointChoice, progress::Progress},
             serving::metrics::RetryReason,
-            stages::chain::Results,
+            stages::stage_results::Results,
             state::Gateway,
             table::RouteKind,
             wire::{
--- a/lib/src/gateway/routing/reply_stream.rs
+++ b/lib/src/gateway/routing/reply_stream.rs
@@ -11,7 +11,7 @@
                 stages::run_stages,
             },
             serving::metrics::RetryReason,
-            stages::chain::Results,
+            stages::stage_results::Results,
             state::Gateway,
             table::RouteKind,
             wire::{
--- a/lib/src/gateway/routing/stages.rs
+++ b/lib/src/gateway/routing/stages.rs
@@ -10,7 +10,11 @@
             rules::admission::{
                 self, AdmissionDecision, AdmissionRequest, PlannedStage, StageService,
             },
-            stages::chain::{self, ChainError, ChainRequest, Results},
+            stages::{
+                chain::{self, ChainError},
+                chain_request::ChainRequest,
+                stage_results::Results,
+            },
             state::Gateway,
             table::Route,
         },
--- a/lib/src/gateway/rules/mod.rs
+++ b/lib/src/gateway/rules/mod.rs
@@ -13,4 +13,5 @@
 pub mod result_room;
 pub mod retry_budget;
 pub mod set_aside;
+pub mod stage_objective;
 pub mod worker_pace;
--- /dev/null
+++ b/lib/src/gateway/rules/stage_objective.rs
@@ -0,0 +1,23 @@
+//! When should a stage of a request have ended, for the request to meet its objective?
+//!
+//! Inputs: the request's objective (a time), the number of stages that come after the stage along
+//! the longest way, and the time that the request itself needs (milliseconds).
+//!
+//! `LATER_STAGE` is kept for each later stage, and the request's own time. Waiting pieces are ordered
+//! by this time (`rules::piece_order`): without it, first stages would go after last ones of requests
+//! that are less pressed. That the own time is kept changed no worth by itself, and was "needed for
+//! order" (`docs/MEASUREMENTS.md`, "On the users' platform": 0.048 -> 0.046). `test_stage_rules`
+//! pins the rule.
+
+use crate::shared::units::{Millis, Time};
+
+/// Time kept for each later stage (chosen, not measured).
+const LATER_STAGE: Millis = Millis(350);
+
+const US_PER_MS: u64 = 1_000;
+
+/// Returns when a stage should have ended.
+pub fn stage_objective(request: Time, later_stages: u64, own_time: Millis) -> Time {
+    let kept = Millis(LATER_STAGE.0 * later_stages + own_time.0);
+    Time(request.0.saturating_sub(kept.0 * US_PER_MS))
+}
--- /dev/null
+++ b/lib/src/gateway/stages/stage_results.rs
@@ -0,0 +1,160 @@
+//! The results of a request's stages, from their completion until the request has used them.
+//!
+//! Owns the handles: whatever is still held is released when this is dropped.
+
+use {
+    crate::{
+        gateway::{
+            dialect::Dialect,
+            rules::endpoint_choice::InputLocation,
+            stages::{
+                job::{PieceInput, ResultHandle},
+                release::release,
+            },
+            state::Gateway,
+            table::{Route, RouteStage},
+        },
+        shared::{ids::ServiceId, units::ByteSize},
+    },
+    std::{rc::Rc, sync::Arc},
+};
+
+/// The results of a request's stages; those still held are released when this is dropped.
+pub struct Results<D: Dialect> {
+    gateway: Rc<Gateway<D>>,
+    stages: Vec<StageResults>,
+}
+
+/// The results of one stage.
+struct StageResults {
+    service: ServiceId,
+    /// Size of one result.
+    size: ByteSize,
+    /// Set if the request itself uses them, since no other stage does.
+    is_last: bool,
+    /// Nothing until the stage is complete; empty once they are released.
+    handles: Option<Vec<ResultHandle>>,
+}
+
+impl<D: Dialect> Results<D> {
+    /// Starts with no stage complete.
+    pub(super) fn new(gateway: Rc<Gateway<D>>, route: &Route) -> Self {
+        let is_used = |stage: usize| {
+            let mut all = route.stages.iter();
+            all.any(|other| other.after.contains(&stage))
+        };
+        let stages = route.stages.iter().enumerate();
+        let stages = stages.map(|(place, stage)| StageResults {
+            service: stage.service.clone(),
+            size: stage.result,
+            is_last: !is_used(place),
+            handles: None,
+        });
+        Self {
+            gateway,
+            stages: stages.collect(),
+        }
+    }
+
+    /// Returns the results that the request itself uses.
+    pub fn inputs(&self) -> Vec<ResultHandle> {
+        let last = self.stages.iter().filter(|stage| stage.is_last);
+        last.filter_map(|stage| stage.handles.clone())
+            .flatten()
+            .collect()
+    }
+
+    /// Returns where the results are kept that the request itself uses; those of endpoints that have
+    /// left are left out.
+    pub fn input_locations(&self) -> Vec<InputLocation> {
+        let state = self.gateway.state.borrow();
+        let mut locations = Vec::new();
+        for stage in self.stages.iter().filter(|stage| stage.is_last) {
+            for handle in stage.handles.iter().flatten() {
+                let address = handle.address();
+                let member = state
+                    .endpoints
+                    .service(&stage.service)
+                    .find(|member| Some(member.entry.address) == address);
+                if let Some(member) = member {
+                    locations.push(InputLocation {
+                        data_centre: member.entry.data_centre.clone(),
+                        size: stage.size,
+                    });
+                }
+            }
+        }
+        locations
+    }
+
+    /// Returns whether all stages are complete.
+    pub(super) fn are_complete(&self) -> bool {
+        self.stages.iter().all(|stage| stage.handles.is_some())
+    }
+
+    /// Returns whether all stages before a stage are complete.
+    pub(super) fn is_ready(&self, stage: &RouteStage) -> bool {
+        stage
+            .after
+            .iter()
+            .all(|before| self.stages[*before].handles.is_some())
+    }
+
+    /// Returns the input of a stage's pieces: the results of the stages before it, or the caller's
+    /// key if there are none.
+    pub(super) fn input_of(&self, stage: &RouteStage, key: &Arc<str>) -> PieceInput {
+        let before = stage.after.iter().map(|before| &self.stages[*before]);
+        let handles: Vec<ResultHandle> = before
+            .filter_map(|stage| stage.handles.clone())
+            .flatten()
+            .collect();
+        if handles.is_empty() {
+            PieceInput::Key(key.clone())
+        } else {
+            PieceInput::Results(handles)
+        }
+    }
+
+    /// Keeps the results of a stage, which is complete now.
+    pub(super) fn complete(&mut self, stage: usize, handles: Vec<ResultHandle>) {
+        self.stages[stage].handles = Some(handles);
+    }
+
+    /// Releases the results whose users are all complete; those that the request itself uses stay.
+    pub(super) fn release_used(&mut self, route: &Route) {
+        for place in 0..self.stages.len() {
+            if self.stages[place].is_last || !self.are_users_complete(route, place) {
+                continue;
+            }
+            // The stage stays complete; only its handles are given up.
+            let stage = &mut self.stages[place];
+            if let Some(handles) = stage.handles.as_mut() {
+                release(&self.gateway, &stage.service, std::mem::take(handles));
+            }
+        }
+    }
+
+    fn are_users_complete(&self, route: &Route, stage: usize) -> bool {
+        route
+            .stages
+            .iter()
+            .enumerate()
+            .filter(|(_, other)| other.after.contains(&stage))
+            .all(|(user, _)| self.stages[user].handles.is_some())
+    }
+
+    /// Releases all results that are still held; no stage is complete then.
+    pub(super) fn release_all(&mut self) {
+        for stage in &mut self.stages {
+            if let Some(handles) = stage.handles.take() {
+                release(&self.gateway, &stage.service, handles);
+            }
+        }
+    }
+}
+
+impl<D: Dialect> Drop for Results<D> {
+    fn drop(&mut self) {
+        self.release_all();
+    }
+}
--- a/lib/src/gateway/stages/work_claim.rs
+++ b/lib/src/gateway/stages/work_claim.rs
@@ -1,29 +1,39 @@
-//! Counts the pieces of one request as taken on until they are made.
+//! Counts the pieces of one request as outstanding until their stages are complete.
+//!
+//! Owns the request's part of this daemon's workload; what is left is subtracted when it is dropped.
 
 use {
     crate::{
-        gateway::{dialect::Dialect, state::Gateway, table::Route},
+        gateway::{dialect::Dialect, stages::job::piece_count, state::Gateway, table::Route},
         shared::ids::ServiceId,
     },
     std::rc::Rc,
 };
 
-/// Pieces of one request that aren't made yet; those left are given back when it is dropped.
+/// The outstanding pieces of one request.
 #[derive(Debug)]
-pub struct WorkClaim<D: Dialect> {
+pub(crate) struct WorkClaim<D: Dialect> {
     gateway: Rc<Gateway<D>>,
-    stages: Vec<(ServiceId, u32)>,
+    stages: Vec<StageClaim>,
+}
+
+/// The outstanding pieces of one stage.
+#[derive(Debug)]
+struct StageClaim {
+    service: ServiceId,
+    pieces: u32,
 }
 
 impl<D: Dialect> WorkClaim<D> {
-    /// Takes on the pieces of a request.
-    pub fn new(gateway: &Rc<Gateway<D>>, route: &Route, pieces: &[u32]) -> Self {
+    /// Counts all pieces of a request.
+    pub(crate) fn new(gateway: &Rc<Gateway<D>>, route: &Route, pieces: &[u32]) -> Self {
         let mut state = gateway.state.borrow_mut();
         let mut stages = Vec::with_capacity(route.stages.len());
-        for (i, stage) in route.stages.iter().enumerate() {
-            let count = pieces.get(i).copied().unwrap_or(0);
-            state.workload.add(&stage.service, count);
-            stages.push((stage.service.clone(), count));
+        for (place, stage) in route.stages.iter().enumerate() {
+            let pieces = piece_count(pieces, place);
+            state.workload.add(&stage.service, pieces);
+            let service = stage.service.clone();
+            stages.push(StageClaim { service, pieces });
         }
         drop(state);
         Self {
@@ -32,12 +42,12 @@
         }
     }
 
-    /// Notes that a stage is over.
-    pub fn settle(&mut self, stage: usize) {
-        let (service, count) = &mut self.stages[stage];
-        let pieces = std::mem::take(count);
+    /// Stops counting the pieces of a stage; a stage that was settled stays so.
+    pub(crate) fn settle(&mut self, stage: usize) {
+        let claim = &mut self.stages[stage];
+        let pieces = std::mem::take(&mut claim.pieces);
         let mut state = self.gateway.state.borrow_mut();
-        state.workload.subtract(service, pieces);
+        state.workload.subtract(&claim.service, pieces);
     }
 }
 
--- a/lib/src/gateway/stages/workload.rs
+++ b/lib/src/gateway/stages/workload.rs
@@ -1,4 +1,7 @@
-//! Pieces that this daemon has taken on and that aren't made yet.
+//! The pieces that requests of this daemon need and that aren't completed yet, by service.
+//!
+//! Heartbeats carry them, so that every daemon can admit requests by the load of all
+//! (`rules::admission`).
 
 use {
     crate::{
@@ -8,21 +11,21 @@
     foldhash::HashMap,
 };
 
-/// What this daemon has taken on.
+/// The outstanding pieces of this daemon's requests.
 #[derive(Debug, Default)]
 pub struct Workload {
     outstanding: HashMap<ServiceId, u32>,
 }
 
 impl Workload {
-    /// Returns what is told to other daemons.
+    /// Returns what heartbeats carry: services without outstanding pieces are left out.
     pub fn notes(&self) -> Vec<WorkNote> {
         let some = self.outstanding.iter().filter(|(_, pieces)| **pieces > 0);
         some.map(|(service, pieces)| WorkNote(service_hash(service), *pieces))
             .collect()
     }
 
-    /// Returns the pieces taken on by this daemon.
+    /// Returns the outstanding pieces of a service; none if no request needed it yet.
     pub fn outstanding(&self, service: &ServiceId) -> u32 {
         self.outstanding.get(service).copied().unwrap_or(0)
     }
--- a/lib/tests/test_stage_rules.rs
+++ b/lib/tests/test_stage_rules.rs
@@ -13,6 +13,7 @@
                     LostSend, PieceRetry, after_loss, is_hopeless, is_retry, may_resend,
                 },
                 result_room::{are_inputs_fetched, free_room, is_shortage},
+                stage_objective::stage_objective,
                 worker_pace::{KnownPace, Pace, PassedOver},
             },
             stages::job::JobId,
@@ -226,3 +227,11 @@
     assert_eq!(order.share(2, 3), 3 + 3);
     assert_eq!(order.share(0, 0), 5 + 7);
 }
+
+#[test]
+fn stage_objectives() {
+    let objective = |later, own| stage_objective(NOW, later, Millis(own));
+    assert_eq!(objective(0, 0), NOW);
+    assert_eq!(objective(2, 80), Time(NOW.0 - 780_000));
+    assert_eq!(stage_objective(Time(1_000), 1, Millis(0)), Time(0));
+}
