--- a/lib/src/gateway/routing/stages.rs
+++ b/lib/src/gateway/routing/stages.rs
@@ -1,4 +1,7 @@
-//! Takes a request's stages on, or refuses it, and runs them.
+//! Admits the stages of a request, or refuses it, and runs them.
+//!
+//! Gathers what `rules::admission` decides on, and turns its decision, and the end of the stages,
+//! into an answer for the caller. Relies on `stages::chain` to run them.
 
 use {
     crate::{
@@ -7,30 +10,35 @@
             routing::{
                 attempt::choose_endpoint, call::ForwardedCall, endpoint_state::service_hash,
             },
-            rules::admission::{
-                self, AdmissionDecision, AdmissionRequest, PlannedStage, StageService,
+            rules::{
+                admission::{
+                    self, AdmissionDecision, AdmissionRequest, EndpointCounts, PieceCount,
+                    PlannedStage, StageService,
+                },
+                call_timing::CallCost,
             },
             stages::{
                 chain::{self, ChainError},
                 chain_request::ChainRequest,
+                job::piece_count,
                 stage_results::Results,
             },
-            state::Gateway,
-            table::Route,
+            state::{Gateway, GatewayState},
+            table::{BatchLimits, Route},
         },
         shared::{
             ids::ServiceId,
             problem::{Code, Problem},
-            units::{ByteSize, Millis},
+            units::{ByteSize, Millis, Time, WorkMillis},
         },
     },
     std::rc::Rc,
 };
 
-/// Wait that is suggested to a caller whose stages failed.
+/// Wait that is suggested to a caller whose stages failed (chosen, not measured).
 const RETRY: Millis = Millis(100);
 
-/// Refuses a request at once whose stages can't be made in time.
+/// Refuses a request at once whose stages can't end in time.
 pub(crate) fn check_admission<D: Dialect>(
     gateway: &Gateway<D>,
     call: &ForwardedCall,
@@ -39,17 +47,22 @@
         return Ok(());
     }
     match admit(gateway, &call.route, &call.inbound) {
-        AdmissionDecision::Take(expected_ms) => {
-            log::info!(request = call.id(), expected_ms, objective_ms = call.route.objective.0; "request.admitted");
+        AdmissionDecision::Admit { expected } => {
+            log::info!(
+                request = call.id(),
+                expected_ms = expected.0,
+                objective_ms = call.route.objective.0;
+                "request.admitted"
+            );
             Ok(())
         }
         AdmissionDecision::Refuse {
-            expected_ms,
+            expected,
             retry_after,
         } => {
-            let objective = call.route.objective;
+            let (expected, objective) = (expected.0, call.route.objective);
             let detail =
-                format!("it would take about {expected_ms:.0} ms, its objective is {objective}");
+                format!("it would take about {expected:.0} ms, its objective is {objective}");
             Err(Problem::not_run(Code::NoTime, detail).retry_after(retry_after))
         }
     }
@@ -84,7 +97,7 @@
     }
 }
 
-/// Decides whether a request with stages is taken.
+/// Decides whether a request with stages is admitted.
 pub fn admit<D: Dialect>(
     gateway: &Gateway<D>,
     route: &Route,
@@ -94,9 +107,9 @@
         .stages
         .iter()
         .enumerate()
-        .map(|(i, stage)| PlannedStage {
+        .map(|(place, stage)| PlannedStage {
             service: stage_service(gateway, &stage.service, stage.result),
-            pieces: inbound.pieces.get(i).copied().unwrap_or(0),
+            pieces: piece_count(&inbound.pieces, place),
             after: stage.after.clone(),
         })
         .collect();
@@ -108,38 +121,83 @@
     })
 }
 
+/// Gathers how the service of a stage stands; `result` is the size of one result.
 fn stage_service<D: Dialect>(
     gateway: &Gateway<D>,
     service: &ServiceId,
     result: ByteSize,
 ) -> StageService {
     let now = gateway.now();
-    let published = gateway.published();
-    let limits = published
-        .as_ref()
+    let limits = gateway
+        .published()
         .and_then(|published| published.table.service(service)?.batch);
-    let state = gateway.state.borrow();
-    let endpoints = state
-        .endpoints
-        .service(service)
-        .filter(|member| member.is_open())
-        .count();
-    let hash = service_hash(service);
-    let coordinator = state.peers.coordinator(now, service, true, &[]);
-    let elsewhere = state.peers.outstanding(hash, coordinator);
-    let ready = state.planning.available_endpoints(now, service);
-    let reported = state.peers.available_endpoints(hash);
-    let outstanding = f64::from(state.workload.outstanding(service)) + f64::from(elsewhere);
-    let (batch, call_ms, piece_ms, room) = limits.map_or((1, 0.0, 0.0, f64::MAX), |limits| {
-        let results = limits.room.0 as f64 / result.0.max(1) as f64;
-        (limits.pieces, limits.call_ms, limits.piece_ms, results)
+    let stated = limits.map_or(StatedLimits::NONE, |limits| {
+        StatedLimits::new(&limits, result)
     });
+    let state = gateway.state.borrow();
     StageService {
-        endpoints: ready.or(reported).unwrap_or(endpoints).min(endpoints),
-        batch,
-        call_ms,
-        piece_ms,
-        room,
-        outstanding,
+        endpoints: endpoint_counts(&state, now, service).believed(),
+        batch: stated.batch,
+        cost: stated.cost,
+        room: stated.room,
+        outstanding: outstanding(&state, now, service),
+    }
+}
+
+/// Limits of a stage's service as the table states them.
+struct StatedLimits {
+    batch: usize,
+    cost: CallCost,
+    /// Results of the stage that an endpoint has room for.
+    room: PieceCount,
+}
+
+impl StatedLimits {
+    /// A service that runs no pieces costs no time, so that no request is refused for its load: the
+    /// stage itself will fail.
+    const NONE: Self = Self {
+        batch: 1,
+        cost: CallCost {
+            fixed: WorkMillis(0.0),
+            piece: WorkMillis(0.0),
+        },
+        room: PieceCount(f64::MAX),
+    };
+
+    fn new(limits: &BatchLimits, result: ByteSize) -> Self {
+        // A stage without a stated size of results counts as one of tiny results.
+        let results = limits.room.0 as f64 / result.0.max(1) as f64;
+        Self {
+            batch: limits.pieces,
+            cost: CallCost {
+                fixed: WorkMillis(limits.call_ms),
+                piece: WorkMillis(limits.piece_ms),
+            },
+            room: PieceCount(results),
+        }
+    }
+}
+
+/// Gathers the endpoints of a service that get calls, from all who know something of it.
+fn endpoint_counts(state: &GatewayState, now: Time, service: &ServiceId) -> EndpointCounts {
+    EndpointCounts {
+        own_queue: state.planning.available_endpoints(now, service),
+        peers: state.peers.available_endpoints(service_hash(service)),
+        listed: listed_endpoints(state, service),
     }
 }
+
+fn listed_endpoints(state: &GatewayState, service: &ServiceId) -> usize {
+    let members = state.endpoints.service(service);
+    members.filter(|member| member.is_open()).count()
+}
+
+/// Adds up the outstanding pieces of a service: those of this daemon's requests, which it counts
+/// itself, and those of all others, as they or the service's coordinator report them.
+fn outstanding(state: &GatewayState, now: Time, service: &ServiceId) -> PieceCount {
+    // Counted as ready: a daemon that would be the coordinator itself adds up the others' reports.
+    let coordinator = state.peers.coordinator(now, service, true, &[]);
+    let elsewhere = state.peers.outstanding(service_hash(service), coordinator);
+    let own = state.workload.outstanding(service);
+    PieceCount(f64::from(own) + f64::from(elsewhere))
+}
--- a/lib/src/gateway/rules/admission.rs
+++ b/lib/src/gateway/rules/admission.rs
@@ -1,74 +1,121 @@
-//! Whether a request whose stages have to be made first is taken, or refused at once.
+//! Is a request whose stages have to run first admitted, or refused at once?
 //!
-//! Work that was begun and isn't finished in time takes its place from work that could have been.
-//! What all daemons have taken on and not finished yet is told in heartbeats; with the pace of each
-//! service it tells when a new request would be done.
+//! Inputs: for each stage its pieces and how its service stands (`StageService`: endpoints, cost of
+//! a call in milliseconds, room in results, outstanding pieces of all daemons), the request's
+//! objective (milliseconds), its route's rank, and the tokens of its prompt.
+//!
+//! The outstanding pieces of a service over its throughput tell when a new piece would begin; with
+//! the time of a call at the present load, and of the stages before, that gives the time to the end
+//! of all stages. The request is admitted if that time and its own fit into its objective, less
+//! `RANK_MARGIN` for each rank.
+//!
+//! Work that was begun and isn't finished in time takes the place of work that could have been.
+//! Admission by what all daemons have outstanding was worth 0.640 -> 0.681; all figures below are
+//! rows of `docs/MEASUREMENTS.md`, "On the users' platform", where no other source is named.
+//! `test_stage_admission` pins the rule.
 
-use crate::{gateway::rules::engine_pace::TOKENS_PER_MS, shared::units::Millis};
+use crate::{
+    gateway::rules::{call_timing::CallCost, engine_pace::TOKENS_PER_MS},
+    shared::units::{Millis, WorkMillis},
+};
 
-/// Time that a request needs beside its stages and its prompt, in milliseconds.
-const OWN_MS: f64 = 80.0;
+/// Time that a request needs beside its stages and its prompt (chosen, not measured).
+const OWN: WorkMillis = WorkMillis(80.0);
 
-/// Most time of a prompt that counts against its admission, in milliseconds. A long prompt costs the
-/// stages no more than a short one, and refusing it for its length alone would starve its kind.
-const MOST_OWN_MS: f64 = 200.0;
+/// Most of a request's own time that counts against its admission ("a long prompt counts for 200 ms
+/// at most": 0.919 -> 0.979). A long prompt costs the stages no more than a short one, and refusing
+/// it for its length alone would starve its kind.
+const MOST_OWN: WorkMillis = WorkMillis(200.0);
 
-/// Part of a service's full pace that is reached.
+/// Part of a service's full throughput that is reached (a share; chosen, not measured).
 const EFFICIENCY: f64 = 0.85;
 
-/// Time for which results are kept beyond the call that made them, in milliseconds.
-const KEPT_MS: f64 = 350.0;
+/// Time for which results are kept beyond the call that computed them (chosen, not measured).
+const KEPT: WorkMillis = WorkMillis(350.0);
 
-/// Part of the objective that the expected time may take, for rank 0 and less for each rank.
+/// Part of the objective that the expected time may take at rank 0 (a share; "nine tenths of the
+/// objective": 0.318 -> 0.234, so that it stayed whole).
 const MARGIN: f64 = 1.0;
+
+/// Part of the objective that each rank leaves free (a share; "0.12 for each rank instead of 0.05":
+/// 0.318 -> 0.237, so that it stayed at 0.05).
 const RANK_MARGIN: f64 = 0.05;
 
 /// Bounds of the time after which a refused caller may come back, in milliseconds.
 const LEAST_RETURN_MS: f64 = 300.0;
 const LONGEST_RETURN_MS: f64 = 3_500.0;
 
-/// How a service of a stage stands.
+/// A number of pieces, or of their results; an average is no whole number.
+#[derive(Debug, Clone, Copy, PartialEq, PartialOrd)]
+pub struct PieceCount(pub f64);
+
+/// The load and the size of the service of one stage.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct StageService {
-    /// Endpoints that take calls.
+    /// Endpoints that get calls.
     pub endpoints: usize,
     /// Most pieces in a call.
     pub batch: usize,
-    /// Time of a call apart from its pieces, in milliseconds.
-    pub call_ms: f64,
-    /// Time of one piece, in milliseconds.
-    pub piece_ms: f64,
+    /// Cost of a call.
+    pub cost: CallCost,
     /// Results that an endpoint has room for.
-    pub room: f64,
-    /// Pieces that were taken on, by any daemon, and aren't made yet.
-    pub outstanding: f64,
+    pub room: PieceCount,
+    /// Pieces that any daemon has admitted and that aren't completed yet.
+    pub outstanding: PieceCount,
 }
 
 impl StageService {
+    /// Returns the endpoints that share the load; one at least, since a service that has none at the
+    /// moment gets one back sooner or later.
+    fn sharing(&self) -> f64 {
+        self.endpoints.max(1) as f64
+    }
+
     /// Returns the pieces that a call can hold at full load, for which the room for results counts.
     fn fill(&self) -> f64 {
         let batch = self.batch as f64;
-        let call = self.call_ms + self.piece_ms * batch;
-        let by_room = self.room * call / (call + KEPT_MS);
+        let call = self.cost.expected(batch).0;
+        let by_room = self.room.0 * call / (call + KEPT.0);
         batch.min(by_room).max(1.0)
     }
 
-    /// Returns the pieces that the service makes in a millisecond at full load.
-    fn pace(&self) -> f64 {
+    /// Returns the pieces that the service completes in a millisecond at full load.
+    fn pieces_per_ms(&self) -> f64 {
         let fill = self.fill();
-        let call = self.call_ms + self.piece_ms * fill;
-        self.endpoints.max(1) as f64 * fill / call * EFFICIENCY
+        let call = self.cost.expected(fill).0;
+        self.sharing() * fill / call * EFFICIENCY
     }
 
-    /// Returns the time of a call at the present load, in milliseconds.
-    fn usual_call_ms(&self, pieces: f64) -> f64 {
-        let share = self.outstanding / self.endpoints.max(1) as f64;
+    /// Returns the time of a call that has so many pieces of one request, at the present load.
+    fn usual_call(&self, pieces: f64) -> WorkMillis {
+        let share = self.outstanding.0 / self.sharing();
         let fill = share.clamp(pieces, self.fill().max(pieces));
-        self.call_ms + self.piece_ms * fill
+        self.cost.expected(fill)
     }
 }
 
-/// One stage of a request that asks to be taken.
+/// How many endpoints of a service get calls, by each of those who know something of it.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct EndpointCounts {
+    /// By this daemon's own queue of the service, if it has jobs for it.
+    pub own_queue: Option<usize>,
+    /// By the reports of other daemons, if any has a queue of the service.
+    pub peers: Option<usize>,
+    /// By the list of endpoints: those that aren't draining.
+    pub listed: usize,
+}
+
+impl EndpointCounts {
+    /// Returns the count that is believed. A queue with jobs sees which endpoints are slow or passed
+    /// over, and this daemon's own is the freshest; next come other daemons' reports of theirs.
+    /// Neither may know yet that an endpoint has left, so that the list bounds them.
+    pub fn believed(&self) -> usize {
+        let reported = self.own_queue.or(self.peers);
+        reported.unwrap_or(self.listed).min(self.listed)
+    }
+}
+
+/// One stage of a request that is to be admitted.
 #[derive(Debug, Clone, PartialEq)]
 pub struct PlannedStage {
     /// Its service.
@@ -79,40 +126,43 @@
     pub after: Vec<usize>,
 }
 
-/// What decides about a request.
+/// A request that is to be admitted.
 #[derive(Debug, Clone, PartialEq)]
 pub struct AdmissionRequest {
     /// Its stages, in order.
     pub stages: Vec<PlannedStage>,
     /// Time within which its answer is worth most.
     pub objective: Millis,
-    /// Rank of its route.
+    /// Rank of its route; 0 goes first.
     pub rank: u32,
     /// Tokens of its prompt.
     pub tokens: u32,
 }
 
-/// What was decided.
+/// The decision about a request.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum AdmissionDecision {
-    /// It is taken; it should take this many milliseconds.
-    Take(f64),
+    /// Its stages may begin.
+    Admit {
+        /// Time that it should take.
+        expected: WorkMillis,
+    },
     /// It is refused.
     Refuse {
-        /// Time it would have taken, in milliseconds.
-        expected_ms: f64,
+        /// Time that it would have taken.
+        expected: WorkMillis,
         /// Time after which the caller may come back.
         retry_after: Millis,
     },
 }
 
-/// Estimates the time that a request itself takes to its first event, in milliseconds.
-pub fn own_ms(tokens: u32) -> f64 {
-    OWN_MS + f64::from(tokens) / TOKENS_PER_MS
+/// Estimates the time that a request itself takes to its first event.
+pub fn own_time(tokens: u32) -> WorkMillis {
+    WorkMillis(OWN.0 + f64::from(tokens) / TOKENS_PER_MS)
 }
 
-/// Estimates the time to the end of all stages, in milliseconds.
-pub fn expected_ms(stages: &[PlannedStage]) -> f64 {
+/// Estimates the time to the end of all stages.
+pub fn stages_time(stages: &[PlannedStage]) -> WorkMillis {
     let mut ends = Vec::with_capacity(stages.len());
     for stage in stages {
         let before = stage
@@ -124,24 +174,27 @@
             ends.push(before);
             continue;
         }
-        let pieces = f64::from(stage.pieces);
-        let queued = stage.service.outstanding / stage.service.pace();
-        ends.push(queued.max(before) + stage.service.usual_call_ms(pieces));
+        let service = &stage.service;
+        let queued = service.outstanding.0 / service.pieces_per_ms();
+        let call = service.usual_call(f64::from(stage.pieces));
+        ends.push(queued.max(before) + call.0);
     }
-    ends.into_iter().fold(0.0, f64::max)
+    WorkMillis(ends.into_iter().fold(0.0, f64::max))
 }
 
-/// Decides whether a request is taken.
+/// Decides whether a request is admitted.
 pub fn decide(request: &AdmissionRequest) -> AdmissionDecision {
-    let expected_ms = expected_ms(&request.stages) + own_ms(request.tokens).min(MOST_OWN_MS);
+    let own = own_time(request.tokens).0.min(MOST_OWN.0);
+    let expected_ms = stages_time(&request.stages).0 + own;
+    let expected = WorkMillis(expected_ms);
     let objective = request.objective.0 as f64;
     let allowed = objective * (MARGIN - RANK_MARGIN * f64::from(request.rank));
     if expected_ms <= allowed {
-        return AdmissionDecision::Take(expected_ms);
+        return AdmissionDecision::Admit { expected };
     }
     let wait = (expected_ms - allowed * 0.9).clamp(LEAST_RETURN_MS, LONGEST_RETURN_MS);
     AdmissionDecision::Refuse {
-        expected_ms,
+        expected,
         retry_after: Millis(wait as u64),
     }
 }
--- a/lib/src/gateway/stages/chain_request.rs
+++ b/lib/src/gateway/stages/chain_request.rs
@@ -59,7 +59,7 @@
             deadline,
             objective,
             rank,
-            own_time: Millis(admission::own_ms(inbound.prompt.tokens_in) as u64),
+            own_time: Millis(admission::own_time(inbound.prompt.tokens_in).0 as u64),
             home: None,
         }
     }
--- a/lib/tests/test_decision_pins.rs
+++ b/lib/tests/test_decision_pins.rs
@@ -12,8 +12,10 @@
             },
             rules::{
                 admission::{
-                    AdmissionDecision, AdmissionRequest, PlannedStage, StageService, decide,
+                    AdmissionDecision, AdmissionRequest, PieceCount, PlannedStage, StageService,
+                    decide,
                 },
+                call_timing::CallCost,
                 progress::Progress,
                 retry_budget::{BudgetLimits, WindowBudget},
             },
@@ -23,7 +25,7 @@
         shared::{
             health::{Health, HealthState},
             ids::ServiceId,
-            units::{Capacity, Millis, Share, Time},
+            units::{Capacity, Millis, Share, Time, WorkMillis},
         },
     },
     hazelyoke_testutils::draws::Draws,
@@ -64,10 +66,12 @@
         service: StageService {
             endpoints,
             batch: 16,
-            call_ms: 120.0,
-            piece_ms: 7.5,
-            room: 24.0,
-            outstanding,
+            cost: CallCost {
+                fixed: WorkMillis(120.0),
+                piece: WorkMillis(7.5),
+            },
+            room: PieceCount(24.0),
+            outstanding: PieceCount(outstanding),
         },
         pieces,
         after: after.to_vec(),
@@ -96,11 +100,11 @@
 
 fn verdict(request: &AdmissionRequest) -> String {
     match decide(request) {
-        AdmissionDecision::Take(expected_ms) => format!("take {expected_ms:.3}"),
+        AdmissionDecision::Admit { expected } => format!("take {:.3}", expected.0),
         AdmissionDecision::Refuse {
-            expected_ms,
+            expected,
             retry_after,
-        } => format!("refuse {expected_ms:.3}, {retry_after}"),
+        } => format!("refuse {:.3}, {retry_after}", expected.0),
     }
 }
 
--- a/lib/tests/test_stage_admission.rs
+++ b/lib/tests/test_stage_admission.rs
@@ -1,20 +1,26 @@
 //! Requests whose stages can't be made in time are refused at once.
 
 use hazelyoke_lib::{
-    gateway::rules::admission::{
-        AdmissionDecision, AdmissionRequest, PlannedStage, StageService, decide, expected_ms,
+    gateway::rules::{
+        admission::{
+            AdmissionDecision, AdmissionRequest, PieceCount, PlannedStage, StageService, decide,
+            stages_time,
+        },
+        call_timing::CallCost,
     },
-    shared::units::Millis,
+    shared::units::{Millis, WorkMillis},
 };
 
 fn service(outstanding: f64) -> StageService {
     StageService {
         endpoints: 4,
         batch: 10,
-        call_ms: 240.0,
-        piece_ms: 10.0,
-        room: 1_000.0,
-        outstanding,
+        cost: CallCost {
+            fixed: WorkMillis(240.0),
+            piece: WorkMillis(10.0),
+        },
+        room: PieceCount(1_000.0),
+        outstanding: PieceCount(outstanding),
     }
 }
 
@@ -38,25 +44,28 @@
 #[test]
 fn an_idle_chain_takes_its_calls() {
     let stages = [stage(0.0, 1, &[]), stage(0.0, 2, &[0])];
-    assert_eq!(expected_ms(&stages), 250.0 + 260.0);
+    assert_eq!(stages_time(&stages), WorkMillis(250.0 + 260.0));
 }
 
 #[test]
 fn stages_side_by_side_take_as_long_as_the_longer() {
     let stages = [stage(0.0, 1, &[]), stage(0.0, 5, &[])];
-    assert_eq!(expected_ms(&stages), 290.0);
+    assert_eq!(stages_time(&stages), WorkMillis(290.0));
 }
 
 #[test]
 fn a_stage_left_out_takes_no_time() {
     let stages = [stage(900.0, 0, &[]), stage(0.0, 1, &[0])];
-    assert_eq!(expected_ms(&stages), 250.0);
+    assert_eq!(stages_time(&stages), WorkMillis(250.0));
 }
 
 #[test]
 fn an_idle_fleet_takes_a_request() {
     let verdict = decide(&request(vec![stage(0.0, 1, &[])]));
-    assert!(matches!(verdict, AdmissionDecision::Take(_)), "{verdict:?}");
+    assert!(
+        matches!(verdict, AdmissionDecision::Admit { .. }),
+        "{verdict:?}"
+    );
 }
 
 #[test]
@@ -71,9 +80,9 @@
 
 #[test]
 fn more_work_never_shortens_the_expectation() {
-    let mut last = 0.0;
+    let mut last = WorkMillis(0.0);
     for outstanding in 0..200 {
-        let expected = expected_ms(&[stage(f64::from(outstanding) * 5.0, 2, &[])]);
+        let expected = stages_time(&[stage(f64::from(outstanding) * 5.0, 2, &[])]);
         assert!(expected >= last);
         last = expected;
     }
@@ -85,5 +94,5 @@
         tokens: 50_000,
         ..request(vec![stage(0.0, 1, &[])])
     };
-    assert!(matches!(decide(&long), AdmissionDecision::Take(_)));
+    assert!(matches!(decide(&long), AdmissionDecision::Admit { .. }));
 }
--- a/lib/tests/test_stage_rules.rs
+++ b/lib/tests/test_stage_rules.rs
@@ -6,6 +6,7 @@
     hazelyoke_lib::{
         gateway::{
             rules::{
+                admission::EndpointCounts as Believed,
                 call_fill::{CallFill, Fit},
                 call_timing::{CallCost, answer_limit, is_overdue},
                 piece_order::{EndpointCounts, WaitingJob, WaitingOrder, home_wait},
@@ -235,3 +236,20 @@
     assert_eq!(objective(2, 80), Time(NOW.0 - 780_000));
     assert_eq!(stage_objective(Time(1_000), 1, Millis(0)), Time(0));
 }
+
+#[test]
+fn believed_endpoints() {
+    let believed = |own_queue, peers, listed| {
+        let counts = Believed {
+            own_queue,
+            peers,
+            listed,
+        };
+        counts.believed()
+    };
+    assert_eq!(believed(Some(2), Some(5), 6), 2);
+    assert_eq!(believed(None, Some(5), 6), 5);
+    assert_eq!(believed(None, None, 6), 6);
+    assert_eq!(believed(Some(8), Some(5), 6), 6);
+    assert_eq!(believed(Some(0), None, 6), 0);
+}
