--- a/lib/src/gateway/routing/stages.rs
+++ b/lib/src/gateway/routing/stages.rs
@@ -169,10 +169,7 @@
         let results = limits.room.0 as f64 / result.0.max(1) as f64;
         Self {
             batch: limits.pieces,
-            cost: CallCost {
-                fixed: WorkMillis(limits.call_ms),
-                piece: WorkMillis(limits.piece_ms),
-            },
+            cost: limits.call_cost(),
             room: PieceCount(results),
         }
     }
--- a/lib/src/gateway/rules/admission.rs
+++ b/lib/src/gateway/rules/admission.rs
@@ -165,6 +165,7 @@
 pub fn stages_time(stages: &[PlannedStage]) -> WorkMillis {
     let mut ends = Vec::with_capacity(stages.len());
     for stage in stages {
+        // A checked table names earlier stages only, so that each of them has an end here.
         let before = stage
             .after
             .iter()
--- a/lib/src/gateway/rules/worker_pace.rs
+++ b/lib/src/gateway/rules/worker_pace.rs
@@ -10,8 +10,9 @@
 //! room for a result for `FULL_PASSED_OVER`.
 //!
 //! A call to a slow endpoint delays each request with a piece in it. Passing a full endpoint over
-//! for 60 ms was worth -0.177 -> 0.317 (`docs/MEASUREMENTS.md`, "On the users' platform", first row
-//! of changes); the other constants were chosen, not measured. `test_stage_rules` pins the rule.
+//! for 60 ms, together with no longer counting half of its room as taken, was worth -0.177 -> 0.317
+//! (`docs/MEASUREMENTS.md`, "On the users' platform"); the other constants were chosen, not
+//! measured. `test_stage_rules` pins the rule.
 
 use {
     crate::shared::units::{Millis, Time, WorkMillis},
--- a/lib/src/gateway/stages/batch_call.rs
+++ b/lib/src/gateway/stages/batch_call.rs
@@ -7,7 +7,9 @@
     crate::{
         gateway::{
             directory::catalogue::EndpointEntry,
+            rules::call_timing::CallCost,
             stages::job::{JobId, PieceEnd, PieceTask},
+            table::BatchLimits,
         },
         shared::{
             ids::EndpointId,
@@ -17,6 +19,16 @@
     std::sync::Arc,
 };
 
+impl BatchLimits {
+    /// Returns the cost of a call.
+    pub fn call_cost(&self) -> CallCost {
+        CallCost {
+            fixed: WorkMillis(self.call_ms),
+            piece: WorkMillis(self.piece_ms),
+        }
+    }
+}
+
 /// One call of one endpoint.
 #[derive(Debug, Clone)]
 pub struct BatchCall {
--- a/lib/src/gateway/stages/batch_plan.rs
+++ b/lib/src/gateway/stages/batch_plan.rs
@@ -125,7 +125,10 @@
         if chosen.tasks.is_empty() {
             return None;
         }
-        let expected = self.cost().expected(chosen.fill.pieces() as f64);
+        let expected = self
+            .limits
+            .call_cost()
+            .expected(chosen.fill.pieces() as f64);
         let call = BatchCall {
             id: self.next_call,
             entry,
@@ -208,7 +211,7 @@
 
     /// Ends jobs with waiting pieces that no call can complete in time.
     fn end_hopeless(&mut self, now: Time) {
-        let call = self.cost().fixed;
+        let call = self.limits.call_cost().fixed;
         let hopeless: Vec<JobId> = self
             .jobs
             .iter()
--- a/lib/src/gateway/stages/batch_queue.rs
+++ b/lib/src/gateway/stages/batch_queue.rs
@@ -12,7 +12,7 @@
     crate::{
         gateway::{
             directory::catalogue::EndpointEntry,
-            rules::{call_timing::CallCost, result_room, retry_budget::WindowBudget},
+            rules::{result_room, retry_budget::WindowBudget},
             stages::{
                 batch_call::RunningCall,
                 job::{JobEnd, JobId, ResultHandle, StageJob},
@@ -21,7 +21,7 @@
             },
             table::BatchLimits,
         },
-        shared::units::{Time, WorkMillis},
+        shared::units::Time,
     },
     foldhash::HashMap,
     std::{collections::BTreeMap, sync::Arc},
@@ -150,14 +150,6 @@
         fetched
     }
 
-    /// Returns the cost of a call.
-    pub(super) fn cost(&self) -> CallCost {
-        CallCost {
-            fixed: WorkMillis(self.limits.call_ms),
-            piece: WorkMillis(self.limits.piece_ms),
-        }
-    }
-
     /// Ends a job that isn't complete; its results become surplus.
     pub(super) fn end(&mut self, id: JobId, end: JobEnd) {
         if let Some(state) = self.jobs.remove(&id) {
--- a/lib/src/gateway/stages/local_job.rs
+++ b/lib/src/gateway/stages/local_job.rs
@@ -38,7 +38,7 @@
         };
         let cancel = CancelOnDrop { gateway: self, id };
         self.work.notify_one();
-        // The other half is dropped only with the job, when it is cancelled.
+        // The sender is kept until the job ends or is cancelled, which only this future does.
         let end = receiver.await.unwrap_or(JobEnd::Failed);
         drop(cancel);
         end
