--- a/lib/src/gateway/stages/batch_call.rs
+++ b/lib/src/gateway/stages/batch_call.rs
@@ -16,7 +16,7 @@
             units::{ByteSize, Time, WorkMillis},
         },
     },
-    std::sync::Arc,
+    std::{fmt, sync::Arc},
 };
 
 impl BatchLimits {
@@ -29,11 +29,21 @@
     }
 }
 
+/// Numbers a call within the queue of its service.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub struct CallId(pub u64);
+
+impl fmt::Display for CallId {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        self.0.fmt(f)
+    }
+}
+
 /// One call of one endpoint.
 #[derive(Debug, Clone)]
 pub struct BatchCall {
-    /// Number of the call, unique within the queue of its service.
-    pub id: u64,
+    /// Its number.
+    pub id: CallId,
     /// Endpoint to call.
     pub entry: Arc<EndpointEntry>,
     /// Its pieces.
--- a/lib/src/gateway/stages/batch_plan.rs
+++ b/lib/src/gateway/stages/batch_plan.rs
@@ -15,7 +15,7 @@
                 worker_pace::Pace,
             },
             stages::{
-                batch_call::{BatchCall, PieceRef, RunningCall, SentPiece},
+                batch_call::{BatchCall, CallId, PieceRef, RunningCall, SentPiece},
                 batch_queue::BatchQueue,
                 job::{JobEnd, JobId, PieceTask},
             },
@@ -130,7 +130,7 @@
             .call_cost()
             .expected(chosen.fill.pieces() as f64);
         let call = BatchCall {
-            id: self.next_call,
+            id: CallId(self.next_call),
             entry,
             pieces: chosen.tasks,
             expected,
--- a/lib/src/gateway/stages/batch_queue.rs
+++ b/lib/src/gateway/stages/batch_queue.rs
@@ -14,7 +14,7 @@
             directory::catalogue::EndpointEntry,
             rules::{result_room, retry_budget::WindowBudget},
             stages::{
-                batch_call::RunningCall,
+                batch_call::{CallId, RunningCall},
                 job::{JobEnd, JobId, ResultHandle, StageJob},
                 job_state::JobState,
                 workers::Workers,
@@ -36,7 +36,7 @@
     pub(super) daemons: usize,
     pub(super) jobs: BTreeMap<JobId, JobState>,
     pub(super) workers: Workers,
-    pub(super) calls: HashMap<u64, RunningCall>,
+    pub(super) calls: HashMap<CallId, RunningCall>,
     pub(super) next_call: u64,
     /// Jobs that ended and weren't reported yet.
     pub(super) ended: Vec<EndedJob>,
--- a/lib/src/gateway/stages/batch_results.rs
+++ b/lib/src/gateway/stages/batch_results.rs
@@ -9,7 +9,7 @@
             worker_pace::{Pace, PassedOver},
         },
         stages::{
-            batch_call::{CallEnd, PieceRef, RunningCall, SentPiece},
+            batch_call::{CallEnd, CallId, PieceRef, RunningCall, SentPiece},
             batch_queue::{BatchQueue, EndedJob},
             job::{JobEnd, PieceEnd, ResultHandle},
         },
@@ -22,7 +22,7 @@
 
 impl BatchQueue {
     /// Applies how a call ended; a call that isn't in flight changes nothing.
-    pub fn call_ended(&mut self, now: Time, id: u64, end: CallEnd) {
+    pub fn call_ended(&mut self, now: Time, id: CallId, end: CallEnd) {
         let Some(call) = self.calls.remove(&id) else {
             return;
         };
--- a/lib/src/gateway/stages/call_runner.rs
+++ b/lib/src/gateway/stages/call_runner.rs
@@ -12,6 +12,7 @@
                 batch_call::{BatchCall, CallEnd},
                 endpoint_post::{Post, Reply, post},
                 job::PieceEnd,
+                queues::ServiceCall,
                 release::release_fetched,
             },
             state::Gateway,
@@ -47,7 +48,7 @@
 fn start_calls<D: Dialect>(gateway: &Rc<Gateway<D>>) {
     let now = gateway.now();
     let calls = gateway.state.borrow_mut().planning.plan(now);
-    for (service, call) in calls {
+    for ServiceCall { service, call } in calls {
         let firsts = call.pieces.len() - call.retries;
         gateway.metrics.call(firsts, call.retries);
         log_start(&call_name(gateway, &service, &call), &service, &call);
--- a/lib/src/gateway/stages/queues.rs
+++ b/lib/src/gateway/stages/queues.rs
@@ -10,7 +10,7 @@
             routing::{endpoint_state::service_hash, endpoint_states::EndpointStates},
             rules::retry_budget::{BudgetLimits, WindowBudget},
             stages::{
-                batch_call::{BatchCall, CallEnd},
+                batch_call::{BatchCall, CallEnd, CallId},
                 batch_queue::{BatchQueue, EndedJob},
                 job::{JobEnd, JobId, ResultHandle, StageJob},
             },
@@ -27,7 +27,7 @@
 #[derive(Debug, Default)]
 pub struct Planning {
     queues: BTreeMap<ServiceId, BatchQueue>,
-    pub(crate) limits: BTreeMap<ServiceId, BatchLimits>,
+    limits: BTreeMap<ServiceId, BatchLimits>,
     jobs: HashMap<JobId, QueuedJob>,
     releases: Releases,
     last_job: u64,
@@ -40,6 +40,13 @@
     waiter: oneshot::Sender<JobEnd>,
 }
 
+/// A planned call and the service of its endpoint.
+#[derive(Debug)]
+pub(crate) struct ServiceCall {
+    pub(crate) service: ServiceId,
+    pub(crate) call: BatchCall,
+}
+
 /// A job queued at this daemon.
 #[derive(Debug)]
 pub struct JobTicket {
@@ -109,6 +116,11 @@
             .collect()
     }
 
+    /// Returns the services that run pieces.
+    pub(crate) fn services(&self) -> impl Iterator<Item = &ServiceId> {
+        self.limits.keys()
+    }
+
     /// Returns whether endpoints of a service had no room for results lately.
     pub(crate) fn is_short_of_room(&self, now: Time, service: &ServiceId) -> bool {
         let queue = self.queues.get(service);
@@ -164,19 +176,21 @@
         }
     }
 
-    /// Plans the calls to be sent now, with their services.
-    pub(crate) fn plan(&mut self, now: Time) -> Vec<(ServiceId, BatchCall)> {
+    /// Plans the calls to be sent now.
+    pub(crate) fn plan(&mut self, now: Time) -> Vec<ServiceCall> {
         let mut calls = Vec::new();
         for (service, queue) in &mut self.queues {
-            let planned = queue.plan(now);
-            calls.extend(planned.into_iter().map(|call| (service.clone(), call)));
+            for call in queue.plan(now) {
+                let service = service.clone();
+                calls.push(ServiceCall { service, call });
+            }
         }
         self.settle();
         calls
     }
 
     /// Applies how a call ended.
-    pub(crate) fn call_ended(&mut self, now: Time, service: &ServiceId, id: u64, end: CallEnd) {
+    pub(crate) fn call_ended(&mut self, now: Time, service: &ServiceId, id: CallId, end: CallEnd) {
         if let Some(queue) = self.queues.get_mut(service) {
             queue.call_ended(now, id, end);
         }
--- a/lib/src/gateway/stages/release.rs
+++ b/lib/src/gateway/stages/release.rs
@@ -78,7 +78,7 @@
         state.planning.is_short_of_room(now, service)
             || state.peers.is_short_of_room(service_hash(service))
     };
-    let services = state.planning.limits.keys().filter(|id| is_short(id));
+    let services = state.planning.services().filter(|id| is_short(id));
     services
         .flat_map(|service| state.endpoints.service(service))
         .map(|member| member.entry.address)
