--- a/lib/src/gateway/peers/load_sums.rs
+++ b/lib/src/gateway/peers/load_sums.rs
@@ -1,44 +1,53 @@
-//! What all daemons together have in flight at endpoints, as coordinators sum it up.
+//! Sums of the loads of all daemons, as coordinators send them in load digests.
 
 use {
     crate::{
-        gateway::{peers::message::LoadNote, routing::endpoint_state::PeerLoad},
+        gateway::{
+            hashes::EndpointHash, peers::message::LoadNote, routing::endpoint_state::PeerLoad,
+        },
         shared::units::{Millis, Time},
     },
     foldhash::HashMap,
 };
 
-/// Time for which a sum is believed.
-const KEPT: Millis = Millis(1_500);
+/// Time after which a sum is stale; a coordinator sends one with every heartbeat. Chosen, not
+/// measured.
+const STALE: Millis = Millis(1_500);
 
-/// Sums of loads, by the short names of endpoints.
+/// Sums of loads by endpoint, as coordinators sent them.
 #[derive(Debug, Default)]
 pub struct LoadSums {
-    sums: HashMap<u32, (Time, PeerLoad)>,
+    sums: HashMap<EndpointHash, LoadSum>,
+}
+
+/// The sum at one endpoint, and when it was received.
+#[derive(Debug, Clone, Copy)]
+struct LoadSum {
+    at: Time,
+    load: PeerLoad,
 }
 
 impl LoadSums {
-    /// Takes in sums; an endpoint that isn't named keeps what was told of it.
-    pub fn take(&mut self, now: Time, loads: &[LoadNote]) {
-        for LoadNote(endpoint, running, prefill) in loads {
+    /// Merges sums; an endpoint that isn't named keeps its last one.
+    pub fn merge(&mut self, now: Time, loads: &[LoadNote]) {
+        for note in loads {
             let load = PeerLoad {
-                running: *running,
-                prefill: f64::from(*prefill),
+                running: note.running,
+                prefill: f64::from(note.prefill),
             };
-            self.sums.insert(*endpoint, (now, load));
+            self.sums.insert(note.endpoint, LoadSum { at: now, load });
         }
     }
 
-    /// Drops what is too old.
+    /// Drops stale sums.
     pub fn expire(&mut self, now: Time) {
         self.sums
-            .retain(|_, (told, _)| now.since(*told) < KEPT.to_duration());
+            .retain(|_, sum| now.since(sum.at) < STALE.to_duration());
     }
 
-    /// Returns the sums, this daemon's own part included.
-    pub fn all(&self) -> impl Iterator<Item = (u32, PeerLoad)> {
-        self.sums
-            .iter()
-            .map(|(endpoint, (_, load))| (*endpoint, *load))
+    /// Returns the sums by endpoint, this daemon's own part included.
+    pub fn by_endpoint(&self) -> HashMap<EndpointHash, PeerLoad> {
+        let loads = self.sums.iter();
+        loads.map(|(endpoint, sum)| (*endpoint, sum.load)).collect()
     }
 }
--- a/lib/src/gateway/peers/mod.rs
+++ b/lib/src/gateway/peers/mod.rs
@@ -1,11 +1,27 @@
-//! Messages between daemons, membership, and what daemons report of themselves.
+//! The other daemons: heartbeats in datagrams, links for requests, and what is known of each.
+//!
+//! There is no leader and no store behind it: each daemon keeps its own view, from heartbeats that
+//! it receives and from gossip in them. [`membership`] holds that view; [`heartbeats`],
+//! [`receive`] and [`catch_up`] are the tasks that keep it up to date; [`links`] and
+//! [`link_server`] are the two ends of a link; [`message`] is what goes over the wire. The rules
+//! are in [`rules`](crate::gateway::rules).
 
+pub mod catch_up;
+pub(crate) mod changes;
+pub mod heartbeats;
+pub(crate) mod job_message;
+pub mod link_server;
+pub(crate) mod link_socket;
 pub mod links;
 pub mod load_sums;
 pub mod membership;
 pub mod message;
-pub mod pause;
+pub mod outgoing;
+pub mod peer_change;
+pub(crate) mod peer_loads;
+pub(crate) mod queries;
+pub mod receive;
 pub(crate) mod record;
-pub mod relay;
-pub(crate) mod self_report;
-pub(crate) mod sums;
+pub(crate) mod reports;
+pub mod self_report;
+pub mod sockets;
--- a/lib/src/gateway/peers/record.rs
+++ b/lib/src/gateway/peers/record.rs
@@ -1,8 +1,14 @@
-//! What is known of one other daemon, and whether it counts as alive.
+//! The record of one other daemon.
 
 use {
     crate::{
-        gateway::peers::message::{Heartbeat, PeerNote, Phase},
+        gateway::{
+            peers::message::{Heartbeat, PeerNote, Phase},
+            rules::{
+                coordinator::{Candidate, PeerStanding},
+                liveness::LifeSigns,
+            },
+        },
         shared::{
             ids::HostId,
             units::{Capacity, Millis, Time},
@@ -11,25 +17,24 @@
     std::net::SocketAddr,
 };
 
-/// Time without a heartbeat after which a daemon counts as lost that sends each one to everybody.
-const SILENCE: Millis = Millis(1_000);
-
-/// Time without any sign of life after which another daemon counts as lost.
-const HEARSAY_SILENCE: Millis = Millis(2_500);
-
-/// Time after which an address that was never heard from, or no longer, is forgotten.
-pub(crate) const FORGET: Millis = Millis(60_000);
+/// A heartbeat, and when it was received.
+#[derive(Debug, Clone)]
+pub(crate) struct ReceivedHeartbeat {
+    pub(crate) at: Time,
+    pub(crate) heartbeat: Heartbeat,
+}
 
-/// What is known of one other daemon.
+/// Everything known of one other daemon.
 #[derive(Debug, Clone)]
 pub(crate) struct Peer {
-    /// When its address was last told or heard.
-    pub(crate) known: Time,
-    /// Last sign of life, here or elsewhere.
-    pub(crate) seen: Option<Time>,
+    /// When a heartbeat or gossip last gave its address.
+    pub(crate) last_mention: Time,
+    /// Last sign of life, received here or by a third daemon.
+    pub(crate) last_sign: Option<Time>,
+    pub(crate) last_heartbeat: Option<ReceivedHeartbeat>,
     pub(crate) phase: Phase,
     pub(crate) capacity: Capacity,
-    pub(crate) heard: Option<(Time, Heartbeat)>,
+    /// End of the time for which it is passed over as a coordinator.
     pub(crate) passed_over_until: Time,
     pub(crate) alive: bool,
 }
@@ -37,48 +42,74 @@
 impl Peer {
     pub(crate) fn new(now: Time) -> Self {
         Self {
-            known: now,
-            seen: None,
+            last_mention: now,
+            last_sign: None,
+            last_heartbeat: None,
             phase: Phase::Starting,
             capacity: Capacity::default(),
-            heard: None,
             passed_over_until: Time::default(),
             alive: false,
         }
     }
 
+    /// Returns its host, once a heartbeat was received.
     pub(crate) fn host(&self) -> Option<HostId> {
-        let (_, heartbeat) = self.heard.as_ref()?;
-        Some(heartbeat.host.clone())
+        let last = self.last_heartbeat.as_ref()?;
+        Some(last.heartbeat.host.clone())
     }
 
-    /// Returns whether there has been a sign of life lately. `direct` tells that the daemon should
-    /// be heard here itself; nothing counts as silence that fell before `awake`.
-    pub(crate) fn has_sign(&self, now: Time, awake: Time, direct: bool) -> bool {
-        let broadcasts = self.heard.as_ref().is_some_and(|(_, last)| last.broadcasts);
-        let (last, silence) = if direct || broadcasts {
-            (self.heard.as_ref().map(|(heard, _)| *heard), SILENCE)
-        } else {
-            (self.seen, HEARSAY_SILENCE)
-        };
-        last.is_some_and(|last| now.since(last.max(awake)) <= silence.to_duration())
+    /// Returns whether a heartbeat isn't newer than the last one of the same process.
+    pub(crate) fn is_outdated(&self, next: &Heartbeat) -> bool {
+        self.last_heartbeat.as_ref().is_some_and(|last| {
+            last.heartbeat.run == next.run && last.heartbeat.sequence >= next.sequence
+        })
     }
-}
 
-impl PeerNote {
-    /// Returns whether the sign of life is recent enough to be worth knowing.
-    pub(crate) fn is_recent(&self) -> bool {
-        u64::from(self.age_ms) < FORGET.0 / 2
+    /// Returns whether a heartbeat is of another process than the last one.
+    pub(crate) fn is_restart(&self, next: &Heartbeat) -> bool {
+        self.last_heartbeat
+            .as_ref()
+            .is_some_and(|last| last.heartbeat.run != next.run)
+    }
+
+    /// Returns the inputs of the rule of liveness.
+    pub(crate) fn life_signs(&self) -> LifeSigns {
+        let last = self.last_heartbeat.as_ref();
+        LifeSigns {
+            heartbeat: last.map(|last| last.at),
+            sign: self.last_sign,
+            broadcasts: last.is_some_and(|last| last.heartbeat.broadcasts),
+            alive: self.alive,
+        }
+    }
+
+    /// Returns the inputs of the rule of coordinators.
+    pub(crate) fn standing(&self, address: SocketAddr) -> PeerStanding {
+        PeerStanding {
+            candidate: Candidate {
+                address,
+                capacity: self.capacity,
+            },
+            alive: self.alive,
+            ready: self.phase == Phase::Ready,
+            passed_over_until: self.passed_over_until,
+        }
+    }
+
+    /// Returns the gossip about the daemon; nothing without a sign of life.
+    pub(crate) fn note(&self, now: Time, address: SocketAddr) -> Option<PeerNote> {
+        Some(PeerNote {
+            address,
+            age_ms: now.since(self.last_sign?).as_millis() as u32,
+            phase: self.phase,
+            capacity: self.capacity,
+        })
     }
 }
 
-/// A change in who is alive; the host is known once it was heard.
-#[derive(Debug, Clone, PartialEq, Eq)]
-pub enum PeerChange {
-    /// A daemon was heard or heard of for the first time, or again.
-    Met(SocketAddr, Option<HostId>),
-    /// A daemon started anew since it was last heard.
-    Restarted(SocketAddr, Option<HostId>),
-    /// A daemon has been silent for too long.
-    Lost(SocketAddr, Option<HostId>),
+impl PeerNote {
+    /// Returns the age of the sign of life when the note was sent.
+    pub(crate) fn age(&self) -> Millis {
+        Millis(u64::from(self.age_ms))
+    }
 }
--- /dev/null
+++ b/lib/src/gateway/routing/guards.rs
@@ -0,0 +1,149 @@
+//! Counts that last as long as a value lives: a request in this daemon, an attempt at an endpoint,
+//! a caller that still waits. A future that is dropped at any point leaves the counts right.
+
+use {
+    crate::{
+        gateway::{
+            dialect::Dialect,
+            routing::{call::ForwardedCall, endpoint_state::EndpointOutcome},
+            rules::endpoint_choice::EndpointChoice,
+            state::Gateway,
+        },
+        shared::units::Time,
+    },
+    std::rc::Rc,
+};
+
+/// Counts an attempt in flight at an endpoint until its outcome is known. Dropped before that, it
+/// says nothing about the endpoint's health.
+pub(crate) struct AttemptGuard<D: Dialect> {
+    gateway: Rc<Gateway<D>>,
+    pub(crate) choice: EndpointChoice,
+    sent_at: Time,
+    /// True until the endpoint has read the prompt.
+    prefill_pending: bool,
+    ended: bool,
+}
+
+impl<D: Dialect> AttemptGuard<D> {
+    /// Counts an attempt at the chosen endpoint from now on.
+    pub(crate) fn new(
+        gateway: &Rc<Gateway<D>>,
+        call: &ForwardedCall,
+        choice: EndpointChoice,
+    ) -> Self {
+        let now = gateway.now();
+        let mut state = gateway.state.borrow_mut();
+        let prompt = &call.inbound.prompt;
+        state
+            .endpoints
+            .sent(now, &choice.entry.id, prompt, choice.uncached);
+        drop(state);
+        Self {
+            gateway: gateway.clone(),
+            choice,
+            sent_at: now,
+            prefill_pending: true,
+            ended: false,
+        }
+    }
+
+    /// Notes that the endpoint has read the prompt; only the first call counts.
+    pub(crate) fn first_event(&mut self) {
+        if std::mem::take(&mut self.prefill_pending) {
+            let now = self.gateway.now();
+            let waited = now.millis_since(self.sent_at);
+            let mut state = self.gateway.state.borrow_mut();
+            state.endpoints.first_event(now, &self.choice, waited);
+        }
+    }
+
+    /// Ends the attempt with its outcome for the endpoint.
+    pub(crate) fn end(mut self, outcome: EndpointOutcome) {
+        self.settle(outcome);
+    }
+
+    /// Returns the time since the attempt began, in milliseconds.
+    pub(crate) fn took_ms(&self) -> f64 {
+        self.gateway.now().millis_since(self.sent_at)
+    }
+
+    fn settle(&mut self, outcome: EndpointOutcome) {
+        if std::mem::replace(&mut self.ended, true) {
+            return;
+        }
+        let now = self.gateway.now();
+        let id = &self.choice.entry.id;
+        let mut state = self.gateway.state.borrow_mut();
+        if self.prefill_pending {
+            state.endpoints.forget_prefill(id, self.choice.uncached);
+        }
+        let set_aside = state.endpoints.ended(now, id, outcome);
+        drop(state);
+        if set_aside {
+            // The key is older than the name of the type.
+            log::info!(endpoint:% = id, ending:? = outcome; "endpoint.set_aside");
+        }
+    }
+}
+
+impl<D: Dialect> Drop for AttemptGuard<D> {
+    fn drop(&mut self) {
+        self.settle(EndpointOutcome::Neutral);
+    }
+}
+
+/// Counts a request of this daemon until its answer is whole.
+pub(crate) struct RequestGuard<D: Dialect> {
+    gateway: Rc<Gateway<D>>,
+}
+
+impl<D: Dialect> RequestGuard<D> {
+    /// Counts a request from now on.
+    pub(crate) fn new(gateway: &Rc<Gateway<D>>) -> Self {
+        gateway.in_flight.set(gateway.in_flight.get() + 1);
+        Self {
+            gateway: gateway.clone(),
+        }
+    }
+}
+
+impl<D: Dialect> Drop for RequestGuard<D> {
+    fn drop(&mut self) {
+        let left = self.gateway.in_flight.get().saturating_sub(1);
+        self.gateway.in_flight.set(left);
+    }
+}
+
+/// Counts and logs a caller that left: the request's future is dropped before its end.
+pub(crate) struct CallerLeftGuard<'a, D: Dialect> {
+    gateway: &'a Gateway<D>,
+    call: &'a ForwardedCall,
+    armed: bool,
+}
+
+impl<'a, D: Dialect> CallerLeftGuard<'a, D> {
+    /// Watches for the caller of `call` from now on.
+    pub(crate) fn new(gateway: &'a Gateway<D>, call: &'a ForwardedCall) -> Self {
+        Self {
+            gateway,
+            call,
+            armed: true,
+        }
+    }
+
+    /// Notes that the caller is still there at the request's end.
+    pub(crate) fn disarm(mut self) {
+        self.armed = false;
+    }
+}
+
+impl<D: Dialect> Drop for CallerLeftGuard<'_, D> {
+    fn drop(&mut self) {
+        if self.armed {
+            let took = self.gateway.now().since(self.call.arrived);
+            self.gateway.metrics.caller_left();
+            log::info!(request = self.call.id(), took_ms = took.as_millis() as u64; "request.caller_left");
+        }
+    }
+}
--- a/lib/src/gateway/routing/stages.rs
+++ b/lib/src/gateway/routing/stages.rs
@@ -7,15 +7,15 @@
     crate::{
         gateway::{
             dialect::{Dialect, Inbound},
-            routing::{
-                attempt::choose_endpoint, call::ForwardedCall, endpoint_state::service_hash,
-            },
+            hashes::service_hash,
+            routing::{call::ForwardedCall, outbound::choose_endpoint},
             rules::{
                 admission::{
                     self, AdmissionDecision, AdmissionRequest, EndpointCounts, PieceCount,
                     PlannedStage, StageService,
                 },
                 call_timing::CallCost,
+                retry_after::STAGE_FAILED,
             },
             stages::{
                 chain::{self, ChainError},
@@ -29,15 +29,12 @@
         shared::{
             ids::ServiceId,
             problem::{Code, Problem},
-            units::{ByteSize, Millis, Time, WorkMillis},
+            units::{ByteSize, Time, WorkMillis},
         },
     },
     std::rc::Rc,
 };
 
-/// Wait that is suggested to a caller whose stages failed (chosen, not measured).
-const RETRY: Millis = Millis(100);
-
 /// Refuses a request at once whose stages can't end in time.
 pub(crate) fn check_admission<D: Dialect>(
     gateway: &Gateway<D>,
@@ -89,10 +86,11 @@
     match chain::run(gateway, &request).await {
         Ok(results) => Ok(Some(results)),
         Err(ChainError::Late) => {
-            Err(Problem::not_run(Code::NoTime, "the stages take too long").retry_after(RETRY))
+            Err(Problem::not_run(Code::NoTime, "the stages take too long")
+                .retry_after(STAGE_FAILED))
         }
         Err(ChainError::Failed) => {
-            Err(Problem::not_run(Code::NoEndpoint, "a stage failed").retry_after(RETRY))
+            Err(Problem::not_run(Code::NoEndpoint, "a stage failed").retry_after(STAGE_FAILED))
         }
     }
 }
--- a/lib/src/gateway/rules/admission.rs
+++ b/lib/src/gateway/rules/admission.rs
@@ -15,7 +15,7 @@
 //! `test_stage_admission` pins the rule.
 
 use crate::{
-    gateway::rules::{call_timing::CallCost, engine_pace::TOKENS_PER_MS},
+    gateway::rules::{call_timing::CallCost, engine_pace::TOKENS_PER_MS, retry_after},
     shared::units::{Millis, WorkMillis},
 };
 
@@ -41,10 +41,6 @@
 /// 0.318 -> 0.237, so that it stayed at 0.05).
 const RANK_MARGIN: f64 = 0.05;
 
-/// Bounds of the time after which a refused caller may come back, in milliseconds.
-const LEAST_RETURN_MS: f64 = 300.0;
-const LONGEST_RETURN_MS: f64 = 3_500.0;
-
 /// A number of pieces, or of their results; an average is no whole number.
 #[derive(Debug, Clone, Copy, PartialEq, PartialOrd)]
 pub struct PieceCount(pub f64);
@@ -193,9 +189,8 @@
     if expected_ms <= allowed {
         return AdmissionDecision::Admit { expected };
     }
-    let wait = (expected_ms - allowed * 0.9).clamp(LEAST_RETURN_MS, LONGEST_RETURN_MS);
     AdmissionDecision::Refuse {
         expected,
-        retry_after: Millis(wait as u64),
+        retry_after: retry_after::after_admission(expected, WorkMillis(allowed)),
     }
 }
--- a/lib/src/gateway/rules/mod.rs
+++ b/lib/src/gateway/rules/mod.rs
@@ -1,17 +1,29 @@
 //! The rules of the forwarding daemon, one module each: pure functions and values.
 
 pub mod admission;
+pub mod attempt_timeout;
 pub mod backend_choice;
 pub mod call_fill;
 pub mod call_timing;
+pub mod catch_up;
+pub mod coordinator;
 pub mod endpoint_choice;
 pub mod endpoint_pace;
 pub mod engine_pace;
+pub mod gossip;
+pub mod liveness;
+pub mod outcome;
+pub mod pause;
 pub mod piece_order;
 pub mod piece_retry;
-pub mod progress;
+pub mod reply_proof;
 pub mod result_room;
+pub mod resume;
+pub mod retry;
+pub mod retry_after;
 pub mod retry_budget;
 pub mod set_aside;
 pub mod stage_objective;
+pub mod time_limits;
+pub mod urgency;
 pub mod worker_pace;
--- a/lib/src/gateway/stages/endpoint_post.rs
+++ b/lib/src/gateway/stages/endpoint_post.rs
@@ -7,7 +7,7 @@
     crate::{
         gateway::{
             dialect::Dialect,
-            wire::egress::{self, SendError},
+            wire::egress::{self, CONNECT_LIMIT, SendError},
         },
         shared::ids::EndpointId,
     },
@@ -17,9 +17,6 @@
     std::{net::SocketAddr, time::Duration},
 };
 
-/// Longest time to connect to an endpoint (chosen, not measured).
-pub(super) const CONNECT_LIMIT: Duration = Duration::from_millis(250);
-
 /// Largest answer to a call (bytes; chosen, not measured).
 const ANSWER_SIZE: usize = 256 * 1024;
 
--- a/lib/src/gateway/stages/handover.rs
+++ b/lib/src/gateway/stages/handover.rs
@@ -8,7 +8,11 @@
     crate::{
         gateway::{
             dialect::Dialect,
-            peers::{membership::Coordinator, message::LinkRequest, relay},
+            peers::{
+                job_message,
+                message::{JobOrder, LinkRequest},
+            },
+            rules::coordinator::Coordinator,
             stages::job::{JobEnd, StageJob},
             state::Gateway,
         },
@@ -41,9 +45,9 @@
             tokio::time::sleep(SETTLE_LOOK).await;
             continue;
         };
-        let order = relay::order_of(gateway, service, &job);
-        let reply = gateway.links.ask(peer, LinkRequest::Job(order)).await;
-        if let Some(end) = relay::job_end(reply) {
+        let order = JobOrder::from_job(gateway.now(), service, &job);
+        let reply = gateway.links.request(peer, LinkRequest::Job(order)).await;
+        if let Some(end) = job_message::job_end(reply) {
             return end;
         }
         // The event keeps its name; operators know the coordinator of a stage as its planner.
--- a/lib/src/gateway/stages/release.rs
+++ b/lib/src/gateway/stages/release.rs
@@ -8,13 +8,15 @@
     crate::{
         gateway::{
             dialect::Dialect,
-            peers::{membership::Coordinator, message::LinkRequest},
-            routing::endpoint_state::service_hash,
+            hashes::service_hash,
+            peers::message::LinkRequest,
+            rules::coordinator::Coordinator,
             stages::{
-                endpoint_post::{CONNECT_LIMIT, Post, post},
+                endpoint_post::{Post, post},
                 job::ResultHandle,
             },
             state::Gateway,
+            wire::egress::CONNECT_LIMIT,
         },
         shared::{ids::ServiceId, units::Time},
     },
@@ -50,7 +52,7 @@
             .release(service, handles),
         Coordinator::Peer(peer) => gateway
             .links
-            .tell(peer, LinkRequest::Release(service.clone(), handles)),
+            .notify(peer, LinkRequest::Release(service.clone(), handles)),
     }
 }
 
--- a/lib/src/gateway/stages/workload.rs
+++ b/lib/src/gateway/stages/workload.rs
@@ -5,7 +5,7 @@
 
 use {
     crate::{
-        gateway::{peers::message::WorkNote, routing::endpoint_state::service_hash},
+        gateway::{hashes::service_hash, peers::message::WorkNote},
         shared::ids::ServiceId,
     },
     foldhash::HashMap,
@@ -21,8 +21,11 @@
     /// Returns what heartbeats carry: services without outstanding pieces are left out.
     pub fn notes(&self) -> Vec<WorkNote> {
         let some = self.outstanding.iter().filter(|(_, pieces)| **pieces > 0);
-        some.map(|(service, pieces)| WorkNote(service_hash(service), *pieces))
-            .collect()
+        some.map(|(service, pieces)| WorkNote {
+            service: service_hash(service),
+            pieces: *pieces,
+        })
+        .collect()
     }
 
     /// Returns the outstanding pieces of a service; none if no request needed it yet.
--- a/lib/tests/test_decision_pins.rs
+++ b/lib/tests/test_decision_pins.rs
@@ -7,8 +7,9 @@
     hazelyoke_lib::{
         gateway::{
             peers::{
-                membership::{Coordinator, Identity, Peers, SelfReport},
+                membership::{Identity, Peers},
                 message::Phase,
+                self_report::SelfReport,
             },
             rules::{
                 admission::{
@@ -16,7 +17,9 @@
                     decide,
                 },
                 call_timing::CallCost,
-                progress::Progress,
+                coordinator::Coordinator,
+                outcome::{AttemptHistory, UnansweredEnd},
+                retry::may_retry,
                 retry_budget::{BudgetLimits, WindowBudget},
             },
             serving::settings::Bounds,
@@ -238,7 +241,7 @@
     Peers::new(me, &[])
 }
 
-fn beliefs(phase: Phase) -> SelfReport {
+fn report(phase: Phase) -> SelfReport {
     SelfReport {
         phase,
         table: 1,
@@ -264,8 +267,8 @@
         ("10.0.0.6:7000", 4.0, Phase::Stopping),
     ] {
         let mut other = daemon(address, cores);
-        let (heartbeat, _) = other.heartbeat(Time(0), beliefs(phase));
-        me.heard(Time(0), heartbeat);
+        let heartbeat = other.heartbeat(Time(0), report(phase)).heartbeat;
+        me.receive_heartbeat(Time(0), heartbeat);
     }
     me
 }
@@ -322,17 +325,16 @@
 }
 
 /// Attempts of a request: `s` sent, `n` proven not to have run, `u` not reached.
-fn progress(steps: &str) -> Progress {
-    let mut progress = Progress::default();
+fn history(steps: &str) -> AttemptHistory {
+    let mut history = AttemptHistory::default();
     for step in steps.chars() {
         match step {
-            's' => progress.sending(),
-            'n' => progress.proven_not_run(),
-            _ => progress.unreachable(),
+            's' => history.record_sent(),
+            'n' => history.record_not_run(),
+            _ => history.record_unreachable(),
         }
     }
-    progress.last = format!("after {steps:?}");
-    progress
+    history
 }
 
 #[test]
@@ -342,8 +344,8 @@
         gap: Millis(500),
     };
     let kinds = [
-        ("repeatable", RouteKind::Repeatable),
-        ("guarded", RouteKind::Guarded),
+        ("repeatable", RouteKind::Idempotent),
+        ("guarded", RouteKind::NonIdempotent),
         ("resumable", stream(true)),
         ("stream", stream(false)),
     ];
@@ -351,14 +353,19 @@
     for steps in [
         "", "u", "s", "sn", "us", "ss", "snsn", "ssn", "snsnsn", "sss",
     ] {
-        let progress = progress(steps);
+        let history = history(steps);
         for (name, kind) in kinds {
-            let allowed = (0..=4).filter(|attempts| progress.may_send(kind, *attempts));
+            let allowed = (0..=4).filter(|attempts| may_retry(kind, *attempts, &history));
             let allowed = joined(allowed, " ");
             writeln!(lines, "{steps:?} {name}: may send of {allowed:?}").unwrap();
         }
         for late in [false, true] {
-            let problem = progress.problem("why", late, Millis(250));
+            let problem = history.problem(&UnansweredEnd {
+                why: "why",
+                last_result: &format!("after {steps:?}"),
+                is_late: late,
+                retry_after: Millis(250),
+            });
             let back = problem.retry_after.map(|wait| wait.0);
             writeln!(lines, "{steps:?} late {late}: {problem}, {back:?}").unwrap();
         }
