--- a/lib/src/gateway/peers/link_server.rs
+++ b/lib/src/gateway/peers/link_server.rs
@@ -145,5 +145,5 @@
     }
     let service = order.service.clone();
     let job = order.into_job(gateway.now());
-    LinkReply::Job(gateway.make_here(&service, job).await)
+    LinkReply::Job(gateway.run_locally(&service, job).await)
 }
--- a/lib/src/gateway/routing/forward.rs
+++ b/lib/src/gateway/routing/forward.rs
@@ -28,7 +28,7 @@
                 retry::{self, AttemptFailure, NextStep, RetryReason},
                 retry_after,
             },
-            stages::chain::Results,
+            stages::stage_results::Results,
             state::Gateway,
             wire::reply::{ReplyBody, problem_reply},
         },
--- a/lib/src/gateway/routing/outbound.rs
+++ b/lib/src/gateway/routing/outbound.rs
@@ -6,7 +6,7 @@
             dialect::{Dialect, Outbound},
             routing::call::ForwardedCall,
             rules::endpoint_choice::{EndpointChoice, Placement},
-            stages::chain::Results,
+            stages::stage_results::Results,
             state::Gateway,
             wire::headers::strip_connection_headers,
         },
--- a/lib/src/gateway/routing/stream_resume.rs
+++ b/lib/src/gateway/routing/stream_resume.rs
@@ -21,7 +21,7 @@
                 resume::{is_resumable, may_resume},
                 retry::RetryReason,
             },
-            stages::chain::Results,
+            stages::stage_results::Results,
             state::Gateway,
             wire::{
                 egress::{self, CONNECT_LIMIT, ConnectionGuard, FreshConnection},
--- a/lib/src/gateway/serving/server.rs
+++ b/lib/src/gateway/serving/server.rs
@@ -19,7 +19,7 @@
             settings::GatewaySettings,
             sockets::{BindError, Bound, Sockets},
         },
-        stages::planner::{run_planner, run_releases},
+        stages::{call_runner::run_calls, release::run_releases},
         state::Gateway,
     },
     std::{future::Future, net::SocketAddr, rc::Rc, time::Duration},
@@ -116,7 +116,7 @@
     }
 
     fn plan_stages(&mut self) {
-        self.spawn(run_planner(self.gateway.clone()));
+        self.spawn(run_calls(self.gateway.clone()));
         self.spawn(run_releases(self.gateway.clone()));
     }
 
--- a/lib/src/gateway/state.rs
+++ b/lib/src/gateway/state.rs
@@ -55,13 +55,13 @@
     pub endpoints: EndpointStates,
     /// The other daemons.
     pub peers: Peers,
-    /// Jobs of services that this daemon plans for.
+    /// Queues of the stage services that this daemon coordinates.
     pub planning: Planning,
     /// Times of this daemon's reads of the directory.
     pub contact: DirectoryContact,
     /// A whole list of endpoints has been applied at least once.
     pub has_list: bool,
-    /// Pieces of stages that this daemon has accepted.
+    /// The outstanding pieces of this daemon's requests.
     pub workload: Workload,
     /// Requests in flight from all daemons, as coordinators sum them up.
     pub sums: LoadSums,
@@ -93,7 +93,7 @@
     pub stopping: Cell<bool>,
     /// Requests without a final answer.
     pub in_flight: Cell<usize>,
-    /// Wakes the planner of stages.
+    /// Wakes the loop that plans the calls of stages.
     pub work: Notify,
     /// Random number that distinguishes this life of the process from others.
     pub run: u64,
--- a/lib/tests/test_plan_pins.rs
+++ b/lib/tests/test_plan_pins.rs
@@ -10,7 +10,7 @@
             rules::retry_budget::{BudgetLimits, WindowBudget},
             stages::{
                 batch_call::{BatchCall, CallEnd},
-                batch_queue::BatchQueue,
+                batch_queue::{BatchQueue, EndedJob},
                 job::{JobEnd, JobId, PieceEnd, PieceInput, ResultHandle, StageJob},
             },
             table::BatchLimits,
@@ -60,7 +60,7 @@
 
 fn end_name(end: &JobEnd) -> String {
     match end {
-        JobEnd::Made(handles) => format!("{} results", handles.len()),
+        JobEnd::Completed(handles) => format!("{} results", handles.len()),
         JobEnd::Late => "late".into(),
         JobEnd::InputsGone => "inputs gone".into(),
         JobEnd::Failed => "failed".into(),
@@ -164,7 +164,7 @@
                 1 => PieceEnd::InputGone,
                 2 => PieceEnd::NoRoom,
                 3 => PieceEnd::Failed,
-                _ => PieceEnd::Made(ResultHandle(format!("{name}-{}", call.id).into())),
+                _ => PieceEnd::Completed(ResultHandle(format!("{name}-{}", call.id).into())),
             };
             ends.push(end);
         }
@@ -190,22 +190,22 @@
             let pieces = pieces.join(" ");
             let text = format!(
                 "{}: {pieces}, {}ms, {} waiting, {} repeated",
-                call.entry.id, call.expected_ms, call.waiting, call.repeated
+                call.entry.id, call.expected.0, call.waiting, call.retries
             );
             self.note(&text);
             // Now and then an endpoint is far slower than it should be.
             let factor = *self.draws.pick(&[9, 10, 10, 10, 10, 12, 15, 30]);
-            let took = Millis(call.expected_ms as u64 * factor / 10);
+            let took = Millis(call.expected.0 as u64 * factor / 10);
             self.calls.push((self.now + took, call));
         }
     }
 
     fn note_ends(&mut self) {
-        for (id, end) in self.queue.take_ended() {
+        for EndedJob { id, end } in self.queue.take_ended() {
             let text = format!("  r{}: {}", id.0, end_name(&end));
             self.note(&text);
             // Some callers keep their results until the endpoint drops them by itself.
-            if let JobEnd::Made(handles) = end
+            if let JobEnd::Completed(handles) = end
                 && self.draws.percent(80)
             {
                 self.queue.released(&handles);
--- a/lib/tests/test_retry_hints.rs
+++ b/lib/tests/test_retry_hints.rs
@@ -4,7 +4,10 @@
     gateway::{
         dialect::ReplyLoad,
         rules::{
-            admission::{self, AdmissionDecision, AdmissionRequest, PlannedStage, StageService},
+            admission::{
+                self, AdmissionDecision, AdmissionRequest, PieceCount, PlannedStage, StageService,
+            },
+            call_timing::CallCost,
             retry_after::{STAGE_FAILED, TABLE_UNKNOWN, after_admission, after_attempts},
         },
     },
@@ -63,10 +66,12 @@
     let service = StageService {
         endpoints: 1,
         batch: 8,
-        call_ms: 20.0,
-        piece_ms: 10.0,
-        room: f64::MAX,
-        outstanding: 400.0,
+        cost: CallCost {
+            fixed: WorkMillis(20.0),
+            piece: WorkMillis(10.0),
+        },
+        room: PieceCount(f64::MAX),
+        outstanding: PieceCount(400.0),
     };
     let decision = |objective, rank| {
         admission::decide(&AdmissionRequest {
