--- a/lib/src/gateway/rules/pause.rs
+++ b/lib/src/gateway/rules/pause.rs
@@ -3,7 +3,7 @@
 //! Inputs: the times (microseconds of this daemon's clock) at which it looked at the clock, one
 //! with every heartbeat that it sends.
 //!
-//! Rule: a gap of [`PAUSE`] or more between two looks is a pause.
+//! Rule: a gap of `PAUSE` or more between two looks is a pause.
 //!
 //! Reason: a suspended host or a stuck process received nothing meanwhile, and must not take the
 //! others for lost; the effect is in [`liveness`](crate::gateway::rules::liveness).
--- a/lib/testutils/src/core_run/mod.rs
+++ b/lib/testutils/src/core_run/mod.rs
@@ -1,8 +1,8 @@
 //! Drives the real core in virtual time, with endpoints that do whatever a source of choices says.
 //!
 //! Not a model of a network: the end of each attempt is drawn when it is sent. Owns the clock and
-//! what is due; [`observer`] keeps what ran at the endpoints and compares it with what callers
-//! were told, [`calls`] draws how calls end.
+//! what is due; `observer` keeps what ran at the endpoints and compares it with what callers
+//! were told, `calls` draws how calls end.
 
 mod calls;
 mod observer;
