--- a/lib/src/gateway/peers/job_message.rs
+++ b/lib/src/gateway/peers/job_message.rs
@@ -59,7 +59,7 @@
     if offset_ms >= 0 {
         now + Millis(offset_ms as u64)
     } else {
-        Time(now.0.saturating_sub(offset_ms.unsigned_abs() * MICROS))
+        now - Millis(offset_ms.unsigned_abs())
     }
 }
 
--- a/lib/src/gateway/peers/queries.rs
+++ b/lib/src/gateway/peers/queries.rs
@@ -6,7 +6,7 @@
             peers::{membership::Peers, message::Heartbeat, record::ReceivedHeartbeat},
             rules::{
                 catch_up::{self, Offer},
-                coordinator::{self, Candidate, Coordinator},
+                coordinator::{self, Coordinator, DaemonCandidate},
             },
             table::Version,
         },
@@ -84,7 +84,7 @@
         ready: bool,
         except: &[SocketAddr],
     ) -> Coordinator {
-        let me = Candidate {
+        let me = DaemonCandidate {
             address: self.me.address,
             capacity: self.me.capacity,
         };
--- a/lib/src/gateway/peers/record.rs
+++ b/lib/src/gateway/peers/record.rs
@@ -5,7 +5,7 @@
         gateway::{
             peers::message::{Heartbeat, PeerNote, Phase},
             rules::{
-                coordinator::{Candidate, PeerStanding},
+                coordinator::{DaemonCandidate, PeerStanding},
                 liveness::LifeSigns,
             },
         },
@@ -86,7 +86,7 @@
     /// Returns the inputs of the rule of coordinators.
     pub(crate) fn standing(&self, address: SocketAddr) -> PeerStanding {
         PeerStanding {
-            candidate: Candidate {
+            candidate: DaemonCandidate {
                 address,
                 capacity: self.capacity,
             },
--- a/lib/src/gateway/routing/endpoint_state.rs
+++ b/lib/src/gateway/routing/endpoint_state.rs
@@ -7,7 +7,7 @@
             directory::catalogue::EndpointEntry,
             routing::sent_parts::SentParts,
             rules::{
-                endpoint_choice::{Candidate, EndpointChoice},
+                endpoint_choice::{EndpointCandidate, EndpointChoice},
                 endpoint_pace::{CallTime, EnginePace},
                 set_aside,
             },
@@ -108,13 +108,18 @@
     }
 
     /// Describes the endpoint to the choice; `affinity` where cached prompts count.
-    pub(crate) fn candidate(&self, now: Time, prompt: &Prompt, affinity: bool) -> Candidate<'_> {
+    pub(crate) fn candidate(
+        &self,
+        now: Time,
+        prompt: &Prompt,
+        affinity: bool,
+    ) -> EndpointCandidate<'_> {
         let cached_tokens = if affinity {
             self.sent_parts.cached_tokens(now, prompt)
         } else {
             0
         };
-        Candidate {
+        EndpointCandidate {
             entry: &self.entry,
             available: self.is_available(now),
             outstanding: self.outstanding(),
--- a/lib/src/gateway/routing/endpoint_states.rs
+++ b/lib/src/gateway/routing/endpoint_states.rs
@@ -10,7 +10,7 @@
             directory::catalogue::EndpointEntry,
             hashes::{EndpointHash, endpoint_hash},
             routing::endpoint_state::{EndpointOutcome, EndpointState, PeerLoad},
-            rules::endpoint_choice::{self, Candidate, EndpointChoice, Placement},
+            rules::endpoint_choice::{self, EndpointCandidate, EndpointChoice, Placement},
         },
         shared::{
             health::can_spare,
@@ -85,7 +85,7 @@
         service: &ServiceId,
         placement: &Placement<'_>,
     ) -> Option<EndpointChoice> {
-        let candidates: Vec<Candidate<'_>> = self
+        let candidates: Vec<EndpointCandidate<'_>> = self
             .service(service)
             .filter(|member| member.is_open() && member.running < placement.connection_limit)
             .filter(|member| !placement.tried.contains(&member.entry.id))
--- a/lib/src/gateway/routing/forward.rs
+++ b/lib/src/gateway/routing/forward.rs
@@ -25,7 +25,7 @@
                 endpoint_choice::EndpointChoice,
                 outcome::UnansweredEnd,
                 reply_proof::{NotRunReason, is_endpoint_failure},
-                retry::{self, AttemptFailure, NextStep, RetryReason},
+                retry::{self, AfterFailure, AttemptFailure, RetryReason},
                 retry_after,
             },
             stages::stage_results::Results,
@@ -192,9 +192,9 @@
     /// Prepares another attempt after a failed one; returns whether there may be one.
     async fn prepare_next(&mut self, failure: AttemptFailure) -> Result<bool, Problem> {
         match retry::next_step(failure, &self.progress.history) {
-            NextStep::ChooseAnother => Ok(true),
-            NextStep::Retry(reason) => Ok(self.take_retry(reason)),
-            NextStep::RunStages => {
+            AfterFailure::ChooseAnother => Ok(true),
+            AfterFailure::Retry(reason) => Ok(self.take_retry(reason)),
+            AfterFailure::RunStages => {
                 if !self.gateway.withdraw(&self.call.service) {
                     return Ok(false);
                 }
@@ -204,7 +204,7 @@
                 self.progress.tried.clear();
                 Ok(true)
             }
-            NextStep::GiveUp => Ok(false),
+            AfterFailure::GiveUp => Ok(false),
         }
     }
 
--- a/lib/src/gateway/routing/stages.rs
+++ b/lib/src/gateway/routing/stages.rs
@@ -11,7 +11,7 @@
             routing::{call::ForwardedCall, outbound::choose_endpoint},
             rules::{
                 admission::{
-                    self, AdmissionDecision, AdmissionRequest, EndpointCounts, PieceCount,
+                    self, AdmissionDecision, AdmissionRequest, CountSources, PieceCount,
                     PlannedStage, StageService,
                 },
                 call_timing::CallCost,
@@ -174,8 +174,8 @@
 }
 
 /// Gathers the endpoints of a service that get calls, from all who know something of it.
-fn endpoint_counts(state: &GatewayState, now: Time, service: &ServiceId) -> EndpointCounts {
-    EndpointCounts {
+fn endpoint_counts(state: &GatewayState, now: Time, service: &ServiceId) -> CountSources {
+    CountSources {
         own_queue: state.planning.available_endpoints(now, service),
         peers: state.peers.available_endpoints(service_hash(service)),
         listed: listed_endpoints(state, service),
--- a/lib/src/gateway/rules/admission.rs
+++ b/lib/src/gateway/rules/admission.rs
@@ -92,7 +92,7 @@
 
 /// How many endpoints of a service get calls, by each of those who know something of it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct EndpointCounts {
+pub struct CountSources {
     /// By this daemon's own queue of the service, if it has jobs for it.
     pub own_queue: Option<usize>,
     /// By the reports of other daemons, if any has a queue of the service.
@@ -101,7 +101,7 @@
     pub listed: usize,
 }
 
-impl EndpointCounts {
+impl CountSources {
     /// Returns the count that is believed. A queue with jobs sees which endpoints are slow or passed
     /// over, and this daemon's own is the freshest; next come other daemons' reports of theirs.
     /// Neither may know yet that an endpoint has left, so that the list bounds them.
--- a/lib/src/gateway/rules/coordinator.rs
+++ b/lib/src/gateway/rules/coordinator.rs
@@ -50,7 +50,7 @@
 
 /// A daemon that may coordinate.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Candidate {
+pub struct DaemonCandidate {
     /// Address for other daemons.
     pub address: SocketAddr,
     /// Processor that it may use.
@@ -61,7 +61,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PeerStanding {
     /// Its address and capacity.
-    pub candidate: Candidate,
+    pub candidate: DaemonCandidate,
     /// Set if it is alive.
     pub alive: bool,
     /// Set if it reports that it serves.
@@ -82,7 +82,7 @@
 pub fn coordinator(
     now: Time,
     service: &ServiceId,
-    me: Candidate,
+    me: DaemonCandidate,
     ready: bool,
     peers: impl Iterator<Item = PeerStanding>,
     except: &[SocketAddr],
@@ -114,7 +114,7 @@
     }
 }
 
-fn rank(service_seed: u64, candidate: Candidate) -> Rank {
+fn rank(service_seed: u64, candidate: DaemonCandidate) -> Rank {
     let ip = match candidate.address.ip() {
         IpAddr::V4(ip) => u128::from(ip.to_bits()),
         IpAddr::V6(ip) => ip.to_bits(),
--- a/lib/src/gateway/rules/endpoint_choice.rs
+++ b/lib/src/gateway/rules/endpoint_choice.rs
@@ -83,7 +83,7 @@
 
 /// What is known of an endpoint that may get a request.
 #[derive(Debug, Clone, Copy)]
-pub struct Candidate<'a> {
+pub struct EndpointCandidate<'a> {
     /// Its entry in the directory.
     pub entry: &'a Arc<EndpointEntry>,
     /// Whether it is healthy and could be reached lately.
@@ -124,12 +124,12 @@
 /// Chooses the candidate with the least expected time, seen from the data centre `here`; `None` without
 /// candidates.
 pub fn choose(
-    candidates: &[Candidate<'_>],
+    candidates: &[EndpointCandidate<'_>],
     here: &DataCentreId,
     placement: &Placement<'_>,
 ) -> Option<EndpointChoice> {
     let any_available = candidates.iter().any(|candidate| candidate.available);
-    let compared: Vec<&Candidate<'_>> = candidates
+    let compared: Vec<&EndpointCandidate<'_>> = candidates
         .iter()
         .filter(|candidate| candidate.available || !any_available)
         .collect();
@@ -155,12 +155,12 @@
 /// Returns the endpoint that all daemons prefer for the longest shared beginning of a prompt, by
 /// rendezvous hashing; `None` where the prompt has no shared part.
 fn preferred_endpoint<'a>(
-    candidates: &[&Candidate<'a>],
+    candidates: &[&EndpointCandidate<'a>],
     prompt: &Prompt,
 ) -> Option<&'a EndpointId> {
     let last_shared = prompt.parts.len().checked_sub(2)?;
     let part = prompt.parts[last_shared].id;
-    let weight = |candidate: &&&Candidate<'a>| {
+    let weight = |candidate: &&&EndpointCandidate<'a>| {
         let mut bytes = part.to_le_bytes().to_vec();
         bytes.extend_from_slice(candidate.entry.id.as_str().as_bytes());
         xxh3_64(&bytes)
@@ -171,7 +171,11 @@
 
 /// Estimates the time at an endpoint; `holds_shared` where it probably caches the shared beginning of
 /// the prompt, although this daemon may not have sent it.
-fn estimate(candidate: &Candidate<'_>, placement: &Placement<'_>, holds_shared: bool) -> Estimate {
+fn estimate(
+    candidate: &EndpointCandidate<'_>,
+    placement: &Placement<'_>,
+    holds_shared: bool,
+) -> Estimate {
     let prompt = placement.prompt;
     if prompt.tokens_in == 0 && prompt.parts.is_empty() {
         return Estimate {
@@ -198,7 +202,7 @@
 }
 
 /// Estimates the time of a plain call, in milliseconds.
-fn plain_call_ms(candidate: &Candidate<'_>) -> f64 {
+fn plain_call_ms(candidate: &EndpointCandidate<'_>) -> f64 {
     let outstanding = f64::from(candidate.outstanding);
     let slots = slots(candidate);
     let queued = (outstanding + 1.0 - slots).max(0.0) / slots;
@@ -207,7 +211,7 @@
 }
 
 /// Estimates the time to the first event of a generation, in milliseconds.
-fn first_event_ms(candidate: &Candidate<'_>, uncached: u32) -> f64 {
+fn first_event_ms(candidate: &EndpointCandidate<'_>, uncached: u32) -> f64 {
     let outstanding = f64::from(candidate.outstanding);
     let waiting = candidate.waiting_tokens + f64::from(uncached);
     let overfull = (outstanding + 1.0 - slots(candidate)).max(0.0) * OVERFULL_MS;
@@ -215,7 +219,7 @@
     ms * candidate.pace
 }
 
-fn slots(candidate: &Candidate<'_>) -> f64 {
+fn slots(candidate: &EndpointCandidate<'_>) -> f64 {
     f64::from(candidate.entry.slots.max(1))
 }
 
@@ -226,7 +230,11 @@
 }
 
 /// Returns the cost of the call's and its inputs' way, in milliseconds.
-fn distance_ms(candidate: &Candidate<'_>, here: &DataCentreId, placement: &Placement<'_>) -> f64 {
+fn distance_ms(
+    candidate: &EndpointCandidate<'_>,
+    here: &DataCentreId,
+    placement: &Placement<'_>,
+) -> f64 {
     let there = &candidate.entry.data_centre;
     let remote: u64 = placement
         .inputs
--- a/lib/src/gateway/rules/liveness.rs
+++ b/lib/src/gateway/rules/liveness.rs
@@ -90,7 +90,7 @@
 /// Returns when a sign of life was received that is now of this age; at the earliest, the start of
 /// this daemon.
 pub fn sign_time(now: Time, age: Millis) -> Time {
-    Time(now.0.saturating_sub(age.0 * 1000))
+    now - age
 }
 
 /// Returns whether a daemon has just started; times count from its start.
--- a/lib/src/gateway/rules/piece_order.rs
+++ b/lib/src/gateway/rules/piece_order.rs
@@ -54,9 +54,9 @@
 
 /// Numbers of the endpoints that may be called, by data centre.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct EndpointCounts(HashMap<DataCentreId, usize>);
+pub struct DataCentreCounts(HashMap<DataCentreId, usize>);
 
-impl EndpointCounts {
+impl DataCentreCounts {
     /// Counts endpoints by their data centres.
     pub fn new<'a>(data_centres: impl Iterator<Item = &'a DataCentreId>) -> Self {
         let mut counts: HashMap<DataCentreId, usize> = HashMap::default();
@@ -125,7 +125,7 @@
         now: Time,
         jobs: impl Iterator<Item = WaitingJob<'a>>,
         data_centre: &DataCentreId,
-        endpoints: &EndpointCounts,
+        endpoints: &DataCentreCounts,
     ) -> Self {
         let mut order = Self::default();
         let mut keys: Vec<(Time, JobId)> = Vec::new();
--- a/lib/src/gateway/rules/retry.rs
+++ b/lib/src/gateway/rules/retry.rs
@@ -47,7 +47,7 @@
 
 /// The step after a failed attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum NextStep {
+pub enum AfterFailure {
     /// Choose another endpoint, without asking the budget.
     ChooseAnother,
     /// Choose another endpoint if [`may_retry`] and the budget allow it.
@@ -59,21 +59,21 @@
 }
 
 /// Returns the step after a failed attempt, which `history` already counts.
-pub fn next_step(failure: AttemptFailure, history: &AttemptHistory) -> NextStep {
+pub fn next_step(failure: AttemptFailure, history: &AttemptHistory) -> AfterFailure {
     match failure {
         AttemptFailure::NotRun(NotRunReason::Unreachable) => {
             if history.unreachable() < UNREACHABLE_LIMIT {
-                NextStep::ChooseAnother
+                AfterFailure::ChooseAnother
             } else {
-                NextStep::GiveUp
+                AfterFailure::GiveUp
             }
         }
-        AttemptFailure::NotRun(NotRunReason::InputsGone) => NextStep::RunStages,
+        AttemptFailure::NotRun(NotRunReason::InputsGone) => AfterFailure::RunStages,
         AttemptFailure::NotRun(NotRunReason::Refused | NotRunReason::Replaced) => {
-            NextStep::Retry(RetryReason::NotRun)
+            AfterFailure::Retry(RetryReason::NotRun)
         }
         AttemptFailure::ServerError | AttemptFailure::PossiblyRun => {
-            NextStep::Retry(RetryReason::Failed)
+            AfterFailure::Retry(RetryReason::Failed)
         }
     }
 }
--- a/lib/src/gateway/rules/stage_objective.rs
+++ b/lib/src/gateway/rules/stage_objective.rs
@@ -19,5 +19,5 @@
 /// Returns when a stage should have ended.
 pub fn stage_objective(request: Time, later_stages: u64, own_time: Millis) -> Time {
     let kept = Millis(LATER_STAGE.0 * later_stages + own_time.0);
-    Time(request.0.saturating_sub(kept.0 * US_PER_MS))
+    request - kept
 }
--- a/lib/src/gateway/stages/batch_plan.rs
+++ b/lib/src/gateway/stages/batch_plan.rs
@@ -10,7 +10,7 @@
             rules::{
                 call_fill::{CallFill, Fit},
                 call_timing::is_overdue,
-                piece_order::{EndpointCounts, WaitingOrder},
+                piece_order::{DataCentreCounts, WaitingOrder},
                 piece_retry::{is_hopeless, is_retry},
                 worker_pace::Pace,
             },
@@ -29,7 +29,7 @@
 };
 
 /// The part of the waiting pieces that one endpoint should get.
-struct Share {
+struct CallShare {
     /// Jobs with waiting pieces, in the order in which they go.
     jobs: Vec<JobId>,
     /// Pieces that its call should take.
@@ -37,7 +37,7 @@
 }
 
 /// The pieces chosen for one call.
-struct Chosen {
+struct ChosenPieces {
     fill: CallFill,
     sent: Vec<SentPiece>,
     tasks: Vec<PieceTask>,
@@ -79,7 +79,7 @@
         &mut self,
         now: Time,
         free: &[EndpointId],
-        counts: &EndpointCounts,
+        counts: &DataCentreCounts,
         waiting: usize,
     ) -> Option<BatchCall> {
         free.iter().find_map(|endpoint| {
@@ -94,8 +94,8 @@
         now: Time,
         endpoint: &EndpointId,
         free: &[EndpointId],
-        counts: &EndpointCounts,
-    ) -> Option<Share> {
+        counts: &DataCentreCounts,
+    ) -> Option<CallShare> {
         let here = self.workers.data_centre(endpoint)?;
         let is_here = |other: &&EndpointId| self.workers.data_centre(other) == Some(here);
         let free_here = free.iter().filter(is_here).count();
@@ -103,7 +103,7 @@
         let jobs = waiting.map(|(id, state)| state.waiting_job(*id));
         let order = WaitingOrder::new(now, jobs, here, counts);
         let pieces = order.share(free_here, free.len());
-        (pieces > 0).then_some(Share {
+        (pieces > 0).then_some(CallShare {
             jobs: order.jobs,
             pieces: pieces.min(self.limits.pieces),
         })
@@ -114,7 +114,7 @@
         &mut self,
         now: Time,
         endpoint: &EndpointId,
-        share: &Share,
+        share: &CallShare,
         waiting: usize,
     ) -> Option<BatchCall> {
         let worker = self.workers.get_mut(endpoint)?;
@@ -143,8 +143,8 @@
     }
 
     /// Chooses pieces of waiting jobs for one call, and marks them as sent.
-    fn choose(&mut self, now: Time, jobs: &[JobId], fill: CallFill) -> Chosen {
-        let mut chosen = Chosen {
+    fn choose(&mut self, now: Time, jobs: &[JobId], fill: CallFill) -> ChosenPieces {
+        let mut chosen = ChosenPieces {
             fill,
             sent: Vec::new(),
             tasks: Vec::new(),
@@ -160,7 +160,7 @@
     }
 
     /// Adds the waiting pieces of a job to a call, as far as they fit and the budget has retries.
-    fn choose_from(&mut self, now: Time, job: JobId, chosen: &mut Chosen) {
+    fn choose_from(&mut self, now: Time, job: JobId, chosen: &mut ChosenPieces) {
         let Some(state) = self.jobs.get_mut(&job) else {
             return;
         };
--- a/lib/src/gateway/stages/workers.rs
+++ b/lib/src/gateway/stages/workers.rs
@@ -7,7 +7,7 @@
     crate::{
         gateway::{
             directory::catalogue::EndpointEntry,
-            rules::piece_order::EndpointCounts,
+            rules::piece_order::DataCentreCounts,
             stages::{job::ResultHandle, worker::Worker},
         },
         shared::{
@@ -57,9 +57,9 @@
     }
 
     /// Counts the endpoints that may be called at all, by their data centres.
-    pub(crate) fn counts(&self) -> EndpointCounts {
+    pub(crate) fn counts(&self) -> DataCentreCounts {
         let open = self.0.values().filter(|worker| worker.open);
-        EndpointCounts::new(open.map(|worker| &worker.entry.data_centre))
+        DataCentreCounts::new(open.map(|worker| &worker.entry.data_centre))
     }
 
     /// Returns the endpoints that may get a call now, the fastest first; each runs `slots` calls at
--- a/lib/src/pipeline/decision/estimate.rs
+++ b/lib/src/pipeline/decision/estimate.rs
@@ -63,9 +63,6 @@
 /// Chosen, not measured.
 pub const FREE_SLOT_WEIGHT: f64 = 0.1;
 
-/// Microseconds of a millisecond.
-const MICROS: u64 = 1_000;
-
 /// Bounds of a factor.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct CorrectionRange {
@@ -149,7 +146,7 @@
         if !is_credible(&report) {
             return;
         }
-        let taken = Time(now.0.saturating_sub(report.age.0 * MICROS));
+        let taken = now - report.age;
         while self.sends.front().is_some_and(|send| send.sent < taken) {
             self.sends.pop_front();
         }
--- a/lib/src/pipeline/decision/policy_estimated.rs
+++ b/lib/src/pipeline/decision/policy_estimated.rs
@@ -51,16 +51,16 @@
 
 /// An endpoint that may get the call.
 #[derive(Debug, Clone, Copy)]
-struct Candidate {
+struct PoolCandidate {
     tried: bool,
     finish: WorkMillis,
     index: usize,
 }
 
-impl Candidate {
+impl PoolCandidate {
     /// Returns whether the endpoint goes before another: one not yet tried before a tried one, then
     /// the earlier finish. Of equals, the one that was found first stays.
-    fn is_better(&self, other: &Candidate) -> bool {
+    fn is_better(&self, other: &PoolCandidate) -> bool {
         (self.tried, self.finish.0) < (other.tried, other.finish.0)
     }
 }
@@ -71,7 +71,7 @@
     pool: &'s Pool,
     placement: &'s CallPlacement,
     tried: &'s [MemberSerial],
-    best: Option<Candidate>,
+    best: Option<PoolCandidate>,
 }
 
 impl Search<'_> {
@@ -82,7 +82,7 @@
             return false;
         }
         let work = self.placement.work_at(member.serial);
-        let found = Candidate {
+        let found = PoolCandidate {
             tried: self.tried.contains(&member.serial),
             finish: WorkMillis(member.load.finish(self.now, work).0 + hop.0),
             index,
--- a/lib/src/shared/units/time.rs
+++ b/lib/src/shared/units/time.rs
@@ -91,6 +91,16 @@
     }
 }
 
+/// Subtracts a length of time; a difference before the start of the clock is its start.
+impl ops::Sub<Millis> for Time {
+    type Output = Time;
+
+    fn sub(self, span: Millis) -> Time {
+        let micros = span.0.saturating_mul(MICROS_PER_MILLI);
+        Time(self.0.saturating_sub(micros))
+    }
+}
+
 /// Milliseconds of work as estimates use them, with a fraction.
 #[derive(Debug, Clone, Copy, Default, PartialEq, PartialOrd, Serialize, Deserialize)]
 #[serde(transparent)]
--- a/lib/src/timeline/mod.rs
+++ b/lib/src/timeline/mod.rs
@@ -17,7 +17,7 @@
     std::{collections::BTreeSet, fmt, ops::RangeInclusive},
 };
 
-/// Time before a request's first step from which observations are shown, in milliseconds. Chosen,
+/// Time before a request's first step from which observations are shown, in milliseconds. ChosenEntry,
 /// not measured.
 const BEFORE_MS: u64 = 2_000;
 
@@ -92,7 +92,7 @@
 }
 
 /// A log entry chosen for the timeline.
-struct Chosen<'l> {
+struct ChosenEntry<'l> {
     host: &'l str,
     entry: &'l LogEntry,
     kind: LineKind,
@@ -112,8 +112,8 @@
     }
 }
 
-impl From<&Chosen<'_>> for TimelineLine {
-    fn from(chosen: &Chosen<'_>) -> Self {
+impl From<&ChosenEntry<'_>> for TimelineLine {
+    fn from(chosen: &ChosenEntry<'_>) -> Self {
         Self {
             host: chosen.host.to_owned(),
             at_ms: chosen.entry.at_ms,
@@ -125,12 +125,12 @@
 }
 
 /// Returns the entries that name the request, and those of calls that carried its pieces.
-fn steps<'l>(request: &str, logs: &'l [ParsedLog<'_>]) -> Vec<Chosen<'l>> {
+fn steps<'l>(request: &str, logs: &'l [ParsedLog<'_>]) -> Vec<ChosenEntry<'l>> {
     let mut steps = Vec::new();
     for log in logs {
         let calls = calls_of(request, log);
         let is_step = |entry: &&LogEntry| entry.names(request) || entry.is_of_call(&calls);
-        steps.extend(log.entries.iter().filter(is_step).map(|entry| Chosen {
+        steps.extend(log.entries.iter().filter(is_step).map(|entry| ChosenEntry {
             host: log.host,
             entry,
             kind: LineKind::Step,
@@ -148,7 +148,7 @@
 
 /// Returns what the hosts of a request's steps observed from shortly before the first step until
 /// the last one.
-fn observations<'l>(steps: &[Chosen<'l>], logs: &'l [ParsedLog<'_>]) -> Vec<Chosen<'l>> {
+fn observations<'l>(steps: &[ChosenEntry<'l>], logs: &'l [ParsedLog<'_>]) -> Vec<ChosenEntry<'l>> {
     let Some(span) = span(steps) else {
         return Vec::new();
     };
@@ -161,7 +161,7 @@
     for log in logs.iter().filter(|log| hosts.contains(log.host)) {
         let meanwhile = log.entries.iter().filter(|e| span.contains(&e.order));
         let noticed = meanwhile.filter(|entry| is_observation(entry, &endpoints));
-        observations.extend(noticed.map(|entry| Chosen {
+        observations.extend(noticed.map(|entry| ChosenEntry {
             host: log.host,
             entry,
             kind: LineKind::Observation,
@@ -180,7 +180,7 @@
 }
 
 /// Returns the time for which observations are shown; none without steps.
-fn span(steps: &[Chosen<'_>]) -> Option<RangeInclusive<u64>> {
+fn span(steps: &[ChosenEntry<'_>]) -> Option<RangeInclusive<u64>> {
     let first = steps.iter().map(|step| step.entry.order).min()?;
     let last = steps.iter().map(|step| step.entry.order).max()?;
     Some(first.saturating_sub(BEFORE_MS)..=last)
--- a/lib/tests/test_retry_rules.rs
+++ b/lib/tests/test_retry_rules.rs
@@ -8,7 +8,7 @@
                 outcome::AttemptHistory,
                 reply_proof::NotRunReason,
                 resume::{is_resumable, may_resume, silence_limit},
-                retry::{AttemptFailure, NextStep, RetryReason, may_retry, next_step},
+                retry::{AfterFailure, AttemptFailure, RetryReason, may_retry, next_step},
             },
             table::RouteKind,
         },
@@ -139,11 +139,11 @@
     let failure = AttemptFailure::NotRun(NotRunReason::Unreachable);
     for unreachable in 1..4 {
         let step = next_step(failure, &history(0, 0, unreachable));
-        assert_eq!(step, NextStep::ChooseAnother);
+        assert_eq!(step, AfterFailure::ChooseAnother);
     }
     for unreachable in 4..6 {
         let step = next_step(failure, &history(0, 0, unreachable));
-        assert_eq!(step, NextStep::GiveUp);
+        assert_eq!(step, AfterFailure::GiveUp);
     }
 }
 
@@ -151,22 +151,22 @@
 fn next_steps() {
     let not_run = AttemptFailure::NotRun;
     for (failure, step) in [
-        (not_run(NotRunReason::InputsGone), NextStep::RunStages),
+        (not_run(NotRunReason::InputsGone), AfterFailure::RunStages),
         (
             not_run(NotRunReason::Refused),
-            NextStep::Retry(RetryReason::NotRun),
+            AfterFailure::Retry(RetryReason::NotRun),
         ),
         (
             not_run(NotRunReason::Replaced),
-            NextStep::Retry(RetryReason::NotRun),
+            AfterFailure::Retry(RetryReason::NotRun),
         ),
         (
             AttemptFailure::ServerError,
-            NextStep::Retry(RetryReason::Failed),
+            AfterFailure::Retry(RetryReason::Failed),
         ),
         (
             AttemptFailure::PossiblyRun,
-            NextStep::Retry(RetryReason::Failed),
+            AfterFailure::Retry(RetryReason::Failed),
         ),
     ] {
         for unreachable in [0, 4, 9] {
--- a/lib/tests/test_stage_rules.rs
+++ b/lib/tests/test_stage_rules.rs
@@ -6,10 +6,10 @@
     hazelyoke_lib::{
         gateway::{
             rules::{
-                admission::EndpointCounts as Believed,
+                admission::CountSources,
                 call_fill::{CallFill, Fit},
                 call_timing::{CallCost, answer_limit, is_overdue},
-                piece_order::{EndpointCounts, WaitingJob, WaitingOrder, home_wait},
+                piece_order::{DataCentreCounts, WaitingJob, WaitingOrder, home_wait},
                 piece_retry::{
                     LostSend, PieceRetry, after_loss, is_hopeless, is_retry, may_resend,
                 },
@@ -170,7 +170,7 @@
     jobs: impl IntoIterator<Item = WaitingJob<'a>>,
 ) -> (Vec<u64>, usize, usize) {
     let endpoints = [centre("z"), centre("z"), centre("far")];
-    let counts = EndpointCounts::new(endpoints.iter());
+    let counts = DataCentreCounts::new(endpoints.iter());
     let order = WaitingOrder::new(now, jobs.into_iter(), &centre("z"), &counts);
     let jobs = order.jobs.iter().map(|id| id.0).collect();
     (jobs, order.own, order.shared)
@@ -240,7 +240,7 @@
 #[test]
 fn believed_endpoints() {
     let believed = |own_queue, peers, listed| {
-        let counts = Believed {
+        let counts = CountSources {
             own_queue,
             peers,
             listed,
