--- a/lib/src/pipeline/endpoints/engine_client.rs
+++ b/lib/src/pipeline/endpoints/engine_client.rs
@@ -52,7 +52,7 @@
         .body(body)
         .map_err(|_| garbage.clone())?;
     let response = transport.send(request).await?;
-    check_head(call, &response)?;
+    check_head(&call.ids, &response)?;
     if !response.status().is_success() {
         return Err(garbage);
     }
--- a/lib/src/pipeline/endpoints/http_call.rs
+++ b/lib/src/pipeline/endpoints/http_call.rs
@@ -9,7 +9,7 @@
             decision::endpoint::{AttemptEnd, EndpointCall, FailCause, NotRunCause},
             endpoints::wire,
         },
-        shared::units::ByteSize,
+        shared::{ids::CallIds, units::ByteSize},
     },
     bytes::Bytes,
     http::{HeaderValue, Method, Request, Response, request::Builder},
@@ -45,9 +45,9 @@
 /// # Errors
 ///
 /// Returns the attempt's end when the body doesn't matter any more.
-pub fn check_head<B>(call: &EndpointCall, response: &Response<B>) -> Result<(), AttemptEnd> {
+pub fn check_head<B>(ids: &CallIds, response: &Response<B>) -> Result<(), AttemptEnd> {
     let headers = response.headers();
-    if !wire::ids_match(headers, &call.ids) {
+    if !wire::ids_match(headers, ids) {
         return Err(AttemptEnd::Failed(FailCause::WrongIds));
     }
     if response.status().is_server_error() {
--- a/lib/src/pipeline/endpoints/mod.rs
+++ b/lib/src/pipeline/endpoints/mod.rs
@@ -4,7 +4,7 @@
 //! `http_call`. `wire` holds the protocol's names and forms, `http_get` reads single resources.
 
 pub(crate) mod engine_client;
-pub(crate) mod http_call;
+pub mod http_call;
 pub(crate) mod http_get;
 pub mod http_transport;
 pub(crate) mod plain_client;
--- a/lib/src/pipeline/endpoints/plain_client.rs
+++ b/lib/src/pipeline/endpoints/plain_client.rs
@@ -31,7 +31,7 @@
         // Can't fail: ids, address and key were checked when they were parsed.
         .map_err(|_| AttemptEnd::Failed(FailCause::Garbage))?;
     let response = transport.send(request).await?;
-    check_head(call, &response)?;
+    check_head(&call.ids, &response)?;
     let status = response.status();
     let served = wire::served(response.headers());
     let body = read_body(response.into_body(), call.max_reply)
