--- a/lib/src/pipeline/api/headers.rs
+++ b/lib/src/pipeline/api/headers.rs
@@ -33,7 +33,7 @@
 /// Header with the customer; only callers use it, so it isn't among the endpoints' headers.
 const CUSTOMER_HEADER: &str = "x-customer";
 
-/// Media type by which a caller asks for tokens as they come.
+/// Media type that a caller accepts to receive tokens as they come.
 const EVENT_STREAM: &str = "text/event-stream";
 
 /// Headers of a caller's request as they come.
@@ -98,7 +98,7 @@
     pub customer: CustomerId,
     /// Time left, if the caller names one.
     pub remaining: Option<Millis>,
-    /// Priority, if the caller asks for one.
+    /// Priority, if the caller names one.
     pub priority: Option<Priority>,
     /// Key under which the request may be repeated.
     pub key: Option<IdempotencyKey>,
--- a/lib/src/pipeline/endpoints/engine_client.rs
+++ b/lib/src/pipeline/endpoints/engine_client.rs
@@ -8,8 +8,9 @@
         pipeline::{
             decision::endpoint::{AttemptEnd, EndpointCall, FailCause, TokenSink},
             endpoints::{
-                http_call::{CallBody, call_request, check_head},
+                http_call::{CallBody, call_request},
                 http_transport::HttpTransport,
+                reply_head::{check_head, is_stream},
                 wire::{self, GenerateBody, StreamEvent},
             },
         },
@@ -53,7 +54,7 @@
         .map_err(|_| garbage.clone())?;
     let response = transport.send(request).await?;
     check_head(&call.ids, &response)?;
-    if !response.status().is_success() {
+    if !is_stream(response.status()) {
         return Err(garbage);
     }
     Ok(read_stream(response.into_body(), call, sink).await)
--- a/lib/src/pipeline/endpoints/http_call.rs
+++ b/lib/src/pipeline/endpoints/http_call.rs
@@ -1,18 +1,17 @@
-//! One call of an endpoint over HTTP: its request, and the checks of its reply.
+//! One call of an endpoint over HTTP: its request, and the bounded reading of its reply's body.
 //!
-//! Owns the order of the checks that are the same for all kinds of services: ids first, since a reply
-//! to another call says nothing about this one, then the status. Relies on `wire` for names.
+//! Owns the headers of a call; `reply_head` judges the reply. Relies on `wire` for names.
 
 use {
     crate::{
         pipeline::{
-            decision::endpoint::{AttemptEnd, EndpointCall, FailCause, NotRunCause},
+            decision::endpoint::{EndpointCall, FailCause},
             endpoints::wire,
         },
-        shared::{ids::CallIds, units::ByteSize},
+        shared::units::ByteSize,
     },
     bytes::Bytes,
-    http::{HeaderValue, Method, Request, Response, request::Builder},
+    http::{Method, Request, request::Builder},
     http_body_util::{BodyExt, Full, Limited},
     hyper::body::Incoming,
 };
@@ -40,29 +39,6 @@
     builder
 }
 
-/// Checks the head of a reply before its body is read.
-///
-/// # Errors
-///
-/// Returns the attempt's end when the body doesn't matter any more.
-pub fn check_head<B>(ids: &CallIds, response: &Response<B>) -> Result<(), AttemptEnd> {
-    let headers = response.headers();
-    if !wire::ids_match(headers, ids) {
-        return Err(AttemptEnd::Failed(FailCause::WrongIds));
-    }
-    if response.status().is_server_error() {
-        let not_run = headers.get(wire::NOT_RUN_HEADER).map(HeaderValue::as_bytes);
-        return Err(match not_run {
-            Some(cause) if cause == wire::LEAVING.as_bytes() => {
-                AttemptEnd::NotRun(NotRunCause::Leaving)
-            }
-            Some(_) => AttemptEnd::NotRun(NotRunCause::Busy),
-            None => AttemptEnd::Failed(FailCause::ServerError),
-        });
-    }
-    Ok(())
-}
-
 /// Reads a whole body of at most `limit` bytes.
 ///
 /// # Errors
--- a/lib/src/pipeline/endpoints/mod.rs
+++ b/lib/src/pipeline/endpoints/mod.rs
@@ -1,11 +1,12 @@
 //! Clients for the endpoints of pipelines.
 //!
 //! `http_transport` carries out the core's calls: by `plain_client` or `engine_client`, which share
-//! `http_call`. `wire` holds the protocol's names and forms, `http_get` reads single resources.
+//! `http_call` and the rule in `reply_head`. `wire` holds the protocol's names and forms, `http_get` reads single resources.
 
 pub(crate) mod engine_client;
-pub mod http_call;
+pub(crate) mod http_call;
 pub(crate) mod http_get;
 pub mod http_transport;
 pub(crate) mod plain_client;
+pub mod reply_head;
 pub mod wire;
--- a/lib/src/pipeline/endpoints/plain_client.rs
+++ b/lib/src/pipeline/endpoints/plain_client.rs
@@ -6,8 +6,9 @@
     pipeline::{
         decision::endpoint::{AttemptEnd, EndpointCall, EndpointReply, FailCause},
         endpoints::{
-            http_call::{CallBody, call_request, check_head, read_body},
+            http_call::{CallBody, call_request, read_body},
             http_transport::HttpTransport,
+            reply_head::{check_head, is_answer},
             wire,
         },
     },
@@ -38,9 +39,7 @@
         .await
         .map_err(AttemptEnd::Failed)?;
     let is_json = json::check(&body).is_ok();
-    // A caller's error is the service's answer to this input; elsewhere it would be the same.
-    let usable = status.is_success() || status.is_client_error();
-    if !is_json || !usable {
+    if !is_json || !is_answer(status) {
         return Err(AttemptEnd::Failed(FailCause::Garbage));
     }
     Ok(EndpointReply {
--- a/lib/tests/test_reply_head.rs
+++ b/lib/tests/test_reply_head.rs
@@ -6,11 +6,14 @@
     hazelyoke_lib::{
         pipeline::{
             decision::endpoint::{AttemptEnd, FailCause, NotRunCause},
-            endpoints::{http_call::check_head, wire},
+            endpoints::{
+                reply_head::{check_head, is_answer, is_stream},
+                wire,
+            },
         },
         shared::ids::{AttemptId, CallIds, RequestId},
     },
-    http::Response,
+    http::{Response, StatusCode},
 };
 
 /// Names of the headers that carry a call's ids.
@@ -87,3 +90,13 @@
         }
     }
 }
+
+#[test]
+fn usable_statuses() {
+    for code in 100..600 {
+        let status = StatusCode::from_u16(code).unwrap();
+        let answer = (200..300).contains(&code) || (400..500).contains(&code);
+        assert_eq!(is_answer(status), answer, "{code}");
+        assert_eq!(is_stream(status), (200..300).contains(&code), "{code}");
+    }
+}
