--- a/daemon/tests/soak/caller.rs
+++ b/daemon/tests/soak/caller.rs
@@ -1,4 +1,4 @@
-//! Callers that keep connections open until the other end is gone, and remember what they saw.
+//! Callers that keep connections open until the other end is gone, and record what they received.
 
 use {
     super::{fleet::Daemon, stand_in::client},
@@ -10,10 +10,10 @@
     },
 };
 
-/// Longest time for an answer before a caller gives up.
+/// Longest wait for an answer before a caller gives up. Chosen, not measured.
 const PATIENCE: Duration = Duration::from_millis(3_000);
 
-/// Requests on one connection at most.
+/// Most requests on one connection. Chosen, not measured.
 const KEPT: u32 = 40;
 
 /// A kind of request, as the routes of the soak's table have it.
@@ -42,9 +42,9 @@
     }
 }
 
-/// What a caller saw of one request.
+/// One request as its caller saw it.
 #[derive(Debug, Clone)]
-#[allow(dead_code, reason = "the daemon is told in findings, by Debug")]
+#[allow(dead_code, reason = "findings print the daemon by Debug")]
 pub struct Outcome {
     pub id: String,
     pub kind: Kind,
@@ -54,33 +54,33 @@
     pub status: Option<u16>,
     pub stamp: Option<String>,
     pub body: String,
-    /// Whether the body ended as its framing says.
+    /// True if the body ended as its framing says.
     pub whole: bool,
-    /// Whether the caller left before the end.
+    /// True if the caller left before the end.
     pub left: bool,
 }
 
-/// All that callers saw.
+/// The requests of all callers.
 pub type Outcomes = Rc<RefCell<Vec<Outcome>>>;
 
-/// One connection with what was read from it and not used yet.
+/// One connection, with the bytes that were read and not parsed yet.
 struct Connection {
     stream: TcpStream,
     bytes: Vec<u8>,
 }
 
-/// How the reading of an answer ended.
+/// An answer, as far as it was read.
 struct Answer {
     status: Option<u16>,
     stamp: Option<String>,
     body: Vec<u8>,
     whole: bool,
-    /// Whether another request may follow.
+    /// True if another request may follow on the connection.
     open: bool,
 }
 
 impl Connection {
-    /// Reads on; nothing more if the other end is gone.
+    /// Reads more bytes; false if the other end is gone.
     async fn more(&mut self) -> bool {
         let mut buffer = [0; 8 * 1024];
         match self.stream.read(&mut buffer).await {
@@ -116,7 +116,8 @@
         true
     }
 
-    /// Reads an answer into `answer` as it comes, so that what came is known if the caller leaves.
+    /// Reads an answer into `answer` piece by piece, so that the part that came is kept if the caller
+    /// leaves.
     async fn answer(&mut self, answer: &mut Answer) {
         let Some(first) = self.line().await else {
             return;
@@ -165,8 +166,8 @@
     }
 }
 
-/// Sends one request on a connection; returns what was seen and whether the connection goes on.
-async fn ask(
+/// Sends one request on a connection; returns the answer, and true if the caller left before its end.
+async fn send(
     connection: &mut Connection,
     id: &str,
     kind: Kind,
@@ -187,16 +188,16 @@
     (answer, read.is_err())
 }
 
-/// Connects to a daemon and asks once.
-pub async fn ask_once(listen: SocketAddr, id: &str, kind: Kind) -> Option<u16> {
+/// Connects to a daemon and sends one request; returns the status of a complete answer.
+pub async fn send_once(listen: SocketAddr, id: &str, kind: Kind) -> Option<u16> {
     let stream = TcpStream::connect(listen).await.ok()?;
     let bytes = Vec::new();
     let mut connection = Connection { stream, bytes };
-    let (answer, _) = ask(&mut connection, id, kind, PATIENCE).await;
+    let (answer, _) = send(&mut connection, id, kind, PATIENCE).await;
     answer.status.filter(|_| answer.whole)
 }
 
-/// Calls daemons again and again until told to stop.
+/// Calls randomly chosen daemons until `stop` is set.
 pub async fn run_caller(
     name: String,
     daemons: Rc<RefCell<Vec<Daemon>>>,
@@ -229,7 +230,7 @@
             } else {
                 PATIENCE
             };
-            let (answer, left) = ask(&mut connection, &id, kind, patience).await;
+            let (answer, left) = send(&mut connection, &id, kind, patience).await;
             let open = answer.open;
             outcomes.borrow_mut().push(Outcome {
                 id,
--- a/daemon/tests/soak/checks.rs
+++ b/daemon/tests/soak/checks.rs
@@ -1,4 +1,4 @@
-//! What was promised, held against what callers and replicas saw.
+//! Checks of the daemons' promises against the observations of callers and replicas.
 
 use {
     super::{
@@ -11,11 +11,11 @@
 /// Statuses that promise that a request has not run and never will.
 const NOT_RUN: [u16; 4] = [408, 421, 429, 503];
 
-/// A broken promise, told by the request that shows it.
+/// Broken promises, each named by the request that shows it.
 pub type Findings = Vec<String>;
 
-/// Checks everything that can be told from the end of a run; `planned` tells that nothing but planned
-/// work happened, so that no answer may be lost.
+/// Checks all requests of a run; `planned` means that nothing but planned work happened, so that no
+/// answer may be lost.
 pub fn check(outcomes: &[Outcome], members: &[Member], planned: bool) -> Findings {
     let mut runs: BTreeMap<String, usize> = BTreeMap::new();
     for id in members.iter().flat_map(|member| member.replica.ran()) {
@@ -33,11 +33,11 @@
             ));
         }
     }
-    findings.extend(check_asked(outcomes, members));
+    findings.extend(check_sent(outcomes, members));
     findings
 }
 
-/// At most once, and nothing that was said not to have run.
+/// Checks that a request ran at most once, and not at all if its caller was promised so.
 fn check_runs(outcome: &Outcome, ran: usize) -> Option<String> {
     let once = matches!(outcome.kind, Kind::Guarded | Kind::Staged);
     if once && ran > 1 {
@@ -52,7 +52,7 @@
     None
 }
 
-/// An answer is a replica's whole answer to this request, or doesn't look like one.
+/// Checks that an answer that looks complete is a replica's complete answer to this request.
 fn check_answer(outcome: &Outcome) -> Option<String> {
     let wrong = |what: &str| Some(format!("{}: {what}: {outcome:?}", outcome.id));
     if outcome.status != Some(200) {
@@ -84,9 +84,9 @@
         .collect()
 }
 
-/// Replicas get what callers sent, unchanged, and nothing else.
-fn check_asked(outcomes: &[Outcome], members: &[Member]) -> Findings {
-    let asked: BTreeMap<&str, Kind> = outcomes
+/// Checks that replicas received the callers' requests, unchanged, and nothing else.
+fn check_sent(outcomes: &[Outcome], members: &[Member]) -> Findings {
+    let sent: BTreeMap<&str, Kind> = outcomes
         .iter()
         .map(|outcome| (outcome.id.as_str(), outcome.kind))
         .collect();
@@ -94,7 +94,7 @@
     seen.filter_map(|seen| {
         let id = seen.id();
         let is_probe = id.starts_with("end-");
-        let known = asked
+        let known = sent
             .get(id)
             .is_some_and(|kind| seen.head.starts_with(&format!("POST {}{id} ", kind.path())));
         (!is_probe && (!known || seen.body != id))
--- a/daemon/tests/soak/fleet.rs
+++ b/daemon/tests/soak/fleet.rs
@@ -1,8 +1,8 @@
-//! Daemons as processes of their own, and what surrounds them: a store and replicas behind proxies.
+//! Daemons as processes of their own, and their surroundings: a store and replicas behind proxies.
 
 use {
     super::{
-        proxy::{Harm, Proxy},
+        proxy::{Fault, Proxy},
         stand_in::{
             replica::{Act, Replica},
             site::{DaemonFile, free_ports},
@@ -18,13 +18,13 @@
     },
 };
 
-/// Events of a whole stream.
+/// Events of a complete stream.
 pub const EVENTS: u64 = 6;
 
-/// Time from a stop's signal to its end, as the settings allow it.
+/// Grace period of a stop in the daemons' settings, in seconds. Chosen, not measured.
 const GRACE_S: f64 = 4.0;
 
-/// One daemon: its process, and where it is reached.
+/// One daemon: its process and its addresses.
 #[derive(Debug)]
 pub struct Daemon {
     pub name: String,
@@ -37,7 +37,7 @@
     pub store: Proxy,
     pub settings: PathBuf,
     pub log: PathBuf,
-    /// Whether the soak ended the process, or is about to.
+    /// True if the soak ended the process, or is about to.
     pub ending: bool,
 }
 
@@ -60,12 +60,12 @@
         assert!(sent.unwrap().success(), "{name} to {}", self.name);
     }
 
-    /// Returns how the process ended, if it has.
+    /// Returns the process's exit status, if it has ended.
     pub fn ended(&mut self) -> Option<ExitStatus> {
         self.child.try_wait().unwrap()
     }
 
-    /// Starts the process anew.
+    /// Starts the process again.
     pub fn restart(&mut self) {
         self.life += 1;
         self.ending = false;
@@ -83,8 +83,8 @@
         .unwrap()
 }
 
-/// Where the daemons of one run have their addresses: one of the loopback network's for each, so that
-/// ports are alike, as on hosts.
+/// Addresses of the daemons of one run: each has its own on the loopback network, so that all use the
+/// same ports, as on hosts.
 #[derive(Debug, Clone, Copy)]
 pub struct Subnet {
     seed: u64,
@@ -156,14 +156,14 @@
     pub replica: Replica,
     pub service: &'static str,
     pub proxy: Proxy,
-    /// Whether it said that it leaves.
+    /// True once its entry in the store says that it leaves.
     pub left: bool,
 }
 
 /// Services with the number of their replicas.
 const SERVICES: [(&str, usize); 3] = [("plain", 3), ("llm", 3), ("enc", 2)];
 
-/// Starts a replica of a service and writes it down.
+/// Starts a replica of a service and writes its entry into the store.
 pub async fn start_member(store: &StandInStore, service: &'static str, number: usize) -> Member {
     let mut proxy = None;
     let replica = Replica::start_behind(&format!("i-{service}-{number}"), async |own| {
@@ -194,7 +194,7 @@
     members
 }
 
-/// What a replica of a service does while nothing is wrong.
+/// Returns the act of a replica while it has no fault.
 fn usual(service: &str) -> Act {
     match service {
         "llm" => Act::Events {
@@ -206,8 +206,8 @@
     }
 }
 
-/// Something that goes wrong with the next request of a replica.
-pub fn wrong(service: &str, choice: u32) -> Act {
+/// Returns a fault for the next request of a replica, by a number.
+pub fn misbehaviour(service: &str, choice: u32) -> Act {
     let pause = Duration::from_millis(4);
     match (service, choice % 8) {
         ("llm", 0 | 1) => Act::Events {
@@ -226,13 +226,13 @@
     }
 }
 
-/// Harms that a proxy may do, by a number.
-pub fn harm(choice: u32) -> Harm {
+/// Returns a fault of a proxy, by a number.
+pub fn proxy_fault(choice: u32) -> Fault {
     match choice % 5 {
-        0 => Harm::Delay(Duration::from_millis(40)),
-        1 => Harm::Reset,
-        2 => Harm::Silence,
-        3 => Harm::CutThere,
-        _ => Harm::CutBack,
+        0 => Fault::Delay(Duration::from_millis(40)),
+        1 => Fault::Reset,
+        2 => Fault::Silence,
+        3 => Fault::CutThere,
+        _ => Fault::CutBack,
     }
 }
--- a/daemon/tests/soak/proxy.rs
+++ b/daemon/tests/soak/proxy.rs
@@ -1,4 +1,4 @@
-//! A loopback proxy that harms the connections through it as it is told.
+//! A loopback proxy that injects faults into the connections through it.
 
 use {
     std::{cell::Cell, net::SocketAddr, rc::Rc, time::Duration},
@@ -8,18 +8,18 @@
     },
 };
 
-/// Time between two looks at whether a held connection goes on.
-const LOOK: Duration = Duration::from_millis(5);
+/// Time between two checks of the fault while a connection is held. Chosen, not measured.
+const CHECK_EVERY: Duration = Duration::from_millis(5);
 
-/// What happens to connections.
+/// Fault of all connections through a proxy.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Harm {
+pub enum Fault {
     None,
     /// Bytes come late.
     Delay(Duration),
     /// Connections are reset.
     Reset,
-    /// Nothing goes either way, and nobody is told.
+    /// Nothing goes either way, and no connection is closed.
     Silence,
     /// Nothing reaches the far end.
     CutThere,
@@ -31,7 +31,7 @@
 #[derive(Debug, Clone)]
 pub struct Proxy {
     pub address: SocketAddr,
-    harm: Rc<Cell<Harm>>,
+    fault: Rc<Cell<Fault>>,
 }
 
 impl Proxy {
@@ -40,31 +40,31 @@
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let proxy = Self {
             address: listener.local_addr().unwrap(),
-            harm: Rc::new(Cell::new(Harm::None)),
+            fault: Rc::new(Cell::new(Fault::None)),
         };
-        let harm = proxy.harm.clone();
+        let fault = proxy.fault.clone();
         tokio::task::spawn_local(async move {
             loop {
                 let (near, _) = listener.accept().await.unwrap();
-                tokio::task::spawn_local(pass(near, target, harm.clone()));
+                tokio::task::spawn_local(pass(near, target, fault.clone()));
             }
         });
         proxy
     }
 
-    pub fn set(&self, harm: Harm) {
-        self.harm.set(harm);
+    pub fn set(&self, fault: Fault) {
+        self.fault.set(fault);
     }
 }
 
-async fn pass(near: TcpStream, target: SocketAddr, harm: Rc<Cell<Harm>>) {
+async fn pass(near: TcpStream, target: SocketAddr, fault: Rc<Cell<Fault>>) {
     let Ok(far) = TcpStream::connect(target).await else {
         return;
     };
     let (near_read, near_write) = near.into_split();
     let (far_read, far_write) = far.into_split();
-    let there = flow(near_read, far_write, harm.clone(), Harm::CutThere);
-    let back = flow(far_read, near_write, harm, Harm::CutBack);
+    let there = flow(near_read, far_write, fault.clone(), Fault::CutThere);
+    let back = flow(far_read, near_write, fault, Fault::CutBack);
     // An end or a reset of either side ends both.
     tokio::select! {
         () = there => {}
@@ -76,25 +76,25 @@
 async fn flow(
     mut from: impl AsyncRead + Unpin,
     mut to: impl AsyncWrite + Unpin,
-    harm: Rc<Cell<Harm>>,
-    cut: Harm,
+    fault: Rc<Cell<Fault>>,
+    cut: Fault,
 ) {
     let mut buffer = vec![0; 16 * 1024];
     loop {
         let read = tokio::select! {
             read = from.read(&mut buffer) => read,
-            () = until_reset(&harm) => return,
+            () = until_reset(&fault) => return,
         };
         let size = match read {
             Ok(0) | Err(_) => return,
             Ok(size) => size,
         };
-        while harm.get() == cut || harm.get() == Harm::Silence {
-            tokio::time::sleep(LOOK).await;
+        while fault.get() == cut || fault.get() == Fault::Silence {
+            tokio::time::sleep(CHECK_EVERY).await;
         }
-        match harm.get() {
-            Harm::Reset => return,
-            Harm::Delay(time) => tokio::time::sleep(time).await,
+        match fault.get() {
+            Fault::Reset => return,
+            Fault::Delay(time) => tokio::time::sleep(time).await,
             _ => {}
         }
         if to.write_all(&buffer[..size]).await.is_err() {
@@ -103,8 +103,8 @@
     }
 }
 
-async fn until_reset(harm: &Cell<Harm>) {
-    while harm.get() != Harm::Reset {
-        tokio::time::sleep(LOOK).await;
+async fn until_reset(fault: &Cell<Fault>) {
+    while fault.get() != Fault::Reset {
+        tokio::time::sleep(CHECK_EVERY).await;
     }
 }
--- a/daemon/tests/soak/trouble.rs
+++ b/daemon/tests/soak/trouble.rs
@@ -1,9 +1,9 @@
-//! What goes wrong in a run: series of troubles that overlap, drawn from a seed.
+//! The faults of a run: planned work and troubles that overlap, drawn from a seed.
 
 use {
     super::{
-        fleet::{Daemon, Member, harm, start_member, wrong},
-        proxy::Harm,
+        fleet::{Daemon, Member, misbehaviour, proxy_fault, start_member},
+        proxy::Fault,
         stand_in::{
             site::table_of_kinds,
             store::{StandInStore, Trouble},
@@ -14,7 +14,7 @@
     tokio::net::TcpStream,
 };
 
-/// Everything that a run has.
+/// Everything that one run owns; clones share it.
 #[derive(Debug, Clone)]
 pub struct World {
     pub store: StandInStore,
@@ -24,11 +24,11 @@
     pub findings: Rc<RefCell<Vec<String>>>,
 }
 
-/// Longest time that a planned stop may take.
+/// Longest time that a planned stop may take. Chosen, not measured.
 const STOP_LIMIT: Duration = Duration::from_secs(10);
 
 impl World {
-    /// Does one thing that may come at any moment; what takes time goes on beside what follows.
+    /// Starts one random event; those that take time overlap with the ones that follow.
     pub async fn trouble(&self, rng: &mut SmallRng, planned: bool) {
         let time = Duration::from_millis(rng.random_range(50..1_500));
         let daemon = rng.random_range(0..self.daemons.borrow().len());
@@ -57,19 +57,19 @@
                 );
             }
             10 => {
-                tokio::task::spawn_local(async move { world.harm_member(choice, time).await });
+                tokio::task::spawn_local(async move { world.disturb_member(choice, time).await });
             }
             _ => self.misbehave(rng),
         }
     }
 
-    /// The operator publishes a new table.
+    /// Publishes a new table, as an operator does.
     pub fn publish(&self) {
         self.version.set(self.version.get() + 1);
         self.store.publish(&table_of_kinds(self.version.get()));
     }
 
-    /// The settings are said to have changed; a process that hasn't begun yet is left alone.
+    /// Signals a daemon to read its settings again; one that isn't up yet is left alone.
     async fn reload(&self, number: usize) {
         let ready = self.daemons.borrow()[number].ready;
         if TcpStream::connect(ready).await.is_ok() {
@@ -77,9 +77,9 @@
         }
     }
 
-    /// A daemon is stopped as planned and started again.
+    /// Stops a daemon as planned and starts it again.
     async fn stop(&self, number: usize) {
-        if !self.begin_end(number) {
+        if !self.claim_stop(number) {
             return;
         }
         let was_up = {
@@ -87,10 +87,10 @@
             TcpStream::connect(ready).await.is_ok()
         };
         self.daemons.borrow()[number].signal("TERM");
-        let ended = tokio::time::timeout(STOP_LIMIT, self.until_ended(number)).await;
+        let ended = tokio::time::timeout(STOP_LIMIT, self.wait_for_end(number)).await;
         match ended {
             Ok(true) => {}
-            // Before its first instruction a process has no say in what a signal does.
+            // Before the program has installed its handlers, a signal ends the process at once.
             Ok(false) if !was_up => {}
             Ok(false) => self.find(format!("daemon {number} ended badly after a planned stop")),
             Err(_) => self.find(format!("daemon {number} didn't end after a planned stop")),
@@ -99,24 +99,24 @@
     }
 
     async fn kill(&self, number: usize, down: Duration) {
-        if !self.begin_end(number) {
+        if !self.claim_stop(number) {
             return;
         }
         self.daemons.borrow()[number].signal("KILL");
-        self.until_ended(number).await;
+        self.wait_for_end(number).await;
         tokio::time::sleep(down / 4).await;
         self.daemons.borrow_mut()[number].restart();
     }
 
-    /// Claims the end of a daemon; one that is ending already is left alone.
-    fn begin_end(&self, number: usize) -> bool {
+    /// Claims a daemon for a stop; false if it is ending already.
+    fn claim_stop(&self, number: usize) -> bool {
         let daemon = &mut self.daemons.borrow_mut()[number];
         let free = !daemon.ending && daemon.ended().is_none();
         daemon.ending |= free;
         free
     }
 
-    async fn until_ended(&self, number: usize) -> bool {
+    async fn wait_for_end(&self, number: usize) -> bool {
         loop {
             if let Some(status) = self.daemons.borrow_mut()[number].ended() {
                 return status.success();
@@ -125,15 +125,15 @@
         }
     }
 
-    /// A daemon stands still for a while and wakes with what it believed.
+    /// Pauses a daemon for a while; it wakes with outdated knowledge.
     async fn pause(&self, number: usize, time: Duration) {
         self.daemons.borrow()[number].signal_if_up("STOP");
         tokio::time::sleep(time).await;
-        // It may have been told to stop meanwhile, which it hears once it goes on.
-        self.daemons.borrow_mut()[number].go_on();
+        // A stop signal that came meanwhile takes effect once the process runs again.
+        self.daemons.borrow_mut()[number].resume();
     }
 
-    /// A replica says that it leaves, and another one takes its place.
+    /// Lets a replica leave, and another one take its place.
     async fn replace(&self, choice: u32) {
         let place = {
             let members = self.members.borrow();
@@ -162,26 +162,28 @@
 
     async fn cut_store(&self, number: usize, choice: u32, time: Duration) {
         let proxy = self.daemons.borrow()[number].store.clone();
-        proxy.set(harm(choice));
+        proxy.set(proxy_fault(choice));
         tokio::time::sleep(time).await;
-        proxy.set(Harm::None);
+        proxy.set(Fault::None);
     }
 
-    async fn harm_member(&self, choice: u32, time: Duration) {
+    async fn disturb_member(&self, choice: u32, time: Duration) {
         let proxy = {
             let members = self.members.borrow();
             members[(choice / 8) as usize % members.len()].proxy.clone()
         };
-        proxy.set(harm(choice));
+        proxy.set(proxy_fault(choice));
         tokio::time::sleep(time).await;
-        proxy.set(Harm::None);
+        proxy.set(Fault::None);
     }
 
-    /// Replicas do the next few requests wrongly.
+    /// Gives replicas a fault for their next request.
     fn misbehave(&self, rng: &mut SmallRng) {
         for member in self.members.borrow().iter() {
             if member.service != "enc" && rng.random_bool(0.5) {
-                member.replica.next(wrong(member.service, rng.random()));
+                member
+                    .replica
+                    .next(misbehaviour(member.service, rng.random()));
             }
         }
     }
@@ -190,16 +192,16 @@
     pub async fn heal(&self) {
         self.store.set_trouble(Trouble::None);
         for member in self.members.borrow().iter() {
-            member.proxy.set(Harm::None);
+            member.proxy.set(Fault::None);
         }
         for daemon in self.daemons.borrow_mut().iter_mut() {
-            daemon.store.set(Harm::None);
-            daemon.go_on();
+            daemon.store.set(Fault::None);
+            daemon.resume();
         }
     }
 
-    /// Notes daemons that ended although nobody asked them to.
-    pub fn look_for_ends(&self) {
+    /// Records a finding for each daemon that ended without a stop of the soak.
+    pub fn record_unexpected_ends(&self) {
         for daemon in self.daemons.borrow_mut().iter_mut() {
             if !daemon.ending
                 && let Some(status) = daemon.ended()
@@ -224,7 +226,7 @@
     }
 
     /// Ends a pause.
-    fn go_on(&mut self) {
+    fn resume(&mut self) {
         if self.ended().is_none() {
             self.signal("CONT");
         }
--- a/daemon/tests/test_soak.rs
+++ b/daemon/tests/test_soak.rs
@@ -1,5 +1,5 @@
-//! Randomised runs of the real program: several daemons as processes, troubles from outside them, and
-//! the promises held against what callers and replicas saw.
+//! Randomised runs of the real program: several daemons as processes, faults from outside them, and
+//! checks of the promises against the observations of callers and replicas.
 //!
 //! A short series of seeds runs with the other tests. `HAZELYOKE_SOAK_SEEDS=100..150` runs others, and
 //! `HAZELYOKE_SOAK_SECONDS=20` makes each longer. A failed seed leaves its logs in the folder that is
@@ -24,7 +24,7 @@
     rand::{RngExt, SeedableRng, rngs::SmallRng},
     serde_json::Value,
     soak::{
-        caller::{Kind, Outcomes, ask_once, run_caller},
+        caller::{Kind, Outcomes, run_caller, send_once},
         checks::check,
         fleet::{Daemon, start_daemons, start_members},
         stand_in::{site::table_of_kinds, store::StandInStore},
@@ -55,21 +55,25 @@
     (116, "a signal that came while a daemon started ended it"),
 ];
 
-/// Troubles of one run, and the longest time between two.
+/// Time with faults of one run, in seconds. Chosen, not measured.
 const SHORT_SECONDS: u64 = 4;
+
+/// Longest time between two faults, in milliseconds. Chosen, not measured.
 const LONGEST_GAP_MS: u64 = 260;
 
-/// Callers of one run.
+/// Callers of one run. Chosen, not measured.
 const CALLERS: usize = 8;
 
-/// Bound of everything that is waited for after the troubles.
-const CALM_LIMIT: Duration = Duration::from_secs(25);
+/// Longest wait for the daemons to settle after the faults. Chosen, not measured.
+const SETTLE_LIMIT: Duration = Duration::from_secs(25);
 
-/// One run in so many has planned work alone.
+/// One run in so many has planned work only: no daemon dies and nothing fails.
 const PLANNED_EVERY: u64 = 3;
 
-/// One run in so many has many daemons, so that not everybody hears everybody.
+/// One run in so many has many daemons, so that not every daemon hears every other.
 const MANY_EVERY: u64 = 5;
+
+/// Daemons of such a run. Chosen, not measured.
 const MANY: usize = 18;
 
 fn seeds() -> Vec<u64> {
@@ -95,7 +99,7 @@
 }
 
 #[test]
-fn promises_hold_under_troubles() {
+fn promises_under_faults() {
     let mut failed = Vec::new();
     for seed in seeds() {
         let runtime = tokio::runtime::Builder::new_current_thread()
@@ -130,7 +134,7 @@
         version: Rc::new(Cell::new(1)),
         findings: Rc::default(),
     };
-    if !until_calm(&world).await {
+    if !until_settled(&world).await {
         return vec!["the daemons never served".into()];
     }
     let outcomes = Outcomes::default();
@@ -149,13 +153,13 @@
             ))
         })
         .collect();
-    let watch = tokio::task::spawn_local(watch_versions(world.clone()));
+    let version_check = tokio::task::spawn_local(check_versions(world.clone()));
     let end = tokio::time::Instant::now() + Duration::from_secs(seconds());
     while tokio::time::Instant::now() < end {
         world.trouble(&mut rng, planned).await;
         let gap = rng.random_range(0..LONGEST_GAP_MS);
         tokio::time::sleep(Duration::from_millis(gap)).await;
-        world.look_for_ends();
+        world.record_unexpected_ends();
     }
     stop.set(true);
     for caller in callers {
@@ -163,45 +167,47 @@
     }
     world.heal().await;
     world.publish();
-    if !until_calm(&world).await {
+    if !until_settled(&world).await {
         let states = states(&world).await;
-        world.find(format!("not calm again: {states:?}"));
+        world.find(format!("not settled again: {states:?}"));
     }
     check_service(&world, seed).await;
-    world.look_for_ends();
-    watch.abort();
+    world.record_unexpected_ends();
+    version_check.abort();
     let mut findings = world.findings.take();
     findings.extend(check(&outcomes.borrow(), &world.members.borrow(), planned));
     if findings.is_empty() {
         for daemon in world.daemons.borrow().iter() {
+            // A log that can't be removed only takes space in the target folder.
             let _ = std::fs::remove_file(&daemon.log);
         }
     }
     findings
 }
 
-/// What a daemon says of itself.
+/// The state that a daemon reports of itself.
 #[derive(Debug, PartialEq)]
-struct Known {
+struct DaemonStatus {
     ready: bool,
     version: u64,
     open: usize,
 }
 
-async fn known(daemon: std::net::SocketAddr) -> Option<Known> {
-    // A paused process accepts connections and says nothing.
-    let asked = tokio::time::timeout(Duration::from_millis(500), async {
+/// Reads a daemon's state; none if it doesn't answer soon.
+async fn read_status(daemon: std::net::SocketAddr) -> Option<DaemonStatus> {
+    // A paused process accepts connections and doesn't answer.
+    let read = tokio::time::timeout(Duration::from_millis(500), async {
         let text = "GET /v1/status HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n";
         let answer = client::try_send(daemon, text).await.ok()?;
         let status: Value = serde_json::from_str(&answer.text()).ok()?;
         let open = status["endpoints"].as_array()?.iter();
-        Some(Known {
+        Some(DaemonStatus {
             ready: status["ready"].as_bool()?,
             version: status["version"].as_u64()?,
             open: open.filter(|endpoint| endpoint["open"] == true).count(),
         })
     });
-    asked.await.ok().flatten()
+    read.await.ok().flatten()
 }
 
 fn addresses(
@@ -211,20 +217,20 @@
     world.daemons.borrow().iter().map(of).collect()
 }
 
-async fn states(world: &World) -> Vec<Option<Known>> {
+async fn states(world: &World) -> Vec<Option<DaemonStatus>> {
     let mut states = Vec::new();
     for address in addresses(world, |daemon| daemon.ready) {
-        states.push(known(address).await);
+        states.push(read_status(address).await);
     }
     states
 }
 
 /// Waits until every daemon serves with the newest table and the endpoints that are there.
-async fn until_calm(world: &World) -> bool {
-    let calm = async {
+async fn until_settled(world: &World) -> bool {
+    let settled = async {
         loop {
             let staying = world.members.borrow().iter().filter(|m| !m.left).count();
-            let wanted = Known {
+            let wanted = DaemonStatus {
                 ready: true,
                 version: world.version.get(),
                 open: staying,
@@ -236,11 +242,11 @@
             tokio::time::sleep(Duration::from_millis(50)).await;
         }
     };
-    tokio::time::timeout(CALM_LIMIT, calm).await.is_ok()
+    tokio::time::timeout(SETTLE_LIMIT, settled).await.is_ok()
 }
 
-/// Tables never get older within a life of a daemon.
-async fn watch_versions(world: World) {
+/// Checks that tables never get older within a life of a daemon.
+async fn check_versions(world: World) {
     let mut last: BTreeMap<(usize, u32), u64> = BTreeMap::new();
     loop {
         for (number, address) in addresses(&world, |daemon| daemon.ready)
@@ -248,17 +254,17 @@
             .enumerate()
         {
             let life = world.daemons.borrow()[number].life;
-            let Some(known) = known(address).await else {
+            let Some(status) = read_status(address).await else {
                 continue;
             };
             if world.daemons.borrow()[number].life != life {
                 continue;
             }
-            let before = last.insert((number, life), known.version).unwrap_or(0);
-            if known.version < before {
+            let before = last.insert((number, life), status.version).unwrap_or(0);
+            if status.version < before {
                 world.find(format!(
                     "daemon {number} fell from table {before} to {}",
-                    known.version
+                    status.version
                 ));
             }
         }
@@ -266,7 +272,8 @@
     }
 }
 
-/// After the troubles every daemon serves every kind, and replicas that left get nothing.
+/// Checks that every daemon serves every kind after the faults, and that replicas that left get
+/// nothing.
 async fn check_service(world: &World, seed: u64) {
     let ran_by_left = |world: &World| -> usize {
         let members = world.members.borrow();
@@ -282,12 +289,12 @@
         .enumerate()
     {
         for kind in Kind::ALL {
-            let served = tokio::time::timeout(CALM_LIMIT, async {
+            let served = tokio::time::timeout(SETTLE_LIMIT, async {
                 let mut tries = 0;
                 loop {
                     let id = format!("end-{seed}-{number}-{}-{tries}", kind.path().len());
                     let id = format!("{id}{}", &kind.path()[1..2]);
-                    if ask_once(listen, &id, kind).await == Some(200) {
+                    if send_once(listen, &id, kind).await == Some(200) {
                         return;
                     }
                     tries += 1;
@@ -296,7 +303,7 @@
             });
             if served.await.is_err() {
                 world.find(format!(
-                    "daemon {number} doesn't serve {kind:?} after the troubles"
+                    "daemon {number} doesn't serve {kind:?} after the faults"
                 ));
             }
         }
