--- a/lib/src/pipeline/endpoints/engine_client.rs
+++ b/lib/src/pipeline/endpoints/engine_client.rs
@@ -8,8 +8,9 @@
         pipeline::{
             decision::endpoint::{AttemptEnd, EndpointCall, FailCause, TokenSink},
             endpoints::{
-                http_call::{CallBody, call_request, check_head},
+                http_call::{CallBody, call_request},
                 http_transport::HttpTransport,
+                reply_head::{check_head, is_stream},
                 wire::{self, GenerateBody, StreamEvent},
             },
         },
@@ -52,8 +53,8 @@
         .body(body)
         .map_err(|_| garbage.clone())?;
     let response = transport.send(request).await?;
-    check_head(call, &response)?;
-    if !response.status().is_success() {
+    check_head(&call.ids, &response)?;
+    if !is_stream(response.status()) {
         return Err(garbage);
     }
     Ok(read_stream(response.into_body(), call, sink).await)
