--- a/lib/src/gateway/rules/stage_objective.rs
+++ b/lib/src/gateway/rules/stage_objective.rs
@@ -14,8 +14,6 @@
 /// Time kept for each later stage (chosen, not measured).
 const LATER_STAGE: Millis = Millis(350);
 
-const US_PER_MS: u64 = 1_000;
-
 /// Returns when a stage should have ended.
 pub fn stage_objective(request: Time, later_stages: u64, own_time: Millis) -> Time {
     let kept = Millis(LATER_STAGE.0 * later_stages + own_time.0);
--- /dev/null
+++ b/lib/src/pipeline/endpoints/dispatch.rs
@@ -0,0 +1,52 @@
+//! The core's transport: passes each call to the client of its kind of service.
+//!
+//! Owns nothing; the connections are those of `http_transport`.
+
+use {
+    crate::{
+        pipeline::{
+            decision::{
+                endpoint::{AttemptEnd, EndpointCall, LoadReport, TokenSink, Transport},
+                prefix::CacheEvents,
+            },
+            endpoints::{engine_client, http_transport::HttpTransport, plain_client, wire},
+        },
+        settings::tree::ServiceKind,
+        shared::units::ByteSize,
+    },
+    std::net::SocketAddr,
+};
+
+/// Largest load report. Chosen, not measured: far above its five numbers.
+const LOAD_SIZE: ByteSize = ByteSize(4096);
+
+/// Largest reply with cache events. Chosen, not measured.
+const EVENTS_SIZE: ByteSize = ByteSize(256 * 1024);
+
+impl Transport for HttpTransport {
+    async fn call(&self, call: EndpointCall, sink: impl TokenSink + 'static) -> AttemptEnd {
+        match call.kind {
+            ServiceKind::Plain => plain_client::call(self, call).await,
+            ServiceKind::Engine { .. } => engine_client::generate(self, call, sink).await,
+        }
+    }
+
+    async fn cancel(&self, call: EndpointCall) {
+        if matches!(call.kind, ServiceKind::Engine { .. }) {
+            engine_client::cancel(self, call).await;
+        }
+    }
+
+    async fn cache_events(&self, address: SocketAddr, after: u64) -> Option<CacheEvents> {
+        let uri = format!("http://{address}{}?after={after}", wire::CACHE_PATH);
+        // No event of its own for a failed read: the next round reads from the same number again.
+        self.get_json(uri, EVENTS_SIZE).await.ok()
+    }
+
+    async fn load(&self, address: SocketAddr, _kind: &ServiceKind) -> Option<LoadReport> {
+        let uri = format!("http://{address}{}", wire::LOAD_PATH);
+        // No event of its own for a failed read: the core goes on with the last report until that is
+        // stale, and calls show whether the endpoint is healthy.
+        self.get_json(uri, LOAD_SIZE).await.ok()
+    }
+}
--- a/lib/src/pipeline/endpoints/http_transport.rs
+++ b/lib/src/pipeline/endpoints/http_transport.rs
@@ -1,27 +1,17 @@
-//! The transport to endpoints over HTTP.
+//! The connections to endpoints over HTTP.
 //!
-//! Owns the connection pool and its limits, and the dispatch to the client of each kind of service.
-//! Sends nothing twice by itself: retries are the core's decision. Relies on `hyper_util` for pooled
-//! HTTP/1.1 connections.
+//! Owns the connection pool and its limits. Sends nothing twice by itself: retries are the core's
+//! decision. Relies on `hyper_util` for pooled HTTP/1.1 connections.
 
 use {
     crate::{
         pipeline::{
-            decision::{
-                endpoint::{
-                    AttemptEnd, EndpointCall, FailCause, LoadReport, NotRunCause, TokenSink,
-                    Transport,
-                },
-                prefix::CacheEvents,
-            },
+            decision::endpoint::{AttemptEnd, FailCause, NotRunCause},
             endpoints::{
-                engine_client,
                 http_call::CallBody,
                 http_get::{HttpGetError, get},
-                plain_client, wire,
             },
         },
-        settings::tree::ServiceKind,
         shared::units::{ByteSize, Millis},
     },
     http::{Request, Response},
@@ -31,7 +21,7 @@
         rt::{TokioExecutor, TokioTimer},
     },
     serde::de::DeserializeOwned,
-    std::{net::SocketAddr, time::Duration},
+    std::time::Duration,
 };
 
 /// Longest time to set up a connection. Chosen, not measured.
@@ -47,12 +37,6 @@
 /// Longest time to read a report of an endpoint. Chosen, not measured.
 const REPORT_TIMEOUT: Millis = Millis(500);
 
-/// Largest load report. Chosen, not measured: far above its five numbers.
-const LOAD_SIZE: ByteSize = ByteSize(4096);
-
-/// Largest reply with cache events. Chosen, not measured.
-const EVENTS_SIZE: ByteSize = ByteSize(256 * 1024);
-
 /// Calls endpoints over HTTP/1.1.
 #[derive(Debug, Clone)]
 pub struct HttpTransport {
@@ -97,7 +81,7 @@
 
 impl HttpTransport {
     /// Reads what an endpoint reports of itself, within [`REPORT_TIMEOUT`].
-    async fn get_json<R: DeserializeOwned>(
+    pub(crate) async fn get_json<R: DeserializeOwned>(
         &self,
         uri: String,
         limit: ByteSize,
@@ -116,31 +100,3 @@
         AttemptEnd::Failed(FailCause::Broken)
     }
 }
-
-impl Transport for HttpTransport {
-    async fn call(&self, call: EndpointCall, sink: impl TokenSink + 'static) -> AttemptEnd {
-        match call.kind {
-            ServiceKind::Plain => plain_client::call(self, call).await,
-            ServiceKind::Engine { .. } => engine_client::generate(self, call, sink).await,
-        }
-    }
-
-    async fn cancel(&self, call: EndpointCall) {
-        if matches!(call.kind, ServiceKind::Engine { .. }) {
-            engine_client::cancel(self, call).await;
-        }
-    }
-
-    async fn cache_events(&self, address: SocketAddr, after: u64) -> Option<CacheEvents> {
-        let uri = format!("http://{address}{}?after={after}", wire::CACHE_PATH);
-        // No event of its own for a failed read: the next round reads from the same number again.
-        self.get_json(uri, EVENTS_SIZE).await.ok()
-    }
-
-    async fn load(&self, address: SocketAddr, _kind: &ServiceKind) -> Option<LoadReport> {
-        let uri = format!("http://{address}{}", wire::LOAD_PATH);
-        // No event of its own for a failed read: the core goes on with the last report until that is
-        // stale, and calls show whether the endpoint is healthy.
-        self.get_json(uri, LOAD_SIZE).await.ok()
-    }
-}
