--- a/cli/tests/test_cli.rs
+++ b/cli/tests/test_cli.rs
@@ -105,7 +105,7 @@
 }
 
 #[test]
-fn why_tells_a_request() {
+fn why_known_request() {
     insta::assert_snapshot!(run(&[
         "why",
         "190be356ef9e3ad4",
@@ -115,7 +115,7 @@
 }
 
 #[test]
-fn why_knows_no_request() {
+fn why_unknown_request() {
     insta::assert_snapshot!(run(&["why", "none", "cli/tests/data/front-1.log"]));
 }
 
@@ -126,6 +126,6 @@
 }
 
 #[test]
-fn check_platform_without_files() {
+fn platform_without_files() {
     insta::assert_snapshot!(run(&["check-platform"]));
 }
--- a/daemon/tests/test_process.rs
+++ b/daemon/tests/test_process.rs
@@ -118,8 +118,9 @@
     client::send(listen, &text).await.status
 }
 
+/// Requests are answered while nobody drains the pipe that the log goes to.
 #[test]
-fn a_log_that_nobody_reads_holds_up_no_request() {
+fn unread_log() {
     run(async {
         let store = StandInStore::start().await;
         store.publish(&config());
@@ -139,7 +140,7 @@
 
 /// Found by the soak, seed 116: a signal that came while the daemon started ended it.
 #[test]
-fn a_hang_up_while_it_starts_ends_no_daemon() {
+fn hangup_during_start() {
     run(async {
         let store = StandInStore::start().await;
         store.publish(&config());
@@ -178,8 +179,9 @@
     });
 }
 
+/// `SIGHUP` survives a damaged file; `SIGTERM` ends readiness first, then the process.
 #[test]
-fn a_hang_up_reloads_and_a_term_ends_cleanly() {
+fn reload_and_stop() {
     run(async {
         let store = StandInStore::start().await;
         store.publish(&config());
--- a/lib/src/gateway/rules/call_fill.rs
+++ b/lib/src/gateway/rules/call_fill.rs
@@ -9,7 +9,7 @@
 //!
 //! A call costs its endpoint a fixed time, so that throughput is the fill of calls; free endpoints
 //! share what waits, so that none of them idles (`docs/design/stages.md`). No constants.
-//! `idle_endpoints_share_what_waits`, `calls_are_kept_within_the_room_for_results` and
+//! `idle_endpoints_share`, `result_room` and
 //! `test_stage_rules` pin the rule.
 
 use crate::shared::units::ByteSize;
--- a/lib/src/gateway/rules/call_timing.rs
+++ b/lib/src/gateway/rules/call_timing.rs
@@ -11,7 +11,7 @@
 //!
 //! An endpoint that is slow or cut off would otherwise hold all requests with a piece in its call.
 //! The factors are those of `docs/design/stages.md`; they were chosen, not measured.
-//! `an_overdue_call_is_made_again_elsewhere_and_the_first_result_wins` and `test_stage_rules` pin
+//! `overdue_call_retried` and `test_stage_rules` pin
 //! them.
 
 use {crate::shared::units::WorkMillis, std::time::Duration};
--- a/lib/src/gateway/rules/gossip.rs
+++ b/lib/src/gateway/rules/gossip.rs
@@ -15,8 +15,8 @@
 //! one datagram that no network splits.
 //!
 //! Measured: heartbeats to all 80 daemons against coordinators in `docs/MEASUREMENTS.md`, section
-//! "The second milestone: the grown sites"; tests `heartbeats_received_stay_few` and
-//! `a_heartbeat_of_a_large_fleet_fits_into_a_datagram`.
+//! "The second milestone: the grown sites"; tests `received_heartbeats` and
+//! `heartbeat_size`.
 //!
 //! The only type from outside of the rules is the load as heartbeats carry it, a plain value.
 
@@ -40,7 +40,7 @@
 pub const LAST_BROADCASTS: u32 = 3;
 
 /// Daemons that one heartbeat names, bounded so that it fits into a datagram: test
-/// `a_heartbeat_of_a_large_fleet_fits_into_a_datagram`.
+/// `heartbeat_size`.
 pub const NAMED: usize = 10;
 
 /// Loads that one heartbeat carries, bounded so that it fits into a datagram: the same test.
--- a/lib/src/gateway/rules/liveness.rs
+++ b/lib/src/gateway/rules/liveness.rs
@@ -16,7 +16,7 @@
 //! daemon judges for itself: a partition loses nobody for those that still receive heartbeats.
 //!
 //! Measured: gossip against direct heartbeats in `docs/MEASUREMENTS.md`, section "The second
-//! milestone: the grown sites"; test `a_lost_coordinator_is_replaced_within_seconds`. The single
+//! milestone: the grown sites"; test `coordinator_replacement`. The single
 //! figures are chosen, not measured.
 
 use crate::shared::units::{Millis, Time};
--- a/lib/src/gateway/rules/piece_order.rs
+++ b/lib/src/gateway/rules/piece_order.rs
@@ -13,7 +13,7 @@
 //!
 //! A result that crosses between data centres costs money and time, an idle endpoint only time. A
 //! late job has lost most of its worth, so that it goes last. Figures: `docs/MEASUREMENTS.md`, "On
-//! the users' platform" and "The second milestone". `large_results_are_made_where_they_are_taken`
+//! the users' platform" and "The second milestone". `large_result_home`
 //! and its neighbours in `test_batch_queue`, and `test_stage_rules`, pin the rule.
 //!
 //! Of `stages`, the rule uses the id of jobs only, which is a plain number.
--- a/lib/src/gateway/rules/piece_retry.rs
+++ b/lib/src/gateway/rules/piece_retry.rs
@@ -10,7 +10,7 @@
 //!
 //! Pieces may run any number of times, so that only cost bounds their retries. That a retry waits
 //! for the budget instead of failing its job was worth 0.681 -> 0.714 together with a change of
-//! early release (`docs/MEASUREMENTS.md`, "On the users' platform"). `each_job_ends_once_with_its_own_pieces`
+//! early release (`docs/MEASUREMENTS.md`, "On the users' platform"). `jobs_end_once`
 //! and `test_stage_rules` pin the rule.
 
 use crate::shared::units::{Millis, Time, WorkMillis};
--- a/lib/src/gateway/rules/result_room.rs
+++ b/lib/src/gateway/rules/result_room.rs
@@ -11,8 +11,8 @@
 //!
 //! Sizes of results are known only about, so that an endpoint that is filled to the brim refuses
 //! results. All figures come from `docs/MEASUREMENTS.md`, "On the users' platform", except
-//! `SHORTAGE`. `calls_are_kept_within_the_room_for_results`,
-//! `inputs_are_given_up_early_only_where_room_is_short` and `test_stage_rules` pin the rule.
+//! `SHORTAGE`. `result_room`,
+//! `early_input_release` and `test_stage_rules` pin the rule.
 
 use crate::shared::units::{ByteSize, Millis, Time};
 
--- a/lib/src/gateway/rules/retry_budget.rs
+++ b/lib/src/gateway/rules/retry_budget.rs
@@ -9,7 +9,7 @@
 //! alone for a window, since the process before it may have spent it.
 //!
 //! So the bound holds for all daemons together although none of them asks another one. The
-//! constants were chosen, not measured; `all_daemons_together_keep_the_bound` (`test_window_budget`)
+//! constants were chosen, not measured; `fleet_bound` (`test_window_budget`)
 //! shows that the bound holds with them under any order of requests, retries and restarts that it
 //! draws.
 
--- a/lib/tests/test_attempt_outcome.rs
+++ b/lib/tests/test_attempt_outcome.rs
@@ -26,8 +26,9 @@
     }
 }
 
+/// A request that may have run is retried only where its route is idempotent.
 #[test]
-fn a_request_that_may_have_run_is_not_sent_again() {
+fn unsafe_retry_denied() {
     let mut history = AttemptHistory::default();
     assert!(may_retry(RouteKind::NonIdempotent, 3, &history));
     history.record_sent();
@@ -37,8 +38,9 @@
     assert!(may_retry(RouteKind::NonIdempotent, 3, &history));
 }
 
+/// A request that may have run ends with an unknown outcome and without `Retry-After`.
 #[test]
-fn a_request_that_may_have_run_gets_no_promise() {
+fn unknown_outcome() {
     let mut history = AttemptHistory::default();
     history.record_sent();
     let problem = history.problem(&end("broken", false, 100));
@@ -49,8 +51,9 @@
     assert_eq!(problem.code, Code::DeadlineExceeded);
 }
 
+/// A request that reached no endpoint ends as not run, with a `Retry-After`.
 #[test]
-fn a_request_that_never_left_is_told_when_to_come_back() {
+fn unsent_retry_after() {
     let mut history = AttemptHistory::default();
     history.record_unreachable();
     let problem = history.problem(&end("none", true, 250));
@@ -62,7 +65,7 @@
 /// An observer at the endpoints counts runs; the daemon learns of some attempts that they didn't
 /// run, and of none that they did.
 #[test]
-fn runs_and_promises_agree_with_an_observer() {
+fn observed_runs() {
     for_seeds(500, 256, |u| {
         let kind = *u.choose(&[
             RouteKind::NonIdempotent,
--- a/lib/tests/test_batch_queue.rs
+++ b/lib/tests/test_batch_queue.rs
@@ -96,7 +96,7 @@
 }
 
 #[test]
-fn pieces_of_several_requests_share_a_call() {
+fn shared_call() {
     let now = start();
     let mut queue = queue(LIMITS, 1);
     queue.add(now, JobId(1), job("a", 3, now));
@@ -113,8 +113,9 @@
     assert_eq!(handles.len(), 3);
 }
 
+/// An endpoint gets no more calls at once than it has slots.
 #[test]
-fn an_endpoint_gets_no_second_call_beyond_its_slots() {
+fn endpoint_slots() {
     let now = start();
     let mut queue = queue(LIMITS, 1);
     queue.add(now, JobId(1), job("a", 1, now));
@@ -123,8 +124,9 @@
     assert!(queue.plan(now).is_empty());
 }
 
+/// Waiting pieces are spread evenly over the idle endpoints.
 #[test]
-fn idle_endpoints_share_what_waits() {
+fn idle_endpoints_share() {
     let now = start();
     let mut queue = queue(LIMITS, 4);
     for id in 0..4 {
@@ -134,8 +136,9 @@
     assert_eq!(sizes, [2, 2, 2, 2]);
 }
 
+/// A call has no more pieces than its endpoint has room for results; results count until released.
 #[test]
-fn calls_are_kept_within_the_room_for_results() {
+fn result_room() {
     let now = start();
     let limits = BatchLimits {
         room: ByteSize(4_400),
@@ -154,8 +157,9 @@
     assert_eq!(queue.plan(now + Millis(252))[0].pieces.len(), 4);
 }
 
+/// An overdue call is retried at another endpoint; only the first result counts.
 #[test]
-fn an_overdue_call_is_made_again_elsewhere_and_the_first_result_wins() {
+fn overdue_call_retried() {
     let now = start();
     let mut queue = queue(LIMITS, 2);
     queue.add(now, JobId(1), job("a", 1, now));
@@ -177,8 +181,9 @@
     assert_eq!(queue.take_surplus(), [handle(&slow, 0)]);
 }
 
+/// A job that can't end before its deadline ends at once.
 #[test]
-fn a_job_that_cannot_end_in_time_ends_at_once() {
+fn late_job() {
     let now = start();
     let mut queue = queue(LIMITS, 1);
     let late = StageJob {
@@ -196,8 +201,9 @@
     );
 }
 
+/// Inputs of a running call are released before its end only where room is short, and only once.
 #[test]
-fn inputs_are_given_up_early_only_where_room_is_short() {
+fn early_input_release() {
     let now = start();
     let mut queue = queue(LIMITS, 1);
     queue.add(now, JobId(1), job("a", 1, now));
@@ -209,8 +215,9 @@
     assert!(queue.take_fetched(later, |_| true).is_empty());
 }
 
+/// Results of a cancelled job are surplus, to be released at their endpoint.
 #[test]
-fn a_cancelled_job_leaves_no_result_behind() {
+fn cancelled_job() {
     let now = start();
     let mut queue = queue(LIMITS, 1);
     queue.add(now, JobId(1), job("a", 2, now));
@@ -222,8 +229,9 @@
     assert_eq!(queue.jobs(), 0);
 }
 
+/// An endpoint whose call broke gets no further call for a while.
 #[test]
-fn an_endpoint_that_broke_off_is_passed_over_for_a_while() {
+fn broken_endpoint_avoided() {
     let now = start();
     let mut queue = queue(LIMITS, 1);
     queue.add(now, JobId(1), job("a", 1, now));
@@ -352,8 +360,9 @@
     }
 }
 
+/// Each job ends once, with the results of its own pieces, under any order of events.
 #[test]
-fn each_job_ends_once_with_its_own_pieces() {
+fn jobs_end_once() {
     for_seeds(400, 1_024, |u| {
         let mut run = Run::new();
         while !u.is_empty() {
@@ -400,8 +409,9 @@
     }
 }
 
+/// Pieces with large results run in the data centre in which the results are used.
 #[test]
-fn large_results_are_made_where_they_are_taken() {
+fn large_result_home() {
     let now = start();
     let mut queue = two_centres();
     queue.add(now, JobId(1), job_at("a", "far", 20_000, now));
@@ -419,8 +429,9 @@
     }
 }
 
+/// A piece with a large result waits a limited time for an endpoint of its own data centre.
 #[test]
-fn a_piece_waits_for_its_data_centre_as_its_result_is_large() {
+fn home_endpoint_wait() {
     let now = start();
     let mut queue = two_centres();
     queue.add(now, JobId(1), job_at("a", "z", 500_000, now));
@@ -435,8 +446,9 @@
     assert_eq!(calls[0].entry.data_centre.to_string(), "far");
 }
 
+/// A piece with a small result runs at once in any data centre.
 #[test]
-fn a_small_result_goes_anywhere_at_once() {
+fn small_result_anywhere() {
     let now = start();
     let mut queue = two_centres();
     queue.add(now, JobId(1), job_at("a", "z", 500_000, now));
@@ -445,8 +457,9 @@
     assert_eq!(queue.plan(now).len(), 1);
 }
 
+/// No piece waits for a data centre that has no endpoints.
 #[test]
-fn nobody_waits_for_a_data_centre_without_endpoints() {
+fn empty_data_centre() {
     let now = start();
     let mut queue = two_centres();
     queue.set_endpoints(&entries(1));
@@ -454,8 +467,9 @@
     assert_eq!(queue.plan(now).len(), 1);
 }
 
+/// A piece past its objective no longer waits for its own data centre.
 #[test]
-fn a_late_piece_waits_for_no_data_centre() {
+fn late_piece_anywhere() {
     let now = start();
     let mut queue = two_centres();
     queue.add(now, JobId(1), job_at("a", "z", 500_000, now));
--- a/lib/tests/test_catalogue.rs
+++ b/lib/tests/test_catalogue.rs
@@ -42,8 +42,9 @@
     names
 }
 
+/// While the directory answers, a removed entry is gone at once.
 #[test]
-fn an_entry_that_goes_is_gone_at_once() {
+fn removed_entry() {
     let mut catalogue = catalogue();
     catalogue.put(entry("a", 1, false));
     let learnt = catalogue.remove(Time(0), &id("a"), 9, false);
@@ -51,8 +52,9 @@
     assert!(names(&catalogue).is_empty());
 }
 
+/// An entry that lapses during an outage of the directory stays for a limited time, as suspect.
 #[test]
-fn an_entry_that_lapses_in_an_outage_stays_for_a_while() {
+fn lapsed_entry_suspect() {
     let mut catalogue = catalogue();
     catalogue.put(entry("a", 1, false));
     let learnt = catalogue.remove(Time(0), &id("a"), 9, true);
@@ -68,8 +70,9 @@
     assert!(names(&catalogue).is_empty());
 }
 
+/// A suspect entry that is written again is no longer suspect.
 #[test]
-fn a_living_endpoint_that_writes_again_is_no_longer_suspect() {
+fn rewritten_entry() {
     let mut catalogue = catalogue();
     catalogue.put(entry("a", 1, false));
     catalogue.remove(Time(0), &id("a"), 4, true);
@@ -82,8 +85,9 @@
     assert_eq!(names(&catalogue), ["a"]);
 }
 
+/// Suspect entries stay as long as the directory is unreachable.
 #[test]
-fn suspects_stay_as_long_as_the_directory_is_out_of_reach() {
+fn extended_suspicion() {
     let mut catalogue = catalogue();
     catalogue.put(entry("a", 1, false));
     catalogue.remove(Time(0), &id("a"), 9, true);
@@ -96,8 +100,9 @@
     assert_eq!(catalogue.expire_suspects(Time(0) + Millis(4_000)).len(), 1);
 }
 
+/// A draining entry is removed at once, also during an outage of the directory.
 #[test]
-fn an_endpoint_that_said_it_leaves_is_never_suspect() {
+fn draining_never_suspect() {
     let mut catalogue = catalogue();
     catalogue.put(entry("a", 1, false));
     let learnt = catalogue.put(entry("a", 2, true));
@@ -107,15 +112,16 @@
 }
 
 #[test]
-fn an_older_entry_changes_nothing() {
+fn older_entry_ignored() {
     let mut catalogue = catalogue();
     catalogue.put(entry("a", 5, true));
     assert!(catalogue.put(entry("a", 4, false)).is_none());
     assert!(catalogue.get(&id("a")).unwrap().draining);
 }
 
+/// A list replaces all entries up to its revision and keeps the later ones.
 #[test]
-fn a_list_replaces_what_it_should_have_known() {
+fn list_replaces_older() {
     let mut catalogue = catalogue();
     catalogue.put(entry("a", 1, false));
     catalogue.put(entry("b", 2, false));
@@ -136,16 +142,18 @@
     assert_eq!(catalogue.revision(), 9);
 }
 
+/// The removal of an entry that was written again since changes nothing.
 #[test]
-fn an_old_end_of_an_entry_that_is_back_changes_nothing() {
+fn older_removal_ignored() {
     let mut catalogue = catalogue();
     catalogue.put(entry("a", 5, false));
     assert!(catalogue.remove(Time(0), &id("a"), 4, false).is_none());
     assert_eq!(names(&catalogue), ["a"]);
 }
 
+/// Changes are returned from any revision after the last list on.
 #[test]
-fn changes_are_told_from_where_the_asker_stands() {
+fn changes_since_revision() {
     let mut catalogue = catalogue();
     let list = vec![entry("a", 1, false), entry("b", 2, false)];
     catalogue.replace(Time(0), 3, list, false);
@@ -175,7 +183,7 @@
 
 /// Whoever takes in changes again and again knows what the one knows who told them.
 #[test]
-fn changes_make_two_catalogues_alike() {
+fn changes_converge() {
     for_seeds(300, 512, |u| {
         let (mut told, mut asker) = (catalogue(), catalogue());
         let mut revision = 1;
@@ -212,8 +220,9 @@
     });
 }
 
+/// Changes older than the kept history aren't returned.
 #[test]
-fn forgotten_changes_are_not_told() {
+fn forgotten_changes() {
     let mut catalogue = catalogue();
     catalogue.replace(Time(0), 1, Vec::new(), false);
     for revision in 2..2_000 {
--- a/lib/tests/test_catch_up_rule.rs
+++ b/lib/tests/test_catch_up_rule.rs
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn list_of_a_reader() {
+fn reader_list() {
     for (silent_ms, fetch) in [
         (0, None),
         (1_000, None),
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn list_of_a_covered_daemon() {
+fn covered_daemon_list() {
     for silent_ms in [0, 1_499, 1_500, 9_000] {
         let reading = DirectoryReading {
             covered: true,
--- a/lib/tests/test_coordinator_rule.rs
+++ b/lib/tests/test_coordinator_rule.rs
@@ -139,8 +139,9 @@
     assert_eq!(coordinators(&me, Time(0), false, &all), [0; 8]);
 }
 
+/// A daemon that isn't ready leaves the services to any other daemon that is.
 #[test]
-fn asking_daemon_not_ready() {
+fn unready_daemon() {
     assert_eq!(coordinators(&fleet(1), Time(0), false, &[]), [0; 8]);
     assert_eq!(coordinators(&fleet(2), Time(0), false, &[]), [1; 8]);
     // Daemon 3 has less capacity than the asking one.
--- a/lib/tests/test_event_names.rs
+++ b/lib/tests/test_event_names.rs
@@ -36,8 +36,9 @@
         .collect()
 }
 
+/// The code logs the events that the operators' page lists, and no others.
 #[test]
-fn code_and_page_name_the_same_events() {
+fn documented_events() {
     let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("..");
     let mut files = Vec::new();
     for folder in ["lib/src/gateway", "daemon/src"] {
--- a/lib/tests/test_event_splitter.rs
+++ b/lib/tests/test_event_splitter.rs
@@ -10,7 +10,7 @@
 }
 
 #[test]
-fn an_unfinished_event_is_held_back() {
+fn unfinished_event() {
     let mut splitter = EventSplitter::default();
     let first = event(1);
     assert!(splitter.feed(&first[..first.len() - 1]).is_empty());
@@ -21,8 +21,9 @@
     assert_eq!(splitter.last(), Some(1));
 }
 
+/// An event that was delivered before breaks the stream.
 #[test]
-fn an_event_that_was_delivered_breaks_the_stream() {
+fn delivered_event_again() {
     let mut splitter = EventSplitter::after(Some(4));
     assert_eq!(splitter.feed(&event(5)), event(5));
     assert!(splitter.feed(&event(5)).is_empty());
@@ -30,7 +31,7 @@
 }
 
 #[test]
-fn carriage_returns_end_lines_too() {
+fn carriage_returns() {
     let mut splitter = EventSplitter::default();
     let bytes = b"id: 3\r\ndata: x\r\n\r\n";
     assert_eq!(splitter.feed(bytes), &bytes[..]);
@@ -38,7 +39,7 @@
 }
 
 #[test]
-fn events_without_ids_pass() {
+fn events_without_ids() {
     let mut splitter = EventSplitter::after(Some(9));
     let bytes = b": comment\n\ndata: x\n\n";
     assert_eq!(splitter.feed(bytes), &bytes[..]);
@@ -46,14 +47,15 @@
 }
 
 #[test]
-fn an_endless_event_breaks_the_stream() {
+fn endless_event() {
     let mut splitter = EventSplitter::default();
     splitter.feed(&vec![b'x'; 300 * 1024]);
     assert!(splitter.is_broken());
 }
 
+/// Any split of the bytes gives the same events.
 #[test]
-fn any_split_gives_the_same_bytes() {
+fn any_split() {
     for_seeds(200, 1024, |u| {
         let count = u.int_in_range(0..=12u64)?;
         let whole: Vec<u8> = (1..=count).flat_map(event).collect();
--- a/lib/tests/test_fleet_choice.rs
+++ b/lib/tests/test_fleet_choice.rs
@@ -84,8 +84,9 @@
     }
 }
 
+/// Draining endpoints and those already tried get no request.
 #[test]
-fn leaving_and_tried_endpoints_get_nothing() {
+fn draining_and_tried() {
     let mut endpoints = endpoints(2);
     endpoints.upsert(entry(1, "near", true));
     let prompt = Prompt::default();
@@ -99,7 +100,7 @@
 }
 
 #[test]
-fn load_of_all_daemons_counts() {
+fn peer_loads_count() {
     let mut endpoints = endpoints(2);
     let prompt = Prompt::default();
     let loads = [(
@@ -114,7 +115,7 @@
 }
 
 #[test]
-fn an_endpoint_that_says_it_is_another_gets_nothing_more() {
+fn replaced_endpoint_avoided() {
     let mut endpoints = endpoints(2);
     let prompt = Prompt::default();
     endpoints.sent(NOW, &id(1), &prompt, 0);
@@ -124,8 +125,9 @@
     }
 }
 
+/// An unreachable endpoint is chosen only where no other one is left.
 #[test]
-fn an_endpoint_out_of_reach_is_tried_only_where_no_other_is() {
+fn unreachable_last_resort() {
     let mut endpoints = endpoints(2);
     let prompt = Prompt::default();
     endpoints.sent(NOW, &id(1), &prompt, 0);
@@ -138,8 +140,9 @@
     assert_eq!(choose(&endpoints, &placement).unwrap().entry.id, id(1));
 }
 
+/// Failing endpoints are ejected, but never more than half of all.
 #[test]
-fn failing_endpoints_are_set_aside_but_never_more_than_half() {
+fn ejection_limit() {
     let mut endpoints = endpoints(4);
     let prompt = Prompt::default();
     for number in 1..=4 {
@@ -152,8 +155,9 @@
     assert_eq!(choice.candidates, 2);
 }
 
+/// All daemons send a shared part of prompts to the same endpoint.
 #[test]
-fn daemons_agree_where_a_shared_part_goes() {
+fn shared_part_agreement() {
     let (one, other) = (endpoints(9), endpoints(9));
     for part in 1..50 {
         let prompt = prompt(&[(part, 4_000), (1_000 + part, 500)]);
@@ -168,8 +172,9 @@
     }
 }
 
+/// A shared part of prompts moves to another endpoint where its own one is crowded.
 #[test]
-fn a_crowded_endpoint_loses_its_shared_part_to_another() {
+fn crowded_part_moves() {
     let mut endpoints = endpoints(3);
     let prompt = prompt(&[(7, 2_000), (8, 500)]);
     let placement = Placement {
@@ -186,8 +191,9 @@
     );
 }
 
+/// A request with large inputs goes to the data centre that holds them.
 #[test]
-fn inputs_draw_a_request_to_their_data_centre() {
+fn input_data_centre() {
     let mut endpoints = endpoints(1);
     endpoints.upsert(entry(2, "far", false));
     let prompt = Prompt::default();
@@ -203,8 +209,9 @@
     assert_eq!(choose(&endpoints, &plain(&prompt)).unwrap().entry.id, id(1));
 }
 
+/// A slow endpoint is avoided at first and chosen again after a while.
 #[test]
-fn a_slow_endpoint_is_tried_again_later() {
+fn slow_endpoint_returns() {
     let mut endpoints = endpoints(2);
     let prompt = prompt(&[(1, 500)]);
     let placement = plain(&prompt);
@@ -223,8 +230,9 @@
     assert_eq!(choice.entry.id, first.entry.id);
 }
 
+/// An endpoint gets no more requests at once than its connection limit allows.
 #[test]
-fn an_endpoint_gets_no_more_than_its_connections_allow() {
+fn endpoint_connections() {
     let mut endpoints = endpoints(1);
     let prompt = Prompt::default();
     let placement = Placement {
@@ -241,7 +249,7 @@
 
 /// Found by the soak: one odd answer took an endpoint out for the rest of a daemon's life.
 #[test]
-fn an_endpoint_that_called_itself_another_is_tried_again_while_its_entry_stays() {
+fn replaced_endpoint_reopens() {
     let mut endpoints = endpoints(1);
     endpoints.sent(NOW, &id(1), &Prompt::default(), 0);
     endpoints.ended(NOW, &id(1), EndpointOutcome::Replaced);
--- a/lib/tests/test_gateway_bounds.rs
+++ b/lib/tests/test_gateway_bounds.rs
@@ -13,8 +13,9 @@
     }
 }
 
+/// A silent connection is noticed within half the time in which a change has to be in force.
 #[test]
-fn a_silent_connection_is_noticed_before_a_change_has_to_be_in_force() {
+fn silent_connection_limit() {
     for (apply, drain) in [
         (2_000, 2_000),
         (1_000, 2_000),
@@ -27,8 +28,9 @@
     }
 }
 
+/// The suspicion time outlasts an endpoint's heartbeat, is cut to the drain time, and has a floor.
 #[test]
-fn a_suspect_is_used_longer_than_a_living_endpoint_needs_and_not_beyond_the_drain() {
+fn suspicion_time() {
     assert_eq!(bounds(2_000, 2_000, 1_200).suspect_time(), Millis(1_400));
     assert_eq!(bounds(2_000, 5_000, 1_200).suspect_time(), Millis(1_400));
     assert_eq!(bounds(2_000, 1_000, 1_200).suspect_time(), Millis(400));
--- a/lib/tests/test_gossip_rule.rs
+++ b/lib/tests/test_gossip_rule.rs
@@ -100,8 +100,9 @@
     }
 }
 
+/// Each heartbeat goes to the coordinators of the daemon's services.
 #[test]
-fn coordinators_get_each_heartbeat() {
+fn coordinator_targets() {
     let mut me = fleet(WEAK, 40, &[]);
     let service: ServiceId = "pay".parse().unwrap();
     let coordinator = me.coordinator(Time(0), &service, true, &[]);
@@ -115,7 +116,7 @@
 }
 
 #[test]
-fn seeds_that_are_not_alive() {
+fn absent_seeds() {
     let mut me = fleet(WEAK, 40, &[address(0), address(2), address(250)]);
     for _ in 0..20 {
         let (_, targets) = heartbeat(&mut me, Phase::Ready, &[]);
@@ -125,8 +126,9 @@
     }
 }
 
+/// A daemon that gave up its last service sends two further heartbeats to all.
 #[test]
-fn broadcasts_end_after_the_last_service() {
+fn last_broadcasts() {
     let mut me = fleet(STRONG, 40, &[]);
     assert!(!me.coordinates());
     for _ in 0..5 {
@@ -145,8 +147,9 @@
     assert_eq!(sizes, [40, 40, 6, 6, 6]);
 }
 
+/// Only a ready daemon broadcasts its heartbeats.
 #[test]
-fn only_a_ready_daemon_broadcasts() {
+fn ready_daemon_broadcasts() {
     for phase in [Phase::Starting, Phase::Stopping] {
         let mut me = fleet(STRONG, 40, &[]);
         let (heartbeat, targets) = heartbeat(&mut me, phase, &["pay"]);
--- a/lib/tests/test_large_fleet.rs
+++ b/lib/tests/test_large_fleet.rs
@@ -175,8 +175,9 @@
     }
 }
 
+/// All daemons learn of each other and agree on the coordinator of each service.
 #[test]
-fn all_learn_of_all_and_agree_on_coordinators() {
+fn fleet_agreement() {
     for seed in 1..=5 {
         let mut fleet = Fleet::new(seed);
         fleet.rounds(25);
@@ -199,8 +200,9 @@
     }
 }
 
+/// A daemon that coordinates no service receives few heartbeats a round.
 #[test]
-fn heartbeats_received_stay_few() {
+fn received_heartbeats() {
     let mut fleet = Fleet::new(1);
     fleet.rounds(25);
     fleet.received.fill(0);
@@ -215,8 +217,9 @@
     }
 }
 
+/// Lost coordinators are replaced within ten rounds of heartbeats.
 #[test]
-fn a_lost_coordinator_is_replaced_within_seconds() {
+fn coordinator_replacement() {
     for seed in 1..=5 {
         let mut fleet = Fleet::new(seed);
         fleet.rounds(25);
@@ -229,8 +232,9 @@
     }
 }
 
+/// After half of the fleet is lost at once, the rest agrees again and forgets the lost ones.
 #[test]
-fn half_of_the_fleet_may_go_at_once() {
+fn half_fleet_lost() {
     for_seeds(4, 256, |u| {
         let mut fleet = Fleet::new(u.int_in_range(1..=1_000)?);
         fleet.rounds(25);
@@ -254,8 +258,9 @@
     });
 }
 
+/// A daemon that receives nothing from a coordinator chooses another one.
 #[test]
-fn a_daemon_that_hears_no_coordinator_does_without() {
+fn silent_coordinator() {
     let mut fleet = Fleet::new(2);
     fleet.rounds(25);
     let service = &services()[2];
@@ -279,8 +284,9 @@
     );
 }
 
+/// A coordinator that failed to accept a job is passed over for a while.
 #[test]
-fn whoever_fails_to_take_a_job_is_passed_over() {
+fn passed_over_coordinator() {
     let mut fleet = Fleet::new(2);
     fleet.rounds(25);
     let service = &services()[2];
@@ -292,8 +298,9 @@
     assert_eq!(fleet.coordinator(7, service), coordinator);
 }
 
+/// After a pause no daemon is lost at once, and old gossip is passed on as old.
 #[test]
-fn a_pause_makes_nobody_older_than_he_is() {
+fn pause_keeps_ages() {
     let mut fleet = Fleet::new(2);
     fleet.rounds(25);
     fleet.now = fleet.now + Millis(5_000);
@@ -315,8 +322,9 @@
     assert!(woken.read_age(now).is_none_or(|age| age >= Millis(5_000)));
 }
 
+/// The coordinator reports the outstanding pieces of all daemons.
 #[test]
-fn what_others_took_on_is_told_by_the_coordinator() {
+fn coordinator_outstanding() {
     let mut fleet = Fleet::new(3);
     fleet.rounds(25);
     let service = &services()[3];
@@ -334,8 +342,9 @@
     assert_eq!(fleet.daemons[7].outstanding(ServiceHash(9), at), 237);
 }
 
+/// One roster gives a joining daemon the whole fleet.
 #[test]
-fn a_newcomer_is_told_of_everybody_at_once() {
+fn newcomer_roster() {
     let mut fleet = Fleet::new(4);
     fleet.rounds(25);
     let now = fleet.now;
@@ -368,8 +377,9 @@
     assert_eq!(chosen, Coordinator::Peer(address(agreed)));
 }
 
+/// The roster of a small fleet is empty, as each heartbeat reaches every daemon.
 #[test]
-fn a_roster_is_for_large_fleets() {
+fn small_fleet_roster() {
     let mut small = Fleet::new(4);
     small.down = (0..DAEMONS).map(|number| number % 10 != 3).collect();
     small.rounds(10);
--- a/lib/tests/test_liveness_rule.rs
+++ b/lib/tests/test_liveness_rule.rs
@@ -86,8 +86,9 @@
     me.is_alive(&address(1))
 }
 
+/// A daemon may be silent for longer where the fleet is large and it doesn't broadcast.
 #[test]
-fn silence_of_a_daemon_heard_here() {
+fn silence_limits() {
     for (large, broadcasts, limit) in [
         (false, false, Millis(1_000)),
         (false, true, Millis(1_000)),
@@ -102,7 +103,7 @@
 }
 
 #[test]
-fn gossip_in_a_large_fleet() {
+fn large_fleet_gossip() {
     for (age_ms, alive) in [(0, true), (2_500, true), (2_501, false), (20_000, false)] {
         let now = Time(0) + Millis(40_000);
         let mut me = peers();
@@ -116,7 +117,7 @@
 }
 
 #[test]
-fn gossip_in_a_small_fleet() {
+fn small_fleet_gossip() {
     let mut me = peers();
     assert!(me.merge_roster(Time(0), &[note(1, 0)]).is_empty());
     me.update_liveness(Time(0));
@@ -124,8 +125,9 @@
     assert_eq!(me.addresses().collect::<Vec<_>>(), [address(1)]);
 }
 
+/// Gossip keeps a silent daemon alive in a large fleet.
 #[test]
-fn gossip_keeps_a_silent_daemon() {
+fn silence_with_gossip() {
     let mut me = peers();
     me.receive_heartbeat(Time(0), heartbeat(1, 1, false));
     enlarge(&mut me, Time(0));
@@ -161,7 +163,7 @@
 }
 
 #[test]
-fn pause_of_this_daemon() {
+fn own_pause() {
     let mut me = peers();
     me.receive_heartbeat(Time(0), heartbeat(1, 1, false));
     me.receive_heartbeat(Time(0), heartbeat(2, 1, false));
@@ -189,7 +191,7 @@
 }
 
 #[test]
-fn length_of_a_pause() {
+fn pause_length() {
     let mut pauses = PauseDetector::default();
     assert_eq!(pauses.look(Time(5)), None);
     assert_eq!(pauses.look(Time(5 + 599_999)), None);
--- a/lib/tests/test_peers.rs
+++ b/lib/tests/test_peers.rs
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn daemons_meet_through_one_living_seed() {
+fn one_living_seed() {
     let seeds = [address(99), address(1)];
     let mut all: Vec<Peers> = (1..=6).map(|n| peers(n, u64::from(n), &seeds)).collect();
     let mut now = Time(0);
@@ -109,7 +109,7 @@
 }
 
 #[test]
-fn a_silent_daemon_is_lost_and_met_again() {
+fn lost_and_met() {
     let mut me = peers(1, 1, &[]);
     let mut other = peers(2, 2, &[]);
     let met = me.receive_heartbeat(Time(0), beat(&mut other, Time(0)));
@@ -122,8 +122,9 @@
     assert!(matches!(again[..], [PeerChange::Met(..)]));
 }
 
+/// After a pause no daemon is lost before its next heartbeat could arrive.
 #[test]
-fn after_a_pause_nobody_is_lost_before_he_could_be_heard() {
+fn pause_loses_none() {
     let mut me = peers(1, 1, &[]);
     let mut other = peers(2, 2, &[]);
     me.receive_heartbeat(Time(0), beat(&mut other, Time(0)));
@@ -134,8 +135,9 @@
     assert_eq!(me.update_liveness(woken + Millis(1_100)).len(), 1);
 }
 
+/// A restart is noticed, and a heartbeat older than the last one is ignored.
 #[test]
-fn a_new_life_is_noticed_and_an_old_heartbeat_isnt_believed() {
+fn restarted_daemon() {
     let mut me = peers(1, 1, &[]);
     let mut other = peers(2, 2, &[]);
     let first = beat(&mut other, Time(0));
@@ -148,7 +150,7 @@
 }
 
 #[test]
-fn all_agree_on_the_coordinator_of_a_service() {
+fn agreed_coordinator() {
     let mut all: Vec<Peers> = (1..=5).map(|n| peers(n, u64::from(n), &[])).collect();
     let beats: Vec<Heartbeat> = all.iter_mut().map(|p| beat(p, Time(0))).collect();
     for peers in &mut all {
@@ -171,8 +173,9 @@
     }
 }
 
+/// A stopping daemon coordinates no service.
 #[test]
-fn a_daemon_that_stops_coordinates_nothing() {
+fn stopping_daemon() {
     let mut me = peers(1, 1, &[]);
     let mut other = peers(2, 2, &[]);
     let stopping = SelfReport {
@@ -187,8 +190,9 @@
     );
 }
 
+/// Loads and work of living daemons are summed; those of lost ones no longer count.
 #[test]
-fn loads_and_work_of_the_living_are_summed() {
+fn summed_loads() {
     let mut me = peers(1, 1, &[]);
     for n in 2..=4 {
         let mut other = peers(n, u64::from(n), &[]);
@@ -203,8 +207,9 @@
     assert_eq!(me.outstanding(ServiceHash(9), Coordinator::Me), 0);
 }
 
+/// Only a living daemon that reaches the directory counts as steady.
 #[test]
-fn only_a_living_daemon_that_reaches_the_directory_counts_as_calm() {
+fn steady_peer() {
     let mut me = peers(1, 1, &[]);
     let mut other = peers(2, 2, &[]);
     let troubled = SelfReport {
@@ -219,8 +224,9 @@
     assert!(!me.has_steady_peer());
 }
 
+/// A heartbeat of a large fleet fits into a datagram.
 #[test]
-fn a_heartbeat_of_a_large_fleet_fits_into_a_datagram() {
+fn heartbeat_size() {
     let mut me = peers(1, 1, &[]);
     for n in 2..=250 {
         let mut other = peers(n, u64::from(n), &[]);
@@ -242,7 +248,7 @@
 }
 
 #[test]
-fn frames_survive_their_encoding() {
+fn frame_round_trip() {
     let order = JobOrder {
         service: "enc".parse().unwrap(),
         request: "r".into(),
@@ -275,7 +281,7 @@
 
 /// Damaged messages are refused or read as something else, and never end the process.
 #[test]
-fn damaged_messages_are_refused() {
+fn damaged_messages() {
     let mut other = peers(2, 2, &[]);
     let bytes = encode(&beat(&mut other, Time(0)));
     for_seeds(500, 64, |u| {
--- a/lib/tests/test_reply_body.rs
+++ b/lib/tests/test_reply_body.rs
@@ -18,13 +18,14 @@
 }
 
 #[tokio::test]
-async fn a_body_with_its_end_is_whole() {
+async fn ended_body() {
     let parts = vec![StreamPart::Bytes("some".into()), StreamPart::End];
     assert_eq!(collect(parts).await, Ok(Bytes::from("some")));
 }
 
+/// A body whose sender is gone before its end is an error.
 #[tokio::test]
-async fn a_body_whose_sender_went_is_broken_off() {
+async fn unended_body() {
     let parts = vec![StreamPart::Bytes("some".into())];
     assert_eq!(collect(parts).await, Err(BrokenOff));
     assert_eq!(collect(Vec::new()).await, Err(BrokenOff));
--- a/lib/tests/test_route_table.rs
+++ b/lib/tests/test_route_table.rs
@@ -74,8 +74,9 @@
     assert_eq!(name(&table, "a.example", "/x"), None);
 }
 
+/// Hosts are compared without case and port.
 #[test]
-fn hosts_are_compared_without_case_and_port() {
+fn host_comparison() {
     let table = table();
     assert_eq!(name(&table, "B.Example", "/x/1").as_deref(), Some("other"));
     assert_eq!(
--- a/lib/tests/test_stage_admission.rs
+++ b/lib/tests/test_stage_admission.rs
@@ -41,26 +41,28 @@
     }
 }
 
+/// A chain of stages at idle endpoints is expected to take the sum of its calls.
 #[test]
-fn an_idle_chain_takes_its_calls() {
+fn idle_chain() {
     let stages = [stage(0.0, 1, &[]), stage(0.0, 2, &[0])];
     assert_eq!(stages_time(&stages), WorkMillis(250.0 + 260.0));
 }
 
+/// Stages side by side are expected to take as long as the longest of them.
 #[test]
-fn stages_side_by_side_take_as_long_as_the_longer() {
+fn parallel_stages() {
     let stages = [stage(0.0, 1, &[]), stage(0.0, 5, &[])];
     assert_eq!(stages_time(&stages), WorkMillis(290.0));
 }
 
 #[test]
-fn a_stage_left_out_takes_no_time() {
+fn stage_without_pieces() {
     let stages = [stage(900.0, 0, &[]), stage(0.0, 1, &[0])];
     assert_eq!(stages_time(&stages), WorkMillis(250.0));
 }
 
 #[test]
-fn an_idle_fleet_takes_a_request() {
+fn idle_fleet() {
     let verdict = decide(&request(vec![stage(0.0, 1, &[])]));
     assert!(
         matches!(verdict, AdmissionDecision::Admit { .. }),
@@ -68,8 +70,9 @@
     );
 }
 
+/// A crowded fleet refuses a request with a bounded `Retry-After`.
 #[test]
-fn a_crowded_fleet_refuses_and_says_when_to_come_back() {
+fn crowded_fleet() {
     let verdict = decide(&request(vec![stage(500.0, 1, &[])]));
     let AdmissionDecision::Refuse { retry_after, .. } = verdict else {
         panic!("it was taken: {verdict:?}");
@@ -78,8 +81,9 @@
     assert!(retry_after <= Millis(3_500));
 }
 
+/// More outstanding work never shortens the expected time.
 #[test]
-fn more_work_never_shortens_the_expectation() {
+fn monotonic_expectation() {
     let mut last = WorkMillis(0.0);
     for outstanding in 0..200 {
         let expected = stages_time(&[stage(f64::from(outstanding) * 5.0, 2, &[])]);
@@ -88,8 +92,9 @@
     }
 }
 
+/// Only a bounded part of the time to read a prompt counts against admission.
 #[test]
-fn a_long_prompt_counts_shortly() {
+fn long_prompt() {
     let long = AdmissionRequest {
         tokens: 50_000,
         ..request(vec![stage(0.0, 1, &[])])
--- a/lib/tests/test_timeline.rs
+++ b/lib/tests/test_timeline.rs
@@ -17,8 +17,9 @@
         .collect()
 }
 
+/// The steps of one request come in order over the logs of several hosts.
 #[test]
-fn steps_of_several_hosts_come_in_order() {
+fn steps_in_order() {
     let entry = log(
         "entry",
         &[
--- a/lib/tests/test_window_budget.rs
+++ b/lib/tests/test_window_budget.rs
@@ -14,8 +14,9 @@
     window: Millis(10_000),
 };
 
+/// A daemon that just started grants retries by the ratio alone and leaves the slack untouched.
 #[test]
-fn a_fresh_daemon_leaves_the_slack_alone() {
+fn fresh_daemon() {
     let mut budget = WindowBudget::new(LIMITS, Time(0));
     assert!(!budget.withdraw(Time(1_000), 1));
     for _ in 0..20 {
@@ -25,8 +26,9 @@
     assert_eq!(granted, 3);
 }
 
+/// Spent retries are granted again once the window has passed.
 #[test]
-fn spent_repeats_come_back_after_the_window() {
+fn spent_grants_return() {
     let mut budget = WindowBudget::new(LIMITS, Time(0));
     let late = Time(0) + Millis(20_000);
     let first = (0..100).filter(|_| budget.withdraw(late, 1)).count();
@@ -38,7 +40,7 @@
 /// Any order of requests, repeats and restarts at several daemons: no window holds more repeats
 /// than the ratio of the requests in it and the slack allow.
 #[test]
-fn all_daemons_together_keep_the_bound() {
+fn fleet_bound() {
     for_seeds(200, 4096, |u| {
         let daemons = u.int_in_range(1..=7)?;
         let mut budgets: Vec<WindowBudget> = (0..daemons)
