--- a/lib/src/pipeline/node/mod.rs
+++ b/lib/src/pipeline/node/mod.rs
@@ -118,6 +118,19 @@
         }
     }
 
+    /// Removes a caller that left before its final answer, for which the core finishes nothing, and
+    /// reports it to the core.
+    fn caller_left(&self, id: RequestId) {
+        let mut state = self.lock();
+        state.callers.remove(&id);
+        self.step(&mut state, Event::Left(id));
+    }
+
+    /// Returns the number of callers that wait for deliveries, for reports and tests.
+    pub fn waiting_callers(&self) -> usize {
+        self.lock().callers.len()
+    }
+
     /// Puts a checked tree in force.
     pub fn adopt(&self, tree: Arc<Tree>) {
         self.apply(Event::Adopt(tree));
--- a/lib/src/pipeline/node/request_handle.rs
+++ b/lib/src/pipeline/node/request_handle.rs
@@ -5,7 +5,7 @@
 use {
     crate::{
         pipeline::{
-            decision::{core::Event, endpoint::Transport, request::Answer},
+            decision::{endpoint::Transport, request::Answer},
             node::Node,
         },
         shared::{ids::RequestId, problem::Problem},
@@ -64,7 +64,7 @@
 impl<T: Transport> Drop for RequestHandle<T> {
     fn drop(&mut self) {
         if !self.finished {
-            self.node.apply(Event::Left(self.id));
+            self.node.caller_left(self.id);
         }
     }
 }
