--- a/lib/src/gateway/directory/apply.rs
+++ b/lib/src/gateway/directory/apply.rs
@@ -2,7 +2,7 @@
 //!
 //! Changes come from the directory and from peers. The catalogue decides which of them count, with
 //! the rule [`suspect_entry`](crate::gateway::rules::suspect_entry); this module passes them on to
-//! the endpoints that requests are sent to and to the planner of stages.
+//! the endpoints that requests are sent to and to the queues of stages.
 
 use {
     crate::{
--- a/lib/src/gateway/peers/catch_up.rs
+++ b/lib/src/gateway/peers/catch_up.rs
@@ -40,7 +40,7 @@
     }
 }
 
-/// Notes since when a peer has something newer than this daemon.
+/// Records since when a peer has something newer than this daemon.
 fn note_behind<D: Dialect>(gateway: &Gateway<D>) {
     let now = gateway.now();
     let version = gateway.published().map_or(0, |p| p.table.version);
--- a/lib/src/gateway/peers/membership.rs
+++ b/lib/src/gateway/peers/membership.rs
@@ -160,13 +160,13 @@
         None
     }
 
-    /// Notes that this process stood still until now: it received nothing, so that nobody who was
+    /// Records that this process stood still until now: it received nothing, so that nobody who was
     /// alive is lost yet.
     pub fn end_pause(&mut self, now: Time) {
         self.awake = now;
     }
 
-    /// Notes who has been silent for too long, and who counts as alive now that the fleet is large
+    /// Records who has been silent for too long, and who counts as alive now that the fleet is large
     /// enough for gossip to count; forgets daemons that were lost long ago.
     pub fn update_liveness(&mut self, now: Time) -> Vec<PeerChange> {
         let mut changes = Vec::new();
--- a/lib/src/gateway/routing/attempt.rs
+++ b/lib/src/gateway/routing/attempt.rs
@@ -2,7 +2,7 @@
 //! rules ask for it, and records the result.
 //!
 //! It owns the input and output of an attempt. `rules::reply_proof` judges the reply, and the guard
-//! of the attempt tells the endpoint's state how it ended.
+//! of the attempt reports to the state of the endpoint how it ended.
 
 use {
     crate::{
@@ -148,7 +148,7 @@
     if let Some(load) = facts.load {
         let now = gateway.now();
         let mut state = gateway.state.borrow_mut();
-        state.endpoints.told(now, endpoint, load);
+        state.endpoints.record_load(now, endpoint, load);
     }
     match judge_head(call.id(), call.route.kind, head.status, &facts)? {
         HeadVerdict::NotRun(reason) => Ok(ProvenReply::NotRun(reason)),
--- a/lib/src/gateway/routing/call.rs
+++ b/lib/src/gateway/routing/call.rs
@@ -1,4 +1,4 @@
-//! One accepted request, as far as it doesn't change while attempts are made.
+//! One accepted request, as far as it doesn't change during its attempts.
 
 use {
     crate::{
--- a/lib/src/gateway/routing/endpoint_state.rs
+++ b/lib/src/gateway/routing/endpoint_state.rs
@@ -59,7 +59,7 @@
     /// Load from other daemons, as they reported it.
     pub peers: PeerLoad,
     /// Load that it reported with its last reply, and when.
-    pub told: Option<(Time, ReplyLoad)>,
+    pub reported_load: Option<(Time, ReplyLoad)>,
     health: Health,
     unreachable_until: Option<Time>,
     /// When it answered as another endpoint, or as leaving.
@@ -76,7 +76,7 @@
             running: 0,
             prefill: 0.0,
             peers: PeerLoad::default(),
-            told: None,
+            reported_load: None,
             health: Health::default(),
             unreachable_until: None,
             replaced: None,
@@ -148,7 +148,7 @@
         self.prefill = (self.prefill - f64::from(uncached)).max(0.0);
     }
 
-    /// Records how a request ended; `may_eject` tells whether its service can spare the endpoint.
+    /// Records how a request ended; `may_eject` says whether its service can spare the endpoint.
     /// Returns whether the endpoint gets no work for a while because of it.
     pub(crate) fn ended(&mut self, now: Time, outcome: EndpointOutcome, may_eject: bool) -> bool {
         self.running = self.running.saturating_sub(1);
--- a/lib/src/gateway/routing/endpoint_states.rs
+++ b/lib/src/gateway/routing/endpoint_states.rs
@@ -126,9 +126,9 @@
     }
 
     /// Records the load that an endpoint reported with a reply.
-    pub fn told(&mut self, now: Time, id: &EndpointId, load: ReplyLoad) {
+    pub fn record_load(&mut self, now: Time, id: &EndpointId, load: ReplyLoad) {
         if let Some(member) = self.members.get_mut(id) {
-            member.told = Some((now, load));
+            member.reported_load = Some((now, load));
         }
     }
 
--- a/lib/src/gateway/routing/forward.rs
+++ b/lib/src/gateway/routing/forward.rs
@@ -252,7 +252,7 @@
     fn retry_after(&self) -> Millis {
         let state = self.gateway.state.borrow();
         let members = state.endpoints.service(&self.call.service);
-        retry_after::after_attempts(members.filter_map(|member| Some(member.told?.1)))
+        retry_after::after_attempts(members.filter_map(|member| Some(member.reported_load?.1)))
     }
 
     /// Passes a stream on while it comes; its relay takes over the request from here.
--- a/lib/src/gateway/routing/guards.rs
+++ b/lib/src/gateway/routing/guards.rs
@@ -48,7 +48,7 @@
         }
     }
 
-    /// Notes that the endpoint has read the prompt; only the first call counts.
+    /// Records that the endpoint has read the prompt; only the first call counts.
     pub(crate) fn first_event(&mut self) {
         if std::mem::take(&mut self.prefill_pending) {
             let now = self.gateway.now();
@@ -132,7 +132,7 @@
         }
     }
 
-    /// Notes that the caller is still there at the request's end.
+    /// Records that the caller is still there at the request's end.
     pub(crate) fn disarm(mut self) {
         self.armed = false;
     }
--- a/lib/src/gateway/routing/progress.rs
+++ b/lib/src/gateway/routing/progress.rs
@@ -1,4 +1,4 @@
-//! The state of one request while its attempts are made: what the rules count, and what is kept for
+//! The state of one request during its attempts: the counts for the rules, and what is kept for
 //! the next attempt or the end.
 
 use crate::{
--- a/lib/src/gateway/rules/admission.rs
+++ b/lib/src/gateway/rules/admission.rs
@@ -4,7 +4,7 @@
 //! a call in milliseconds, room in results, outstanding pieces of all daemons), the request's
 //! objective (milliseconds), its route's rank, and the tokens of its prompt.
 //!
-//! The outstanding pieces of a service over its throughput tell when a new piece would begin; with
+//! The outstanding pieces of a service over its throughput say when a new piece would begin; with
 //! the time of a call at the present load, and of the stages before, that gives the time to the end
 //! of all stages. The request is admitted if that time and its own fit into its objective, less
 //! `RANK_MARGIN` for each rank.
--- a/lib/src/gateway/rules/endpoint_choice.rs
+++ b/lib/src/gateway/rules/endpoint_choice.rs
@@ -71,7 +71,7 @@
 pub struct Placement<'a> {
     /// Its prompt; empty for a plain call.
     pub prompt: &'a Prompt,
-    /// Whether endpoints that cache the beginning of the prompt are preferred.
+    /// Set if endpoints that cache the beginning of the prompt are preferred.
     pub affinity: bool,
     /// Endpoints that were tried for it before.
     pub tried: &'a [EndpointId],
@@ -81,12 +81,12 @@
     pub connection_limit: u32,
 }
 
-/// What is known of an endpoint that may get a request.
+/// An endpoint that may get a request.
 #[derive(Debug, Clone, Copy)]
 pub struct EndpointCandidate<'a> {
     /// Its entry in the directory.
     pub entry: &'a Arc<EndpointEntry>,
-    /// Whether it is healthy and could be reached lately.
+    /// Set if it is healthy and could be reached lately.
     pub available: bool,
     /// Requests in flight there, from all daemons.
     pub outstanding: u32,
--- a/lib/src/gateway/rules/pause.rs
+++ b/lib/src/gateway/rules/pause.rs
@@ -25,7 +25,7 @@
 }
 
 impl PauseDetector {
-    /// Notes a look; returns the length of the pause before it, if it was one.
+    /// Records a look; returns the length of the pause before it, if it was one.
     pub fn look(&mut self, now: Time) -> Option<Duration> {
         let last = self.last.replace(now)?;
         let gap = now.since(last);
--- a/lib/src/gateway/stages/batch_queue.rs
+++ b/lib/src/gateway/stages/batch_queue.rs
@@ -98,7 +98,7 @@
         }
     }
 
-    /// Notes that endpoints dropped results, so that they have room again.
+    /// Records that endpoints dropped results, so that they have room again.
     pub fn released(&mut self, handles: &[ResultHandle]) {
         self.workers.released(handles);
     }
--- a/lib/src/gateway/stages/job_state.rs
+++ b/lib/src/gateway/stages/job_state.rs
@@ -98,7 +98,7 @@
         (piece.state == PieceState::Waiting).then_some(piece.tries)
     }
 
-    /// Notes that a waiting piece is sent, and returns it as its endpoint gets it.
+    /// Records that a waiting piece is sent, and returns it as its endpoint gets it.
     pub(crate) fn send(&mut self, now: Time, piece: usize) -> PieceTask {
         self.pieces[piece].state = PieceState::Running;
         self.pieces[piece].tries += 1;
--- a/lib/src/gateway/stages/queues.rs
+++ b/lib/src/gateway/stages/queues.rs
@@ -171,7 +171,7 @@
         self.releases.add(service, handles);
     }
 
-    /// Notes that an endpoint dropped results, so that it has room again.
+    /// Records that an endpoint dropped results, so that it has room again.
     pub(crate) fn released(&mut self, service: &ServiceId, handles: &[ResultHandle]) {
         if let Some(queue) = self.queues.get_mut(service) {
             queue.released(handles);
--- a/lib/src/gateway/stages/worker.rs
+++ b/lib/src/gateway/stages/worker.rs
@@ -97,7 +97,7 @@
         self.passed_over_until = why.until(now);
     }
 
-    /// Notes a result that the endpoint keeps until it is released, or drops by itself at `until`.
+    /// Records a result that the endpoint keeps until it is released, or drops by itself at `until`.
     pub(crate) fn keep(&mut self, handle: ResultHandle, size: ByteSize, until: Time) {
         self.kept.insert(handle, KeptResult { size, until });
     }
--- a/lib/src/gateway/stages/workers.rs
+++ b/lib/src/gateway/stages/workers.rs
@@ -80,7 +80,7 @@
         free.iter().map(|worker| worker.entry.id.clone()).collect()
     }
 
-    /// Notes that endpoints dropped results, so that they have room again.
+    /// Records that endpoints dropped results, so that they have room again.
     pub(crate) fn released(&mut self, handles: &[ResultHandle]) {
         for worker in self.0.values_mut() {
             for handle in handles {
--- a/lib/src/gateway/state.rs
+++ b/lib/src/gateway/state.rs
@@ -150,7 +150,7 @@
         self.start + time.since(Time::default())
     }
 
-    /// Returns how far the daemon is.
+    /// Returns the phase of the daemon, as heartbeats and the ready address report it.
     pub fn phase(&self) -> Phase {
         let state = self.state.borrow();
         if self.stopping.get() {
@@ -177,7 +177,7 @@
         self.state.borrow().published.clone()
     }
 
-    /// Gives the planner of stages the endpoints that may be called, and wakes it.
+    /// Updates the endpoints that the queues of stages may call, and wakes the loop that plans calls.
     pub(crate) fn sync_planning(&self) {
         let limits = self.settings.budget;
         let mut guard = self.state.borrow_mut();
--- a/lib/src/pipeline/decision/estimate.rs
+++ b/lib/src/pipeline/decision/estimate.rs
@@ -153,7 +153,7 @@
         self.report = Some(DatedReport { taken, report });
     }
 
-    /// Notes an own send of `work` and returns its uncorrected estimate.
+    /// Records an own send of `work` and returns its uncorrected estimate.
     pub fn sent(&mut self, now: Time, work: WorkMillis) -> WorkMillis {
         let expected = self.uncorrected(now, work);
         self.calls.push(OwnCall {
@@ -168,7 +168,7 @@
         expected
     }
 
-    /// Notes that an own call, sent then with this estimate, ended.
+    /// Records that an own call, sent then with this estimate, ended.
     ///
     /// # Panics
     ///
--- a/lib/src/pipeline/decision/fair.rs
+++ b/lib/src/pipeline/decision/fair.rs
@@ -30,7 +30,7 @@
 /// Time after which half of a customer's past work is forgotten.
 const HALF_LIFE: Millis = Millis(2_000);
 
-/// The same for the work asked for and done by all, which tells whether there is too much now.
+/// The same for the work asked for and done by all, which shows whether there is too much now.
 const PRESSURE_HALF_LIFE: Millis = Millis(500);
 
 /// Ratio of work asked for to work done from which on shares begin to count.
@@ -109,17 +109,17 @@
 }
 
 impl FairShares {
-    /// Notes work that was asked for, whether or not it is admitted.
+    /// Records work that was asked for, whether or not it is admitted.
     pub fn ask(&mut self, now: Time, work: WorkMillis) {
         self.asked.add(now, work);
     }
 
-    /// Notes work that endpoints have done.
+    /// Records work that endpoints have done.
     pub fn done(&mut self, now: Time, work: WorkMillis) {
         self.done.add(now, work);
     }
 
-    /// Notes work that was admitted for a customer.
+    /// Records work that was admitted for a customer.
     pub fn add(&mut self, now: Time, customer: &CustomerId, work: WorkMillis) {
         let own = self.customers.entry(customer.clone());
         own.or_insert(Decaying::new(HALF_LIFE)).add(now, work);
--- a/lib/src/pipeline/decision/policy.rs
+++ b/lib/src/pipeline/decision/policy.rs
@@ -42,7 +42,7 @@
     /// Decides whether a stage may be sent once more, as far as its pool's budget goes.
     fn grants_retry(&self, pool: &mut Pool) -> bool;
 
-    /// Notes a first attempt, which pays `share` of a retry into the pool's budget.
+    /// Records a first attempt, which pays `share` of a retry into the pool's budget.
     fn first_attempt(&self, pool: &mut Pool, share: Share);
 
     /// Returns whether endpoints that fail are ejected.
--- a/lib/src/pipeline/decision/pool.rs
+++ b/lib/src/pipeline/decision/pool.rs
@@ -142,7 +142,7 @@
         }
     }
 
-    /// Notes that a call is sent to the endpoint at `index`, and returns the attempt.
+    /// Records that a call is sent to the endpoint at `index`, and returns the attempt.
     pub fn start_attempt(
         &mut self,
         now: Time,
@@ -164,7 +164,7 @@
         attempt
     }
 
-    /// Notes that an endpoint was sent a prompt, whose beginning it will hold.
+    /// Records that an endpoint was sent a prompt, whose beginning it will hold.
     pub fn note_prefix(&mut self, now: Time, serial: MemberSerial, prefix: &Prefix) {
         self.prefixes.sent(now, serial, prefix);
     }
@@ -202,14 +202,14 @@
         self.costs.learn(size, generation, served);
     }
 
-    /// Notes that an attempt was given up. It counts neither for nor against its endpoint.
+    /// Records that an attempt was given up. It counts neither for nor against its endpoint.
     pub fn cancelled(&mut self, attempt: &Attempt) {
         if let Some(member) = self.member(&attempt.endpoint, attempt.serial) {
             member.load.ended(attempt.sent, attempt.expected);
         }
     }
 
-    /// Notes that an endpoint failed, and ejects it when it is due and the pool can spare it.
+    /// Records that an endpoint failed, and ejects it when it is due and the pool can spare it.
     ///
     /// Returns whether it was ejected now.
     pub fn failed(&mut self, now: Time, endpoint: &EndpointId, serial: MemberSerial) -> bool {
--- a/lib/src/pipeline/decision/pools.rs
+++ b/lib/src/pipeline/decision/pools.rs
@@ -100,7 +100,7 @@
         pool.is_some_and(|pool| pool.ended(now, ended))
     }
 
-    /// Notes that an attempt was given up.
+    /// Records that an attempt was given up.
     pub fn cancelled(&mut self, service: &ServiceId, attempt: &Attempt) {
         if let Some(pool) = self.pools.get_mut(service) {
             pool.cancelled(attempt);
--- a/lib/src/pipeline/decision/prefix.rs
+++ b/lib/src/pipeline/decision/prefix.rs
@@ -29,7 +29,7 @@
 /// (`docs/PROTOCOLS.md`).
 pub const BLOCK: usize = 512;
 
-/// Most blocks of a prompt that are told apart (32 KB): a bound on the cost of a prompt. Chosen,
+/// Most blocks of a prompt that are kept apart (32 KB): a bound on the cost of a prompt. Chosen,
 /// not measured.
 const MAX_BLOCKS: usize = 64;
 
--- a/lib/src/pipeline/decision/request.rs
+++ b/lib/src/pipeline/decision/request.rs
@@ -216,7 +216,7 @@
         }
     }
 
-    /// Notes an attempt that is about to be sent.
+    /// Records an attempt that is about to be sent.
     ///
     /// # Panics
     ///
@@ -253,7 +253,7 @@
         Some(self.live.swap_remove(i))
     }
 
-    /// Notes that an attempt certainly did not run.
+    /// Records that an attempt certainly did not run.
     pub fn clear_exposure(&mut self) {
         crate::invariant!(
             self.exposed > 0,
--- a/lib/src/pipeline/decision/retry.rs
+++ b/lib/src/pipeline/decision/retry.rs
@@ -133,7 +133,7 @@
 
     /// Returns whether an attempt that is late may be hedged, if the retry budget grants it.
     ///
-    /// `generates` tells whether the stage is a generation. That the call is repeatable was checked
+    /// `generates` says whether the stage is a generation. That the call is repeatable was checked
     /// when the attempt was sent, by [`hedge_wait`].
     pub fn may_hedge(&self, generates: bool) -> bool {
         self.tokens == 0 && self.has_tries() && !generates
--- a/lib/src/pipeline/endpoints/reply_head.rs
+++ b/lib/src/pipeline/endpoints/reply_head.rs
@@ -1,4 +1,4 @@
-//! What does the head of an endpoint's reply prove about the attempt?
+//! The proof in the head of an endpoint's reply: whose it is, and whether the attempt ran.
 //!
 //! Inputs: the ids of the call, the reply's status and headers. Output: the attempt's end, or nothing
 //! if the body decides.
--- a/lib/src/shared/health.rs
+++ b/lib/src/shared/health.rs
@@ -90,7 +90,7 @@
         }
     }
 
-    /// Notes a success, which ends an ejection.
+    /// Records a success, which ends an ejection.
     pub fn succeeded(&mut self) {
         self.failures = 0;
         self.until = None;
@@ -102,7 +102,7 @@
         }
     }
 
-    /// Notes a failure; `may_eject` tells whether the pool can spare the endpoint.
+    /// Records a failure; `may_eject` says whether the pool can spare the endpoint.
     ///
     /// Returns whether the endpoint was ejected now. A failed probe ejects whatever the pool can
     /// spare: the endpoint was out of service already.
--- a/lib/tests/test_fleet_pins.rs
+++ b/lib/tests/test_fleet_pins.rs
@@ -249,7 +249,7 @@
             waiting: self.draws.below(4) as u32,
             slots: 4,
         };
-        self.fleet.told(self.now, &id, load);
+        self.fleet.record_load(self.now, &id, load);
     }
 }
 
--- a/lib/tests/test_large_fleet.rs
+++ b/lib/tests/test_large_fleet.rs
@@ -244,7 +244,7 @@
         if fleet.living().is_empty() {
             return Ok(());
         }
-        // Two generations of coordinators may be gone, each noticed after the time for hearsay.
+        // Two generations of coordinators may be gone, each noticed after the time for gossip.
         fleet.rounds(30);
         fleet.assert_agreed();
         let living = fleet.living().len();
--- a/lib/tests/test_peers.rs
+++ b/lib/tests/test_peers.rs
@@ -160,12 +160,12 @@
     }
     for name in ["enc", "retrieve", "rerank"] {
         let service: ServiceId = name.parse().unwrap();
-        let planner = |n: usize| match all[n].coordinator(Time(0), &service, true, &[]) {
+        let coordinator = |n: usize| match all[n].coordinator(Time(0), &service, true, &[]) {
             Coordinator::Me => address(n as u8 + 1),
             Coordinator::Peer(peer) => peer,
         };
-        let first = planner(0);
-        assert!((1..5).all(|n| planner(n) == first));
+        let first = coordinator(0);
+        assert!((1..5).all(|n| coordinator(n) == first));
         // The next one takes over where it is lost.
         let other = usize::from(first == address(1));
         let next = all[other].coordinator(Time(0), &service, true, &[first]);
