--- a/lib/src/gateway/routing/attempt.rs
+++ b/lib/src/gateway/routing/attempt.rs
@@ -9,13 +9,14 @@
         gateway::{
             dialect::Dialect,
             routing::{
-                answer::WholeReply, call::ForwardedCall, endpoint_state::EndpointOutcome,
-                guards::AttemptGuard, progress::RequestProgress,
+                answer::WholeReply, call::ForwardedCall, guards::AttemptGuard,
+                progress::RequestProgress,
             },
             rules::{
                 endpoint_choice::EndpointChoice,
                 reply_proof::{
-                    HeadVerdict, NotRunReason, ReplyOriginError, is_endpoint_failure, judge_head,
+                    EndpointOutcome, HeadVerdict, NotRunReason, ReplyOriginError,
+                    is_endpoint_failure, judge_head,
                 },
             },
             state::Gateway,
--- a/lib/src/gateway/routing/endpoint_state.rs
+++ b/lib/src/gateway/routing/endpoint_state.rs
@@ -9,6 +9,7 @@
             rules::{
                 endpoint_choice::{EndpointCandidate, EndpointChoice},
                 endpoint_pace::{CallTime, EnginePace},
+                reply_proof::EndpointOutcome,
                 set_aside,
             },
         },
@@ -29,24 +30,6 @@
     pub prefill: f64,
 }
 
-/// How a request at an endpoint ended, as far as it says something about the endpoint. The names of
-/// the variants appear in the log (`endpoint.set_aside`).
-#[derive(Debug, Clone, Copy, PartialEq)]
-pub enum EndpointOutcome {
-    /// It was served; for a plain call, within this many milliseconds.
-    Served(Option<f64>),
-    /// The endpoint failed.
-    Failed,
-    /// The endpoint refused for lack of room.
-    Full,
-    /// The endpoint answered as another one, or as leaving.
-    Replaced,
-    /// No connection came up.
-    Unreachable,
-    /// It says nothing about the endpoint.
-    Neutral,
-}
-
 /// One endpoint.
 #[derive(Debug)]
 pub struct EndpointState {
--- a/lib/src/gateway/routing/endpoint_states.rs
+++ b/lib/src/gateway/routing/endpoint_states.rs
@@ -9,8 +9,11 @@
             dialect::{Prompt, ReplyLoad},
             directory::catalogue::EndpointEntry,
             hashes::{EndpointHash, endpoint_hash},
-            routing::endpoint_state::{EndpointOutcome, EndpointState, PeerLoad},
-            rules::endpoint_choice::{self, EndpointCandidate, EndpointChoice, Placement},
+            routing::endpoint_state::{EndpointState, PeerLoad},
+            rules::{
+                endpoint_choice::{self, EndpointCandidate, EndpointChoice, Placement},
+                reply_proof::EndpointOutcome,
+            },
         },
         shared::{
             health::can_spare,
--- a/lib/src/gateway/routing/guards.rs
+++ b/lib/src/gateway/routing/guards.rs
@@ -5,8 +5,8 @@
     crate::{
         gateway::{
             dialect::Dialect,
-            routing::{call::ForwardedCall, endpoint_state::EndpointOutcome},
-            rules::endpoint_choice::EndpointChoice,
+            routing::call::ForwardedCall,
+            rules::{endpoint_choice::EndpointChoice, reply_proof::EndpointOutcome},
             state::Gateway,
         },
         shared::units::Time,
--- a/lib/src/gateway/routing/reply_stream.rs
+++ b/lib/src/gateway/routing/reply_stream.rs
@@ -10,11 +10,10 @@
         dialect::Dialect,
         routing::{
             attempt::StreamSource,
-            endpoint_state::EndpointOutcome,
             guards::AttemptGuard,
             stream_resume::{StreamedRequest, resume},
         },
-        rules::resume::silence_limit,
+        rules::{reply_proof::EndpointOutcome, resume::silence_limit},
         wire::{event_stream::EventSplitter, reply::StreamPart},
     },
     bytes::Bytes,
--- a/lib/src/gateway/routing/stream_resume.rs
+++ b/lib/src/gateway/routing/stream_resume.rs
@@ -10,14 +10,13 @@
             routing::{
                 attempt::StreamSource,
                 call::ForwardedCall,
-                endpoint_state::EndpointOutcome,
                 guards::{AttemptGuard, RequestGuard},
                 outbound::{choose_endpoint, outbound_request},
                 stages::run_stages,
             },
             rules::{
                 endpoint_choice::EndpointChoice,
-                reply_proof::judge_resumed_head,
+                reply_proof::{EndpointOutcome, judge_resumed_head},
                 resume::{is_resumable, may_resume},
                 retry::RetryReason,
             },
--- a/lib/src/gateway/rules/reply_proof.rs
+++ b/lib/src/gateway/rules/reply_proof.rs
@@ -14,17 +14,32 @@
 //! A status alone therefore proves nothing, except for 421: no endpoint runs a request that names
 //! another endpoint.
 //!
-//! It has no constants. It uses [`EndpointOutcome`], a plain value that belongs to the endpoints'
-//! state.
+//! It has no constants.
 
 use {
-    crate::gateway::{
-        dialect::ReplyFacts, routing::endpoint_state::EndpointOutcome, table::RouteKind,
-    },
+    crate::gateway::{dialect::ReplyFacts, table::RouteKind},
     http::StatusCode,
     thiserror::Error,
 };
 
+/// How a request at an endpoint ended, as far as it says something about the endpoint. The names of
+/// the variants appear in the log (`endpoint.set_aside`).
+#[derive(Debug, Clone, Copy, PartialEq)]
+pub enum EndpointOutcome {
+    /// It was served; for a plain call, within this many milliseconds.
+    Served(Option<f64>),
+    /// The endpoint failed.
+    Failed,
+    /// The endpoint refused for lack of room.
+    Full,
+    /// The endpoint answered as another one, or as leaving.
+    Replaced,
+    /// No connection came up.
+    Unreachable,
+    /// It says nothing about the endpoint.
+    Neutral,
+}
+
 /// Reason for which an attempt certainly did not run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum NotRunReason {
--- a/lib/tests/test_fleet_choice.rs
+++ b/lib/tests/test_fleet_choice.rs
@@ -8,11 +8,11 @@
             dialect::{Prompt, PromptPart},
             directory::catalogue::EndpointEntry,
             hashes::endpoint_hash,
-            routing::{
-                endpoint_state::{EndpointOutcome, PeerLoad},
-                endpoint_states::EndpointStates,
+            routing::{endpoint_state::PeerLoad, endpoint_states::EndpointStates},
+            rules::{
+                endpoint_choice::{EndpointChoice, InputLocation, Placement},
+                reply_proof::EndpointOutcome,
             },
-            rules::endpoint_choice::{EndpointChoice, InputLocation, Placement},
         },
         shared::{
             ids::{DataCentreId, EndpointId, ServiceId},
--- a/lib/tests/test_fleet_pins.rs
+++ b/lib/tests/test_fleet_pins.rs
@@ -9,13 +9,11 @@
             dialect::{Prompt, PromptPart, ReplyLoad},
             directory::catalogue::EndpointEntry,
             hashes::{endpoint_hash, service_hash},
-            routing::{
-                endpoint_state::{EndpointOutcome, PeerLoad},
-                endpoint_states::EndpointStates,
-            },
+            routing::{endpoint_state::PeerLoad, endpoint_states::EndpointStates},
             rules::{
                 backend_choice::weighted,
                 endpoint_choice::{EndpointChoice, InputLocation, Placement},
+                reply_proof::EndpointOutcome,
             },
         },
         shared::{
--- a/lib/tests/test_layers.rs
+++ b/lib/tests/test_layers.rs
@@ -14,6 +14,16 @@
     ("gateway", &["shared"]),
 ];
 
+/// Values of the forwarding daemon that its rules may use, beside those of other rules.
+const RULE_VALUES: [&str; 6] = [
+    "gateway::dialect",
+    "gateway::directory::catalogue",
+    "gateway::directory::source",
+    "gateway::peers::message",
+    "gateway::stages::job",
+    "gateway::table",
+];
+
 type Imports = BTreeMap<String, BTreeSet<String>>;
 
 fn files(folder: &Path, found: &mut Vec<PathBuf>) {
@@ -140,6 +150,23 @@
     }
 }
 
+#[test]
+fn rules_use_values() {
+    for (module, others) in &imports() {
+        if !module.starts_with("gateway::rules::") {
+            continue;
+        }
+        for other in others {
+            let is_value = RULE_VALUES.contains(&other.as_str());
+            let is_rule = other.starts_with("gateway::rules::");
+            assert!(
+                is_value || is_rule || top(other) == "shared",
+                "{module} imports {other}"
+            );
+        }
+    }
+}
+
 #[test]
 fn no_import_circle() {
     let mut left = imports();
--- a/lib/tests/test_reply_proof.rs
+++ b/lib/tests/test_reply_proof.rs
@@ -4,10 +4,9 @@
     hazelyoke_lib::{
         gateway::{
             dialect::ReplyFacts,
-            routing::endpoint_state::EndpointOutcome,
             rules::reply_proof::{
-                HeadVerdict, NotRunReason, ReplyOriginError, is_endpoint_failure, judge_head,
-                judge_resumed_head,
+                EndpointOutcome, HeadVerdict, NotRunReason, ReplyOriginError, is_endpoint_failure,
+                judge_head, judge_resumed_head,
             },
             table::RouteKind,
         },
