--- a/lib/src/gateway/routing/attempt.rs
+++ b/lib/src/gateway/routing/attempt.rs
@@ -177,7 +177,7 @@
     let outcome = if is_endpoint_failure(reply.head.status) {
         EndpointOutcome::Failed
     } else {
-        EndpointOutcome::Served(Some(guard.took_ms()))
+        EndpointOutcome::Served(Some(guard.took()))
     };
     guard.end(outcome);
     AttemptOutcome::Whole(reply)
@@ -215,7 +215,7 @@
         request = call.id(),
         endpoint:% = guard.choice.entry.id,
         outcome,
-        took_ms = guard.took_ms(),
+        took_ms = guard.took().0,
         detail;
         "attempt.ended"
     );
--- a/lib/src/gateway/routing/endpoint_state.rs
+++ b/lib/src/gateway/routing/endpoint_state.rs
@@ -15,7 +15,7 @@
         },
         shared::{
             health::{Health, HealthState},
-            units::Time,
+            units::{Time, WorkMillis},
         },
     },
     std::sync::Arc,
@@ -106,7 +106,7 @@
             entry: &self.entry,
             available: self.is_available(now),
             outstanding: self.outstanding(),
-            call_ms: self.call_time.ms(),
+            call_time: self.call_time.get(),
             waiting_tokens: self.prefill + self.peers.prefill,
             pace: self.pace.at(now),
             cached_tokens,
@@ -120,10 +120,10 @@
         self.sent_parts.record(now, prompt);
     }
 
-    /// Records that the first event of a generation came after `waited_ms` milliseconds.
-    pub(crate) fn first_event(&mut self, now: Time, choice: &EndpointChoice, waited_ms: f64) {
+    /// Records the time to the first event of a generation.
+    pub(crate) fn first_event(&mut self, now: Time, choice: &EndpointChoice, waited: WorkMillis) {
         self.prompt_read(choice.uncached);
-        self.pace.learn(now, choice.expected_ms, waited_ms);
+        self.pace.learn(now, choice.expected, waited);
     }
 
     /// Records that tokens no longer wait to be read.
@@ -136,8 +136,8 @@
     pub(crate) fn ended(&mut self, now: Time, outcome: EndpointOutcome, may_eject: bool) -> bool {
         self.running = self.running.saturating_sub(1);
         match outcome {
-            EndpointOutcome::Served(call_ms) => {
-                self.served(call_ms);
+            EndpointOutcome::Served(call_time) => {
+                self.served(call_time);
                 false
             }
             EndpointOutcome::Failed => self.health.failed(now, may_eject),
@@ -153,11 +153,11 @@
         }
     }
 
-    fn served(&mut self, call_ms: Option<f64>) {
+    fn served(&mut self, call_time: Option<WorkMillis>) {
         self.health.succeeded();
         self.unreachable_until = None;
-        if let Some(call_ms) = call_ms {
-            self.call_time.learn(call_ms);
+        if let Some(call_time) = call_time {
+            self.call_time.learn(call_time);
         }
     }
 
--- a/lib/src/gateway/routing/endpoint_states.rs
+++ b/lib/src/gateway/routing/endpoint_states.rs
@@ -18,7 +18,7 @@
         shared::{
             health::can_spare,
             ids::{DataCentreId, EndpointId, ServiceId},
-            units::Time,
+            units::{Time, WorkMillis},
         },
     },
     foldhash::HashMap,
@@ -104,10 +104,10 @@
         }
     }
 
-    /// Records that the first event of a generation came after `waited_ms` milliseconds.
-    pub fn first_event(&mut self, now: Time, choice: &EndpointChoice, waited_ms: f64) {
+    /// Records the time to the first event of a generation.
+    pub fn first_event(&mut self, now: Time, choice: &EndpointChoice, waited: WorkMillis) {
         if let Some(member) = self.members.get_mut(&choice.entry.id) {
-            member.first_event(now, choice, waited_ms);
+            member.first_event(now, choice, waited);
         }
     }
 
--- a/lib/src/gateway/routing/forward.rs
+++ b/lib/src/gateway/routing/forward.rs
@@ -34,7 +34,7 @@
         },
         shared::{
             problem::Problem,
-            units::{Millis, Time, WorkMillis},
+            units::{Millis, Time},
         },
     },
     http::{Request, Response},
@@ -155,7 +155,7 @@
         log::info!(
             request = self.call.id(),
             endpoint:% = choice.entry.id,
-            expected_ms = choice.expected_ms,
+            expected_ms = choice.expected.0,
             uncached = choice.uncached,
             outstanding = choice.outstanding,
             candidates = choice.candidates,
@@ -185,7 +185,7 @@
             kind: self.call.route.kind,
             later_attempts: attempts.saturating_sub(self.progress.history.sent() + 1),
             other_endpoints: endpoints.saturating_sub(self.progress.tried.len() + 1),
-            expected: WorkMillis(choice.expected_ms),
+            expected: choice.expected,
         })
     }
 
--- a/lib/src/gateway/routing/guards.rs
+++ b/lib/src/gateway/routing/guards.rs
@@ -9,7 +9,7 @@
             rules::{endpoint_choice::EndpointChoice, reply_proof::EndpointOutcome},
             state::Gateway,
         },
-        shared::units::Time,
+        shared::units::{Time, WorkMillis},
     },
     std::rc::Rc,
 };
@@ -52,7 +52,7 @@
     pub(crate) fn first_event(&mut self) {
         if std::mem::take(&mut self.prefill_pending) {
             let now = self.gateway.now();
-            let waited = now.millis_since(self.sent_at);
+            let waited = WorkMillis(now.millis_since(self.sent_at));
             let mut state = self.gateway.state.borrow_mut();
             state.endpoints.first_event(now, &self.choice, waited);
         }
@@ -63,9 +63,9 @@
         self.settle(outcome);
     }
 
-    /// Returns the time since the attempt began, in milliseconds.
-    pub(crate) fn took_ms(&self) -> f64 {
-        self.gateway.now().millis_since(self.sent_at)
+    /// Returns the time since the attempt began.
+    pub(crate) fn took(&self) -> WorkMillis {
+        WorkMillis(self.gateway.now().millis_since(self.sent_at))
     }
 
     fn settle(&mut self, outcome: EndpointOutcome) {
--- a/lib/src/gateway/routing/reply_stream.rs
+++ b/lib/src/gateway/routing/reply_stream.rs
@@ -114,7 +114,7 @@
             endpoint:% = guard.choice.entry.id,
             outcome = end.as_str(),
             last_event = self.last_event(),
-            took_ms = guard.took_ms();
+            took_ms = guard.took().0;
             "attempt.ended"
         );
     }
--- a/lib/src/gateway/rules/endpoint_choice.rs
+++ b/lib/src/gateway/rules/endpoint_choice.rs
@@ -24,7 +24,7 @@
         },
         shared::{
             ids::{DataCentreId, EndpointId},
-            units::ByteSize,
+            units::{ByteSize, WorkMillis},
         },
     },
     std::sync::Arc,
@@ -90,8 +90,8 @@
     pub available: bool,
     /// Requests in flight there, from all daemons.
     pub outstanding: u32,
-    /// Usual time of a plain call, in milliseconds.
-    pub call_ms: f64,
+    /// Usual time of a plain call.
+    pub call_time: WorkMillis,
     /// Prompt tokens that were sent there and aren't read yet, by all daemons.
     pub waiting_tokens: f64,
     /// Observed over expected time to the first event.
@@ -105,8 +105,8 @@
 pub struct EndpointChoice {
     /// Its entry in the directory.
     pub entry: Arc<EndpointEntry>,
-    /// Expected time to the reply or the first event, in milliseconds, costs of distance included.
-    pub expected_ms: f64,
+    /// Expected time to the reply or the first event, costs of distance included.
+    pub expected: WorkMillis,
     /// Prompt tokens that it probably has to read.
     pub uncached: u32,
     /// Requests in flight there, from all daemons.
@@ -117,7 +117,7 @@
 
 /// Expected cost of a request at one endpoint.
 struct Estimate {
-    ms: f64,
+    time: WorkMillis,
     uncached: u32,
 }
 
@@ -139,13 +139,13 @@
         .map(|candidate| {
             let holds_shared = placement.affinity && preferred == Some(&candidate.entry.id);
             let mut estimate = estimate(candidate, placement, holds_shared);
-            estimate.ms += distance_ms(candidate, here, placement);
+            estimate.time.0 += distance_cost(candidate, here, placement).0;
             (candidate, estimate)
         })
-        .min_by(|(_, a), (_, b)| a.ms.total_cmp(&b.ms))?;
+        .min_by(|(_, a), (_, b)| a.time.0.total_cmp(&b.time.0))?;
     Some(EndpointChoice {
         entry: best.entry.clone(),
-        expected_ms: estimate.ms,
+        expected: estimate.time,
         uncached: estimate.uncached,
         outstanding: best.outstanding,
         candidates: compared.len(),
@@ -179,7 +179,7 @@
     let prompt = placement.prompt;
     if prompt.tokens_in == 0 && prompt.parts.is_empty() {
         return Estimate {
-            ms: plain_call_ms(candidate),
+            time: plain_call_time(candidate),
             uncached: 0,
         };
     }
@@ -196,27 +196,27 @@
         0.0
     };
     Estimate {
-        ms: first_event_ms(candidate, uncached) + read_again_ms,
+        time: WorkMillis(first_event_time(candidate, uncached).0 + read_again_ms),
         uncached,
     }
 }
 
-/// Estimates the time of a plain call, in milliseconds.
-fn plain_call_ms(candidate: &EndpointCandidate<'_>) -> f64 {
+/// Estimates the time of a plain call.
+fn plain_call_time(candidate: &EndpointCandidate<'_>) -> WorkMillis {
     let outstanding = f64::from(candidate.outstanding);
     let slots = slots(candidate);
     let queued = (outstanding + 1.0 - slots).max(0.0) / slots;
     let crowding = CROWDING * outstanding / slots;
-    candidate.call_ms * (1.0 + queued + crowding)
+    WorkMillis(candidate.call_time.0 * (1.0 + queued + crowding))
 }
 
-/// Estimates the time to the first event of a generation, in milliseconds.
-fn first_event_ms(candidate: &EndpointCandidate<'_>, uncached: u32) -> f64 {
+/// Estimates the time to the first event of a generation.
+fn first_event_time(candidate: &EndpointCandidate<'_>, uncached: u32) -> WorkMillis {
     let outstanding = f64::from(candidate.outstanding);
     let waiting = candidate.waiting_tokens + f64::from(uncached);
     let overfull = (outstanding + 1.0 - slots(candidate)).max(0.0) * OVERFULL_MS;
     let ms = waiting / TOKENS_PER_MS + outstanding * GENERATION_MS + overfull;
-    ms * candidate.pace
+    WorkMillis(ms * candidate.pace)
 }
 
 fn slots(candidate: &EndpointCandidate<'_>) -> f64 {
@@ -229,12 +229,12 @@
     prompt.parts[..parts].iter().map(|part| part.tokens).sum()
 }
 
-/// Returns the cost of the call's and its inputs' way, in milliseconds.
-fn distance_ms(
+/// Returns the cost of the call's and its inputs' way, as time.
+fn distance_cost(
     candidate: &EndpointCandidate<'_>,
     here: &DataCentreId,
     placement: &Placement<'_>,
-) -> f64 {
+) -> WorkMillis {
     let there = &candidate.entry.data_centre;
     let remote: u64 = placement
         .inputs
@@ -243,5 +243,5 @@
         .map(|input| input.size.0)
         .sum();
     let hop = if there == here { 0.0 } else { HOP_MS };
-    hop + remote as f64 / MB * INPUT_MB_MS
+    WorkMillis(hop + remote as f64 / MB * INPUT_MB_MS)
 }
--- a/lib/src/gateway/rules/endpoint_pace.rs
+++ b/lib/src/gateway/rules/endpoint_pace.rs
@@ -10,10 +10,10 @@
 //!
 //! **Measured.** The constants were chosen, not measured; `test_fleet_choice` pins the effect.
 
-use crate::shared::units::{Millis, Time};
+use crate::shared::units::{Millis, Time, WorkMillis};
 
-/// Usual time of a plain call before the first one was observed, in milliseconds. Chosen, not measured.
-const FIRST_CALL_MS: f64 = 15.0;
+/// Usual time of a plain call before the first one was observed. Chosen, not measured.
+const FIRST_CALL: WorkMillis = WorkMillis(15.0);
 
 /// Weight of a new observation in both averages, from 0 to 1. Chosen, not measured.
 const GAIN: f64 = 0.15;
@@ -25,31 +25,33 @@
 /// Time after which a pace is forgotten. Chosen, not measured.
 const PACE_LIFETIME: Millis = Millis(4_000);
 
-/// Least expected time that a pace is worked out from, in milliseconds: below it, the ratio says more
-/// about the network than about the endpoint. Chosen, not measured.
-const LEAST_EXPECTED_MS: f64 = 30.0;
+/// Least expected time that a pace is worked out from: below it, the ratio says more about the network
+/// than about the endpoint. Chosen, not measured.
+const LEAST_EXPECTED: WorkMillis = WorkMillis(30.0);
 
 /// Usual time of a plain call at one endpoint.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct CallTime {
-    ms: f64,
+    average: WorkMillis,
 }
 
 impl Default for CallTime {
     fn default() -> Self {
-        Self { ms: FIRST_CALL_MS }
+        Self {
+            average: FIRST_CALL,
+        }
     }
 }
 
 impl CallTime {
-    /// Returns the average, in milliseconds.
-    pub fn ms(self) -> f64 {
-        self.ms
+    /// Returns the average.
+    pub fn get(self) -> WorkMillis {
+        self.average
     }
 
-    /// Learns from a call that took `observed_ms` milliseconds.
-    pub fn learn(&mut self, observed_ms: f64) {
-        self.ms += GAIN * (observed_ms - self.ms);
+    /// Learns from the time of a call.
+    pub fn learn(&mut self, observed: WorkMillis) {
+        self.average.0 += GAIN * (observed.0 - self.average.0);
     }
 }
 
@@ -79,9 +81,9 @@
         }
     }
 
-    /// Learns from a first event that was expected after `expected_ms` and came after `waited_ms`.
-    pub fn learn(&mut self, now: Time, expected_ms: f64, waited_ms: f64) {
-        let observed = waited_ms / expected_ms.max(LEAST_EXPECTED_MS);
+    /// Learns from a first event, from its expected and its observed time.
+    pub fn learn(&mut self, now: Time, expected: WorkMillis, waited: WorkMillis) {
+        let observed = waited.0 / expected.0.max(LEAST_EXPECTED.0);
         let ratio = self.at(now);
         let next = ratio + GAIN * (observed - ratio);
         self.ratio = next.clamp(LEAST_PACE, GREATEST_PACE);
--- a/lib/src/gateway/rules/reply_proof.rs
+++ b/lib/src/gateway/rules/reply_proof.rs
@@ -17,7 +17,10 @@
 //! It has no constants.
 
 use {
-    crate::gateway::{dialect::ReplyFacts, table::RouteKind},
+    crate::{
+        gateway::{dialect::ReplyFacts, table::RouteKind},
+        shared::units::WorkMillis,
+    },
     http::StatusCode,
     thiserror::Error,
 };
@@ -26,8 +29,8 @@
 /// the variants appear in the log (`endpoint.set_aside`).
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum EndpointOutcome {
-    /// It was served; for a plain call, within this many milliseconds.
-    Served(Option<f64>),
+    /// It was served; for a plain call, within this time.
+    Served(Option<WorkMillis>),
     /// The endpoint failed.
     Failed,
     /// The endpoint refused for lack of room.
--- a/lib/tests/test_fleet_choice.rs
+++ b/lib/tests/test_fleet_choice.rs
@@ -16,7 +16,7 @@
         },
         shared::{
             ids::{DataCentreId, EndpointId, ServiceId},
-            units::{ByteSize, Millis, Time},
+            units::{ByteSize, Millis, Time, WorkMillis},
         },
     },
     std::sync::Arc,
@@ -217,7 +217,7 @@
     let placement = plain(&prompt);
     let first = choose(&endpoints, &placement).unwrap();
     for _ in 0..20 {
-        endpoints.first_event(NOW, &first, 2_000.0);
+        endpoints.first_event(NOW, &first, WorkMillis(2_000.0));
     }
     assert_ne!(
         choose(&endpoints, &placement).unwrap().entry.id,
@@ -243,7 +243,7 @@
     assert!(choose(&endpoints, &placement).is_some());
     endpoints.sent(NOW, &id(1), &prompt, 0);
     assert!(choose(&endpoints, &placement).is_none());
-    endpoints.ended(NOW, &id(1), EndpointOutcome::Served(Some(5.0)));
+    endpoints.ended(NOW, &id(1), EndpointOutcome::Served(Some(WorkMillis(5.0))));
     assert!(choose(&endpoints, &placement).is_some());
 }
 
--- a/lib/tests/test_fleet_pins.rs
+++ b/lib/tests/test_fleet_pins.rs
@@ -18,7 +18,7 @@
         },
         shared::{
             ids::{DataCentreId, EndpointId},
-            units::{ByteSize, Millis, Time},
+            units::{ByteSize, Millis, Time, WorkMillis},
         },
     },
     hazelyoke_testutils::draws::Draws,
@@ -154,7 +154,7 @@
             self.lines.push_str("none\n");
             return;
         };
-        let (id, ms) = (&choice.entry.id, choice.expected_ms);
+        let (id, ms) = (&choice.entry.id, choice.expected.0);
         let (uncached, outstanding) = (choice.uncached, choice.outstanding);
         let among = choice.candidates;
         writeln!(
@@ -184,8 +184,8 @@
         };
         if !sent.is_read {
             let factor = *self.draws.pick(&[0.2, 0.9, 1.0, 1.4, 6.0, 50.0]);
-            let waited_ms = sent.choice.expected_ms * factor;
-            self.fleet.first_event(self.now, &sent.choice, waited_ms);
+            let waited = WorkMillis(sent.choice.expected.0 * factor);
+            self.fleet.first_event(self.now, &sent.choice, waited);
             sent.is_read = true;
         }
         self.sent.push(sent);
@@ -201,7 +201,7 @@
         }
         let call_ms = 5.0 + self.draws.below(40) as f64;
         let (name, ending) = match self.draws.below(16) {
-            0..=5 => ("served", EndpointOutcome::Served(Some(call_ms))),
+            0..=5 => ("served", EndpointOutcome::Served(Some(WorkMillis(call_ms)))),
             6..=7 => ("served without a time", EndpointOutcome::Served(None)),
             8..=11 => ("failed", EndpointOutcome::Failed),
             12 => ("full", EndpointOutcome::Full),
