--- a/lib/src/gateway/directory/apply.rs
+++ b/lib/src/gateway/directory/apply.rs
@@ -34,7 +34,7 @@
     /// Applies one new or changed entry; one that is older than the known one changes nothing.
     pub fn upsert_endpoint(&self, entry: EndpointEntry, source: &str) {
         let mut state = self.state.borrow_mut();
-        let change = state.catalogue.put(entry.clone());
+        let change = state.catalogue.upsert(entry.clone());
         let known = state.catalogue.get(&entry.id);
         if known.is_some_and(|known| known.revision == entry.revision) {
             state.endpoints.upsert(Arc::new(entry));
--- a/lib/src/gateway/directory/catalogue.rs
+++ b/lib/src/gateway/directory/catalogue.rs
@@ -146,7 +146,7 @@
     }
 
     /// Applies a new or changed entry; an older one than the known one changes nothing.
-    pub fn put(&mut self, entry: EndpointEntry) -> Option<EndpointChange> {
+    pub fn upsert(&mut self, entry: EndpointEntry) -> Option<EndpointChange> {
         let old = self.entries.get(&entry.id);
         if old.is_some_and(|old| old.revision > entry.revision) {
             return None;
@@ -221,7 +221,7 @@
             .collect();
         let mut changes: Vec<EndpointChange> = list
             .into_iter()
-            .filter_map(|entry| self.put(entry))
+            .filter_map(|entry| self.upsert(entry))
             .collect();
         changes.extend(
             missing
--- a/lib/src/gateway/peers/heartbeats.rs
+++ b/lib/src/gateway/peers/heartbeats.rs
@@ -68,7 +68,7 @@
     let everybody: Vec<SocketAddr> = state.peers.addresses().collect();
     drop(state);
     for part in loads.chunks(DIGEST_LOADS) {
-        gateway.state.borrow_mut().sums.merge(now, part);
+        gateway.state.borrow_mut().load_sums.merge(now, part);
         let digest = LoadDigest {
             protocol: PROTOCOL,
             loads: part.to_vec(),
--- a/lib/src/gateway/peers/membership.rs
+++ b/lib/src/gateway/peers/membership.rs
@@ -188,7 +188,7 @@
     /// Passes a daemon over as a coordinator for a while: it failed to accept a job.
     pub fn pass_over(&mut self, now: Time, address: &SocketAddr) {
         if let Some(peer) = self.known.get_mut(address) {
-            peer.passed_over_until = coordinator::passed_over_until(now);
+            peer.avoid_until = coordinator::passed_over_until(now);
         }
     }
 
--- a/lib/src/gateway/peers/message.rs
+++ b/lib/src/gateway/peers/message.rs
@@ -110,29 +110,24 @@
     /// Endpoints that accept calls and are about as fast as usual.
     pub endpoints: u32,
     /// Set if they are short of room for results.
-    pub short_of_room: bool,
+    pub short: bool,
     /// Outstanding pieces at all daemons, as far as the planning one knows.
     pub outstanding: u32,
 }
 
 impl From<QueueNote> for (ServiceHash, u32, bool, u32) {
     fn from(note: QueueNote) -> Self {
-        (
-            note.service,
-            note.endpoints,
-            note.short_of_room,
-            note.outstanding,
-        )
+        (note.service, note.endpoints, note.short, note.outstanding)
     }
 }
 
 impl From<(ServiceHash, u32, bool, u32)> for QueueNote {
     fn from(note: (ServiceHash, u32, bool, u32)) -> Self {
-        let (service, endpoints, short_of_room, outstanding) = note;
+        let (service, endpoints, short, outstanding) = note;
         Self {
             service,
             endpoints,
-            short_of_room,
+            short,
             outstanding,
         }
     }
--- a/lib/src/gateway/peers/peer_loads.rs
+++ b/lib/src/gateway/peers/peer_loads.rs
@@ -47,7 +47,8 @@
             self.endpoints.set_peer_loads(&loads);
             return;
         }
-        self.sums.expire(now);
-        self.endpoints.set_total_loads(&self.sums.by_endpoint());
+        self.load_sums.expire(now);
+        self.endpoints
+            .set_total_loads(&self.load_sums.by_endpoint());
     }
 }
--- a/lib/src/gateway/peers/receive.rs
+++ b/lib/src/gateway/peers/receive.rs
@@ -50,7 +50,11 @@
     let now = gateway.now();
     match datagram {
         Datagram::Heartbeat(heartbeat) => receive_heartbeat(gateway, socket, heartbeat, from),
-        Datagram::Loads(digest) => gateway.state.borrow_mut().sums.merge(now, &digest.loads),
+        Datagram::Loads(digest) => gateway
+            .state
+            .borrow_mut()
+            .load_sums
+            .merge(now, &digest.loads),
         Datagram::Roster(roster) => {
             let mut state = gateway.state.borrow_mut();
             let changes = state.peers.merge_roster(now, &roster.peers);
--- a/lib/src/gateway/peers/record.rs
+++ b/lib/src/gateway/peers/record.rs
@@ -35,7 +35,7 @@
     pub(crate) phase: Phase,
     pub(crate) capacity: Capacity,
     /// End of the time for which it is passed over as a coordinator.
-    pub(crate) passed_over_until: Time,
+    pub(crate) avoid_until: Time,
     pub(crate) alive: bool,
 }
 
@@ -47,7 +47,7 @@
             last_heartbeat: None,
             phase: Phase::Starting,
             capacity: Capacity::default(),
-            passed_over_until: Time::default(),
+            avoid_until: Time::default(),
             alive: false,
         }
     }
@@ -92,7 +92,7 @@
             },
             alive: self.alive,
             ready: self.phase == Phase::Ready,
-            passed_over_until: self.passed_over_until,
+            avoid_until: self.avoid_until,
         }
     }
 
--- a/lib/src/gateway/peers/reports.rs
+++ b/lib/src/gateway/peers/reports.rs
@@ -38,7 +38,7 @@
     /// results.
     pub fn is_short_of_room(&self, service: ServiceHash) -> bool {
         let mut notes = self.heartbeats().flat_map(|heartbeat| &heartbeat.queues);
-        notes.any(|note| note.service == service && note.short_of_room)
+        notes.any(|note| note.service == service && note.short)
     }
 
     /// Returns the outstanding pieces of a service at other daemons, as their heartbeats report it
--- a/lib/src/gateway/rules/coordinator.rs
+++ b/lib/src/gateway/rules/coordinator.rs
@@ -67,7 +67,7 @@
     /// Set if it reports that it serves.
     pub ready: bool,
     /// End of the time for which it is passed over.
-    pub passed_over_until: Time,
+    pub avoid_until: Time,
 }
 
 /// Place of a candidate for one service; the highest coordinates.
@@ -110,7 +110,7 @@
 
 impl PeerStanding {
     fn is_eligible(&self, now: Time) -> bool {
-        self.alive && self.ready && self.passed_over_until <= now
+        self.alive && self.ready && self.avoid_until <= now
     }
 }
 
--- a/lib/src/gateway/stages/batch_plan.rs
+++ b/lib/src/gateway/stages/batch_plan.rs
@@ -170,7 +170,7 @@
                 Fit::Fits => {}
                 Fit::CallFull => return,
                 Fit::NoRoom => {
-                    self.short_of_room = Some(now);
+                    self.short_at = Some(now);
                     return;
                 }
             }
--- a/lib/src/gateway/stages/batch_queue.rs
+++ b/lib/src/gateway/stages/batch_queue.rs
@@ -43,7 +43,7 @@
     /// Results that nobody waits for any more.
     pub(super) surplus: Vec<ResultHandle>,
     /// When a call was last kept small for lack of room for results.
-    pub(super) short_of_room: Option<Time>,
+    pub(super) short_at: Option<Time>,
 }
 
 /// A job that ended.
@@ -68,7 +68,7 @@
             next_call: 0,
             ended: Vec::new(),
             surplus: Vec::new(),
-            short_of_room: None,
+            short_at: None,
         }
     }
 
@@ -130,7 +130,7 @@
 
     /// Returns whether a call was kept small lately because an endpoint had no room for results.
     pub fn is_short_of_room(&self, now: Time) -> bool {
-        self.short_of_room
+        self.short_at
             .is_some_and(|met| result_room::is_shortage(now, met))
     }
 
--- a/lib/src/gateway/stages/local_job.rs
+++ b/lib/src/gateway/stages/local_job.rs
@@ -6,7 +6,7 @@
         dialect::Dialect,
         stages::{
             job::{JobEnd, JobId, StageJob},
-            queues::JobTicket,
+            queues::JobHandle,
         },
         state::Gateway,
     },
@@ -32,8 +32,8 @@
     /// queue runs no pieces, so that its job fails.
     pub async fn run_locally(&self, service: &ServiceId, job: StageJob) -> JobEnd {
         let now = self.now();
-        let ticket = self.state.borrow_mut().planning.add(now, service, job);
-        let Some(JobTicket { id, receiver }) = ticket else {
+        let handle = self.state.borrow_mut().planning.add(now, service, job);
+        let Some(JobHandle { id, receiver }) = handle else {
             return JobEnd::Failed;
         };
         let cancel = CancelOnDrop { gateway: self, id };
--- a/lib/src/gateway/stages/queues.rs
+++ b/lib/src/gateway/stages/queues.rs
@@ -50,7 +50,7 @@
 
 /// A job queued at this daemon.
 #[derive(Debug)]
-pub struct JobTicket {
+pub struct JobHandle {
     /// Its id.
     pub id: JobId,
     /// Receives its end.
@@ -112,7 +112,7 @@
             .map(|(id, queue)| QueueNote {
                 service: service_hash(id),
                 endpoints: queue.available_workers(now) as u32,
-                short_of_room: queue.is_short_of_room(now),
+                short: queue.is_short_of_room(now),
                 outstanding: outstanding(id),
             })
             .collect()
@@ -146,7 +146,7 @@
         now: Time,
         service: &ServiceId,
         job: StageJob,
-    ) -> Option<JobTicket> {
+    ) -> Option<JobHandle> {
         let queue = self.queues.get_mut(service)?;
         self.last_job += 1;
         let id = JobId(self.last_job);
@@ -154,7 +154,7 @@
         let (waiter, receiver) = oneshot::channel();
         let service = service.clone();
         self.jobs.insert(id, QueuedJob { service, waiter });
-        Some(JobTicket { id, receiver })
+        Some(JobHandle { id, receiver })
     }
 
     /// Drops a job without an end; one that has ended is left alone.
--- a/lib/src/gateway/stages/worker.rs
+++ b/lib/src/gateway/stages/worker.rs
@@ -34,7 +34,7 @@
     pub(crate) open: bool,
     calls: usize,
     pace: KnownPace,
-    passed_over_until: Time,
+    avoid_until: Time,
     kept: HashMap<ResultHandle, KeptResult>,
     /// Room reserved for the results of calls in flight.
     reserved: ByteSize,
@@ -47,7 +47,7 @@
             open: true,
             calls: 0,
             pace: KnownPace::default(),
-            passed_over_until: Time::default(),
+            avoid_until: Time::default(),
             kept: HashMap::default(),
             reserved: ByteSize(0),
         }
@@ -64,7 +64,7 @@
 
     /// Returns whether a call may be planned for it, apart from its calls in flight.
     pub(crate) fn is_ready(&self, now: Time) -> bool {
-        self.open && self.passed_over_until <= now
+        self.open && self.avoid_until <= now
     }
 
     /// Returns the room for more results where `stated` is all the room that it has; drops results
@@ -94,7 +94,7 @@
     }
 
     pub(crate) fn pass_over(&mut self, now: Time, why: PassedOver) {
-        self.passed_over_until = why.until(now);
+        self.avoid_until = why.until(now);
     }
 
     /// Records a result that the endpoint keeps until it is released, or drops by itself at `until`.
--- a/lib/src/gateway/state.rs
+++ b/lib/src/gateway/state.rs
@@ -64,7 +64,7 @@
     /// The outstanding pieces of this daemon's requests.
     pub workload: Workload,
     /// Requests in flight from all daemons, as coordinators sum them up.
-    pub sums: LoadSums,
+    pub load_sums: LoadSums,
     /// Since when a peer is known to have a newer table or list.
     pub behind_since: Option<Time>,
     /// Budgets of retries at each service.
@@ -125,7 +125,7 @@
                 contact: DirectoryContact::default(),
                 has_list: false,
                 workload: Workload::default(),
-                sums: LoadSums::default(),
+                load_sums: LoadSums::default(),
                 behind_since: None,
                 budgets: HashMap::default(),
             }),
--- a/lib/tests/test_catalogue.rs
+++ b/lib/tests/test_catalogue.rs
@@ -46,7 +46,7 @@
 #[test]
 fn removed_entry() {
     let mut catalogue = catalogue();
-    catalogue.put(entry("a", 1, false));
+    catalogue.upsert(entry("a", 1, false));
     let learnt = catalogue.remove(Time(0), &id("a"), 9, false);
     assert!(matches!(learnt, Some(EndpointChange::Gone(_))));
     assert!(names(&catalogue).is_empty());
@@ -56,7 +56,7 @@
 #[test]
 fn lapsed_entry_suspect() {
     let mut catalogue = catalogue();
-    catalogue.put(entry("a", 1, false));
+    catalogue.upsert(entry("a", 1, false));
     let learnt = catalogue.remove(Time(0), &id("a"), 9, true);
     assert!(matches!(learnt, Some(EndpointChange::Suspect(_))));
     assert_eq!(names(&catalogue), ["a"]);
@@ -74,9 +74,9 @@
 #[test]
 fn rewritten_entry() {
     let mut catalogue = catalogue();
-    catalogue.put(entry("a", 1, false));
+    catalogue.upsert(entry("a", 1, false));
     catalogue.remove(Time(0), &id("a"), 4, true);
-    catalogue.put(entry("a", 5, false));
+    catalogue.upsert(entry("a", 5, false));
     assert!(
         catalogue
             .expire_suspects(Time(0) + Millis(60_000))
@@ -89,7 +89,7 @@
 #[test]
 fn extended_suspicion() {
     let mut catalogue = catalogue();
-    catalogue.put(entry("a", 1, false));
+    catalogue.upsert(entry("a", 1, false));
     catalogue.remove(Time(0), &id("a"), 9, true);
     catalogue.extend_suspects(Time(0) + Millis(1_300));
     assert!(
@@ -104,8 +104,8 @@
 #[test]
 fn draining_never_suspect() {
     let mut catalogue = catalogue();
-    catalogue.put(entry("a", 1, false));
-    let learnt = catalogue.put(entry("a", 2, true));
+    catalogue.upsert(entry("a", 1, false));
+    let learnt = catalogue.upsert(entry("a", 2, true));
     assert!(matches!(learnt, Some(EndpointChange::Draining(_))));
     let learnt = catalogue.remove(Time(0), &id("a"), 9, true);
     assert!(matches!(learnt, Some(EndpointChange::Gone(_))));
@@ -114,8 +114,8 @@
 #[test]
 fn older_entry_ignored() {
     let mut catalogue = catalogue();
-    catalogue.put(entry("a", 5, true));
-    assert!(catalogue.put(entry("a", 4, false)).is_none());
+    catalogue.upsert(entry("a", 5, true));
+    assert!(catalogue.upsert(entry("a", 4, false)).is_none());
     assert!(catalogue.get(&id("a")).unwrap().draining);
 }
 
@@ -123,9 +123,9 @@
 #[test]
 fn list_replaces_older() {
     let mut catalogue = catalogue();
-    catalogue.put(entry("a", 1, false));
-    catalogue.put(entry("b", 2, false));
-    catalogue.put(entry("c", 9, false));
+    catalogue.upsert(entry("a", 1, false));
+    catalogue.upsert(entry("b", 2, false));
+    catalogue.upsert(entry("c", 9, false));
     // The list is as of revision 5: it tells that b is gone, and nothing of c.
     let list = vec![entry("a", 1, false), entry("d", 4, false)];
     let learnt = catalogue.replace(Time(0), 5, list, false);
@@ -146,7 +146,7 @@
 #[test]
 fn older_removal_ignored() {
     let mut catalogue = catalogue();
-    catalogue.put(entry("a", 5, false));
+    catalogue.upsert(entry("a", 5, false));
     assert!(catalogue.remove(Time(0), &id("a"), 4, false).is_none());
     assert_eq!(names(&catalogue), ["a"]);
 }
@@ -161,8 +161,8 @@
         catalogue.changes_since(2).is_none(),
         "what came before the list isn't known"
     );
-    catalogue.put(entry("c", 4, false));
-    catalogue.put(entry("a", 5, true));
+    catalogue.upsert(entry("c", 4, false));
+    catalogue.upsert(entry("a", 5, true));
     catalogue.remove(Time(0), &id("b"), 6, true);
     catalogue.remove(Time(0), &id("a"), 7, false);
     let changes = catalogue.changes_since(3).unwrap();
@@ -197,16 +197,16 @@
                     told.remove(Time(0), &id(&name), revision, false);
                 }
                 1 => {
-                    told.put(entry(&name, revision, true));
+                    told.upsert(entry(&name, revision, true));
                 }
                 _ => {
-                    told.put(entry(&name, revision, false));
+                    told.upsert(entry(&name, revision, false));
                 }
             }
             if u.ratio(1, 4)? {
                 let changes = told.changes_since(asker.changed()).unwrap();
                 for entry in changes.entries {
-                    asker.put(entry);
+                    asker.upsert(entry);
                 }
                 for gone in changes.gone {
                     asker.remove(Time(0), &gone.id, gone.revision, gone.suspect);
@@ -226,7 +226,7 @@
     let mut catalogue = catalogue();
     catalogue.replace(Time(0), 1, Vec::new(), false);
     for revision in 2..2_000 {
-        catalogue.put(entry("a", revision, false));
+        catalogue.upsert(entry("a", revision, false));
     }
     assert!(catalogue.changes_since(1).is_none());
     assert_eq!(catalogue.changes_since(1_990).unwrap().entries.len(), 1);
--- a/lib/tests/test_large_fleet.rs
+++ b/lib/tests/test_large_fleet.rs
@@ -44,11 +44,11 @@
     }
 }
 
-fn queue(service: u32, endpoints: u32, short_of_room: bool, outstanding: u32) -> QueueNote {
+fn queue(service: u32, endpoints: u32, short: bool, outstanding: u32) -> QueueNote {
     QueueNote {
         service: ServiceHash(service),
         endpoints,
-        short_of_room,
+        short,
         outstanding,
     }
 }
