--- a/lib/src/pipeline/decision/admission.rs
+++ b/lib/src/pipeline/decision/admission.rs
@@ -1,23 +1,22 @@
-//! Can a request still be finished within its deadline, so that it's worth starting or going on?
+//! Can a request still be finished within its deadline, so that it is worth starting or continuing?
 //!
-//! Inputs: the time left (`Millis`), the estimated work and wait of all stages that remain
-//! ([`Needs`], in milliseconds), the request's priority, and the room of its customer (a [`Share`],
-//! see [`fair`](super::fair)). Output: yes or no.
+//! Inputs: the time left (`Millis`), the estimated work and wait of all remaining stages ([`Needs`], in
+//! milliseconds), the request's priority, and the wait allowance of its customer (a [`Share`], see
+//! [`fair`](super::fair)). Output: yes or no.
 //!
-//! The rule: the need is the sum over the stages that remain, each with the work of a usual call
-//! and the wait at the endpoint that would finish it first. A request is admitted if its own work
-//! fits into the time left, and its wait into a share of what is then left over: [`LOW_WAIT`],
-//! [`NORMAL_WAIT`] or [`HIGH_WAIT`] by its priority, times its customer's room. Once its first
-//! stage has run, it goes on as long as it can finish at all.
+//! Rule: the time needed is the sum over the remaining stages, each with the work of an average call and the wait at
+//! the endpoint that would finish it first. A request is admitted if its own work fits into the time left, and its
+//! wait into a share of the time that its work leaves over: [`LOW_WAIT`], [`NORMAL_WAIT`] or [`HIGH_WAIT`] by its
+//! priority, times its customer's wait allowance. Once its first stage has run, it continues as long as it can finish
+//! before the deadline.
 //!
-//! The reason: a queue that reaches the deadline loses all of its work, a shorter one loses
-//! nothing; and stopping midway loses what was spent. The shares limit the wait and not the work,
-//! since a long generation would else be refused for its length.
+//! Reason: if a queue is as long as the deadline, all work in it is wasted, while a shorter queue wastes nothing;
+//! and a request that stops midway wastes the work already done. The shares limit the wait and not the work, since a
+//! long generation would otherwise be refused for its length.
 //!
-//! The measurements: with shares of the whole time left, 0.7, 0.9 and 1.1 wasted 14.2% of the
-//! endpoint time at 1.5 times the capacity and 22.5% at 3 times; 0.35, 0.6 and 0.9 wasted 0.1% and
-//! 1.5% (commit b0c79f2). Of the wait alone: `docs/MEASUREMENTS.md`, "Load, both policies in one
-//! run", right column.
+//! Measurements: shares of 0.7, 0.9 and 1.1 of the whole time left wasted 14.2% of the endpoint time at 1.5 times the
+//! capacity and 22.5% at 3 times; 0.35, 0.6 and 0.9 wasted 0.1% and 1.5% (commit b0c79f2). For shares of the time
+//! left beside the work: `docs/MEASUREMENTS.md`, "Load, both policies in one run", right column.
 //! `test_policy_pins.rs` (`admission_bounds`) and `test_admission.rs` pin the rule.
 
 use crate::{
@@ -25,36 +24,36 @@
     shared::units::{Millis, Share, WorkMillis},
 };
 
-/// Share of the time left beside its own work that a request of low priority may spend waiting.
+/// Largest wait of a request of low priority, as a share of the time that its own work leaves over.
 pub const LOW_WAIT: Share = Share(0.35);
 
-/// The same at normal priority.
+/// Largest wait at normal priority, as a share of the same time.
 pub const NORMAL_WAIT: Share = Share(0.6);
 
-/// The same at high priority.
+/// Largest wait at high priority, as a share of the same time.
 pub const HIGH_WAIT: Share = Share(0.9);
 
-/// Time that a request still needs, by the estimate.
+/// Estimated time that a request needs for its remaining stages.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Needs {
-    /// Its own work at the endpoints.
+    /// Endpoint time of the request's own calls.
     pub work: WorkMillis,
-    /// Waiting for others' work before it.
+    /// Time spent in the endpoints' queues behind other calls.
     pub wait: WorkMillis,
 }
 
 impl Needs {
-    /// Adds a stage whose usual call takes `work`, at least `floor`, and would be finished at the
-    /// endpoint that is free first after `finish`; none if no endpoint may get it now.
+    /// Adds a stage whose average call takes `work`, but at least `floor`.
     ///
-    /// Without an endpoint the wait counts as none: the request is then refused, or goes on, by
-    /// what the choice of an endpoint finds.
+    /// `finish` is the time until the fastest endpoint would finish such a call, its queue included; `None` if no
+    /// endpoint may get work now. The wait then counts as zero, and the choice of an endpoint decides whether the
+    /// request ends.
     pub fn add_stage(&mut self, floor: Millis, work: WorkMillis, finish: Option<WorkMillis>) {
         self.work.0 += work.0.max(floor.0 as f64);
         self.wait.0 += finish.map_or(0.0, |finish| (finish.0 - work.0).max(0.0));
     }
 
-    /// Adds a stage of whose service nothing is known but its `floor`.
+    /// Adds a stage whose service has no pool: its work counts as `floor`, its wait as zero.
     pub fn add_unknown(&mut self, floor: Millis) {
         self.work.0 += floor.0 as f64;
     }
@@ -62,15 +61,15 @@
 
 /// Returns whether a request is worth starting with `remaining` left.
 ///
-/// `room` is the part of the usual room that the customer has by its share.
+/// `room` is the customer's wait allowance: the fraction of the usual wait that its requests may have.
 pub fn admits(remaining: Millis, needs: Needs, priority: Priority, room: Share) -> bool {
     let slack = remaining.0 as f64 - needs.work.0;
     slack >= 0.0 && needs.wait.0 <= slack * wait_share(priority).0 * room.0
 }
 
-/// Returns whether a request whose first stage has run is worth going on with.
+/// Returns whether a request whose first stage has run is worth continuing.
 ///
-/// Looser than [`admits`]: what was spent on earlier stages is lost by stopping here.
+/// Looser than [`admits`], since stopping here wastes the work of the earlier stages.
 pub fn continues(remaining: Millis, needs: Needs) -> bool {
     needs.work.0 + needs.wait.0 <= remaining.0 as f64
 }
--- a/lib/src/pipeline/decision/admit.rs
+++ b/lib/src/pipeline/decision/admit.rs
@@ -1,8 +1,8 @@
-//! Admission: checks a request that arrives, in the order in which refusals are reported.
+//! Admission: checks an arriving request, in the order in which refusals are reported.
 //!
-//! Carries out the rules: [`admission`](super::admission) compares need and time left,
-//! [`fair`](super::fair) gives the customer's room, [`limit`](super::limit) its limits,
-//! [`retry_after`](super::retry_after) the wait of one that is refused.
+//! Applies the rules: [`admission`](super::admission) compares the time needed with the time left,
+//! [`fair`](super::fair) gives the customer's wait allowance, [`limit`](super::limit) checks the customer's limits, and
+//! [`retry_after`](super::retry_after) gives the wait that a refused caller is told.
 
 use {
     crate::{
@@ -25,11 +25,12 @@
     std::sync::Arc,
 };
 
-/// Endpoints looked at to estimate a stage that isn't sent yet. As many as a choice looks at in the own data centre.
+/// Endpoints sampled to estimate a stage that isn't sent yet: as many as the estimated policy samples in the local data
+/// centre.
 const ESTIMATE_SAMPLE: usize = 4;
 
 impl Core {
-    /// Checks a request, and counts it as asked for and as in flight.
+    /// Checks a request, and records its work as requested and, if it is admitted, as admitted and in flight.
     ///
     /// # Errors
     ///
@@ -53,7 +54,7 @@
         Ok(request)
     }
 
-    /// Finds the pipeline to run, and the settings that hold for the whole request.
+    /// Finds the pipeline to run, and the settings that apply to the whole request.
     fn find_target(
         &self,
         tree: &Tree,
@@ -78,7 +79,7 @@
         }
     }
 
-    /// Only a generation comes token by token.
+    /// Refuses a stream of tokens from a pipeline whose last stage doesn't generate.
     fn check_stream(&self, arrival: &Arrival, pipeline: &Pipeline) -> Result<(), Problem> {
         let last = pipeline.stages.last().map(|stage| &stage.service);
         let generates = last.is_some_and(|service| self.pools.generates(service));
@@ -89,11 +90,11 @@
         Ok(())
     }
 
-    /// Refuses a request that can't meet its deadline, by the estimate.
+    /// Refuses a request that, by the estimate, can't meet its deadline.
     ///
     /// # Errors
     ///
-    /// Returns [`Code::NoTime`] with the time after which to come back.
+    /// Returns [`Code::NoTime`] with the time after which the caller may try again.
     pub(crate) fn check_time(&self, now: Time, request: &Request) -> Result<(), Problem> {
         let needs = self.needs(now, request);
         let stage = request.current();
@@ -117,7 +118,7 @@
         Err(Problem::not_run(Code::NoTime, detail).retry_after(wait))
     }
 
-    /// Estimates the endpoint time of a whole request.
+    /// Estimates the endpoint time of all stages of a request.
     fn usual_work(&self, request: &Request) -> WorkMillis {
         let stages = request.pipeline.stages.iter();
         let pools = stages.filter_map(|stage| self.pools.pool(&stage.service));
@@ -153,7 +154,7 @@
     }
 }
 
-/// Checks body and idempotency key against the settings.
+/// Checks the size of the body and the idempotency key against the settings.
 fn check_arrival(
     arrival: &Arrival,
     pipeline: &Pipeline,
@@ -176,7 +177,7 @@
                 return Err(Problem::not_run(Code::KeyMissing, detail));
             }
             Guard::Fleet => {
-                // Nothing shared could hold the key over hosts; refusing keeps the promise.
+                // The hosts share no store for idempotency keys, so the request is refused rather than run twice.
                 let detail = format!("stage {} has guard \"fleet\"", stage.id);
                 return Err(Problem::not_run(Code::GuardUnavailable, detail));
             }
--- a/lib/src/pipeline/decision/attempt.rs
+++ b/lib/src/pipeline/decision/attempt.rs
@@ -1,7 +1,7 @@
-//! Attempts in flight: their tokens, their ends, and what follows from them.
+//! Attempts in flight: their tokens, their ends, and the steps that follow.
 //!
-//! Carries out the rules: [`retry`](super::retry) decides on another attempt,
-//! [`admission`](super::admission) whether the next stage is worth starting.
+//! Applies the rules: [`retry`](super::retry) decides on another attempt, [`admission`](super::admission) whether the
+//! next stage is worth starting.
 
 use {
     crate::{
@@ -21,17 +21,17 @@
     bytes::Bytes,
 };
 
-/// HTTP status of an answer that the daemon builds itself, from a generation.
+/// HTTP status of an answer that the daemon builds itself from a generation.
 const STATUS_OK: u16 = 200;
 
-/// First HTTP status by which an endpoint rejects its input.
+/// Smallest HTTP status with which an endpoint rejects its input.
 const FIRST_REJECTION: u16 = 400;
 
 impl Core {
-    /// Passes a token on if it is the next one of its generation.
+    /// Handles a received token, and delivers it if it is the next one of the generation.
     ///
-    /// A token that was delivered before is left out: an attempt that goes on after another one may
-    /// send it again. A gap means that tokens were lost, so the attempt counts as failed.
+    /// A token that was received before is ignored: an attempt that resumes the generation of another one may send it
+    /// again. A gap means that tokens were lost, so the attempt counts as failed.
     pub(crate) fn token(&mut self, now: Time, attempt: AttemptId, index: u32, text: String) {
         let id = self.attempts.get(&attempt);
         let Some(request) = id.and_then(|id| self.requests.get_mut(id)) else {
@@ -57,9 +57,9 @@
         }
     }
 
-    /// Ends an attempt: accounts for its time, learns from it, and goes on with its request.
+    /// Ends an attempt: accounts for its time, learns from it, and continues its request.
     ///
-    /// The end of an attempt that was cancelled, or whose request has ended, is of no interest.
+    /// The end of an attempt that was cancelled, or whose request has ended, is ignored.
     pub(crate) fn ended(&mut self, now: Time, attempt_id: AttemptId, end: AttemptEnd) {
         let Some(id) = self.attempts.remove(&attempt_id) else {
             return;
@@ -107,7 +107,7 @@
         self.stage_done(now, id, reply.status, reply.body);
     }
 
-    /// Ends a generation; one whose tokens are not all here was cut off.
+    /// Ends a generation, which counts as failed if some of its tokens were not received.
     fn stream_ended(&mut self, now: Time, id: RequestId, tokens: u32) {
         let request = &self.requests[&id];
         if tokens != request.generated.tokens {
@@ -117,7 +117,7 @@
         self.stage_done(now, id, STATUS_OK, body);
     }
 
-    /// Goes on with the output of a stage: to the next stage, or to the caller after the last one.
+    /// Passes the output of a stage to the next stage, or to the caller after the last one.
     fn stage_done(&mut self, now: Time, id: RequestId, status: u16, body: Bytes) {
         self.cancel_attempts(now, id);
         let Some(request) = self.requests.get_mut(&id) else {
@@ -140,7 +140,8 @@
         let request = &self.requests[&id];
         match self.check_time(now, request) {
             Ok(()) => self.send_next(now, id, AttemptKind::Next),
-            // The outcome and the wait of a request that has run in part are worked out by `fail`.
+            // Only code and detail are taken over: parts of the request have run, so `fail` finds the outcome and the
+            // wait.
             Err(late) => self.fail(now, id, late.code, late.detail),
         }
     }
@@ -165,7 +166,7 @@
         self.retry_or_fail(now, id, next, Code::StageFailed, detail);
     }
 
-    /// Carries out a step; a request that isn't sent again ends with `code` and `detail`.
+    /// Carries out `next`. If the stage isn't sent again, the request ends with `code` and `detail`.
     fn retry_or_fail(
         &mut self,
         now: Time,
@@ -201,7 +202,7 @@
         }
     }
 
-    /// Takes one attempt beyond the first from the budget of the current stage's service.
+    /// Takes one retry or hedge from the retry budget of the current stage's service; returns whether it was granted.
     fn grants_retry(&mut self, id: RequestId) -> bool {
         let Some(request) = self.requests.get(&id) else {
             return false;
@@ -214,7 +215,7 @@
     }
 }
 
-/// Builds the JSON value that a generation amounts to.
+/// Builds the JSON body of a whole generation, with its text and its number of tokens.
 pub fn generated_body(text: &str, tokens: u32) -> Bytes {
     let value = serde_json::json!({ "text": text, "tokens": tokens });
     Bytes::from(value.to_string())
--- a/lib/src/pipeline/decision/call_costs.rs
+++ b/lib/src/pipeline/decision/call_costs.rs
@@ -1,17 +1,15 @@
 //! How much endpoint time does a call cost?
 //!
-//! Inputs: the size of a call (bytes of its input, most tokens, blocks of its prompt), and the
-//! endpoint time in milliseconds of the calls that were served. Output: its estimated work in
-//! milliseconds, and how much of it an engine saves that holds the prompt's beginning.
+//! Inputs: the size of a call (bytes of its input, largest number of tokens, blocks of its prompt), and the endpoint
+//! time in milliseconds of the calls that were served. Output: the call's estimated work in milliseconds, and how much
+//! of it an engine saves that has the start of the prompt in its cache.
 //!
-//! The rule: a plain call costs what calls of its service cost on average. A generation costs its
-//! tokens and the bytes of its prompt, each at a learnt price; a block held in an engine's cache
-//! costs nothing. One call counts as at most a fixed multiple of a settled average
-//! ([`Average::observe_bounded`](super::average::Average::observe_bounded)).
+//! Rule: a plain call costs what the calls of its service cost on average. A generation costs its tokens and the bytes
+//! of its prompt, each at a learnt cost; a block in an engine's cache costs nothing. One call counts as at most a fixed
+//! multiple of a settled average ([`Average::observe_bounded`](super::average::Average::observe_bounded)).
 //!
-//! The reason: the service's calls are alike, and an engine reports its prefill apart from its
-//! decoding, so both prices can be learnt without being set. What the cache saves is in
-//! `docs/MEASUREMENTS.md`, "Prefix affinity".
+//! Reason: the calls of a service are alike, and an engine reports its prefill separately from its decoding, so both
+//! costs can be learnt and need no setting. What the cache saves is in `docs/MEASUREMENTS.md`, "Prefix affinity".
 //!
 //! `test_policy_pins.rs` (`pool_choices`) pins the rule.
 
@@ -25,42 +23,43 @@
     shared::{ids::MemberSerial, units::WorkMillis},
 };
 
-/// First guess of a plain call, until calls have been observed; a larger `floor` takes its place. It is gone with the
-/// first call.
+/// Assumed work of a call before the first one is observed, which replaces it; a larger `floor` setting is used
+/// instead.
 const CALL_GUESS: WorkMillis = WorkMillis(5.0);
 
-/// First guess of one token of a generation.
+/// Assumed work per generated token before the first generation is observed.
 const TOKEN_GUESS: WorkMillis = WorkMillis(5.0);
 
-/// First guess of one byte of a prompt.
+/// Assumed work per uncached byte of a prompt before the first prefill is observed.
 const BYTE_GUESS: WorkMillis = WorkMillis(0.005);
 
-/// Size of one call: all that determines its work.
+/// Size of one call: what its work is estimated from.
 #[derive(Debug, Clone, Default)]
 pub struct CallSize {
     /// Bytes of the input.
     pub bytes: usize,
-    /// Most tokens to generate.
+    /// Largest number of tokens to generate.
     pub tokens: u32,
-    /// Blocks of the input, if it is a prompt whose beginning may be cached.
+    /// Hashes of the input's blocks, if it is a prompt whose start may be cached; otherwise empty.
     pub prefix: Prefix,
 }
 
-/// A call about to be placed: its work, and the engines that probably hold its beginning.
+/// What the choice of an endpoint depends on in a call: its work, and the engines that probably have the start of its
+/// prompt in their cache.
 #[derive(Debug, Clone)]
 pub struct CallPlacement {
     /// Size of the call.
     pub size: CallSize,
-    /// Work of the call where nothing is cached.
+    /// Work of the call at an endpoint that has nothing of it in its cache.
     pub work: WorkMillis,
-    /// Work saved by each cached block.
+    /// Work that each cached block saves.
     pub block_saving: WorkMillis,
-    /// Engines that probably hold its beginning.
+    /// Engines that probably have the start of the prompt in their cache.
     pub holders: Vec<Holder>,
 }
 
 impl CallPlacement {
-    /// Estimates the work of the call at one endpoint.
+    /// Estimates the work of the call at one endpoint, less what its cache saves.
     pub fn work_at(&self, serial: MemberSerial) -> WorkMillis {
         let held = self.holders.iter().find(|holder| holder.serial == serial);
         let saved = held.map_or(0.0, |held| held.blocks as f64 * self.block_saving.0);
@@ -68,19 +67,19 @@
     }
 }
 
-/// Costs of a service's calls, in endpoint time.
+/// Learnt costs of a service's calls, in milliseconds of endpoint time.
 #[derive(Debug, Clone)]
 pub(crate) struct CallCosts {
-    /// A whole call, as it usually is.
+    /// Average work of a call.
     call: Average,
-    /// One token of a generation.
+    /// Average work per generated token.
     token: Average,
-    /// One byte of a prompt that isn't cached.
+    /// Average work per byte of a prompt that isn't cached.
     byte: Average,
 }
 
 impl CallCosts {
-    /// Starts from guesses.
+    /// Creates the costs of a service of which no call was observed yet.
     pub(crate) fn new(service: &Service) -> Self {
         let floor = service.settings.floor.value.0 as f64;
         Self {
@@ -90,12 +89,12 @@
         }
     }
 
-    /// Estimates a usual call.
+    /// Estimates the work of an average call.
     pub(crate) fn usual(&self) -> WorkMillis {
         self.call.get()
     }
 
-    /// Estimates a call of which nothing is cached.
+    /// Estimates the work of a call of `size` at an endpoint that has nothing of it in its cache.
     pub(crate) fn work(&self, kind: &ServiceKind, size: &CallSize) -> WorkMillis {
         match kind {
             ServiceKind::Plain => self.call.get(),
@@ -106,7 +105,7 @@
         }
     }
 
-    /// Estimates one block of a prompt.
+    /// Estimates the work for one uncached block of a prompt.
     pub(crate) fn block(&self) -> WorkMillis {
         WorkMillis(self.byte.get().0 * BLOCK as f64)
     }
@@ -123,7 +122,7 @@
         let decode = (served.0 - prefill.spent.0).max(0.0);
         self.token.observe_bounded(WorkMillis(decode / tokens));
         let uncached = (size.bytes as u64).saturating_sub(prefill.cached_bytes);
-        // Less than a block says little of a byte's price.
+        // A prefill of less than a block is too short to show the cost of a byte.
         if uncached >= BLOCK as u64 {
             let byte = WorkMillis(prefill.spent.0 / uncached as f64);
             self.byte.observe_bounded(byte);
--- a/lib/src/pipeline/decision/core.rs
+++ b/lib/src/pipeline/decision/core.rs
@@ -1,16 +1,14 @@
-//! The decisions of one daemon, as a pure state machine: [`Core::step`] gets the time and one
-//! event, and returns the actions to carry out, in order.
+//! The decisions of one daemon as a pure state machine: [`Core::step`] takes the time and one event, and returns the
+//! actions to carry out, in order.
 //!
-//! In go [`Event`]s: requests that arrive or are abandoned, tokens and ends of attempts, load
-//! reports and cache events of endpoints, settings trees, and due timers. Out come [`Action`]s:
-//! calls to send or cancel, tokens and final answers to deliver. The shell carries them out in
-//! their order, sends a tick when [`Core::next_timer`] is due, and reports the end of each attempt
-//! that wasn't cancelled.
+//! The inputs are [`Event`]s: requests that arrive or whose callers leave, tokens and ends of attempts, load reports
+//! and cache events of endpoints, settings trees, and timers that are due. The outputs are [`Action`]s: calls to send
+//! or cancel, tokens and final answers to deliver. The shell carries them out in order, sends [`Event::Tick`] when
+//! [`Core::next_timer`] is due, and reports the end of each attempt that wasn't cancelled.
 //!
-//! The core owns all requests, attempts and pools, and the only source of random numbers, seeded
-//! once: the same events at the same times give the same actions. Each request gets one final
-//! answer. This module holds the life of a request; `admit`, `send`, [`attempt`](super::attempt)
-//! and `finish` extend it.
+//! The core owns all requests, attempts and pools, and the only random number generator, which is seeded once: the same
+//! events at the same times give the same actions. Each request gets exactly one final answer. This module holds the
+//! state and handles events; `admit`, `send`, [`attempt`](super::attempt) and `finish` hold the steps of a request.
 
 use {
     crate::{
@@ -42,19 +40,19 @@
     std::sync::Arc,
 };
 
-/// Place and seed of a daemon.
+/// Location and seed of a daemon's core.
 #[derive(Debug, Clone)]
 pub struct CoreConfig {
-    /// Data centre it stands in.
+    /// Data centre of the daemon.
     pub data_centre: DataCentreId,
-    /// Cost of a call into another data centre.
+    /// Time that a call into another data centre takes in addition.
     pub hop: Millis,
-    /// Seed of its random choices.
+    /// Seed of the core's random number generator.
     pub seed: u64,
 }
 
 impl CoreConfig {
-    /// Returns the policy that settings name.
+    /// Returns the policy that the settings name.
     pub(crate) fn policy(&self, settings: &Settings) -> AnyPolicy {
         AnyPolicy::new(settings.policy.value, self.hop)
     }
@@ -69,25 +67,25 @@
     Token {
         /// Attempt it belongs to.
         attempt: AttemptId,
-        /// Its position in the whole generation.
+        /// Position of the token in the whole generation, from 0.
         index: u32,
-        /// Its text.
+        /// Text of the token.
         text: String,
     },
     /// An attempt ended.
     Ended {
         /// The attempt.
         attempt: AttemptId,
-        /// Its end.
+        /// How the attempt ended.
         end: AttemptEnd,
     },
-    /// A caller left before its answer.
+    /// A caller left before its answer was complete.
     Left(RequestId),
     /// An endpoint's load report was received.
     Load {
         /// The endpoint.
         endpoint: EndpointId,
-        /// Its report.
+        /// The report.
         report: LoadReport,
     },
     /// An engine reported changes of its cache.
@@ -97,33 +95,33 @@
         /// The changes.
         events: Vec<CacheEvent>,
     },
-    /// A checked tree was received.
+    /// A validated settings tree was received.
     Adopt(Arc<Tree>),
-    /// A timer is due.
+    /// The time that [`Core::next_timer`] gave has come.
     Tick,
 }
 
-/// Something that the shell has to carry out.
+/// An instruction to the shell.
 #[derive(Debug, Clone)]
 pub enum Action {
-    /// Send a call.
+    /// Send a call to an endpoint.
     Send(Box<EndpointCall>),
-    /// Stop an attempt; its end is no longer of interest.
+    /// Cancel an attempt. Its end need not be reported.
     Cancel(AttemptId),
-    /// Pass a token on to the caller.
+    /// Deliver a token to the caller.
     Token {
         /// Request it belongs to.
         request: RequestId,
-        /// Its position.
+        /// Position of the token in the whole generation, from 0.
         index: u32,
-        /// Its text.
+        /// Text of the token.
         text: String,
     },
-    /// Give the caller its final answer.
+    /// Deliver the final answer to the caller.
     Finish {
         /// The request.
         request: RequestId,
-        /// The answer, or the problem that there is instead.
+        /// The answer, or the problem if the request failed or was refused.
         result: Result<Answer, Problem>,
     },
 }
@@ -132,29 +130,29 @@
 #[derive(Debug)]
 pub struct Core {
     pub(crate) config: CoreConfig,
-    /// Tree in force.
+    /// Settings tree in force.
     pub(crate) tree: Arc<Tree>,
     pub(crate) pools: Pools,
     /// Requests without a final answer.
     pub(crate) requests: HashMap<RequestId, Request>,
-    /// Request of each attempt in flight.
+    /// Request that each attempt in flight belongs to.
     pub(crate) attempts: HashMap<AttemptId, RequestId>,
     pub(crate) shares: FairShares,
     pub(crate) customers: HashMap<CustomerId, CustomerUse>,
-    /// Pipelines of one stage that plain calls of services amount to.
+    /// For each service, a pipeline of one stage that runs a direct call of it.
     pub(crate) services: HashMap<ServiceId, Arc<Pipeline>>,
     pub(crate) timers: Timers,
-    /// Number of the last attempt.
+    /// Id of the last attempt started; 0 before the first.
     pub(crate) last_attempt: u64,
     pub(crate) rng: SmallRng,
     pub(crate) costs: StageCosts,
     pub(crate) counters: Counters,
-    /// Actions of the step that is running.
+    /// Actions collected by the current step.
     pub(crate) actions: Vec<Action>,
 }
 
 impl Core {
-    /// Starts without a tree: every request is refused until one is adopted.
+    /// Creates a core without a settings tree: every request is refused until one is adopted.
     pub fn new(config: CoreConfig) -> Self {
         let rng = SmallRng::seed_from_u64(config.seed);
         Self {
@@ -175,13 +173,13 @@
         }
     }
 
-    /// Handles one event and returns the actions that follow from it, in order.
+    /// Handles one event and returns the resulting actions, in order.
     ///
-    /// `now` never goes back from one step to the next.
+    /// `now` must not be earlier than in the previous step.
     ///
     /// # Panics
     ///
-    /// Panics if an invariant is broken, for instance when a request arrives twice.
+    /// Panics if an invariant is violated, for example if a request arrives twice.
     pub fn step(&mut self, now: Time, event: Event) -> Vec<Action> {
         match event {
             Event::Arrived(arrival) => self.arrive(now, arrival),
@@ -200,27 +198,27 @@
         std::mem::take(&mut self.actions)
     }
 
-    /// Returns when the next timer is due.
+    /// Returns the time at which the next timer is due; `None` if there is none.
     pub fn next_timer(&self) -> Option<Time> {
         self.timers.next()
     }
 
-    /// Returns the tree in force.
+    /// Returns the settings tree in force.
     pub fn tree(&self) -> &Arc<Tree> {
         &self.tree
     }
 
-    /// Returns the endpoints as this daemon sees them.
+    /// Returns the pools of endpoints.
     pub fn pools(&self) -> &Pools {
         &self.pools
     }
 
-    /// Returns the endpoint time spent by pipeline and stage.
+    /// Returns the endpoint time used, by pipeline and stage.
     pub fn costs(&self) -> &StageCosts {
         &self.costs
     }
 
-    /// Returns counts since the start.
+    /// Returns the counts of requests and attempts since the start.
     pub fn counters(&self) -> &Counters {
         &self.counters
     }
@@ -230,7 +228,7 @@
         self.requests.len()
     }
 
-    /// Puts a tree in force, unless it isn't newer than the one that is.
+    /// Puts a settings tree in force if it is newer than the current one.
     fn adopt(&mut self, tree: Arc<Tree>) {
         if tree.version <= self.tree.version {
             return;
@@ -246,6 +244,7 @@
         self.tree = tree;
     }
 
+    /// Admits a request that arrived and sends its first stage, or refuses it.
     pub(crate) fn arrive(&mut self, now: Time, arrival: Arrival) {
         let id = arrival.id;
         crate::invariant!(
@@ -271,7 +270,7 @@
         }
     }
 
-    /// Returns fresh random bits, for ids.
+    /// Returns new random bits, from which the shell makes ids.
     pub fn random_bits(&mut self) -> u128 {
         self.rng.random()
     }
--- a/lib/src/pipeline/decision/counters.rs
+++ b/lib/src/pipeline/decision/counters.rs
@@ -1,4 +1,4 @@
-//! Counts of how requests and attempts ended, as reports and metrics show them.
+//! Counts of requests and attempts by how they ended, for reports and metrics.
 
 use {
     crate::shared::problem::{Code, Outcome, Problem},
@@ -10,26 +10,26 @@
 pub struct Counters {
     /// Requests answered within their deadline.
     pub answered: u64,
-    /// Requests answered late or to a caller that had left.
+    /// Requests answered after their deadline, or whose caller had left.
     pub late: u64,
-    /// Problems by code and outcome.
+    /// Requests that ended with a problem, by its code and outcome.
     pub problems: BTreeMap<(Code, Outcome), u64>,
     /// First attempts at a stage.
     pub attempts: u64,
     /// Attempts beyond the first: retries, hedges and resumes.
     pub extra: u64,
-    /// Endpoints ejected.
+    /// Ejections of endpoints.
     pub ejections: u64,
 }
 
 impl Counters {
-    /// Counts a refusal before anything was sent.
+    /// Counts a request that was refused before anything was sent.
     pub fn refused(&mut self, code: Code) {
         let key = (code, Outcome::NotRun);
         *self.problems.entry(key).or_default() += 1;
     }
 
-    /// Counts a request that ended without an answer.
+    /// Counts a request that ended with a problem after it was admitted.
     pub fn failed(&mut self, problem: &Problem) {
         *self
             .problems
@@ -37,7 +37,7 @@
             .or_default() += 1;
     }
 
-    /// Counts an answer.
+    /// Counts a request that was answered; `in_time` is true if it met its deadline and its caller was still there.
     pub fn answered(&mut self, in_time: bool) {
         if in_time {
             self.answered += 1;
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Counts an attempt.
+    /// Counts an attempt that was sent; `is_first` is true for the first one at a stage.
     pub fn sent(&mut self, is_first: bool) {
         if is_first {
             self.attempts += 1;
--- a/lib/src/pipeline/decision/endpoint.rs
+++ b/lib/src/pipeline/decision/endpoint.rs
@@ -1,8 +1,7 @@
-//! Calls of endpoints and the ways they can end: the only words between the decisions and the
-//! endpoints' protocols.
+//! Calls of endpoints and how they can end: the interface between the decisions and the endpoints' protocols.
 //!
-//! [`Transport`] is implemented once for the protocols (`pipeline::endpoints`) and once for tests.
-//! The promise `not_run` rests on it: [`AttemptEnd::NotRun`] must be certain.
+//! [`Transport`] has one implementation for the protocols (`pipeline::endpoints`) and one for tests. The outcome
+//! `not_run` that callers are told depends on it: [`AttemptEnd::NotRun`] is only for a call that certainly did not run.
 
 use {
     crate::{
@@ -25,59 +24,59 @@
     pub ids: CallIds,
     /// Endpoint that is called.
     pub endpoint: EndpointId,
-    /// Where it listens.
+    /// Address of the endpoint.
     pub address: SocketAddr,
-    /// Its kind: an engine or a plain service.
+    /// Kind of the endpoint: an engine or a plain service.
     pub kind: ServiceKind,
     /// Input of the stage: a JSON value.
     pub input: Bytes,
-    /// Time left of the request.
+    /// Time left until the request's deadline.
     pub remaining: Millis,
-    /// Order in the endpoint's queue.
+    /// Priority in the endpoint's queue.
     pub priority: Priority,
-    /// Key by which the endpoint can notice a call that it ran already.
+    /// Idempotency key, by which the endpoint can recognise a call that it has already run.
     pub key: Option<IdempotencyKey>,
-    /// Largest reply accepted.
+    /// Size of the largest reply accepted.
     pub max_reply: ByteSize,
-    /// Most tokens to generate.
+    /// Largest number of tokens to generate.
     pub max_tokens: u32,
-    /// Tokens that were delivered already, to go on after them.
+    /// Tokens that were already received, after which the generation resumes; empty for a new generation.
     pub resume: Resume,
-    /// Trace context for the endpoint, if the request is traced.
+    /// Trace context (`traceparent`) for the endpoint, if the request is traced.
     pub trace_parent: Option<String>,
 }
 
-/// The part of a generation that another replica delivered before it broke off.
+/// Tokens that another endpoint generated before its stream was interrupted.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Resume {
-    /// Number of tokens delivered.
+    /// Number of tokens received.
     pub tokens: u32,
-    /// Their text.
+    /// Text of these tokens.
     pub text: String,
 }
 
-/// End of an attempt.
+/// How an attempt ended.
 #[derive(Debug, Clone, PartialEq)]
 pub enum AttemptEnd {
-    /// The endpoint answered whole, with matching ids.
+    /// The endpoint sent a complete reply with matching ids.
     Answered(EndpointReply),
-    /// The stream of tokens ended as the engine announced, after this many tokens in all.
+    /// The engine ended the stream of tokens with its closing message.
     StreamEnded {
-        /// Tokens in all, those before a resume included.
+        /// Number of tokens in the whole generation, those before a resume included.
         tokens: u32,
-        /// Time the endpoint reports that it spent.
+        /// Time that the endpoint reports to have spent, if it reports one.
         served: Option<WorkMillis>,
         /// Prefill, if the engine reports it.
         prefill: Option<Prefill>,
     },
-    /// Certainly not run: no byte of the call was sent, or the endpoint says so itself.
+    /// The call certainly did not run: no byte of it was sent, or the endpoint reports that it didn't run it.
     NotRun(NotRunCause),
-    /// May have run.
+    /// The call failed and may have run.
     Failed(FailCause),
 }
 
 impl AttemptEnd {
-    /// Returns whether the endpoint did its part whole, whatever it answered.
+    /// Returns whether the endpoint completed the call, whatever it answered.
     pub fn is_success(&self) -> bool {
         matches!(
             self,
@@ -85,8 +84,8 @@
         )
     }
 
-    /// Returns the endpoint time as far as it is known: the endpoint's own figure, which may be
-    /// absurd, or none spent if the call certainly did not run.
+    /// Returns the endpoint time as far as it is known: the time that the endpoint reports, which may be absurd, or
+    /// zero if the call certainly did not run.
     pub fn served(&self) -> Option<WorkMillis> {
         match self {
             AttemptEnd::Answered(reply) => reply.served,
@@ -96,7 +95,7 @@
         }
     }
 
-    /// Returns the tokens and the prefill of a generation, nothing for any other end.
+    /// Returns the tokens and the prefill of a generation, and no tokens for any other end.
     pub fn generation(&self) -> Generation {
         match self {
             AttemptEnd::StreamEnded {
@@ -115,7 +114,7 @@
 /// Tokens and prefill of one generation.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Generation {
-    /// Tokens in all.
+    /// Number of tokens in the whole generation.
     pub tokens: u32,
     /// Prefill, if the engine reports it.
     pub prefill: Option<Prefill>,
@@ -124,20 +123,20 @@
 /// Prefill of one generation, as the engine reports it.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct Prefill {
-    /// Time it took.
+    /// Time that the prefill took.
     pub spent: WorkMillis,
-    /// Bytes of the input that were found in the cache.
+    /// Bytes of the input that were in the engine's cache.
     pub cached_bytes: u64,
 }
 
-/// A whole reply.
+/// A complete reply of an endpoint.
 #[derive(Debug, Clone, PartialEq)]
 pub struct EndpointReply {
     /// HTTP status, 200 to 499.
     pub status: u16,
     /// Body, a JSON value.
     pub body: Bytes,
-    /// Time the endpoint reports that it spent.
+    /// Time that the endpoint reports to have spent, if it reports one.
     pub served: Option<WorkMillis>,
 }
 
@@ -146,7 +145,7 @@
 pub enum NotRunCause {
     /// The connection was refused, so no byte was sent.
     Unreachable,
-    /// The endpoint refused for lack of room.
+    /// The endpoint refused the call because it is full.
     Busy,
     /// The endpoint is leaving.
     Leaving,
@@ -155,17 +154,17 @@
 /// Cause of a failed attempt that may have run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum FailCause {
-    /// The connection broke off.
+    /// The connection was lost.
     Broken,
-    /// The reply can't be understood.
+    /// The reply doesn't follow the protocol.
     Garbage,
-    /// The reply carries other ids than the call.
+    /// The ids in the reply aren't those of the call.
     WrongIds,
     /// The reply is larger than allowed.
     TooLarge,
     /// The endpoint answered with a server error.
     ServerError,
-    /// The endpoint was silent for longer than allowed.
+    /// The endpoint sent nothing for longer than allowed.
     Timeout,
 }
 
@@ -199,14 +198,14 @@
     }
 }
 
-/// An endpoint's own report of its load, as it was when the endpoint took it.
+/// An endpoint's report of its load at the time at which it took the report.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct LoadReport {
-    /// Work queued and in progress.
+    /// Work queued and in progress, in milliseconds.
     pub backlog: WorkMillis,
     /// Calls in progress.
     pub running: u32,
-    /// Calls it works on at the same time.
+    /// Number of calls that the endpoint can run at the same time.
     pub slots: u32,
     /// Age of the report when it was sent.
     pub age: Millis,
@@ -221,7 +220,7 @@
     fn token(&mut self, index: u32, text: String);
 }
 
-/// Talks to endpoints: the only way from the decisions to the endpoints' protocols.
+/// Sends calls and requests for reports to endpoints, over their protocols.
 pub trait Transport: Clone + Send + Sync + 'static {
     /// Runs one call to its end.
     fn call(
@@ -230,17 +229,17 @@
         sink: impl TokenSink + 'static,
     ) -> impl Future<Output = AttemptEnd> + Send;
 
-    /// Reports to an endpoint that nobody waits for a call any more; best effort.
+    /// Informs an endpoint that the result of a call is no longer needed; best effort.
     fn cancel(&self, call: EndpointCall) -> impl Future<Output = ()> + Send;
 
-    /// Reads the changes of an engine's cache from a number on; none if the engine gives none.
+    /// Reads the changes of an engine's cache from the sequence number `after` on; `None` if the engine reports none.
     fn cache_events(
         &self,
         address: SocketAddr,
         after: u64,
     ) -> impl Future<Output = Option<CacheEvents>> + Send;
 
-    /// Reads an endpoint's load report; none if it gives none that can be understood.
+    /// Reads an endpoint's load report; `None` if it gives none or an invalid one.
     fn load(
         &self,
         address: SocketAddr,
--- a/lib/src/pipeline/decision/estimate.rs
+++ b/lib/src/pipeline/decision/estimate.rs
@@ -1,25 +1,23 @@
 //! When would an endpoint finish a call that is sent now?
 //!
-//! Inputs: the endpoint's load reports (backlog in milliseconds of work, calls in progress, slots,
-//! age), the work of the calls that this daemon sent to it and when, and the whole times that its
-//! calls took. Output: the time in milliseconds until a call of some work would be finished,
-//! without the way there.
+//! Inputs: the endpoint's load reports (backlog in milliseconds of work, calls in progress, slots, age), the work and
+//! send times of the calls that this daemon sent to it, and the times that they took from sending to their end. Output:
+//! the time in milliseconds until a call of a given work would be finished, without the network time.
 //!
-//! The rule: the backlog of the last report, less what the endpoint has worked off since, plus what
-//! this daemon has sent since, is shared by the endpoint's slots; while slots are free, only
-//! [`FREE_SLOT_WEIGHT`] of it counts. To this the call's own work is added, and the sum is
-//! corrected by the ratio of observed to expected times, within [`CORRECTION`]. A report that is
-//! missing, older than [`STALE_AFTER`] or absurd leaves the daemon with what is certain: its own
-//! calls in flight.
+//! Rule: the backlog is that of the last report, less what the endpoint has completed since, plus what this daemon has
+//! sent since. It is divided by the endpoint's slots; while slots are free, only [`FREE_SLOT_WEIGHT`] of it counts. The
+//! call's own work is added, and the sum is multiplied by the ratio of observed to expected times, within
+//! [`CORRECTION`]. If the report is missing, older than [`STALE_AFTER`] or absurd, only this daemon's calls in flight
+//! count, since they are certain.
 //!
-//! The reason: a report lags, and other daemons send as well, so neither reports nor own calls are
-//! enough. Sums of whole times are compared, so that long calls count for more, and a prior of some
-//! calls that went as expected steadies a few observations. A call in flight that is overdue counts
-//! at once: a slow endpoint's calls would else be missed until they end. A moving average of ratios
-//! (gain 0.2) instead made frozen reports worse, 99.37% to 97.55% (commit e396322).
+//! Reason: a report is out of date when it arrives, and other daemons send calls as well, so neither the reports nor
+//! this daemon's calls are enough by themselves. The correction is a ratio of two sums of times, so that long calls
+//! count for more, and starts with a few assumed calls that took as long as expected, so that a few observations don't
+//! move it far. A call in flight that is overdue counts at once, since the slowness of its endpoint would otherwise be
+//! noticed only when it ends. A moving average of ratios (gain 0.2) instead of the sums made the results with frozen
+//! reports worse, 97.55% instead of 99.37% (commit e396322).
 //!
-//! The measurements: `docs/MEASUREMENTS.md`, "Faults at 0.8 of capacity"; the figures below are
-//! chosen where they name no other source.
+//! Measurements: `docs/MEASUREMENTS.md`, "Faults at 0.8 of capacity".
 //!
 //! `test_policy_pins.rs` (`load_estimates`) pins the rule.
 
@@ -31,43 +29,44 @@
     std::collections::VecDeque,
 };
 
-/// Age beyond which a report counts as missing.
+/// Age beyond which a load report counts as missing.
 pub const STALE_AFTER: Millis = Millis(2_000);
 
-/// Most own sends remembered since a report: a bound on memory.
+/// Largest number of sent calls remembered since a report; bounds the memory.
 const MAX_SENDS: usize = 256;
 
-/// Largest backlog that a report is believed to have: ten minutes.
+/// Largest credible backlog: ten minutes. A report with a larger one is ignored.
 const MAX_BACKLOG: WorkMillis = WorkMillis(600_000.0);
 
-/// Largest number of slots that a report is believed to have.
+/// Largest credible number of slots. A report with more is ignored.
 const MAX_SLOTS: u32 = 4_096;
 
-/// Time after which half of a correction is forgotten when nothing is observed: an endpoint that isn't chosen any more
-/// would never show that it is well again.
+/// Half-life of the observations behind the correction. They must expire, since an endpoint that looks slow isn't
+/// chosen any more and so could never show that it has recovered.
 const CORRECTION_HALF_LIFE: Millis = Millis(5_000);
 
-/// Calls that went as expected, as a prior against chance.
+/// Assumed calls that took as long as expected: they keep a few chance observations from moving the correction far.
 const PRIOR_CALLS: f64 = 4.0;
 
-/// Multiple of its estimate after which a call in flight counts as overdue.
+/// Multiple of its expected time after which a call in flight counts as overdue.
 const OVERDUE_FACTOR: f64 = 2.0;
 
-/// Bounds of the correction by observed times.
+/// Bounds of the factor by which observed times correct an estimate.
 pub const CORRECTION: CorrectionRange = CorrectionRange {
     least: 0.25,
     most: 8.0,
 };
 
-/// Part of the queue's time that counts while slots are free: ties go to the emptier endpoint.
+/// Fraction of the queue's time that counts while slots are free. More than zero, so that of two endpoints with free
+/// slots the less busy one is preferred.
 pub const FREE_SLOT_WEIGHT: f64 = 0.1;
 
-/// Bounds of a factor.
+/// Smallest and largest value of a correction factor.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct CorrectionRange {
-    /// Smallest factor.
+    /// Smallest value.
     pub least: f64,
-    /// Largest factor.
+    /// Largest value.
     pub most: f64,
 }
 
@@ -75,44 +74,44 @@
 #[derive(Debug, Clone)]
 pub struct LoadEstimate {
     report: Option<DatedReport>,
-    /// Own sends since the report, oldest first.
+    /// Calls that this daemon sent since the report was taken, oldest first.
     sends: VecDeque<OwnSend>,
-    /// Own calls in flight.
+    /// This daemon's calls in flight.
     calls: Vec<OwnCall>,
-    /// Sum of observed times, half of which is forgotten in each half-life.
+    /// Sum of the observed times of ended calls, which decays with [`CORRECTION_HALF_LIFE`].
     observed: f64,
-    /// Sum of the estimates of the same calls.
+    /// Sum of the expected times of the same calls, which decays alike.
     expected: f64,
-    /// When the two sums last changed.
+    /// Time at which the two sums were last changed.
     corrected: Time,
-    /// Slots until a report says otherwise.
+    /// Number of slots assumed without a fresh report.
     slots: u32,
 }
 
-/// A load report, and when the endpoint took it.
+/// A load report with the time at which the endpoint took it.
 #[derive(Debug, Clone, Copy)]
 struct DatedReport {
     taken: Time,
     report: LoadReport,
 }
 
-/// One own send since the last report.
+/// A call that this daemon sent since the last report was taken.
 #[derive(Debug, Clone, Copy)]
 struct OwnSend {
     sent: Time,
     work: WorkMillis,
 }
 
-/// One own call in flight.
+/// One of this daemon's calls in flight.
 #[derive(Debug, Clone, Copy)]
 struct OwnCall {
     sent: Time,
     work: WorkMillis,
-    /// Its uncorrected estimate.
+    /// Expected time to its end when it was sent, without the correction.
     expected: WorkMillis,
 }
 
-/// Load as of some time.
+/// Load of an endpoint at some time.
 #[derive(Debug, Clone, Copy)]
 struct Load {
     backlog: WorkMillis,
@@ -122,7 +121,7 @@
 }
 
 impl LoadEstimate {
-    /// Starts without a report; `slots` holds until one comes.
+    /// Creates an estimate without a report; `slots` is assumed until one arrives.
     pub fn new(slots: u32) -> Self {
         Self {
             report: None,
@@ -135,12 +134,12 @@
         }
     }
 
-    /// Returns the number of own calls in flight.
+    /// Returns the number of this daemon's calls in flight.
     pub fn in_flight(&self) -> u32 {
         self.calls.len() as u32
     }
 
-    /// Replaces the last report by one received at `now`; an absurd one is left out.
+    /// Replaces the last report by one received at `now`; an absurd report is ignored.
     pub fn report(&mut self, now: Time, report: LoadReport) {
         if !is_credible(&report) {
             return;
@@ -152,7 +151,7 @@
         self.report = Some(DatedReport { taken, report });
     }
 
-    /// Records an own send of `work` and returns its uncorrected estimate.
+    /// Records a call of `work` that this daemon sends, and returns its expected time without the correction.
     pub fn sent(&mut self, now: Time, work: WorkMillis) -> WorkMillis {
         let expected = self.uncorrected(now, work);
         self.calls.push(OwnCall {
@@ -167,7 +166,7 @@
         expected
     }
 
-    /// Records that an own call, sent then with this estimate, ended.
+    /// Records the end of a call of this daemon, identified by its send time and expected time.
     ///
     /// # Panics
     ///
@@ -175,13 +174,16 @@
     pub fn ended(&mut self, sent: Time, expected: WorkMillis) {
         let own = |call: &OwnCall| call.sent == sent && call.expected == expected;
         let found = self.calls.iter().position(own);
-        crate::invariant!(found.is_some(), "more calls ended than were sent");
+        crate::invariant!(
+            found.is_some(),
+            "a call to an endpoint ended that was not in flight"
+        );
         if let Some(i) = found {
             self.calls.swap_remove(i);
         }
     }
 
-    /// Corrects the estimate: a call whose uncorrected estimate was `expected` took `observed`.
+    /// Learns from a call that took `observed`; `expected` was its estimate without the correction.
     pub fn correct(&mut self, now: Time, expected: WorkMillis, observed: WorkMillis) {
         let kept = self.kept(now);
         self.observed = self.observed * kept + observed.0.max(0.0);
@@ -189,18 +191,18 @@
         self.corrected = now;
     }
 
-    /// Estimates the time until a call of `work` would be finished, without the way there.
+    /// Estimates the time until a call of `work` would be finished, without the network time.
     pub fn finish(&self, now: Time, work: WorkMillis) -> WorkMillis {
         WorkMillis(self.uncorrected(now, work).0 * self.correction(now, work))
     }
 
-    /// Returns the share of past observations that still counts.
+    /// Returns the fraction of the past observations that still counts at `now`.
     fn kept(&self, now: Time) -> f64 {
         let halves = now.millis_since(self.corrected) / CORRECTION_HALF_LIFE.0 as f64;
         (-halves).exp2()
     }
 
-    /// Returns the factor by which observed times exceed estimates.
+    /// Returns the ratio of observed to expected times, by which estimates are multiplied.
     fn correction(&self, now: Time, work: WorkMillis) -> f64 {
         let kept = self.kept(now);
         let prior = work.0 * PRIOR_CALLS;
@@ -214,7 +216,7 @@
         (observed / expected.max(f64::EPSILON)).clamp(CORRECTION.least, CORRECTION.most)
     }
 
-    /// Estimates the same by reports and own sends alone.
+    /// Estimates the time until a call of `work` would be finished, without the correction by observed times.
     fn uncorrected(&self, now: Time, work: WorkMillis) -> WorkMillis {
         let load = self.load(now);
         let queue = load.backlog.0 / f64::from(load.slots);
@@ -226,7 +228,7 @@
         WorkMillis(wait + work.0)
     }
 
-    /// Estimates the load as of `now`.
+    /// Estimates the endpoint's load at `now`.
     fn load(&self, now: Time) -> Load {
         let is_fresh = |dated: &&DatedReport| now.since(dated.taken) <= STALE_AFTER.to_duration();
         let Some(dated) = self.report.as_ref().filter(is_fresh) else {
@@ -242,7 +244,7 @@
         let since: f64 = self.sends.iter().map(|send| send.work.0).sum();
         let running = report.running.saturating_add(self.sends.len() as u32);
         let busy = if left + since > 0.0 { running } else { 0 };
-        // A frozen report may say "idle" for ever; own calls in flight are certain.
+        // The reports of a hung endpoint may stay at "idle", but this daemon's calls in flight are certain.
         Load {
             backlog: WorkMillis((left + since).max(self.outstanding().0)),
             busy: busy.max(self.in_flight()),
@@ -250,7 +252,7 @@
         }
     }
 
-    /// Returns the work of own calls in flight.
+    /// Returns the work of this daemon's calls in flight.
     fn outstanding(&self) -> WorkMillis {
         WorkMillis(self.calls.iter().map(|call| call.work.0).sum())
     }
--- a/lib/src/pipeline/decision/fair.rs
+++ b/lib/src/pipeline/decision/fair.rs
@@ -1,18 +1,17 @@
-//! Which customers are refused first when there isn't room for all?
+//! Which customers are refused first when there isn't capacity for all?
 //!
-//! Inputs: the work in milliseconds that was admitted for each customer, that was asked for by all,
-//! and that endpoints have done, each with its time. Output: the part of the usual room that a
-//! customer has (a [`Share`]), which [`admission`](super::admission) multiplies with the wait that
-//! it allows.
+//! Inputs: the work in milliseconds that was admitted for each customer, that was requested by all customers, and that
+//! endpoints have completed, each with its time. Output: the wait allowance of a customer: the fraction (a [`Share`])
+//! by which [`admission`](super::admission) multiplies the wait that it allows.
 //!
-//! The rule: up to an equal share of the recent admitted work a customer has all of the room,
-//! beyond it its fair share over its own work, but at least [`LEAST_ROOM`]. This counts in
-//! proportion to how much more is asked for than is done, from [`PRESSURE_FROM`] on and in full
-//! [`PRESSURE_SPAN`] later.
+//! Rule: a customer with up to an equal share of the recently admitted work has the full wait allowance. Beyond that
+//! its allowance is the equal share divided by its own work, but at least [`LEAST_ROOM`]. The reduction applies in
+//! proportion to how far the requested work exceeds the completed work: not at all up to a ratio of
+//! [`PRESSURE_FROM`], and in full [`PRESSURE_SPAN`] above it.
 //!
-//! The reason: with less room, a customer over its share is refused while the queue is still short
-//! enough for all others, so it can only take what they leave. A queue that is being worked off is
-//! no reason to refuse anybody: hence the look at what is asked for now.
+//! Reason: with a smaller wait allowance, a customer over its share is refused while the queue is still short enough
+//! for all others, so it only gets the capacity that they leave. While a queue shrinks, nobody needs to be
+//! refused, which is why the currently requested work counts and not the queue's length.
 //!
 //! `test_policy_pins.rs` (`fair_rooms`) pins the rule.
 
@@ -24,35 +23,36 @@
     foldhash::HashMap,
 };
 
-/// Time after which half of a customer's past work is forgotten.
+/// Half-life of the work admitted for customers.
 const HALF_LIFE: Millis = Millis(2_000);
 
-/// The same for the work asked for and done by all, which shows whether there is too much now.
+/// Half-life of the work requested by all customers and of the work completed. Shorter than [`HALF_LIFE`], since the
+/// ratio of the two has to show the overload of this moment.
 const PRESSURE_HALF_LIFE: Millis = Millis(500);
 
-/// Ratio of work asked for to work done from which on shares begin to count.
+/// Ratio of requested to completed work above which the customers' shares begin to count.
 pub const PRESSURE_FROM: f64 = 1.05;
 
-/// Further part of that ratio over which shares come to count in full.
+/// Increase of that ratio above [`PRESSURE_FROM`] at which the shares count in full.
 pub const PRESSURE_SPAN: f64 = 0.25;
 
-/// Recent work below which a customer counts as gone.
+/// Recent work below which a customer counts as inactive and is removed.
 const GONE_BELOW: WorkMillis = WorkMillis(0.5);
 
-/// Least part of the usual room that a customer over its share is left.
+/// Smallest wait allowance of a customer over its share.
 pub const LEAST_ROOM: Share = Share(0.4);
 
-/// The usual room.
+/// Wait allowance of a customer within its share.
 const FULL_ROOM: Share = Share(1.0);
 
-/// Admitted requests between two sweeps for customers that are gone: a bound on the cost of a sweep
-/// over all of them.
+/// Admitted requests between two sweeps that remove inactive customers. A sweep visits all customers, so it must not
+/// run with each request.
 const SWEEP_EVERY: u32 = 256;
 
-/// Work that is forgotten by half in each half-life.
+/// An amount of work that decays exponentially.
 #[derive(Debug, Clone, Copy)]
 struct Decaying {
-    /// Work as of `at`.
+    /// Amount at the time `at`.
     work: WorkMillis,
     at: Time,
     half_life: Millis,
@@ -78,18 +78,18 @@
     }
 }
 
-/// Recent work of every customer that has any.
+/// Recent work of all customers, admitted, requested and completed.
 #[derive(Debug)]
 pub struct FairShares {
     /// Work admitted for each customer.
     customers: HashMap<CustomerId, Decaying>,
-    /// Work admitted for all.
+    /// Work admitted for all customers.
     total: Decaying,
-    /// Work asked for by all, admitted or not.
+    /// Work requested by all customers, admitted or not.
     asked: Decaying,
-    /// Work that endpoints have done.
+    /// Work that endpoints have completed.
     done: Decaying,
-    /// Admitted requests, for the sweep.
+    /// Number of requests admitted; determines when to sweep.
     adds: u32,
 }
 
@@ -106,12 +106,12 @@
 }
 
 impl FairShares {
-    /// Records work that was asked for, whether or not it is admitted.
+    /// Records work that was requested, whether or not it is admitted.
     pub fn ask(&mut self, now: Time, work: WorkMillis) {
         self.asked.add(now, work);
     }
 
-    /// Records work that endpoints have done.
+    /// Records work that an endpoint has completed.
     pub fn done(&mut self, now: Time, work: WorkMillis) {
         self.done.add(now, work);
     }
@@ -127,8 +127,8 @@
         }
     }
 
-    /// Returns the part of the usual room that a customer has: 1 up to an equal share of the
-    /// recent work, less beyond it while more is asked for than is done.
+    /// Returns a customer's wait allowance: 1 up to an equal share of the recent work, less beyond it while more
+    /// work is requested than completed.
     pub fn room(&self, now: Time, customer: &CustomerId) -> Share {
         let recent = self.customers.get(customer);
         let own = recent.map_or(WorkMillis(0.0), |own| own.now(now));
@@ -140,7 +140,8 @@
         Share(FULL_ROOM.0 - (FULL_ROOM.0 - room) * self.pressure(now))
     }
 
-    /// Returns 0 while no more is asked for than is done, 1 when it is far more.
+    /// Returns how much the customers' shares count: 0 while requested and completed work are about equal, 1 when far
+    /// more is requested.
     fn pressure(&self, now: Time) -> f64 {
         let ratio = self.asked.now(now).0 / self.done.now(now).0.max(f64::EPSILON);
         ((ratio - PRESSURE_FROM) / PRESSURE_SPAN).clamp(0.0, 1.0)
--- a/lib/src/pipeline/decision/finish.rs
+++ b/lib/src/pipeline/decision/finish.rs
@@ -1,8 +1,8 @@
 //! Ends of requests: answers, failures, refusals, deadlines, and callers that leave.
 //!
-//! Each request ends once, in [`Core::finish`] or, if it was never admitted, in
-//! [`Core::finish_unstarted`]. The outcome follows from the request's attempts
-//! ([`Request::problem`](super::request::Request::problem)), never from the place that ends it.
+//! Each request ends exactly once, in [`Core::finish`] or, if it was never admitted, in [`Core::finish_unstarted`]. The
+//! outcome follows from the request's attempts ([`Request::problem`](super::request::Request::problem)), not from the
+//! code that ends it.
 
 use crate::{
     pipeline::decision::{
@@ -31,7 +31,7 @@
         });
     }
 
-    /// Ends a request whose caller has left, unless an attempt has to be left to its end.
+    /// Ends a request whose caller has left, unless an attempt must run to its end.
     pub(crate) fn left(&mut self, now: Time, id: RequestId) {
         let Some(request) = self.requests.get_mut(&id) else {
             return;
@@ -50,7 +50,7 @@
         }
     }
 
-    /// Ends a request without an answer; the outcome follows from its attempts.
+    /// Ends a request with a problem, whose outcome follows from its attempts.
     pub(crate) fn fail(&mut self, now: Time, id: RequestId, code: Code, detail: String) {
         let Some(request) = self.requests.get(&id) else {
             return;
@@ -63,7 +63,7 @@
         self.finish(now, id, Err(problem));
     }
 
-    /// Ends a request: cancels its attempts, accounts for its costs and answers its caller.
+    /// Ends a request: cancels its attempts, accounts for its endpoint time, and answers its caller.
     pub(crate) fn finish(&mut self, now: Time, id: RequestId, result: Result<Answer, Problem>) {
         self.cancel_attempts(now, id);
         let Some(request) = self.requests.remove(&id) else {
@@ -86,8 +86,8 @@
         }
     }
 
-    /// Cancels all attempts still in flight for a request: the losers when its stage is done, or
-    /// all when it ends.
+    /// Cancels all attempts of a request that are still in flight, when its stage is done by another attempt or when
+    /// the request ends.
     pub(crate) fn cancel_attempts(&mut self, now: Time, id: RequestId) {
         let Some(request) = self.requests.get_mut(&id) else {
             return;
--- a/lib/src/pipeline/decision/limit.rs
+++ b/lib/src/pipeline/decision/limit.rs
@@ -1,13 +1,12 @@
 //! Is a customer within its limits at this daemon?
 //!
-//! Inputs: the customer's requests in flight, its `concurrency`, its `rate` in requests a second,
-//! and the time. Output: yes, or the wait in milliseconds after which another try may fit.
+//! Inputs: the customer's requests in flight, its `concurrency` limit, its `rate` in requests per second, and the time.
+//! Output: yes, or the wait in milliseconds after which another request may fit.
 //!
-//! The rule: at most `concurrency` requests in flight; of the rate a bucket of [`BURST_SECONDS`]
-//! may be used at once, one request at least, and it is refilled evenly. A request over a limit
-//! isn't queued.
+//! Rule: at most `concurrency` requests may be in flight. The rate is a token bucket that holds [`BURST_SECONDS`] of
+//! the rate, but at least one request, and is refilled evenly. A request over a limit isn't queued.
 //!
-//! The reason: a queue would only hide the limit from the customer, and take the daemon's memory.
+//! Reason: a queue would only hide the limit from the customer, and take the daemon's memory.
 //! `test_policy_pins.rs` (`customer_limits`) pins the rule.
 
 use crate::{
@@ -15,34 +14,35 @@
     shared::units::{Millis, Rate, Time},
 };
 
-/// Seconds of its rate that a customer may use at once.
+/// Size of the token bucket, in seconds of the customer's rate.
 pub const BURST_SECONDS: f64 = 1.0;
 
-/// Wait suggested to a customer with too many requests in flight. When one of them ends isn't estimated.
+/// Wait suggested to a customer with too many requests in flight. Fixed, since the end of those requests isn't
+/// estimated.
 const CONCURRENCY_WAIT: Millis = Millis(100);
 
-/// Price of one request, in tokens of the bucket.
+/// Tokens of the bucket that one request takes.
 const REQUEST_PRICE: f64 = 1.0;
 
-/// Milliseconds of a second.
+/// Milliseconds per second.
 const MILLIS: f64 = 1_000.0;
 
-/// Use that one customer makes of its limits.
+/// Current use of one customer's limits.
 #[derive(Debug, Clone, Default)]
 pub struct CustomerUse {
     in_flight: u32,
-    /// Requests that the bucket has room for, with a fraction.
+    /// Tokens in the bucket, one per request; may be fractional.
     tokens: f64,
-    /// When the bucket was last refilled; none before the first request.
+    /// Time of the last refill; `None` before the first request.
     filled: Option<Time>,
 }
 
 impl CustomerUse {
-    /// Counts one request in.
+    /// Counts a request as in flight.
     ///
     /// # Errors
     ///
-    /// Returns the wait after which another try may fit, if the customer is over one of its limits.
+    /// Returns the wait after which another request may fit, if the customer is over one of its limits.
     pub fn enter(&mut self, now: Time, settings: &Settings) -> Result<(), Millis> {
         if let Some(limit) = settings.concurrency.value.0
             && self.in_flight >= limit.0
@@ -56,25 +56,25 @@
         Ok(())
     }
 
-    /// Counts one request out.
+    /// Counts a request as no longer in flight.
     ///
     /// # Panics
     ///
-    /// Panics if none is in flight: an invariant, which `test_core_random.rs` checks.
+    /// Panics if no request is in flight, an invariant that `test_core_random.rs` checks.
     pub fn leave(&mut self) {
         crate::invariant!(
             self.in_flight > 0,
-            "more requests of a customer ended than were counted"
+            "a customer's request ended while none was counted as in flight"
         );
         self.in_flight -= 1;
     }
 
-    /// Returns whether nothing is in flight, so that the entry may be dropped once refilled.
+    /// Returns whether no request is in flight, so that the entry of a removed customer may be dropped.
     pub fn is_idle(&self) -> bool {
         self.in_flight == 0
     }
 
-    /// Takes one request out of the bucket.
+    /// Refills the bucket and takes the token of one request; returns the wait until there is one if there isn't.
     fn spend(&mut self, now: Time, rate: Rate) -> Result<(), Millis> {
         let burst = (rate.0 * BURST_SECONDS).max(REQUEST_PRICE);
         let gained = match self.filled {
--- a/lib/src/pipeline/decision/member.rs
+++ b/lib/src/pipeline/decision/member.rs
@@ -1,8 +1,7 @@
-//! One endpoint of a pool: its entry in the tree, and what this daemon knows of its load and
-//! health.
+//! One endpoint of a pool: its entry in the settings tree, and what this daemon knows of its load and health.
 //!
-//! The rule of [`PoolMember::is_open`] stands here: an endpoint gets new work unless it is leaving
-//! or ejected; while it is probed ([`HealthState::Probing`]), one call at a time.
+//! Rule of [`PoolMember::is_open`]: an endpoint gets new work unless it is leaving or ejected. While it is probed
+//! ([`HealthState::Probing`]), it gets one call at a time.
 
 use {
     crate::{
@@ -20,21 +19,22 @@
 /// One endpoint of a pool.
 #[derive(Debug, Clone)]
 pub struct PoolMember {
-    /// The endpoint as the tree has it.
+    /// Entry of the endpoint in the settings tree.
     pub spec: Arc<EndpointSpec>,
-    /// Its stay in the pool; an endpoint that comes back, or moves to another address, gets a new
-    /// one.
+    /// Number of this membership in the pool. An endpoint that comes back after it was removed, or that gets another
+    /// address, gets a new one.
     pub serial: MemberSerial,
     /// Estimate of its load.
     pub load: LoadEstimate,
-    /// Its health, by the ends of its calls.
+    /// Health of the endpoint, judged by how its calls ended.
     pub health: Health,
     /// True if the endpoint itself reports that it is leaving.
     pub leaving: bool,
 }
 
 impl PoolMember {
-    /// Starts a stay; `slots` is the number of calls it works on at once, until it reports its own.
+    /// Creates a member. `slots` is the number of calls that the endpoint is assumed to run at once until it reports
+    /// it.
     pub fn new(spec: Arc<EndpointSpec>, serial: MemberSerial, slots: u32) -> Self {
         Self {
             spec,
@@ -45,12 +45,13 @@
         }
     }
 
-    /// Returns whether an entry is that of this endpoint, so that its stay goes on.
+    /// Returns whether an entry of the tree is that of this member, with the same id and address, so that the member is
+    /// kept.
     pub fn stays(&self, spec: &EndpointSpec) -> bool {
         self.spec.id == spec.id && self.spec.address == spec.address
     }
 
-    /// Returns whether operators, or the endpoint itself, take it out of service.
+    /// Returns whether the endpoint is leaving service, by the settings tree or by its own report.
     pub fn is_leaving(&self) -> bool {
         self.leaving || self.spec.leaving
     }
--- a/lib/src/pipeline/decision/mod.rs
+++ b/lib/src/pipeline/decision/mod.rs
@@ -1,19 +1,19 @@
-//! The pipeline daemon's decisions: a pure state machine without clock, socket, log or task.
+//! The decisions of the pipeline daemon: a pure state machine without clock, sockets, logging or tasks.
 //!
-//! [`core`] takes events and returns actions; the shell (`pipeline::node`) turns sockets and timers
-//! into events, and actions into calls. The rules stand in modules of their own, each of which
-//! begins with the question that it answers:
+//! [`core`] takes events and returns actions. The shell (`pipeline::node`) turns socket input and timers into
+//! events, and carries out the actions as calls. Each rule has a module of its own, which begins with the question
+//! that it answers:
 //!
 //! | question | module |
 //! | --- | --- |
 //! | can a request still be finished in time? | [`admission`] |
 //! | is a customer within its limits? | [`limit`] |
 //! | which customers are refused first? | [`fair`] |
-//! | when may a refused caller come back? | [`retry_after`] |
+//! | when may a refused caller try again? | [`retry_after`] |
 //! | which endpoint gets a call? | [`policy_estimated`], [`policy_naive`] |
 //! | when would an endpoint finish a call? | [`estimate`] |
 //! | how much endpoint time does a call cost? | [`call_costs`] |
-//! | which engines hold a prompt's beginning? | [`prefix`] |
+//! | which engines have the start of a prompt in their cache? | [`prefix`] |
 //! | may a stage be sent again, or hedged? | [`retry`] |
 //! | may an endpoint get work after failures? | [`health`](crate::shared::health) |
 
--- a/lib/src/pipeline/decision/policy.rs
+++ b/lib/src/pipeline/decision/policy.rs
@@ -1,9 +1,9 @@
-//! The decisions that differ between the policies a service's settings can name.
+//! The decisions that differ between the policies that a service's settings can name.
 //!
-//! [`Policy`] is what the core relies on; [`policy_estimated`](super::policy_estimated) is the
-//! policy in use, [`policy_naive`](super::policy_naive) the baseline it is measured against, and
-//! [`policy_choice`](super::policy_choice) picks one by the settings. All of them are pure but for
-//! a pool's cursor and retry budget, which they own the use of.
+//! The core uses the trait [`Policy`]. [`policy_estimated`](super::policy_estimated) is the policy in use,
+//! [`policy_naive`](super::policy_naive) the baseline it is compared with, and [`policy_choice`](super::policy_choice)
+//! selects one of them by the settings. The policies have no state of their own; they change only a pool's cursor and
+//! retry budget, which nothing else does.
 
 use {
     crate::{
@@ -17,11 +17,12 @@
     rand::rngs::SmallRng,
 };
 
-/// The decisions that differ between implementations.
+/// The decisions that differ between policies.
 pub trait Policy {
     /// Chooses an endpoint for a call, by its index in the pool.
     ///
-    /// Endpoints in `tried` come last: they are chosen only when no other can take the call.
+    /// Returns `None` if no endpoint can take the call. Endpoints in `tried` got the call before; a policy may prefer
+    /// others.
     fn choose(
         &self,
         now: Time,
@@ -31,15 +32,15 @@
         rng: &mut SmallRng,
     ) -> Option<usize>;
 
-    /// Decides whether work is worth starting with `remaining` left.
+    /// Returns whether a request is worth starting with `remaining` left.
     ///
-    /// `room` is the part of the usual room that the customer has by its share.
+    /// `room` is the customer's wait allowance: the fraction of the usual wait that its requests may have.
     fn admits(&self, remaining: Millis, needs: Needs, priority: Priority, room: Share) -> bool;
 
-    /// Decides whether work that was admitted is worth going on with.
+    /// Returns whether a request that was admitted is worth continuing.
     fn continues(&self, remaining: Millis, needs: Needs) -> bool;
 
-    /// Decides whether a stage may be sent once more, as far as its pool's budget goes.
+    /// Returns whether the pool's budget allows one more attempt at a stage, and takes it from the budget.
     fn grants_retry(&self, pool: &mut Pool) -> bool;
 
     /// Records a first attempt, which pays `share` of a retry into the pool's budget.
--- a/lib/src/pipeline/decision/policy_choice.rs
+++ b/lib/src/pipeline/decision/policy_choice.rs
@@ -1,6 +1,6 @@
-//! The implementation of a policy that the `policy` setting names.
+//! Selects the policy that the `policy` setting names.
 //!
-//! An enum and no `dyn`: a choice is made with each call.
+//! An enum rather than `dyn`, since each call dispatches through it.
 
 use {
     crate::{
@@ -17,17 +17,17 @@
     rand::rngs::SmallRng,
 };
 
-/// Any of the implementations, chosen by the `policy` setting.
+/// One of the policies, selected by the `policy` setting.
 #[derive(Debug, Clone, Copy)]
 pub enum AnyPolicy {
-    /// Chooses by estimated finish.
+    /// Chooses the endpoint with the earliest estimated finish.
     Estimated(Estimated),
-    /// Round robin.
+    /// Chooses endpoints in turn (round robin).
     Naive(Naive),
 }
 
 impl AnyPolicy {
-    /// Returns the implementation that a setting names.
+    /// Returns the policy that a setting names; `hop` is the cost of a call into another data centre.
     pub fn new(kind: PolicyKind, hop: Millis) -> Self {
         match kind {
             PolicyKind::Estimated => AnyPolicy::Estimated(Estimated { hop }),
--- a/lib/src/pipeline/decision/policy_estimated.rs
+++ b/lib/src/pipeline/decision/policy_estimated.rs
@@ -1,20 +1,19 @@
 //! Which endpoint would finish a call first?
 //!
-//! Inputs: a pool with what is known of its endpoints' load and health, the call's work in
-//! milliseconds ([`CallPlacement`]), the endpoints it was already sent to, and a random start.
-//! Output: the index of an endpoint, or none if no endpoint may get the call.
+//! Inputs: a pool with what is known of its endpoints' load and health, the call's work in milliseconds
+//! ([`CallPlacement`]), the endpoints that the call was already sent to, and random numbers. Output: the index of an
+//! endpoint, or none if no endpoint may get the call.
 //!
-//! The rule: [`LOCAL_SAMPLE`] endpoints of the own data centre and [`REMOTE_SAMPLE`] of the others
-//! are looked at, from a random one on, and all that probably hold the prompt's beginning. The one
-//! with the earliest estimated finish ([`estimate`](super::estimate)), the way to another data
-//! centre included, gets the call; one that was tried before only if there is no other.
+//! Rule: the candidates are [`LOCAL_SAMPLE`] endpoints of the local data centre and [`REMOTE_SAMPLE`] of the others,
+//! each in the pool's order from a random position on, and all endpoints that probably have the start of the prompt in
+//! their cache. The candidate with the earliest estimated finish ([`estimate`](super::estimate)), the cost of a call
+//! into another data centre included, gets the call. One that was tried before gets it only if there is no other.
 //!
-//! The reason: the finish weighs queue, speed, distance and cache against each other in one unit,
-//! so that none needs a threshold of its own; a sample keeps the cost of a choice the same in a
-//! pool of any size (`docs/MEASUREMENTS.md`, "One decision"). Runs against the baseline are there
-//! under "Load, both policies in one run" and "Faults at 0.8 of capacity".
+//! Reason: the finish combines queue, speed, distance and cache in one unit, so none of them needs a threshold of its
+//! own. A sample keeps the cost of a choice the same in a pool of any size (`docs/MEASUREMENTS.md`, "One decision").
+//! Runs against the baseline are there under "Load, both policies in one run" and "Faults at 0.8 of capacity".
 //!
-//! The policy's other decisions stand in [`admission`] and [`retry`](super::retry).
+//! The policy's other decisions are in [`admission`] and [`retry`](super::retry).
 //!
 //! `test_policy_pins.rs` (`pool_choices`) pins the rule.
 
@@ -35,17 +34,17 @@
     rand::{RngExt, rngs::SmallRng},
 };
 
-/// Endpoints of the own data centre looked at for one choice.
+/// Endpoints of the local data centre sampled for one choice.
 pub const LOCAL_SAMPLE: usize = 4;
 
-/// Endpoints of other data centres looked at for one choice; [`LOCAL_SAMPLE`] more if the own data centre has none that
-/// wasn't tried.
+/// Endpoints of other data centres sampled for one choice; [`LOCAL_SAMPLE`] more if the local sample has no endpoint
+/// that is still untried.
 pub const REMOTE_SAMPLE: usize = 2;
 
-/// Chooses the endpoint that would finish first, among a few sampled ones.
+/// Chooses, among a few sampled endpoints, the one that would finish the call first.
 #[derive(Debug, Clone, Copy)]
 pub struct Estimated {
-    /// Cost of a call into another data centre.
+    /// Time that a call into another data centre takes in addition.
     pub hop: Millis,
 }
 
@@ -58,8 +57,8 @@
 }
 
 impl PoolCandidate {
-    /// Returns whether the endpoint goes before another: one not yet tried before a tried one, then
-    /// the earlier finish. Of equals, the one that was found first stays.
+    /// Returns whether this candidate is preferred to `other`: an untried endpoint to a tried one, then the earlier
+    /// finish. Of two equal candidates neither is better, so the one found first stays.
     fn is_better(&self, other: &PoolCandidate) -> bool {
         (self.tried, self.finish.0) < (other.tried, other.finish.0)
     }
@@ -75,7 +74,7 @@
 }
 
 impl Search<'_> {
-    /// Looks at one endpoint; returns whether it may get the call.
+    /// Compares one endpoint with the best candidate so far; returns whether it may get the call.
     fn look(&mut self, index: usize, hop: WorkMillis) -> bool {
         let member = &self.pool.members[index];
         if !member.is_open(self.now) {
@@ -93,7 +92,7 @@
         true
     }
 
-    /// Looks at some endpoints of a list, from a random one on.
+    /// Checks endpoints of a list, from a random one on, until `wanted` of them may get the call.
     fn sample(&mut self, indexes: &[usize], hop: WorkMillis, wanted: usize, rng: &mut SmallRng) {
         let mut seen = 0;
         for position in walk(indexes.len(), rng) {
@@ -104,13 +103,13 @@
         }
     }
 
-    /// Returns whether an endpoint was found that the call wasn't sent to yet.
+    /// Returns whether the best candidate is one that the call wasn't sent to yet.
     fn has_untried(&self) -> bool {
         self.best.is_some_and(|best| !best.tried)
     }
 }
 
-/// Walks over all positions once, from a random one on; the first few are the sample.
+/// Yields all positions below `count` once, from a random one on, wrapping around at the end.
 fn walk(count: usize, rng: &mut SmallRng) -> impl Iterator<Item = usize> {
     let start = if count == 0 {
         0
@@ -145,8 +144,8 @@
             REMOTE_SAMPLE + LOCAL_SAMPLE
         };
         search.sample(&pool.remote, far, wanted, rng);
-        // A holder of the prompt's beginning has less to do; with a long queue it still loses. Its
-        // distance counts as a hop wherever it stands.
+        // An engine that has the start of the prompt in its cache has less work to do, but a long queue can outweigh
+        // that. It is counted as in another data centre wherever it is.
         for holder in &placement.holders {
             if let Some(index) = pool.index_of(holder.serial) {
                 search.look(index, far);
--- a/lib/src/pipeline/decision/policy_naive.rs
+++ b/lib/src/pipeline/decision/policy_naive.rs
@@ -1,11 +1,11 @@
-//! The baseline: which endpoint's turn is it?
+//! The baseline policy: which endpoint is next in turn?
 //!
-//! Inputs: the pool and its cursor. Output: the index of the next endpoint in turn that isn't
-//! leaving, or none. Load, health, distance and endpoints tried before don't count; every request
-//! is admitted and every retry granted, up to the settings' `attempts`; nothing is ejected.
+//! Inputs: the pool and its cursor. Output: the index of the next endpoint in turn that isn't leaving, or none. Load,
+//! health, distance and endpoints tried before are ignored. Every request is admitted, every retry is granted up to the
+//! settings' `attempts`, and no endpoint is ejected.
 //!
-//! The reason: the estimated policy is measured against it (`docs/MEASUREMENTS.md`, "Load, both
-//! policies in one run"), and it has no figure to set.
+//! Reason: the estimated policy is compared with it (`docs/MEASUREMENTS.md`, "Load, both policies in one run"), and it
+//! has no parameters.
 
 use {
     crate::{
@@ -21,7 +21,7 @@
     rand::rngs::SmallRng,
 };
 
-/// Chooses endpoints in turn and knows nothing of their load.
+/// Chooses endpoints in turn, without regard to their load or health.
 #[derive(Debug, Clone, Copy)]
 pub struct Naive;
 
--- a/lib/src/pipeline/decision/pool.rs
+++ b/lib/src/pipeline/decision/pool.rs
@@ -1,9 +1,8 @@
 //! The endpoints of one service as this daemon sees them.
 //!
-//! A [`Pool`] owns its [`PoolMember`]s, the costs learnt from the service's calls, the retry budget
-//! and the beliefs about engines' caches. It carries out what the rules decide: it asks
-//! [`call_costs`] for the work of a call, [`health`](crate::shared::health) for ejection and
-//! [`retry_after`] for waits.
+//! A [`Pool`] owns its [`PoolMember`]s, the costs learnt from the service's calls, the retry budget and the assumed
+//! content of the engines' caches. It applies the rules: [`call_costs`] estimates the work of a call,
+//! [`health`](crate::shared::health) decides on ejection, and [`retry_after`] gives waits.
 //!
 //! [`call_costs`]: super::call_costs
 
@@ -32,30 +31,30 @@
 /// The endpoints of one service.
 #[derive(Debug, Clone)]
 pub struct Pool {
-    /// The service as the tree has it.
+    /// Entry of the service in the settings tree.
     pub service: Arc<Service>,
-    /// Its endpoints, in the tree's order.
+    /// Endpoints of the service, in the tree's order.
     pub members: Vec<PoolMember>,
-    /// Indexes of the endpoints by name, so that a reply costs the same in a pool of any size.
+    /// Indexes of the endpoints by id, so that handling a reply costs the same in a pool of any size.
     index: HashMap<EndpointId, usize>,
-    /// Indexes of the endpoints by their stay.
+    /// Indexes of the endpoints by serial.
     serials: HashMap<MemberSerial, usize>,
     /// Indexes of the endpoints in this daemon's data centre.
     pub local: Vec<usize>,
-    /// Indexes of all others.
+    /// Indexes of the endpoints in other data centres.
     pub remote: Vec<usize>,
-    /// Retries and hedges that may still be sent.
+    /// Budget of retries and hedges for the service.
     pub budget: RetryBudget,
-    /// Costs learnt from calls.
+    /// Costs learnt from the service's calls.
     costs: CallCosts,
-    /// Beliefs about who holds which beginnings of prompts.
+    /// Assumed content of the engines' caches.
     prefixes: PrefixIndex,
-    /// Position of the next choice of the round-robin policy.
+    /// Number of endpoints that the naive policy has passed in turn; modulo the pool's size, the index of the next.
     pub cursor: usize,
 }
 
 impl Pool {
-    /// Builds a pool; what `old` knows is kept, and of its endpoints those that stay.
+    /// Builds the pool of a service. Takes over what `old` has learnt, and its members that are still in the service.
     pub fn new(
         service: Arc<Service>,
         data_centre: &DataCentreId,
@@ -96,18 +95,18 @@
         (self.local, self.remote) = (0..members.len()).partition(is_local);
     }
 
-    /// Returns the index of a stay, if it is still in the pool.
+    /// Returns the index of the member with a serial, if it is still in the pool.
     pub fn index_of(&self, serial: MemberSerial) -> Option<usize> {
         self.serials.get(&serial).copied()
     }
 
-    /// Returns an endpoint by its name.
+    /// Returns an endpoint by its id.
     pub fn member_named(&mut self, endpoint: &EndpointId) -> Option<&mut PoolMember> {
         let index = self.index.get(endpoint)?;
         self.members.get_mut(*index)
     }
 
-    /// Returns an endpoint by its name, if the given stay isn't over.
+    /// Returns an endpoint by its id, if it still has the given serial: it hasn't left the pool in between.
     pub fn member(
         &mut self,
         endpoint: &EndpointId,
@@ -117,7 +116,7 @@
             .filter(|member| member.serial == serial)
     }
 
-    /// Estimates the work of a call, and finds the engines that probably hold its beginning.
+    /// Estimates the work of a call, and finds the engines that probably have the start of its prompt in their cache.
     pub fn placement(&self, now: Time, input: &[u8], tokens: u32) -> CallPlacement {
         let size = self.size(input, tokens);
         CallPlacement {
@@ -164,12 +163,12 @@
         attempt
     }
 
-    /// Records that an endpoint was sent a prompt, whose beginning it will hold.
+    /// Records that a prompt was sent to an engine, which will have its blocks in its cache.
     pub fn note_prefix(&mut self, now: Time, serial: MemberSerial, prefix: &Prefix) {
         self.prefixes.sent(now, serial, prefix);
     }
 
-    /// Learns from the end of an attempt; returns whether its endpoint was ejected for it.
+    /// Learns from the end of an attempt; returns whether the endpoint was ejected because of it.
     pub fn ended(&mut self, now: Time, ended: &EndedAttempt<'_>) -> bool {
         let attempt = ended.attempt;
         let Some(member) = self.member(&attempt.endpoint, attempt.serial) else {
@@ -189,7 +188,7 @@
                 member.leaving = true;
                 false
             }
-            // A refusal for lack of room says nothing of health.
+            // A refusal because the endpoint is full doesn't affect its health.
             AttemptEnd::NotRun(NotRunCause::Busy) => false,
             AttemptEnd::NotRun(NotRunCause::Unreachable) | AttemptEnd::Failed(_) => {
                 ended.ejects && self.failed(now, &attempt.endpoint, attempt.serial)
@@ -202,14 +201,14 @@
         self.costs.learn(size, generation, served);
     }
 
-    /// Records that an attempt was given up. It counts neither for nor against its endpoint.
+    /// Records that an attempt was cancelled, which counts neither as a success nor as a failure of its endpoint.
     pub fn cancelled(&mut self, attempt: &Attempt) {
         if let Some(member) = self.member(&attempt.endpoint, attempt.serial) {
             member.load.ended(attempt.sent, attempt.expected);
         }
     }
 
-    /// Records that an endpoint failed, and ejects it when it is due and the pool can spare it.
+    /// Records a failure of an endpoint, and ejects it if its health requires that and the pool can spare it.
     ///
     /// Returns whether it was ejected now.
     pub fn failed(&mut self, now: Time, endpoint: &EndpointId, serial: MemberSerial) -> bool {
@@ -220,20 +219,20 @@
             .is_some_and(|member| member.health.failed(now, may_eject))
     }
 
-    /// Updates the beliefs about an engine's cache by its own events.
+    /// Updates the assumed content of an engine's cache by its cache events.
     pub fn learn_cache(&mut self, now: Time, endpoint: &EndpointId, events: &[CacheEvent]) {
         if let Some(serial) = self.member_named(endpoint).map(|member| member.serial) {
             self.prefixes.learn(now, serial, events);
         }
     }
 
-    /// Estimates the endpoint time of a usual call.
+    /// Estimates the endpoint time of an average call.
     pub fn usual_work(&self) -> WorkMillis {
         self.costs.usual()
     }
 
-    /// Estimates the earliest finish of a call of `work` over the first `sample` endpoints that may
-    /// get it, those of the own data centre first; none if no endpoint may.
+    /// Estimates the earliest finish of a call of `work` over the first `sample` endpoints that may get it, those of
+    /// the local data centre first; `None` if no endpoint may get it.
     pub fn best_finish(&self, now: Time, work: WorkMillis, sample: usize) -> Option<WorkMillis> {
         let near = self.local.iter().chain(&self.remote);
         near.map(|i| &self.members[*i])
@@ -243,14 +242,14 @@
             .min_by(|a, b| a.0.total_cmp(&b.0))
     }
 
-    /// Suggests how long a caller should wait before it tries a crowded pool again.
+    /// Returns how long a caller should wait before it tries again, by the earliest finish of an average call.
     pub fn retry_after(&self, now: Time) -> Millis {
         let earliest = self.best_finish(now, self.usual_work(), retry_after::SAMPLE);
         retry_after::retry_after(earliest)
     }
 }
 
-/// Builds the members of a service in its order: those that stay as they are, the others anew.
+/// Builds the members of a service in its order: endpoints that stay keep what is known of them, the others are new.
 fn members(
     service: &Service,
     mut old: Vec<PoolMember>,
--- a/lib/src/pipeline/decision/pools.rs
+++ b/lib/src/pipeline/decision/pools.rs
@@ -21,9 +21,9 @@
 #[derive(Debug, Default)]
 pub struct Pools {
     pools: HashMap<ServiceId, Pool>,
-    /// Service of each endpoint.
+    /// Service that each endpoint belongs to.
     homes: HashMap<EndpointId, ServiceId>,
-    /// Number of the last stay of an endpoint that began.
+    /// Last serial given to a member; 0 before the first.
     last_serial: u64,
 }
 
@@ -33,7 +33,7 @@
         self.pools.get(service)
     }
 
-    /// Returns a service's pool, to choose from.
+    /// Returns a service's pool for changes.
     pub fn pool_mut(&mut self, service: &ServiceId) -> Option<&mut Pool> {
         self.pools.get_mut(service)
     }
@@ -53,7 +53,7 @@
         matches!(self.kind(service), Some(ServiceKind::Engine { .. }))
     }
 
-    /// Rebuilds the pools for a new tree and keeps what is known of endpoints that stay.
+    /// Rebuilds the pools for a new settings tree, and keeps what is known of endpoints that stay.
     pub fn adopt(&mut self, tree: &Tree, data_centre: &DataCentreId) {
         let mut old = std::mem::take(&mut self.pools);
         self.homes.clear();
@@ -72,7 +72,7 @@
         }
     }
 
-    /// Updates an endpoint's load by its own report.
+    /// Updates an endpoint's load estimate by its load report.
     pub fn load(&mut self, now: Time, endpoint: &EndpointId, report: LoadReport) {
         let pool = self.home(endpoint);
         if let Some(member) = pool.and_then(|pool| pool.member_named(endpoint)) {
@@ -81,7 +81,7 @@
         }
     }
 
-    /// Updates the beliefs about an engine's cache by its own events.
+    /// Updates the assumed content of an engine's cache by its cache events.
     pub fn cache(&mut self, now: Time, endpoint: &EndpointId, events: &[CacheEvent]) {
         if let Some(pool) = self.home(endpoint) {
             pool.learn_cache(now, endpoint, events);
@@ -94,13 +94,13 @@
         self.pools.get_mut(service)
     }
 
-    /// Learns from the end of an attempt; returns whether its endpoint was ejected for it.
+    /// Learns from the end of an attempt; returns whether the endpoint was ejected because of it.
     pub fn ended(&mut self, now: Time, service: &ServiceId, ended: &EndedAttempt<'_>) -> bool {
         let pool = self.pools.get_mut(service);
         pool.is_some_and(|pool| pool.ended(now, ended))
     }
 
-    /// Records that an attempt was given up.
+    /// Records that an attempt was cancelled.
     pub fn cancelled(&mut self, service: &ServiceId, attempt: &Attempt) {
         if let Some(pool) = self.pools.get_mut(service) {
             pool.cancelled(attempt);
--- a/lib/src/pipeline/decision/prefix.rs
+++ b/lib/src/pipeline/decision/prefix.rs
@@ -1,18 +1,16 @@
-//! Which engines probably hold the beginning of a prompt in their caches?
+//! Which engines probably have the start of a prompt in their caches?
 //!
-//! Inputs: the prompts sent to each engine, the engines' own cache events, and the time. Output:
-//! for a prompt, the engines believed to hold the longest known beginning, and its length in blocks
-//! of [`BLOCK`] bytes.
+//! Inputs: the prompts sent to each engine, the engines' own cache events, and the time. Output: for a prompt, the
+//! engines assumed to hold its longest known prefix, and the length of that prefix in blocks of [`BLOCK`] bytes.
 //!
-//! The rule: a prompt's whole blocks are hashed in a chain, so that equal hashes mean equal
-//! beginnings. An engine is believed to hold a block from when it was sent or reported until the
-//! engine gives it up, or for [`FORGET_AFTER`]. At most [`HOLDERS`] engines are remembered for a
-//! block, the last ones.
+//! Rule: the whole blocks of a prompt are hashed in a chain, so that equal hashes mean equal prefixes. An engine is
+//! assumed to hold a block from the time at which the block was sent to it, or reported by it, until it reports that
+//! it has evicted the block, or for [`FORGET_AFTER`]. For each block at most [`HOLDERS`] engines are remembered, the
+//! most recent ones.
 //!
-//! The reason: engines report late and with gaps, so all of this is belief, and a wrong belief must
-//! pass. A holder isn't preferred as such: the work that it saves makes its finish earlier
-//! ([`call_costs`](super::call_costs)), so a long queue outweighs it. The measurements:
-//! `docs/MEASUREMENTS.md`, "Prefix affinity".
+//! Reason: engines report late and with gaps, so an entry may be wrong and has to expire. An engine isn't preferred for
+//! holding a prefix as such: the work that it saves makes its finish earlier ([`call_costs`](super::call_costs)), so a
+//! long queue outweighs it. Measurements: `docs/MEASUREMENTS.md`, "Prefix affinity".
 
 use {
     crate::shared::{
@@ -25,24 +23,23 @@
     xxhash_rust::xxh3::xxh3_64_with_seed,
 };
 
-/// Bytes of one block of a prompt; those of the engines' cache events are as large
-/// (`docs/PROTOCOLS.md`).
+/// Bytes of one block of a prompt. The blocks of the engines' cache events have the same size (`docs/PROTOCOLS.md`).
 pub const BLOCK: usize = 512;
 
-/// Most blocks of a prompt that are kept apart (32 KB): a bound on the cost of a prompt.
+/// Largest number of blocks of a prompt that are hashed (32 KB); bounds the cost of a prompt.
 const MAX_BLOCKS: usize = 64;
 
-/// Blocks remembered in one generation of beliefs; there are two. A bound on memory;
-/// `bounded_memory` in `test_prefix.rs` holds it.
+/// Number of blocks in each of the two generations of a [`PrefixIndex`]. Bounds the memory, which `bounded_memory` in
+/// `test_prefix.rs` checks.
 const GENERATION: usize = 8_192;
 
-/// Engines remembered for one block.
+/// Largest number of engines remembered for one block.
 pub const HOLDERS: usize = 4;
 
-/// Age after which a belief no longer counts.
+/// Age after which an entry no longer counts.
 pub const FORGET_AFTER: Millis = Millis(60_000);
 
-/// Hashes of a prompt's blocks; each one covers the whole beginning up to its block.
+/// Hashes of a prompt's blocks. Each one covers the whole prefix up to the end of its block.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Prefix(Arc<[u64]>);
 
@@ -61,7 +58,7 @@
         Self(hashes)
     }
 
-    /// Returns the hashes, the shortest beginning first.
+    /// Returns the hashes, that of the shortest prefix first.
     pub fn blocks(&self) -> &[u64] {
         &self.0
     }
@@ -70,42 +67,42 @@
 /// One change of an engine's cache.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CacheEvent {
-    /// Hash of the block.
+    /// Hash of the prefix that ends with the block.
     pub block: u64,
-    /// True if it is held from now on, false if no longer.
+    /// True if the engine has cached the block, false if it has evicted it.
     pub held: bool,
 }
 
-/// Changes of an engine's cache since some number.
+/// Changes of an engine's cache from a sequence number on.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CacheEvents {
-    /// Number after the last change, to ask from next time.
+    /// Sequence number from which to ask the next time: the one after the last change.
     pub next: u64,
-    /// The changes that the engine still knows.
+    /// The changes that the engine still has, oldest first.
     pub events: Vec<CacheEvent>,
 }
 
-/// An engine that is believed to hold some of a prompt's blocks.
+/// An engine that is assumed to hold a prefix of a prompt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Holder {
-    /// The engine.
+    /// Serial of the engine in its pool.
     pub serial: MemberSerial,
-    /// Number of blocks from the beginning.
+    /// Length of the prefix in blocks.
     pub blocks: usize,
 }
 
-/// Belief that an engine holds a block.
+/// Entry of an engine that is assumed to hold a block since a time.
 #[derive(Debug, Clone, Copy)]
 struct Belief {
     serial: MemberSerial,
     since: Time,
 }
 
-/// Beliefs about the holders of each block, by its hash.
+/// Entries of the holders of each block, by the block's hash.
 type HolderMap = HashMap<u64, Vec<Belief>>;
 
-/// Beliefs about the caches of one pool's engines, in bounded memory: when the newer generation is
-/// full, the older one is dropped.
+/// Assumed content of the caches of one pool's engines. Bounded in memory: new blocks go into the newer of two
+/// generations; when it is full, it becomes the older one, and the previous older one is dropped.
 #[derive(Debug, Clone, Default)]
 pub struct PrefixIndex {
     newer: HolderMap,
@@ -113,14 +110,14 @@
 }
 
 impl PrefixIndex {
-    /// Believes that an engine holds all blocks of a prompt that was sent to it.
+    /// Records that an engine holds all blocks of a prompt that was sent to it.
     pub fn sent(&mut self, now: Time, serial: MemberSerial, prefix: &Prefix) {
         for block in prefix.blocks() {
             self.add(now, serial, *block);
         }
     }
 
-    /// Updates the beliefs about an engine's cache by its own events.
+    /// Updates the entries of an engine by its cache events.
     pub fn learn(&mut self, now: Time, serial: MemberSerial, events: &[CacheEvent]) {
         for event in events {
             if event.held {
@@ -151,7 +148,7 @@
         }
     }
 
-    /// Returns the engines that probably hold the longest known beginning of a prompt.
+    /// Returns the engines that probably hold the longest known prefix of a prompt.
     pub fn holders(&self, now: Time, prefix: &Prefix) -> Vec<Holder> {
         let blocks = prefix.blocks();
         for count in (1..=blocks.len()).rev() {
@@ -163,8 +160,7 @@
         Vec::new()
     }
 
-    /// Returns the engines that probably hold a block, the last one of a beginning of `count`
-    /// blocks.
+    /// Returns the engines that probably hold a block, the last one of a prefix of `count` blocks.
     fn holders_of(&self, now: Time, block: u64, count: usize) -> Vec<Holder> {
         [&self.newer, &self.older]
             .into_iter()
@@ -179,12 +175,12 @@
             .collect()
     }
 
-    /// Returns the number of blocks that are remembered.
+    /// Returns the number of blocks remembered in both generations.
     pub fn len(&self) -> usize {
         self.newer.len() + self.older.len()
     }
 
-    /// Returns whether nothing is remembered.
+    /// Returns whether no block is remembered.
     pub fn is_empty(&self) -> bool {
         self.newer.is_empty() && self.older.is_empty()
     }
--- a/lib/src/pipeline/decision/retry.rs
+++ b/lib/src/pipeline/decision/retry.rs
@@ -1,40 +1,40 @@
-//! May a stage be sent again, beside an attempt in flight, or not at all?
+//! May a stage be sent again, hedged while an attempt is in flight, or neither?
 //!
-//! Inputs: [`StageProgress`], the state of one stage of one request: attempts made, in flight and
-//! allowed, tokens received, and its settings. Output: a [`NextStep`], or whether to hedge.
+//! Inputs: [`StageProgress`], the state of one stage of one request: attempts sent, in flight and allowed, tokens
+//! received, and its settings. Output: a [`NextStep`], or whether to hedge.
 //!
-//! The rule:
+//! Rule:
 //!
-//! - While another attempt is in flight, its end is awaited.
-//! - A call that certainly did not run may go to another endpoint, even if it may not be run twice,
-//!   and costs no budget.
-//! - A call that may have run is sent again only if its service is `repeatable`, and only if the
-//!   service's [`RetryBudget`] grants it.
-//! - A hedge is a second attempt beside a first one that is late, under the same conditions; an
-//!   engine's generation is never hedged, and nothing is once tokens have come.
-//! - No stage gets more than its `attempts`, and nothing is sent for a caller that has left.
+//! - While another attempt is in flight, the daemon waits for its end.
+//! - A call that certainly did not run may be sent to another endpoint, even if it must not run twice. This takes
+//!   nothing from the retry budget.
+//! - A call that may have run is sent again only if its service is `repeatable`, and only if the service's
+//!   [`RetryBudget`] grants it.
+//! - A hedge is a second attempt while the first one is in flight and late, under the same conditions. A generation of
+//!   an engine is never hedged, and neither is a stage that has received tokens.
+//! - No stage gets more attempts than its `attempts` setting, and nothing is sent for a caller that has left.
 //!
-//! The reason: a payment must not run twice, and a stage that fails because it is overloaded must
-//! not be sent even more. Each first attempt pays a share (`retry_budget`) into the budget, so that
-//! retries stay a share of the traffic. `test_core_random.rs` checks the promise, `test_retry.rs`
-//! pins the table; figures with faults are in `docs/MEASUREMENTS.md` ("Faults at 0.8 of capacity",
-//! "Hedges").
+//! Reason: a payment must not run twice, and a stage that fails under overload must not get even more calls. Each first
+//! attempt pays a share (`retry_budget`) into the budget, which limits retries to that share of the traffic.
+//! `test_core_random.rs` checks that a guarded call never runs twice, `test_retry.rs` pins the table; figures with
+//! faults are in `docs/MEASUREMENTS.md` ("Faults at 0.8 of capacity", "Hedges").
 
 use crate::{
     settings::values::Settings,
     shared::units::{Count, Millis, Share},
 };
 
-/// Retries that a quiet service may make before any traffic has paid for them, and the most that a budget can hold.
+/// Retries that a budget holds at the start and at most. They let a service with little traffic retry before its first
+/// attempts have paid for it.
 const RESERVE: f64 = 10.0;
 
-/// Price of one retry or hedge, in retries.
+/// Amount that one retry or hedge takes from the budget.
 const RETRY_PRICE: f64 = 1.0;
 
-/// Counts what first attempts have paid in and retries have taken out.
+/// The retries and hedges that a service may still send: first attempts pay in, retries and hedges take out.
 #[derive(Debug, Clone)]
 pub struct RetryBudget {
-    /// Retries that may still be sent, with a fraction.
+    /// Retries that may still be sent; may be fractional.
     balance: f64,
 }
 
@@ -45,12 +45,12 @@
 }
 
 impl RetryBudget {
-    /// Pays in for one first attempt.
+    /// Adds `share` of a retry, for one first attempt.
     pub fn deposit(&mut self, share: Share) {
         self.balance = (self.balance + share.0).min(RESERVE);
     }
 
-    /// Takes out one retry; returns whether the budget had it.
+    /// Takes out one retry; returns whether the budget held one.
     pub fn withdraw(&mut self) -> bool {
         if self.balance < RETRY_PRICE {
             return false;
@@ -63,21 +63,21 @@
 /// State of one stage of one request, as far as retries depend on it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct StageProgress {
-    /// Attempts sent.
+    /// Attempts sent at this stage so far.
     pub tries: u32,
-    /// Attempts in flight.
+    /// Attempts at this stage that have not ended.
     pub in_flight: usize,
-    /// Most attempts, by the settings.
+    /// Largest number of attempts, the `attempts` setting.
     pub limit: Count,
-    /// True if the call may be run twice, by the settings.
+    /// True if the call may run twice, the `repeatable` setting.
     pub repeatable: bool,
-    /// Tokens received.
+    /// Tokens received of this stage's generation.
     pub tokens: u32,
     /// True once the caller has left.
     pub abandoned: bool,
 }
 
-/// Tells why an attempt is sent.
+/// Reason for sending an attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AttemptKind {
     /// The stage starts, or its last attempt ended without a result.
@@ -86,7 +86,7 @@
     Hedge,
 }
 
-/// Returns the wait after which an attempt that is sent now may be hedged; none if it never may.
+/// Returns the wait after which an attempt that is sent now may be hedged; `None` if it must not be.
 pub fn hedge_wait(settings: &Settings, kind: AttemptKind) -> Option<Millis> {
     if kind == AttemptKind::Hedge || !settings.repeatable.value {
         return None;
@@ -94,21 +94,21 @@
     settings.hedge_after.value.0
 }
 
-/// Tells how to go on with a stage after one of its attempts ended without a result.
+/// What to do with a stage after one of its attempts ended without a result.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum NextStep {
-    /// Another attempt is in flight: wait for its end.
+    /// Wait for the end of another attempt in flight.
     Wait,
     /// Send the stage again.
     Retry,
-    /// Send the stage again if the retry budget grants it, else end the request.
+    /// Send the stage again if the retry budget grants it, otherwise end the request.
     RetryFromBudget,
     /// End the request.
     GiveUp,
 }
 
 impl StageProgress {
-    /// Decides after an attempt that certainly did not run.
+    /// Decides what to do after an attempt that certainly did not run.
     pub fn after_not_run(&self) -> NextStep {
         if self.in_flight > 0 {
             NextStep::Wait
@@ -119,7 +119,7 @@
         }
     }
 
-    /// Decides after an attempt that failed and may have run.
+    /// Decides what to do after an attempt that failed and may have run.
     pub fn after_failure(&self) -> NextStep {
         if self.in_flight > 0 {
             NextStep::Wait
@@ -132,14 +132,14 @@
 
     /// Returns whether an attempt that is late may be hedged, if the retry budget grants it.
     ///
-    /// `generates` says whether the stage is a generation. That the call is repeatable was checked
-    /// when the attempt was sent, by [`hedge_wait`].
+    /// `generates` is true if the stage's service generates tokens. [`hedge_wait`] has checked that the call is
+    /// repeatable when the attempt was sent.
     pub fn may_hedge(&self, generates: bool) -> bool {
         self.tokens == 0 && self.has_tries() && !generates
     }
 
-    /// Returns whether the attempts in flight have to be left to their end although the caller has
-    /// left: a call that may not be run twice must not be broken off halfway.
+    /// Returns whether the attempts in flight must run to their end although the caller has left: a call that must
+    /// not run twice must not be cancelled halfway either.
     pub fn must_end(&self) -> bool {
         !self.repeatable && self.in_flight > 0
     }
--- a/lib/src/pipeline/decision/retry_after.rs
+++ b/lib/src/pipeline/decision/retry_after.rs
@@ -1,29 +1,29 @@
-//! When may a caller come back that was refused, or whose request failed?
+//! When may a caller try again that was refused, or whose request failed?
 //!
-//! Input: the earliest finish, in milliseconds, of a usual call over some endpoints of the pool
-//! that was short; none if no endpoint may get work. Output: a wait in whole milliseconds.
+//! Input: the earliest time, in milliseconds, in which one of some endpoints of the stage's pool would finish an
+//! average call; none if no endpoint may get work. Output: a wait in whole milliseconds.
 //!
-//! The rule: the caller may come back when a usual call would be finished, within [`SHORTEST`] and
-//! [`LONGEST`]; after [`UNKNOWN`] if nothing can be estimated.
+//! Rule: the caller may try again when an average call would be finished, within [`SHORTEST`] and [`LONGEST`]; after
+//! [`UNKNOWN`] if nothing can be estimated.
 //!
-//! The reason: by then an endpoint has room, if nobody else takes it; the bounds keep callers from coming back at
-//! once, and from staying away because of one absurd estimate. Tests: `lib/tests/test_retry_after.rs`.
+//! Reason: by then an endpoint has capacity, unless another call takes it. The bounds keep callers from retrying at
+//! once, and from waiting too long because of one absurd estimate. Tests: `lib/tests/test_retry_after.rs`.
 
 use crate::shared::units::{Millis, WorkMillis};
 
-/// Shortest wait.
+/// Shortest wait suggested to a caller.
 pub const SHORTEST: Millis = Millis(50);
 
-/// Longest wait.
+/// Longest wait suggested to a caller.
 pub const LONGEST: Millis = Millis(5_000);
 
-/// Wait for a pool without an endpoint that may get work, or without any.
+/// Wait suggested if no endpoint of the pool may get work, or if the service has no pool.
 pub const UNKNOWN: Millis = Millis(1_000);
 
-/// Endpoints looked at for the earliest finish. A bound on the cost.
+/// Endpoints sampled for the earliest finish. Bounds the cost of the estimate.
 pub const SAMPLE: usize = 8;
 
-/// Returns how long a caller should wait, by the earliest finish of a usual call.
+/// Returns how long a caller should wait, given the earliest finish of an average call.
 pub fn retry_after(earliest: Option<WorkMillis>) -> Millis {
     match earliest {
         Some(finish) => Millis((finish.0 as u64).clamp(SHORTEST.0, LONGEST.0)),
--- a/lib/src/pipeline/decision/send.rs
+++ b/lib/src/pipeline/decision/send.rs
@@ -1,7 +1,7 @@
-//! Sending a stage: the choice of an endpoint, the attempt, and its call.
+//! Sends a stage: chooses an endpoint, starts the attempt, and builds its call.
 //!
-//! Holds no rule of its own: the policy chooses ([`policy`](super::policy)), and
-//! [`retry`](super::retry) says whether the attempt may be hedged.
+//! Has no rule of its own: the policy chooses the endpoint ([`policy`](super::policy)), and [`retry`](super::retry)
+//! decides whether the attempt may be hedged.
 
 use crate::{
     pipeline::decision::{
@@ -23,7 +23,7 @@
 impl Core {
     /// Sends the current stage to an endpoint, or ends the request if none can take it.
     ///
-    /// A hedge that no other endpoint can take isn't sent; its request goes on without.
+    /// A hedge that no other endpoint can take isn't sent, and its request continues without it.
     pub(crate) fn send_next(&mut self, now: Time, id: RequestId, kind: AttemptKind) {
         let Some(request) = self.requests.get_mut(&id) else {
             return;
@@ -65,7 +65,7 @@
 
 /// Builds the call of an attempt at the endpoint at `index`.
 ///
-/// A generation that broke off goes on after the tokens that were delivered.
+/// A generation that was interrupted is resumed after the tokens that were received.
 fn endpoint_call(
     now: Time,
     request: &Request,
--- a/lib/src/pipeline/decision/stage_costs.rs
+++ b/lib/src/pipeline/decision/stage_costs.rs
@@ -1,4 +1,4 @@
-//! Endpoint time by pipeline and stage, useful and wasted, as reports and metrics show it.
+//! Endpoint time by pipeline and stage, useful and wasted, for reports and metrics.
 
 use {
     crate::{
@@ -16,7 +16,8 @@
 pub struct StageCost {
     /// Time spent for requests that were answered in time.
     pub useful: WorkMillis,
-    /// Time spent for nothing: late, failed, cancelled or lost.
+    /// Time spent on attempts that failed, were cancelled or lost to a hedge, and on requests that weren't answered in
+    /// time.
     pub wasted: WorkMillis,
 }
 
@@ -27,7 +28,7 @@
 }
 
 impl StageCosts {
-    /// Adds what one request spent.
+    /// Adds the endpoint time of one request; `useful` is true if it was answered in time.
     pub fn add(&mut self, request: &Request, useful: bool) {
         for (i, stage) in request.pipeline.stages.iter().enumerate() {
             let key = (request.pipeline.id.clone(), stage.id.clone());
@@ -42,7 +43,7 @@
         }
     }
 
-    /// Returns the cost of each stage.
+    /// Returns the cost of each stage, in order of pipeline and stage.
     pub fn stages(&self) -> impl Iterator<Item = (&PipelineId, &StageId, StageCost)> {
         self.stages
             .iter()
--- a/lib/src/pipeline/decision/timers.rs
+++ b/lib/src/pipeline/decision/timers.rs
@@ -1,6 +1,6 @@
-//! Timers of a core: when a request's deadline passes, and when an attempt may be hedged.
+//! Timers of a core, for requests' deadlines and for hedges.
 //!
-//! The core asks for the next one and pops those that are due; the shell sleeps in between.
+//! The core adds timers and removes those that are due; the shell sleeps until the next one.
 
 use {
     crate::shared::{
@@ -15,12 +15,12 @@
 pub enum Timer {
     /// A request's deadline has passed.
     Deadline(RequestId),
-    /// An attempt has waited long enough for a second one beside it.
+    /// An attempt has been in flight for long enough to be hedged.
     Hedge(AttemptId),
 }
 
-/// Timers by due time; one whose request or attempt has ended stays until it is due and then does
-/// nothing.
+/// Timers ordered by due time. The timer of a request or attempt that has ended stays until it is due and then has no
+/// effect.
 #[derive(Debug, Default)]
 pub struct Timers {
     heap: BinaryHeap<Reverse<(Time, Timer)>>,
@@ -32,12 +32,12 @@
         self.heap.push(Reverse((due, timer)));
     }
 
-    /// Returns when the next timer is due.
+    /// Returns the time at which the next timer is due; `None` if there is none.
     pub fn next(&self) -> Option<Time> {
         self.heap.peek().map(|Reverse((due, _))| *due)
     }
 
-    /// Removes and returns a timer that is due at `now`; none if there isn't any.
+    /// Removes and returns a timer that is due at `now`; `None` if there is none.
     pub fn pop(&mut self, now: Time) -> Option<Timer> {
         if self.next()? > now {
             return None;
--- a/lib/src/shared/adoption.rs
+++ b/lib/src/shared/adoption.rs
@@ -1,15 +1,14 @@
 //! Does a versioned document that was read come into force?
 //!
-//! Inputs: version and fingerprint of the document in force, if there is one, and of the one that
-//! was read.
+//! Inputs: version and fingerprint of the document in force, if there is one, and of the document that was read.
 //!
-//! Rule: a newer version is adopted, an older one changes nothing. The version in force with the
-//! same content is the one in force; with other content it is refused.
+//! Rule: a newer version is adopted, an older one changes nothing. If the version is the one in force, equal content
+//! changes nothing, and different content is refused.
 //!
-//! Reason: a source may be stale, and two documents under one version mean that a publisher made a
-//! mistake, which daemons that read different ones would turn into different behaviour.
+//! Reason: a source may be stale. Two documents with the same version mean that a publisher made a mistake; daemons
+//! that read different ones would then behave differently.
 //!
-//! There is no constant. Both daemons use it: one for settings trees, the other for tables. Tests:
+//! There is no constant. Both daemons use this rule: one for settings trees, the other for tables. Tests:
 //! `lib/tests/test_config_watch.rs` and `platform/tests/test_directory.rs`.
 
 use std::cmp::Ordering;
@@ -17,26 +16,26 @@
 /// Version and fingerprint of a document.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ContentMark<V> {
-    /// Version that its publisher gave it.
+    /// Version that the publisher gave the document.
     pub version: V,
-    /// Hash over its content.
+    /// Hash of the document's content.
     pub fingerprint: u64,
 }
 
-/// Judgement on a document that was read.
+/// What to do with a document that was read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum VersionVerdict {
-    /// It is newer: put it in force.
+    /// Put the document in force: it is newer.
     Adopt,
-    /// It is the one in force.
+    /// Do nothing: the document is the one in force.
     Same,
-    /// It is older: its source is stale; nothing changes.
+    /// Do nothing: the document is older, so its source is stale.
     Older,
-    /// It has the version in force but other content: refused.
+    /// Refuse the document: it has the version in force but different content.
     Conflict,
 }
 
-/// Judges a document against the one in force.
+/// Compares a document that was read with the one in force.
 pub fn judge<V: Ord>(current: Option<ContentMark<V>>, read: ContentMark<V>) -> VersionVerdict {
     let Some(current) = current else {
         return VersionVerdict::Adopt;
--- a/lib/src/shared/health.rs
+++ b/lib/src/shared/health.rs
@@ -1,16 +1,15 @@
 //! Ejection: may an endpoint get work, judged by how its last calls ended?
 //!
-//! Inputs: the end of each call (success or failure), the time, and how many endpoints of the pool
-//! are out of service already. Output: a [`HealthState`], and with each failure whether the
-//! endpoint was ejected for it.
+//! Inputs: the end of each call (success or failure), the time, and the number of endpoints of the pool that are
+//! already out of service. Output: a [`HealthState`], and for each failure whether the endpoint was ejected because of
+//! it.
 //!
-//! The rule: an endpoint is ejected after `EJECT_AFTER` failures in a row, or while more than
-//! `EJECT_RATE` of its recent calls fail, if the pool can spare it ([`can_spare`]). When its time
-//! is over, one call at a time probes it: a success returns it to service, a failure ejects it for
-//! twice as long.
+//! Rule: an endpoint is ejected after `EJECT_AFTER` failures in a row, or if more than `EJECT_RATE` of its recent calls
+//! fail, provided that the pool can spare it ([`can_spare`]). After the ejection time, one call at a time probes the
+//! endpoint: a success returns it to service, a failure ejects it for twice as long.
 //!
-//! The reason: an endpoint that fails now and then never fails often enough in a row, yet uses up the retry budget;
-//! and a pool that ejects everybody serves nobody. `test_health.rs` and `test_decision_pins.rs` pin the rule. Both
+//! Reason: an endpoint that fails now and then may never fail often enough in a row, yet uses up the retry budget. A
+//! pool that ejects all of its endpoints serves nobody. `test_health.rs` and `test_decision_pins.rs` pin the rule. Both
 //! daemons use it.
 
 use crate::shared::units::{Millis, Share, Time};
@@ -18,30 +17,29 @@
 /// Failures in a row after which an endpoint is ejected.
 const EJECT_AFTER: u32 = 3;
 
-/// Share of recent calls that fail above which an endpoint is ejected even if some succeed.
+/// Fraction of failed calls among the recent ones above which an endpoint is ejected, even if some succeed.
 const EJECT_RATE: Share = Share(0.25);
 
-/// Weight of one call in the share of recent calls that failed.
+/// Weight of one call in the moving average of failed calls.
 const RATE_GAIN: f64 = 0.1;
 
-/// Calls since the last ejection that the share has to rest on.
+/// Smallest number of calls since the last ejection for which the fraction of failed calls counts.
 const RATE_CALLS: u32 = 10;
 
-/// First time of ejection; each further ejection doubles it.
+/// Duration of the first ejection; each further ejection doubles it.
 const FIRST_EJECTION: Millis = Millis(500);
 
-/// Longest time of ejection.
+/// Longest duration of an ejection.
 const LONGEST_EJECTION: Millis = Millis(16_000);
 
-/// Doublings beyond which the time of ejection no longer grows: keeps the shift within its type,
-/// and is above what [`LONGEST_EJECTION`] allows.
+/// Largest number of doublings. Keeps the shift within its type, and is more than [`LONGEST_EJECTION`] allows.
 const MOST_DOUBLINGS: u32 = 10;
 
-/// Successes in a row after which past ejections are forgotten.
+/// Successes in a row after which past ejections no longer count.
 const FORGET_AFTER: u32 = 20;
 
-/// Largest share of a pool that may be out of service through ejection. With more out, the rest would be overloaded,
-/// and the cause is more likely a common one.
+/// Largest fraction of a pool that may be ejected. With more ejected, the rest would be overloaded, and the failures
+/// more likely have a common cause.
 const MAX_EJECTED: Share = Share(0.5);
 
 /// Returns whether a pool of `endpoints` may eject one more while `out` of them are out of service.
@@ -49,36 +47,36 @@
     out as f64 + 1.0 <= endpoints as f64 * MAX_EJECTED.0
 }
 
-/// Health of one endpoint, by the ends of its calls.
+/// Health of one endpoint, judged by how its calls ended.
 #[derive(Debug, Clone, Default)]
 pub struct Health {
     /// Failures since the last success or ejection.
     failures: u32,
     /// Successes since the last failure, counted up to [`FORGET_AFTER`].
     successes: u32,
-    /// Ejections that aren't forgotten.
+    /// Ejections that still count for the duration of the next one.
     ejections: u32,
-    /// End of the last ejection; none once a call succeeded.
+    /// End of the last ejection; `None` once a call has succeeded.
     until: Option<Time>,
-    /// Moving share of recent calls that failed.
+    /// Moving average of recent calls, with 1 for a failed one.
     rate: f64,
     /// Calls since the last ejection.
     calls: u32,
 }
 
-/// Tells whether an endpoint may get work.
+/// Whether an endpoint may get work.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum HealthState {
-    /// In service.
+    /// The endpoint may get work.
     Healthy,
-    /// Ejected for the time being.
+    /// The endpoint gets no work until its ejection ends.
     Ejected,
-    /// Its ejection is over: one call at a time decides whether it comes back.
+    /// The ejection is over, and one call at a time probes whether the endpoint works again.
     Probing,
 }
 
 impl Health {
-    /// Returns the state at `now`.
+    /// Returns the endpoint's state at `now`.
     pub fn state(&self, now: Time) -> HealthState {
         match self.until {
             None => HealthState::Healthy,
@@ -99,10 +97,10 @@
         }
     }
 
-    /// Records a failure; `may_eject` says whether the pool can spare the endpoint.
+    /// Records a failure; `may_eject` is true if the pool can spare the endpoint.
     ///
-    /// Returns whether the endpoint was ejected now. A failed probe ejects whatever the pool can
-    /// spare: the endpoint was out of service already.
+    /// Returns whether the endpoint was ejected now. A failed probe ejects it whether or not the pool can spare it,
+    /// since it was out of service already.
     pub fn failed(&mut self, now: Time, may_eject: bool) -> bool {
         self.failures += 1;
         self.successes = 0;
@@ -130,7 +128,7 @@
         self.calls = 0;
     }
 
-    /// Adds one call to the share of recent calls that failed.
+    /// Adds one call to the moving average of failed calls.
     fn count(&mut self, failed: bool) {
         let value = if failed { 1.0 } else { 0.0 };
         self.calls = self.calls.saturating_add(1);
