--- a/lib/tests/test_core_random.rs
+++ b/lib/tests/test_core_random.rs
@@ -1,4 +1,7 @@
-//! Long seeded runs of the real core, with faults at any moment.
+//! Long runs of the real core on drawn events, with faults at any moment.
+//!
+//! They guard against a request that gets no answer, two, or a wrong one, a guarded call that runs twice, and an
+//! outcome `not_run` for a request of which a call ran.
 
 #![allow(clippy::unwrap_used, reason = "a failed unwrap fails the test")]
 
@@ -17,7 +20,7 @@
     std::{cell::Cell, fmt::Write as _, sync::Arc},
 };
 
-/// Three plain services, one of them guarded, and an engine; `policy` and `guarded` are settings.
+/// Builds a settings tree of three plain services and an engine. `guarded` holds the settings of the service `pay`.
 fn tree(policy: &str, guarded: &str, slots: u32) -> Arc<Tree> {
     let mut port = 0;
     let mut service = |name: &str, kind: &str, settings: &str| {
@@ -74,12 +77,16 @@
     lying: false,
 };
 
-/// Seeds of a long series and of a short one, and the bytes of choices of each run.
+/// Number of seeds of a long series of runs.
 const MANY: u64 = 3_000;
+
+/// Number of seeds of a short series of runs.
 const FEW: u64 = 200;
+
+/// Bytes from which the choices of one run are drawn.
 const CHOICES: u32 = 1 << 13;
 
-/// Runs many seeds and returns whether any of them broke a promise.
+/// Runs some seeds and returns whether the observer found a violation in any of them.
 fn any_broken(tree: &Arc<Tree>, options: RunOptions) -> bool {
     let broken = Cell::new(false);
     for_seeds(FEW, CHOICES, |u| {
@@ -133,13 +140,13 @@
 
 #[test]
 fn repeat_is_noticed() {
-    // The rule that a guarded call isn't repeated is removed: the observer has to see doubles.
+    // Without the settings that forbid to repeat a guarded call, the observer has to find calls that ran twice.
     assert!(any_broken(&tree("estimated", "", 8), FAULTY));
 }
 
 #[test]
 fn lie_is_noticed() {
-    // Endpoints run what they say they didn't: the observer has to see a false `not_run`.
+    // The endpoints run calls that they report as not run: the observer has to find a false `not_run`.
     let lying = RunOptions {
         lying: true,
         ..FAULTY
@@ -149,7 +156,7 @@
 
 #[test]
 fn all_outcomes_occur() {
-    // Runs that never refuse or never fail would prove nothing.
+    // Guards against runs in which one of the outcomes never occurs, so that the checks above would be empty.
     let tree = tree("estimated", GUARDED, 8);
     let seen = Cell::new([false; 3]);
     for_seeds(FEW, CHOICES, |u| {
@@ -168,8 +175,8 @@
     assert_eq!(seen.get(), [true; 3]);
 }
 
-/// Every outcome of some fixed runs, a letter for each request in order of arrival: `+` answered,
-/// `n` not run, `u` unknown, `-` its caller had left.
+/// Pins the outcomes of some fixed runs, with a letter for each request in order of arrival: `+` answered, `W` wrong
+/// answer, `n` not run, `u` unknown, `-` caller left.
 #[test]
 fn outcomes_pinned() {
     let letter = |reported: &Option<Reported>| match reported {
--- a/lib/tests/test_fair_shares.rs
+++ b/lib/tests/test_fair_shares.rs
@@ -1,4 +1,4 @@
-//! Shares of customers under overload.
+//! Wait allowances of customers under overload.
 
 #![allow(clippy::unwrap_used, reason = "a failed unwrap fails the test")]
 
@@ -40,7 +40,7 @@
     let mut shares = FairShares::default();
     for i in 0..100 {
         let now = Time(i * SECOND / 100);
-        // As much is done as is asked for: nobody is refused for its share.
+        // More work is completed than requested, so no customer's allowance is reduced.
         shares.ask(now, WorkMillis(70.0));
         shares.done(now, WorkMillis(100.0));
         shares.add(now, &customer("large"), WorkMillis(60.0));
--- a/lib/tests/test_health.rs
+++ b/lib/tests/test_health.rs
@@ -1,4 +1,4 @@
-//! Ejection of endpoints that fail, and probing them back.
+//! Ejection of endpoints that fail, and their return to service by probes.
 
 use hazelyoke_lib::shared::{
     health::{Health, HealthState, can_spare},
@@ -15,7 +15,7 @@
     assert_eq!(health.state(now), HealthState::Ejected);
     let later = now + Millis(500);
     assert_eq!(health.state(later), HealthState::Probing);
-    // A failed probe doubles the time; a good one ends it.
+    // A failed probe doubles the ejection time, and a successful one returns the endpoint to service.
     assert!(health.failed(later, true));
     assert_eq!(health.state(later + Millis(999)), HealthState::Ejected);
     let later = later + Millis(1_000);
--- a/lib/tests/test_pipeline_pins.rs
+++ b/lib/tests/test_pipeline_pins.rs
@@ -1,7 +1,6 @@
-//! Whole runs of the pipeline daemon's decisions over drawn events, as a hash of all actions with
-//! counts by kind.
+//! Pins whole runs of the pipeline daemon's core on drawn events, as a hash of all actions and their counts by kind.
 //!
-//! A change of any figure here changes what callers and endpoints see.
+//! If a figure here changes, the behaviour that callers and endpoints see has changed.
 
 #![allow(clippy::unwrap_used, reason = "a failed unwrap fails the test")]
 
@@ -31,10 +30,10 @@
     std::{collections::BTreeMap, fmt::Write, sync::Arc},
 };
 
-/// Tokens of every generation.
+/// Number of tokens of each generation.
 const TOKENS: u32 = 4;
 
-/// Numbers from a seed, the same on every machine.
+/// Random numbers from a seed, the same on every platform.
 struct Dice(u64);
 
 impl Dice {
@@ -51,7 +50,7 @@
     }
 }
 
-/// Hash and counts of all that a run did.
+/// Hash of all actions of a run, and their counts by kind.
 #[derive(Default)]
 struct Record {
     hash: u64,
@@ -128,7 +127,7 @@
     Tree::try_from(RawTree::read(&OneValue::from(text), "root").unwrap()).unwrap()
 }
 
-/// A run of one core over drawn events.
+/// A run of one core on drawn events.
 struct Run {
     dice: Dice,
     core: Core,
--- a/lib/tests/test_policy_pins.rs
+++ b/lib/tests/test_policy_pins.rs
@@ -1,5 +1,5 @@
-//! The numbers behind the settings tree's decisions, as snapshots: a change of the code that means
-//! to change none of them leaves the snapshots as they are.
+//! Pins the figures that the rules of the pipeline daemon compute, as snapshots. They change only if a rule is meant to
+//! change.
 
 #![allow(clippy::unwrap_used, reason = "a failed unwrap fails the test")]
 
@@ -33,10 +33,10 @@
     xxhash_rust::xxh3::xxh3_64,
 };
 
-/// Most lines of a course that a snapshot shows; the rest goes into its hash.
+/// Number of lines of a run that a snapshot shows; the others count only in its hash.
 const SHOWN: usize = 60;
 
-/// Returns the first lines of a course and the hash of all.
+/// Returns the first lines of a run and the hash of all.
 fn excerpt(lines: &str) -> String {
     let shown: Vec<&str> = lines.lines().take(SHOWN).collect();
     let hash = xxh3_64(lines.as_bytes());
@@ -48,15 +48,14 @@
     LoadReport {
         backlog: WorkMillis(draws.below(900) as f64),
         running: draws.below(6) as u32,
-        // No slots at all would be absurd, and is left out.
+        // A report with no slots is absurd, and the estimate ignores it.
         slots: draws.below(5) as u32,
         age: Millis(draws.below(2_300)),
         leaving: false,
     }
 }
 
-/// A load estimate: own calls of drawn lengths, reports now and then, and pauses that make them
-/// stale.
+/// Pins a load estimate over calls of drawn lengths, occasional reports, and pauses that make the reports stale.
 #[test]
 fn load_estimates() {
     let mut draws = Draws::new(1);
@@ -105,7 +104,7 @@
     insta::assert_snapshot!(lines);
 }
 
-/// Three customers, of which one asks for most, under a load that rises and falls.
+/// Pins the wait allowances of three customers, of which one requests most of the work, under a changing load.
 #[test]
 fn fair_rooms() {
     let names = ["large", "small", "rare"];
@@ -134,8 +133,8 @@
     insta::assert_snapshot!(excerpt(&lines));
 }
 
-/// Each line has the steps of one customer: `+` is let in, a number is the wait in milliseconds,
-/// `-` leaves.
+/// Pins the limits of customers. A line has the steps of one: `+` is a request admitted, a number the wait in
+/// milliseconds of one refused, `-` the end of a request.
 #[test]
 fn customer_limits() {
     let mut lines = String::new();
@@ -173,7 +172,7 @@
     insta::assert_snapshot!(lines);
 }
 
-/// `.` pays in for a first attempt, `+` and `-` are retries granted and refused.
+/// Pins the retry budget: `.` is a first attempt, which pays in, `+` a retry granted, `-` a retry refused.
 #[test]
 fn retry_grants() {
     let mut lines = String::new();
@@ -204,8 +203,8 @@
     ]
 }
 
-/// For each need and room: the least time left, in milliseconds, with which a request of each
-/// priority is admitted, and with which it goes on.
+/// Pins the admission: for each need and wait allowance, the least time left, in milliseconds, with which a request of
+/// each priority is admitted, and with which it continues.
 #[test]
 fn admission_bounds() {
     let least = |admits: &dyn Fn(Millis) -> bool| (0..5_000).find(|ms| admits(Millis(*ms)));
@@ -257,7 +256,7 @@
     at.map_or("none".into(), |at| pool.members[at].spec.id.to_string())
 }
 
-/// A call under way.
+/// A call in flight.
 struct Sent {
     at: Time,
     member: usize,
@@ -265,7 +264,7 @@
     expected: WorkMillis,
 }
 
-/// Ends a call in a drawn way; returns a line about a failure.
+/// Ends a call with a drawn result; returns a line if it failed.
 fn end_call(pool: &mut Pool, call: &Sent, now: Time, draws: &mut Draws) -> Option<String> {
     let member = &mut pool.members[call.member];
     member.load.ended(call.at, call.expected);
@@ -295,7 +294,8 @@
     None
 }
 
-/// Runs a drawn course of calls at a pool, with failures, reports and what is learnt of costs.
+/// Runs drawn calls at a pool, with failures, load reports and learnt costs; returns a line for each choice and
+/// failure.
 fn pool_course(policy: AnyPolicy, kind: ServiceKind, steps: u32) -> String {
     let mut pool = pool(kind);
     let mut draws = Draws::new(6);
--- a/lib/tests/test_prefix.rs
+++ b/lib/tests/test_prefix.rs
@@ -1,4 +1,4 @@
-//! Beliefs about engines' prefix caches.
+//! Assumed content of the engines' prefix caches.
 
 #![allow(clippy::unwrap_used, reason = "a failed unwrap fails the test")]
 
@@ -97,7 +97,8 @@
         let request = CallerRequest::new("/v1/services/llm", "market", body);
         assert_eq!(caller.post(request).await.unwrap().body, expected);
     }
-    // One engine after the other could have been chosen; one has computed the beginning once.
+    // Without the affinity all engines would get some of the requests. With it, one engine computes the prefix once and
+    // at least one other gets none.
     let runs: Vec<_> = engines
         .iter()
         .map(|server| server.endpoint.runs().len())
--- a/lib/tests/test_retry.rs
+++ b/lib/tests/test_retry.rs
@@ -1,4 +1,4 @@
-//! When a stage is sent again, and what a retry costs.
+//! When a stage is sent again, and which retries the budget has to grant.
 
 use hazelyoke_lib::{
     pipeline::decision::retry::{AttemptKind, NextStep, StageProgress, hedge_wait},
@@ -16,7 +16,7 @@
     abandoned: false,
 };
 
-/// All states with up to three attempts and one other attempt in flight.
+/// Returns all states with one to four attempts sent, and with and without another attempt in flight.
 fn states() -> Vec<StageProgress> {
     let mut states = Vec::new();
     for bits in 0..64_u32 {
--- a/lib/tests/test_retry_after.rs
+++ b/lib/tests/test_retry_after.rs
@@ -1,4 +1,4 @@
-//! When a refused caller may come back.
+//! When a refused caller may try again.
 
 use hazelyoke_lib::{
     pipeline::decision::retry_after::retry_after,
--- a/lib/testutils/src/core_run/calls.rs
+++ b/lib/testutils/src/core_run/calls.rs
@@ -1,4 +1,4 @@
-//! How calls of a run end: drawn when they are sent, and planned for later.
+//! Draws how the calls of a run end when they are sent, and plans their ends.
 
 use {
     super::{CoreRun, Due, MAX_SERVICE, TOKENS},
@@ -17,7 +17,7 @@
 const SERVED: WorkMillis = WorkMillis(1.0);
 
 impl CoreRun<'_, '_> {
-    /// Draws how a call ends, and plans it.
+    /// Draws how and when a call ends, and plans that.
     pub(super) fn send(&mut self, call: EndpointCall) -> Result<()> {
         let attempt = call.ids.attempt;
         let at = self.now.0 + self.choices.int_in_range(1..=MAX_SERVICE)?;
@@ -30,7 +30,7 @@
         Ok(())
     }
 
-    /// Draws a call's end; none if the endpoint never answers.
+    /// Draws how a call ends; `None` if the endpoint never answers.
     fn draw_end(&mut self, call: &EndpointCall, at: u64) -> Result<Option<AttemptEnd>> {
         if !self.options.faults {
             return self.good_end(call, at).map(Some);
@@ -68,8 +68,8 @@
         })
     }
 
-    /// Draws when a token comes; none if it is lost. Without faults tokens come in order; with
-    /// them, in any.
+    /// Draws when a token arrives; `None` if it is lost. Without faults the tokens arrive in order, with faults in any
+    /// order.
     fn draw_token_time(&mut self, end: u64) -> Result<Option<Time>> {
         let early = Time(self.choices.int_in_range(self.now.0..=end)?);
         if !self.options.faults {
--- a/lib/testutils/src/core_run/mod.rs
+++ b/lib/testutils/src/core_run/mod.rs
@@ -1,8 +1,8 @@
-//! Drives the real core in virtual time, with endpoints that do whatever a source of choices says.
+//! Drives the real core in virtual time, with endpoints that behave as a source of choices says.
 //!
-//! Not a model of a network: the end of each attempt is drawn when it is sent. Owns the clock and
-//! what is due; `observer` keeps what ran at the endpoints and compares it with what callers
-//! were told, `calls` draws how calls end.
+//! There is no model of a network: the end of each attempt is drawn when it is sent. This module owns the clock and the
+//! queue of planned events; `observer` records what ran at the endpoints and compares it with what callers received,
+//! and `calls` draws how calls end.
 
 mod calls;
 mod observer;
@@ -33,7 +33,7 @@
     },
 };
 
-/// Tokens of every generation in a run.
+/// Number of tokens of each generation in a run.
 pub const TOKENS: u32 = 4;
 
 /// Longest service time that is drawn, in microseconds.
@@ -42,31 +42,31 @@
 /// Longest time between two arrivals, in microseconds.
 const MAX_GAP: u64 = 50_000;
 
-/// Seed of the core's own choices.
+/// Seed of the core's random number generator.
 const CORE_SEED: u64 = 7;
 
 /// Backlogs of load reports, in milliseconds: plausible ones and ones that no endpoint should send.
 const BACKLOGS: [f64; 6] = [0.0, 50.0, 1e5, -1.0, f64::NAN, 1e300];
 
-/// How a run is set up.
+/// Options of a run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RunOptions {
-    /// Requests that arrive.
+    /// Number of requests that arrive.
     pub requests: u32,
     /// Whether endpoints and callers misbehave.
     pub faults: bool,
-    /// Whether endpoints lie about what they didn't run: the observer has to notice.
+    /// Whether endpoints run calls that they report as not run, which the observer has to find.
     pub lying: bool,
 }
 
-/// What is due next.
+/// Time and number of the next event.
 struct NextDue {
     at: Time,
-    /// Number of the planned thing; absent for the core's own timer.
+    /// Number of the planned event; `None` for the core's own timer.
     planned: Option<u64>,
 }
 
-/// One thing that is due.
+/// A planned event.
 #[derive(Debug, Clone)]
 enum Due {
     Arrive(u32),
@@ -117,11 +117,11 @@
         run
     }
 
-    /// Runs to the end.
+    /// Runs until all requests have ended and no event is due.
     ///
     /// # Errors
     ///
-    /// Returns an error when the source of choices is spent, which is no finding.
+    /// Returns an error if the source of choices is exhausted, which isn't a violation.
     pub fn run(mut self) -> Result<Findings> {
         let mut at = self.now;
         for number in 0..self.options.requests {
@@ -147,7 +147,7 @@
         self.due.insert(self.planned, due);
     }
 
-    /// Load reports of any content, and trees that come in while requests run.
+    /// Plans load reports of any content, and settings trees that arrive while requests run.
     fn plan_disturbances(&mut self, end: Time) -> Result<()> {
         for _ in 0..self.choices.int_in_range(0..=20)? {
             let at = Time(self.choices.int_in_range(0..=end.0)?);
@@ -162,7 +162,7 @@
         Ok(())
     }
 
-    /// Takes some endpoints out of the tree, or puts them in again, under a new version.
+    /// Returns the run's settings tree with a later version and without some of the endpoints.
     fn changed_tree(&mut self) -> Result<Tree> {
         let mut tree = Tree::clone(&self.tree);
         tree.version.0 += self.choices.int_in_range(1..=9)?;
@@ -174,7 +174,7 @@
         Ok(tree)
     }
 
-    /// Takes what comes next: something planned, or the core's own timer.
+    /// Returns the next event: a planned one, or the core's own timer if it is due earlier.
     fn next_due(&mut self) -> Option<NextDue> {
         let planned = self.queue.peek().map(|Reverse((at, _))| *at);
         let timer = self.core.next_timer();
--- a/lib/testutils/src/core_run/observer.rs
+++ b/lib/testutils/src/core_run/observer.rs
@@ -1,4 +1,4 @@
-//! Keeps what ran at the endpoints of a run and compares it with what callers were told.
+//! Records what ran at the endpoints of a run and compares it with what callers received.
 
 use {
     super::body,
@@ -13,7 +13,7 @@
     std::collections::BTreeMap,
 };
 
-/// Start of the names of stages that may run only once for a request.
+/// Prefix of the names of stages that may run only once per request.
 const GUARDED: &str = "guarded";
 
 /// The end of a request as its caller saw it.
@@ -30,13 +30,13 @@
 /// The findings of a run.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct Findings {
-    /// Ends of the requests, in order of arrival; none if the caller had left.
+    /// Ends of the requests, in order of arrival; `None` if the caller had left.
     pub reported: Vec<Option<Reported>>,
-    /// Broken promises, in words.
+    /// Descriptions of the violations found.
     pub broken: Vec<String>,
 }
 
-/// What the observer knows of one request.
+/// State of one request as observed.
 #[derive(Debug, Default)]
 struct Seen {
     number: u32,
@@ -53,7 +53,7 @@
     ran: bool,
 }
 
-/// Sees all that a run does.
+/// Observes all events and actions of a run.
 #[derive(Debug)]
 pub(super) struct Observer {
     steps: BTreeMap<String, Vec<Step>>,
@@ -88,7 +88,7 @@
         self.requests[&request].finished
     }
 
-    /// Notes a request's arrival.
+    /// Records the arrival of a request.
     pub(super) fn arrived(&mut self, request: RequestId, number: u32) {
         let seen = Seen {
             number,
@@ -97,12 +97,12 @@
         self.requests.insert(request, seen);
     }
 
-    /// Notes that a caller left.
+    /// Records that a caller left.
     pub(super) fn left(&mut self, request: RequestId) {
         self.seen(request).left = true;
     }
 
-    /// Notes a call, and whether its endpoint runs it.
+    /// Records a call, and whether its endpoint runs it.
     pub(super) fn sent(&mut self, call: &EndpointCall, ran: bool) {
         let request = call.ids.request;
         let seen = self.seen(request);
@@ -118,12 +118,12 @@
         self.calls.insert(call.ids.attempt, pending);
     }
 
-    /// Notes a call that the core has given up.
+    /// Records that the core cancelled a call.
     pub(super) fn cancelled(&mut self, attempt: AttemptId) {
         self.calls.remove(&attempt);
     }
 
-    /// Checks a token that a caller gets.
+    /// Checks a token that a caller receives.
     pub(super) fn token(&mut self, request: RequestId, index: u32) {
         let seen = self.seen(request);
         let next = seen.tokens;
@@ -133,7 +133,7 @@
         }
     }
 
-    /// Checks the end that a caller gets.
+    /// Checks the final answer that a caller receives.
     pub(super) fn finished(&mut self, request: RequestId, result: Result<Answer, Problem>) {
         let seen = self.seen(request);
         let (number, ran) = (seen.number, seen.ran);
@@ -162,7 +162,7 @@
         })
     }
 
-    /// Checks what is left once nothing more is due.
+    /// Checks the final state, once no event is due any more.
     pub(super) fn finish(mut self, core: &Core) -> Findings {
         self.check_requests();
         self.check_guarded();
@@ -197,7 +197,7 @@
         }
     }
 
-    /// Whatever still runs has to serve a request that has ended.
+    /// Checks that each call still running belongs to a request that has ended or whose caller has left.
     fn check_calls(&mut self) {
         let running = self.calls.values().filter(|pending| pending.ran);
         let requests = running.map(|pending| &self.requests[&pending.request]);
