--- a/lib/src/pipeline/decision/admission.rs
+++ b/lib/src/pipeline/decision/admission.rs
@@ -1,12 +1,12 @@
 //! Can a request still be finished within its deadline, so that it is worth starting or continuing?
 //!
-//! Inputs: the time left (`Millis`), the estimated work and wait of all remaining stages ([`Needs`], in
+//! Inputs: the time left (`Millis`), the estimated work and wait of all remaining stages ([`RequiredTime`], in
 //! milliseconds), the request's priority, and the wait allowance of its customer (a [`Share`], see
 //! [`fair`](super::fair)). Output: yes or no.
 //!
 //! Rule: the time needed is the sum over the remaining stages, each with the work of an average call and the wait at
 //! the endpoint that would finish it first. A request is admitted if its own work fits into the time left, and its
-//! wait into a share of the time that its work leaves over: [`LOW_WAIT`], [`NORMAL_WAIT`] or [`HIGH_WAIT`] by its
+//! wait into a share of the time that its work leaves over: [`LOW_WAIT_SHARE`], [`NORMAL_WAIT_SHARE`] or [`HIGH_WAIT_SHARE`] by its
 //! priority, times its customer's wait allowance. Once its first stage has run, it continues as long as it can finish
 //! before the deadline.
 //!
@@ -25,24 +25,24 @@
 };
 
 /// Largest wait of a request of low priority, as a share of the time that its own work leaves over.
-pub const LOW_WAIT: Share = Share(0.35);
+pub const LOW_WAIT_SHARE: Share = Share(0.35);
 
 /// Largest wait at normal priority, as a share of the same time.
-pub const NORMAL_WAIT: Share = Share(0.6);
+pub const NORMAL_WAIT_SHARE: Share = Share(0.6);
 
 /// Largest wait at high priority, as a share of the same time.
-pub const HIGH_WAIT: Share = Share(0.9);
+pub const HIGH_WAIT_SHARE: Share = Share(0.9);
 
 /// Estimated time that a request needs for its remaining stages.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
-pub struct Needs {
+pub struct RequiredTime {
     /// Endpoint time of the request's own calls.
     pub work: WorkMillis,
     /// Time spent in the endpoints' queues behind other calls.
     pub wait: WorkMillis,
 }
 
-impl Needs {
+impl RequiredTime {
     /// Adds a stage whose average call takes `work`, but at least `floor`.
     ///
     /// `finish` is the time until the fastest endpoint would finish such a call, its queue included; `None` if no
@@ -54,30 +54,35 @@
     }
 
     /// Adds a stage whose service has no pool: its work counts as `floor`, its wait as zero.
-    pub fn add_unknown(&mut self, floor: Millis) {
+    pub fn add_unknown_stage(&mut self, floor: Millis) {
         self.work.0 += floor.0 as f64;
     }
 }
 
 /// Returns whether a request is worth starting with `remaining` left.
 ///
-/// `room` is the customer's wait allowance: the fraction of the usual wait that its requests may have.
-pub fn admits(remaining: Millis, needs: Needs, priority: Priority, room: Share) -> bool {
-    let slack = remaining.0 as f64 - needs.work.0;
-    slack >= 0.0 && needs.wait.0 <= slack * wait_share(priority).0 * room.0
+/// `allowance` is the customer's wait allowance: the fraction of the usual wait that its requests may have.
+pub fn admits(
+    remaining: Millis,
+    required: RequiredTime,
+    priority: Priority,
+    allowance: Share,
+) -> bool {
+    let slack = remaining.0 as f64 - required.work.0;
+    slack >= 0.0 && required.wait.0 <= slack * wait_share(priority).0 * allowance.0
 }
 
 /// Returns whether a request whose first stage has run is worth continuing.
 ///
 /// Looser than [`admits`], since stopping here wastes the work of the earlier stages.
-pub fn continues(remaining: Millis, needs: Needs) -> bool {
-    needs.work.0 + needs.wait.0 <= remaining.0 as f64
+pub fn continues(remaining: Millis, required: RequiredTime) -> bool {
+    required.work.0 + required.wait.0 <= remaining.0 as f64
 }
 
 fn wait_share(priority: Priority) -> Share {
     match priority {
-        Priority::Low => LOW_WAIT,
-        Priority::Normal => NORMAL_WAIT,
-        Priority::High => HIGH_WAIT,
+        Priority::Low => LOW_WAIT_SHARE,
+        Priority::Normal => NORMAL_WAIT_SHARE,
+        Priority::High => HIGH_WAIT_SHARE,
     }
 }
--- a/lib/src/pipeline/decision/admit.rs
+++ b/lib/src/pipeline/decision/admit.rs
@@ -7,7 +7,7 @@
 use {
     crate::{
         pipeline::decision::{
-            admission::Needs,
+            admission::RequiredTime,
             core::Core,
             policy::Policy,
             request::{Arrival, Request, Target},
@@ -42,15 +42,15 @@
         check_arrival(&arrival, &pipeline, &settings)?;
         self.check_stream(&arrival, &pipeline)?;
         let request = Request::new(arrival, pipeline, &settings, now);
-        let work = self.usual_work(&request);
-        self.shares.ask(now, work);
+        let work = self.request_work(&request);
+        self.shares.record_requested(now, work);
         self.check_time(now, &request)?;
-        let used = self.customers.entry(request.customer.clone()).or_default();
-        if let Err(wait) = used.enter(now, &customer.settings) {
+        let usage = self.customers.entry(request.customer.clone()).or_default();
+        if let Err(wait) = usage.start_request(now, &customer.settings) {
             let detail = format!("customer {} is over its limit", customer.id);
             return Err(Problem::not_run(Code::OverLimit, detail).retry_after(wait));
         }
-        self.shares.add(now, &request.customer, work);
+        self.shares.record_admitted(now, &request.customer, work);
         Ok(request)
     }
 
@@ -96,50 +96,50 @@
     ///
     /// Returns [`Code::NoTime`] with the time after which the caller may try again.
     pub(crate) fn check_time(&self, now: Time, request: &Request) -> Result<(), Problem> {
-        let needs = self.needs(now, request);
+        let required = self.required_time(now, request);
         let stage = request.current();
         let policy = self.config.policy(&stage.settings);
         let remaining = request.remaining(now);
         let fits = if request.stage == 0 {
-            let room = self.shares.room(now, &request.customer);
-            policy.admits(remaining, needs, request.priority, room)
+            let allowance = self.shares.wait_allowance(now, &request.customer);
+            policy.admits(remaining, required, request.priority, allowance)
         } else {
-            policy.continues(remaining, needs)
+            policy.continues(remaining, required)
         };
         if fits {
             return Ok(());
         }
         let wait = match self.pools.pool(&stage.service) {
             Some(pool) => pool.retry_after(now),
-            None => retry_after::UNKNOWN,
+            None => retry_after::DEFAULT_WAIT,
         };
-        let Needs { work, wait: queue } = needs;
+        let RequiredTime { work, wait: queue } = required;
         let detail = format!("about {work} of work after a wait of {queue}, {remaining} left");
         Err(Problem::not_run(Code::NoTime, detail).retry_after(wait))
     }
 
     /// Estimates the endpoint time of all stages of a request.
-    fn usual_work(&self, request: &Request) -> WorkMillis {
+    fn request_work(&self, request: &Request) -> WorkMillis {
         let stages = request.pipeline.stages.iter();
         let pools = stages.filter_map(|stage| self.pools.pool(&stage.service));
-        WorkMillis(pools.map(|pool| pool.usual_work().0).sum())
+        WorkMillis(pools.map(|pool| pool.average_work().0).sum())
     }
 
     /// Estimates the time that the current and all later stages need.
-    fn needs(&self, now: Time, request: &Request) -> Needs {
-        let mut needs = Needs::default();
+    fn required_time(&self, now: Time, request: &Request) -> RequiredTime {
+        let mut required = RequiredTime::default();
         for stage in &request.pipeline.stages[request.stage..] {
             let floor = stage.settings.floor.value;
             match self.pools.pool(&stage.service) {
                 Some(pool) => {
-                    let work = pool.usual_work();
-                    let finish = pool.best_finish(now, work, ESTIMATE_SAMPLE);
-                    needs.add_stage(floor, work, finish);
+                    let work = pool.average_work();
+                    let finish = pool.earliest_finish(now, work, ESTIMATE_SAMPLE);
+                    required.add_stage(floor, work, finish);
                 }
-                None => needs.add_unknown(floor),
+                None => required.add_unknown_stage(floor),
             }
         }
-        needs
+        required
     }
 }
 
--- a/lib/src/pipeline/decision/attempt.rs
+++ b/lib/src/pipeline/decision/attempt.rs
@@ -73,7 +73,7 @@
         let spent = attempt.spent(now, &end);
         if end.is_success() {
             request.add_spent(spent);
-            self.shares.done(now, spent);
+            self.shares.record_completed(now, spent);
         } else {
             request.add_wasted(spent);
         }
@@ -139,7 +139,7 @@
         request.advance(body);
         let request = &self.requests[&id];
         match self.check_time(now, request) {
-            Ok(()) => self.send_next(now, id, AttemptKind::Next),
+            Ok(()) => self.send_next(now, id, AttemptKind::Regular),
             // Only code and detail are taken over: parts of the request have run, so `fail` finds the outcome and the
             // wait.
             Err(late) => self.fail(now, id, late.code, late.detail),
@@ -182,7 +182,7 @@
             NextStep::GiveUp => false,
         };
         if granted {
-            self.send_next(now, id, AttemptKind::Next);
+            self.send_next(now, id, AttemptKind::Regular);
         } else {
             self.fail(now, id, code, detail);
         }
--- a/lib/src/pipeline/decision/core.rs
+++ b/lib/src/pipeline/decision/core.rs
@@ -16,7 +16,7 @@
             counters::Counters,
             endpoint::{AttemptEnd, EndpointCall, LoadReport},
             fair::FairShares,
-            limit::CustomerUse,
+            limit::CustomerUsage,
             policy_choice::AnyPolicy,
             pools::Pools,
             prefix::CacheEvent,
@@ -138,7 +138,7 @@
     /// Request that each attempt in flight belongs to.
     pub(crate) attempts: HashMap<AttemptId, RequestId>,
     pub(crate) shares: FairShares,
-    pub(crate) customers: HashMap<CustomerId, CustomerUse>,
+    pub(crate) customers: HashMap<CustomerId, CustomerUsage>,
     /// For each service, a pipeline of one stage that runs a direct call of it.
     pub(crate) services: HashMap<ServiceId, Arc<Pipeline>>,
     pub(crate) timers: Timers,
@@ -240,7 +240,7 @@
             .map(|service| (service.id.clone(), Arc::new(Tree::service_call(service))))
             .collect();
         self.customers
-            .retain(|id, used| tree.customers.contains_key(id) || !used.is_idle());
+            .retain(|id, usage| tree.customers.contains_key(id) || !usage.is_idle());
         self.tree = tree;
     }
 
@@ -255,7 +255,7 @@
             Ok(request) => {
                 self.timers.add(request.deadline, Timer::Deadline(id));
                 self.requests.insert(id, request);
-                self.send_next(now, id, AttemptKind::Next);
+                self.send_next(now, id, AttemptKind::Regular);
             }
             Err(problem) => self.finish_unstarted(id, problem),
         }
--- a/lib/src/pipeline/decision/fair.rs
+++ b/lib/src/pipeline/decision/fair.rs
@@ -5,9 +5,9 @@
 //! by which [`admission`](super::admission) multiplies the wait that it allows.
 //!
 //! Rule: a customer with up to an equal share of the recently admitted work has the full wait allowance. Beyond that
-//! its allowance is the equal share divided by its own work, but at least [`LEAST_ROOM`]. The reduction applies in
+//! its allowance is the equal share divided by its own work, but at least [`MIN_WAIT_ALLOWANCE`]. The reduction applies in
 //! proportion to how far the requested work exceeds the completed work: not at all up to a ratio of
-//! [`PRESSURE_FROM`], and in full [`PRESSURE_SPAN`] above it.
+//! [`OVERLOAD_START`], and in full [`OVERLOAD_SPAN`] above it.
 //!
 //! Reason: with a smaller wait allowance, a customer over its share is refused while the queue is still short enough
 //! for all others, so it only gets the capacity that they leave. While a queue shrinks, nobody needs to be
@@ -24,57 +24,57 @@
 };
 
 /// Half-life of the work admitted for customers.
-const HALF_LIFE: Millis = Millis(2_000);
+const SHARE_HALF_LIFE: Millis = Millis(2_000);
 
-/// Half-life of the work requested by all customers and of the work completed. Shorter than [`HALF_LIFE`], since the
+/// Half-life of the work requested by all customers and of the work completed. Shorter than [`SHARE_HALF_LIFE`], since the
 /// ratio of the two has to show the overload of this moment.
-const PRESSURE_HALF_LIFE: Millis = Millis(500);
+const OVERLOAD_HALF_LIFE: Millis = Millis(500);
 
 /// Ratio of requested to completed work above which the customers' shares begin to count.
-pub const PRESSURE_FROM: f64 = 1.05;
+pub const OVERLOAD_START: f64 = 1.05;
 
-/// Increase of that ratio above [`PRESSURE_FROM`] at which the shares count in full.
-pub const PRESSURE_SPAN: f64 = 0.25;
+/// Increase of that ratio above [`OVERLOAD_START`] at which the shares count in full.
+pub const OVERLOAD_SPAN: f64 = 0.25;
 
 /// Recent work below which a customer counts as inactive and is removed.
-const GONE_BELOW: WorkMillis = WorkMillis(0.5);
+const INACTIVE_BELOW: WorkMillis = WorkMillis(0.5);
 
 /// Smallest wait allowance of a customer over its share.
-pub const LEAST_ROOM: Share = Share(0.4);
+pub const MIN_WAIT_ALLOWANCE: Share = Share(0.4);
 
 /// Wait allowance of a customer within its share.
-const FULL_ROOM: Share = Share(1.0);
+const FULL_WAIT_ALLOWANCE: Share = Share(1.0);
 
 /// Admitted requests between two sweeps that remove inactive customers. A sweep visits all customers, so it must not
 /// run with each request.
-const SWEEP_EVERY: u32 = 256;
+const SWEEP_INTERVAL: u32 = 256;
 
 /// An amount of work that decays exponentially.
 #[derive(Debug, Clone, Copy)]
-struct Decaying {
-    /// Amount at the time `at`.
+struct DecayingWork {
+    /// Amount at the time `updated`.
     work: WorkMillis,
-    at: Time,
+    updated: Time,
     half_life: Millis,
 }
 
-impl Decaying {
+impl DecayingWork {
     fn new(half_life: Millis) -> Self {
         Self {
             work: WorkMillis(0.0),
-            at: Time::default(),
+            updated: Time::default(),
             half_life,
         }
     }
 
-    fn now(&self, now: Time) -> WorkMillis {
-        let halves = now.millis_since(self.at) / self.half_life.0 as f64;
+    fn amount(&self, now: Time) -> WorkMillis {
+        let halves = now.millis_since(self.updated) / self.half_life.0 as f64;
         WorkMillis(self.work.0 * (-halves).exp2())
     }
 
     fn add(&mut self, now: Time, work: WorkMillis) {
-        self.work = WorkMillis(self.now(now).0 + work.0);
-        self.at = now;
+        self.work = WorkMillis(self.amount(now).0 + work.0);
+        self.updated = now;
     }
 }
 
@@ -82,69 +82,72 @@
 #[derive(Debug)]
 pub struct FairShares {
     /// Work admitted for each customer.
-    customers: HashMap<CustomerId, Decaying>,
+    customers: HashMap<CustomerId, DecayingWork>,
     /// Work admitted for all customers.
-    total: Decaying,
+    total: DecayingWork,
     /// Work requested by all customers, admitted or not.
-    asked: Decaying,
+    requested: DecayingWork,
     /// Work that endpoints have completed.
-    done: Decaying,
+    completed: DecayingWork,
     /// Number of requests admitted; determines when to sweep.
-    adds: u32,
+    admissions: u32,
 }
 
 impl Default for FairShares {
     fn default() -> Self {
         Self {
             customers: HashMap::default(),
-            total: Decaying::new(HALF_LIFE),
-            asked: Decaying::new(PRESSURE_HALF_LIFE),
-            done: Decaying::new(PRESSURE_HALF_LIFE),
-            adds: 0,
+            total: DecayingWork::new(SHARE_HALF_LIFE),
+            requested: DecayingWork::new(OVERLOAD_HALF_LIFE),
+            completed: DecayingWork::new(OVERLOAD_HALF_LIFE),
+            admissions: 0,
         }
     }
 }
 
 impl FairShares {
     /// Records work that was requested, whether or not it is admitted.
-    pub fn ask(&mut self, now: Time, work: WorkMillis) {
-        self.asked.add(now, work);
+    pub fn record_requested(&mut self, now: Time, work: WorkMillis) {
+        self.requested.add(now, work);
     }
 
     /// Records work that an endpoint has completed.
-    pub fn done(&mut self, now: Time, work: WorkMillis) {
-        self.done.add(now, work);
+    pub fn record_completed(&mut self, now: Time, work: WorkMillis) {
+        self.completed.add(now, work);
     }
 
     /// Records work that was admitted for a customer.
-    pub fn add(&mut self, now: Time, customer: &CustomerId, work: WorkMillis) {
-        let own = self.customers.entry(customer.clone());
-        own.or_insert(Decaying::new(HALF_LIFE)).add(now, work);
+    pub fn record_admitted(&mut self, now: Time, customer: &CustomerId, work: WorkMillis) {
+        let recent = self.customers.entry(customer.clone());
+        recent
+            .or_insert(DecayingWork::new(SHARE_HALF_LIFE))
+            .add(now, work);
         self.total.add(now, work);
-        self.adds += 1;
-        if self.adds.is_multiple_of(SWEEP_EVERY) {
-            self.customers.retain(|_, own| own.now(now) > GONE_BELOW);
+        self.admissions += 1;
+        if self.admissions.is_multiple_of(SWEEP_INTERVAL) {
+            self.customers
+                .retain(|_, recent| recent.amount(now) > INACTIVE_BELOW);
         }
     }
 
     /// Returns a customer's wait allowance: 1 up to an equal share of the recent work, less beyond it while more
     /// work is requested than completed.
-    pub fn room(&self, now: Time, customer: &CustomerId) -> Share {
+    pub fn wait_allowance(&self, now: Time, customer: &CustomerId) -> Share {
         let recent = self.customers.get(customer);
-        let own = recent.map_or(WorkMillis(0.0), |own| own.now(now));
-        if own.0 <= 0.0 {
-            return FULL_ROOM;
+        let work = recent.map_or(WorkMillis(0.0), |recent| recent.amount(now));
+        if work.0 <= 0.0 {
+            return FULL_WAIT_ALLOWANCE;
         }
-        let fair = self.total.now(now).0 / self.customers.len() as f64;
-        let room = (fair / own.0).clamp(LEAST_ROOM.0, FULL_ROOM.0);
-        Share(FULL_ROOM.0 - (FULL_ROOM.0 - room) * self.pressure(now))
+        let fair = self.total.amount(now).0 / self.customers.len() as f64;
+        let allowance = (fair / work.0).clamp(MIN_WAIT_ALLOWANCE.0, FULL_WAIT_ALLOWANCE.0);
+        Share(FULL_WAIT_ALLOWANCE.0 - (FULL_WAIT_ALLOWANCE.0 - allowance) * self.overload(now))
     }
 
     /// Returns how much the customers' shares count: 0 while requested and completed work are about equal, 1 when far
     /// more is requested.
-    fn pressure(&self, now: Time) -> f64 {
-        let ratio = self.asked.now(now).0 / self.done.now(now).0.max(f64::EPSILON);
-        ((ratio - PRESSURE_FROM) / PRESSURE_SPAN).clamp(0.0, 1.0)
+    fn overload(&self, now: Time) -> f64 {
+        let ratio = self.requested.amount(now).0 / self.completed.amount(now).0.max(f64::EPSILON);
+        ((ratio - OVERLOAD_START) / OVERLOAD_SPAN).clamp(0.0, 1.0)
     }
 
     /// Returns the number of customers with recent work.
--- a/lib/src/pipeline/decision/finish.rs
+++ b/lib/src/pipeline/decision/finish.rs
@@ -37,7 +37,7 @@
             return;
         };
         request.abandoned = true;
-        if request.progress().must_end() {
+        if request.progress().must_complete() {
             return;
         }
         self.fail(now, id, Code::DeadlineExceeded, "the caller left".into());
@@ -69,8 +69,8 @@
         let Some(request) = self.requests.remove(&id) else {
             return;
         };
-        if let Some(used) = self.customers.get_mut(&request.customer) {
-            used.leave();
+        if let Some(usage) = self.customers.get_mut(&request.customer) {
+            usage.end_request();
         }
         let useful = result.is_ok() && now <= request.deadline && !request.abandoned;
         self.costs.add(&request, useful);
--- a/lib/src/pipeline/decision/limit.rs
+++ b/lib/src/pipeline/decision/limit.rs
@@ -22,35 +22,35 @@
 const CONCURRENCY_WAIT: Millis = Millis(100);
 
 /// Tokens of the bucket that one request takes.
-const REQUEST_PRICE: f64 = 1.0;
+const REQUEST_COST: f64 = 1.0;
 
 /// Milliseconds per second.
-const MILLIS: f64 = 1_000.0;
+const MILLIS_PER_SECOND: f64 = 1_000.0;
 
 /// Current use of one customer's limits.
 #[derive(Debug, Clone, Default)]
-pub struct CustomerUse {
+pub struct CustomerUsage {
     in_flight: u32,
     /// Tokens in the bucket, one per request; may be fractional.
     tokens: f64,
     /// Time of the last refill; `None` before the first request.
-    filled: Option<Time>,
+    refilled: Option<Time>,
 }
 
-impl CustomerUse {
+impl CustomerUsage {
     /// Counts a request as in flight.
     ///
     /// # Errors
     ///
     /// Returns the wait after which another request may fit, if the customer is over one of its limits.
-    pub fn enter(&mut self, now: Time, settings: &Settings) -> Result<(), Millis> {
+    pub fn start_request(&mut self, now: Time, settings: &Settings) -> Result<(), Millis> {
         if let Some(limit) = settings.concurrency.value.0
             && self.in_flight >= limit.0
         {
             return Err(CONCURRENCY_WAIT);
         }
         if let Some(rate) = settings.rate.value.0 {
-            self.spend(now, rate)?;
+            self.take_token(now, rate)?;
         }
         self.in_flight += 1;
         Ok(())
@@ -61,7 +61,7 @@
     /// # Panics
     ///
     /// Panics if no request is in flight, an invariant that `test_core_random.rs` checks.
-    pub fn leave(&mut self) {
+    pub fn end_request(&mut self) {
         crate::invariant!(
             self.in_flight > 0,
             "a customer's request ended while none was counted as in flight"
@@ -75,19 +75,19 @@
     }
 
     /// Refills the bucket and takes the token of one request; returns the wait until there is one if there isn't.
-    fn spend(&mut self, now: Time, rate: Rate) -> Result<(), Millis> {
-        let burst = (rate.0 * BURST_SECONDS).max(REQUEST_PRICE);
-        let gained = match self.filled {
-            Some(filled) => now.since(filled).as_secs_f64() * rate.0,
+    fn take_token(&mut self, now: Time, rate: Rate) -> Result<(), Millis> {
+        let burst = (rate.0 * BURST_SECONDS).max(REQUEST_COST);
+        let gained = match self.refilled {
+            Some(refilled) => now.since(refilled).as_secs_f64() * rate.0,
             None => burst,
         };
         self.tokens = (self.tokens + gained).min(burst);
-        self.filled = Some(now);
-        if self.tokens < REQUEST_PRICE {
-            let seconds = (REQUEST_PRICE - self.tokens) / rate.0;
-            return Err(Millis((seconds * MILLIS).ceil() as u64));
+        self.refilled = Some(now);
+        if self.tokens < REQUEST_COST {
+            let seconds = (REQUEST_COST - self.tokens) / rate.0;
+            return Err(Millis((seconds * MILLIS_PER_SECOND).ceil() as u64));
         }
-        self.tokens -= REQUEST_PRICE;
+        self.tokens -= REQUEST_COST;
         Ok(())
     }
 }
--- a/lib/src/pipeline/decision/policy.rs
+++ b/lib/src/pipeline/decision/policy.rs
@@ -7,7 +7,7 @@
 
 use {
     crate::{
-        pipeline::decision::{admission::Needs, call_costs::CallPlacement, pool::Pool},
+        pipeline::decision::{admission::RequiredTime, call_costs::CallPlacement, pool::Pool},
         settings::values::Priority,
         shared::{
             ids::MemberSerial,
@@ -34,11 +34,17 @@
 
     /// Returns whether a request is worth starting with `remaining` left.
     ///
-    /// `room` is the customer's wait allowance: the fraction of the usual wait that its requests may have.
-    fn admits(&self, remaining: Millis, needs: Needs, priority: Priority, room: Share) -> bool;
+    /// `allowance` is the customer's wait allowance: the fraction of the usual wait that its requests may have.
+    fn admits(
+        &self,
+        remaining: Millis,
+        required: RequiredTime,
+        priority: Priority,
+        allowance: Share,
+    ) -> bool;
 
     /// Returns whether a request that was admitted is worth continuing.
-    fn continues(&self, remaining: Millis, needs: Needs) -> bool;
+    fn continues(&self, remaining: Millis, required: RequiredTime) -> bool;
 
     /// Returns whether the pool's budget allows one more attempt at a stage, and takes it from the budget.
     fn grants_retry(&self, pool: &mut Pool) -> bool;
--- a/lib/src/pipeline/decision/policy_choice.rs
+++ b/lib/src/pipeline/decision/policy_choice.rs
@@ -5,7 +5,7 @@
 use {
     crate::{
         pipeline::decision::{
-            admission::Needs, call_costs::CallPlacement, policy::Policy,
+            admission::RequiredTime, call_costs::CallPlacement, policy::Policy,
             policy_estimated::Estimated, policy_naive::Naive, pool::Pool,
         },
         settings::values::{PolicyKind, Priority},
@@ -57,12 +57,18 @@
         delegate!(self, policy => policy.choose(now, pool, placement, tried, rng))
     }
 
-    fn admits(&self, remaining: Millis, needs: Needs, priority: Priority, room: Share) -> bool {
-        delegate!(self, policy => policy.admits(remaining, needs, priority, room))
+    fn admits(
+        &self,
+        remaining: Millis,
+        required: RequiredTime,
+        priority: Priority,
+        allowance: Share,
+    ) -> bool {
+        delegate!(self, policy => policy.admits(remaining, required, priority, allowance))
     }
 
-    fn continues(&self, remaining: Millis, needs: Needs) -> bool {
-        delegate!(self, policy => policy.continues(remaining, needs))
+    fn continues(&self, remaining: Millis, required: RequiredTime) -> bool {
+        delegate!(self, policy => policy.continues(remaining, required))
     }
 
     fn grants_retry(&self, pool: &mut Pool) -> bool {
--- a/lib/src/pipeline/decision/policy_estimated.rs
+++ b/lib/src/pipeline/decision/policy_estimated.rs
@@ -20,7 +20,7 @@
 use {
     crate::{
         pipeline::decision::{
-            admission::{self, Needs},
+            admission::{self, RequiredTime},
             call_costs::CallPlacement,
             policy::Policy,
             pool::Pool,
@@ -154,12 +154,18 @@
         search.best.map(|best| best.index)
     }
 
-    fn admits(&self, remaining: Millis, needs: Needs, priority: Priority, room: Share) -> bool {
-        admission::admits(remaining, needs, priority, room)
+    fn admits(
+        &self,
+        remaining: Millis,
+        required: RequiredTime,
+        priority: Priority,
+        allowance: Share,
+    ) -> bool {
+        admission::admits(remaining, required, priority, allowance)
     }
 
-    fn continues(&self, remaining: Millis, needs: Needs) -> bool {
-        admission::continues(remaining, needs)
+    fn continues(&self, remaining: Millis, required: RequiredTime) -> bool {
+        admission::continues(remaining, required)
     }
 
     fn grants_retry(&self, pool: &mut Pool) -> bool {
--- a/lib/src/pipeline/decision/policy_naive.rs
+++ b/lib/src/pipeline/decision/policy_naive.rs
@@ -10,7 +10,7 @@
 use {
     crate::{
         pipeline::decision::{
-            admission::Needs, call_costs::CallPlacement, policy::Policy, pool::Pool,
+            admission::RequiredTime, call_costs::CallPlacement, policy::Policy, pool::Pool,
         },
         settings::values::Priority,
         shared::{
@@ -46,11 +46,17 @@
         None
     }
 
-    fn admits(&self, _remaining: Millis, _needs: Needs, _priority: Priority, _room: Share) -> bool {
+    fn admits(
+        &self,
+        _remaining: Millis,
+        _required: RequiredTime,
+        _priority: Priority,
+        _allowance: Share,
+    ) -> bool {
         true
     }
 
-    fn continues(&self, _remaining: Millis, _needs: Needs) -> bool {
+    fn continues(&self, _remaining: Millis, _required: RequiredTime) -> bool {
         true
     }
 
--- a/lib/src/pipeline/decision/pool.rs
+++ b/lib/src/pipeline/decision/pool.rs
@@ -227,15 +227,21 @@
     }
 
     /// Estimates the endpoint time of an average call.
-    pub fn usual_work(&self) -> WorkMillis {
+    pub fn average_work(&self) -> WorkMillis {
         self.costs.usual()
     }
 
     /// Estimates the earliest finish of a call of `work` over the first `sample` endpoints that may get it, those of
     /// the local data centre first; `None` if no endpoint may get it.
-    pub fn best_finish(&self, now: Time, work: WorkMillis, sample: usize) -> Option<WorkMillis> {
-        let near = self.local.iter().chain(&self.remote);
-        near.map(|i| &self.members[*i])
+    pub fn earliest_finish(
+        &self,
+        now: Time,
+        work: WorkMillis,
+        sample: usize,
+    ) -> Option<WorkMillis> {
+        let nearest_first = self.local.iter().chain(&self.remote);
+        nearest_first
+            .map(|i| &self.members[*i])
             .filter(|member| member.is_open(now))
             .take(sample)
             .map(|member| member.load.finish(now, work))
@@ -244,7 +250,7 @@
 
     /// Returns how long a caller should wait before it tries again, by the earliest finish of an average call.
     pub fn retry_after(&self, now: Time) -> Millis {
-        let earliest = self.best_finish(now, self.usual_work(), retry_after::SAMPLE);
+        let earliest = self.earliest_finish(now, self.average_work(), retry_after::FINISH_SAMPLE);
         retry_after::retry_after(earliest)
     }
 }
--- a/lib/src/pipeline/decision/request.rs
+++ b/lib/src/pipeline/decision/request.rs
@@ -139,7 +139,7 @@
     /// Input of the current stage.
     pub input: Bytes,
     /// Number of attempts sent at the current stage.
-    pub tries: u32,
+    pub attempts_sent: u32,
     /// Endpoints tried at the current stage.
     pub tried: Vec<MemberSerial>,
     /// Attempts in flight.
@@ -176,7 +176,7 @@
             stream: arrival.stream,
             stage: 0,
             input: arrival.body,
-            tries: 0,
+            attempts_sent: 0,
             tried: Vec::new(),
             live: Vec::new(),
             exposed: 0,
@@ -208,9 +208,9 @@
     pub fn progress(&self) -> StageProgress {
         let settings = &self.current().settings;
         StageProgress {
-            tries: self.tries,
+            attempts_sent: self.attempts_sent,
             in_flight: self.live.len(),
-            limit: settings.attempts.value,
+            max_attempts: settings.attempts.value,
             repeatable: settings.repeatable.value,
             tokens: self.generated.tokens,
             abandoned: self.abandoned,
@@ -232,7 +232,7 @@
             self.id,
             stage.id
         );
-        self.tries += 1;
+        self.attempts_sent += 1;
         self.exposed += 1;
         self.tried.push(attempt.serial);
         self.live.push(attempt);
@@ -273,7 +273,7 @@
         );
         self.stage += 1;
         self.input = output;
-        self.tries = 0;
+        self.attempts_sent = 0;
         self.tried.clear();
         self.generated = Resume::default();
     }
--- a/lib/src/pipeline/decision/retry.rs
+++ b/lib/src/pipeline/decision/retry.rs
@@ -26,10 +26,10 @@
 
 /// Retries that a budget holds at the start and at most. They let a service with little traffic retry before its first
 /// attempts have paid for it.
-const RESERVE: f64 = 10.0;
+const BUDGET_CAPACITY: f64 = 10.0;
 
 /// Amount that one retry or hedge takes from the budget.
-const RETRY_PRICE: f64 = 1.0;
+const RETRY_COST: f64 = 1.0;
 
 /// The retries and hedges that a service may still send: first attempts pay in, retries and hedges take out.
 #[derive(Debug, Clone)]
@@ -40,22 +40,24 @@
 
 impl Default for RetryBudget {
     fn default() -> Self {
-        Self { balance: RESERVE }
+        Self {
+            balance: BUDGET_CAPACITY,
+        }
     }
 }
 
 impl RetryBudget {
     /// Adds `share` of a retry, for one first attempt.
     pub fn deposit(&mut self, share: Share) {
-        self.balance = (self.balance + share.0).min(RESERVE);
+        self.balance = (self.balance + share.0).min(BUDGET_CAPACITY);
     }
 
     /// Takes out one retry; returns whether the budget held one.
     pub fn withdraw(&mut self) -> bool {
-        if self.balance < RETRY_PRICE {
+        if self.balance < RETRY_COST {
             return false;
         }
-        self.balance -= RETRY_PRICE;
+        self.balance -= RETRY_COST;
         true
     }
 }
@@ -64,11 +66,11 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct StageProgress {
     /// Attempts sent at this stage so far.
-    pub tries: u32,
+    pub attempts_sent: u32,
     /// Attempts at this stage that have not ended.
     pub in_flight: usize,
     /// Largest number of attempts, the `attempts` setting.
-    pub limit: Count,
+    pub max_attempts: Count,
     /// True if the call may run twice, the `repeatable` setting.
     pub repeatable: bool,
     /// Tokens received of this stage's generation.
@@ -81,7 +83,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AttemptKind {
     /// The stage starts, or its last attempt ended without a result.
-    Next,
+    Regular,
     /// Another attempt in flight is late.
     Hedge,
 }
@@ -112,7 +114,7 @@
     pub fn after_not_run(&self) -> NextStep {
         if self.in_flight > 0 {
             NextStep::Wait
-        } else if self.has_tries() && !self.abandoned {
+        } else if self.has_attempts_left() && !self.abandoned {
             NextStep::Retry
         } else {
             NextStep::GiveUp
@@ -123,7 +125,7 @@
     pub fn after_failure(&self) -> NextStep {
         if self.in_flight > 0 {
             NextStep::Wait
-        } else if self.repeatable && self.has_tries() && !self.abandoned {
+        } else if self.repeatable && self.has_attempts_left() && !self.abandoned {
             NextStep::RetryFromBudget
         } else {
             NextStep::GiveUp
@@ -135,16 +137,16 @@
     /// `generates` is true if the stage's service generates tokens. [`hedge_wait`] has checked that the call is
     /// repeatable when the attempt was sent.
     pub fn may_hedge(&self, generates: bool) -> bool {
-        self.tokens == 0 && self.has_tries() && !generates
+        self.tokens == 0 && self.has_attempts_left() && !generates
     }
 
     /// Returns whether the attempts in flight must run to their end although the caller has left: a call that must
     /// not run twice must not be cancelled halfway either.
-    pub fn must_end(&self) -> bool {
+    pub fn must_complete(&self) -> bool {
         !self.repeatable && self.in_flight > 0
     }
 
-    fn has_tries(&self) -> bool {
-        self.tries < self.limit.0
+    fn has_attempts_left(&self) -> bool {
+        self.attempts_sent < self.max_attempts.0
     }
 }
--- a/lib/src/pipeline/decision/send.rs
+++ b/lib/src/pipeline/decision/send.rs
@@ -37,7 +37,7 @@
         let placement = pool.placement(now, &request.input, settings.max_tokens.value.0);
         let tried = &request.tried;
         let Some(chosen) = policy.choose(now, pool, &placement, tried, &mut self.rng) else {
-            if kind == AttemptKind::Next {
+            if kind == AttemptKind::Regular {
                 let detail = format!("no endpoint of {} can take the call", stage.service);
                 self.fail(now, id, Code::NoEndpoint, detail);
             }
@@ -46,7 +46,7 @@
         if kind == AttemptKind::Hedge && tried.contains(&pool.members[chosen].serial) {
             return;
         }
-        let is_first = request.tries == 0;
+        let is_first = request.attempts_sent == 0;
         if is_first {
             policy.first_attempt(pool, settings.retry_budget.value);
         }
--- a/lib/tests/test_admission.rs
+++ b/lib/tests/test_admission.rs
@@ -1,20 +1,20 @@
 //! Time that the stages of a request need.
 
 use hazelyoke_lib::{
-    pipeline::decision::admission::Needs,
+    pipeline::decision::admission::RequiredTime,
     shared::units::{Millis, WorkMillis},
 };
 
 #[test]
 fn sum_of_stages() {
-    let mut needs = Needs::default();
-    needs.add_stage(Millis(1), WorkMillis(20.0), Some(WorkMillis(50.0)));
+    let mut required = RequiredTime::default();
+    required.add_stage(Millis(1), WorkMillis(20.0), Some(WorkMillis(50.0)));
     // The floor counts as work, and doesn't shorten the wait.
-    needs.add_stage(Millis(40), WorkMillis(10.0), Some(WorkMillis(15.0)));
+    required.add_stage(Millis(40), WorkMillis(10.0), Some(WorkMillis(15.0)));
     // An endpoint that is faster than usual leaves no wait; so does a pool without one.
-    needs.add_stage(Millis(1), WorkMillis(10.0), Some(WorkMillis(5.0)));
-    needs.add_stage(Millis(1), WorkMillis(10.0), None);
-    needs.add_unknown(Millis(7));
-    assert_eq!(needs.work, WorkMillis(20.0 + 40.0 + 10.0 + 10.0 + 7.0));
-    assert_eq!(needs.wait, WorkMillis(30.0 + 5.0));
+    required.add_stage(Millis(1), WorkMillis(10.0), Some(WorkMillis(5.0)));
+    required.add_stage(Millis(1), WorkMillis(10.0), None);
+    required.add_unknown_stage(Millis(7));
+    assert_eq!(required.work, WorkMillis(20.0 + 40.0 + 10.0 + 10.0 + 7.0));
+    assert_eq!(required.wait, WorkMillis(30.0 + 5.0));
 }
--- a/lib/tests/test_policy_pins.rs
+++ b/lib/tests/test_policy_pins.rs
@@ -6,12 +6,12 @@
 use {
     hazelyoke_lib::{
         pipeline::decision::{
-            admission::Needs,
+            admission::RequiredTime,
             average::Average,
             endpoint::{Generation, LoadReport, Prefill},
             estimate::LoadEstimate,
             fair::FairShares,
-            limit::CustomerUse,
+            limit::CustomerUsage,
             member::PoolMember,
             policy::Policy,
             policy_choice::AnyPolicy,
@@ -117,15 +117,15 @@
         now = now + Millis(draws.below(40));
         let which = [0, 0, 0, 0, 0, 0, 1, 1, 1, 2][draws.below(10) as usize];
         let work = WorkMillis(5.0 + draws.below(60) as f64);
-        shares.ask(now, work);
-        shares.add(now, &customers[which], work);
+        shares.record_requested(now, work);
+        shares.record_admitted(now, &customers[which], work);
         let wave = if step / 250 % 2 == 0 { 1.1 } else { 0.8 };
-        shares.done(now, WorkMillis(35.0 * wave));
+        shares.record_completed(now, WorkMillis(35.0 * wave));
         if step % 10 == 0 {
             let at = now.0 / 1_000;
             write!(lines, "{at}:").unwrap();
             for customer in &customers {
-                write!(lines, " {:.4}", shares.room(now, customer).0).unwrap();
+                write!(lines, " {:.4}", shares.wait_allowance(now, customer).0).unwrap();
             }
             lines.push('\n');
         }
@@ -148,18 +148,18 @@
         settings.rate.value = rate.parse().unwrap();
         settings.concurrency.value = concurrency.parse().unwrap();
         let mut draws = Draws::new(4);
-        let mut customer = CustomerUse::default();
+        let mut customer = CustomerUsage::default();
         let (mut now, mut inside) = (Time(1), 0);
         write!(lines, "{rate} {concurrency}:").unwrap();
         for _ in 0..60 {
             now = now + Millis(draws.below(120));
             if inside > 0 && draws.percent(40) {
-                customer.leave();
+                customer.end_request();
                 inside -= 1;
                 lines.push_str(" -");
                 continue;
             }
-            match customer.enter(now, &settings) {
+            match customer.start_request(now, &settings) {
                 Ok(()) => {
                     inside += 1;
                     lines.push_str(" +");
@@ -211,16 +211,17 @@
     let mut lines = String::new();
     for (name, policy) in policies() {
         for (work, wait) in [(0.0, 0.0), (100.0, 0.0), (100.0, 50.0), (30.5, 400.0)] {
-            let needs = Needs {
+            let required = RequiredTime {
                 work: WorkMillis(work),
                 wait: WorkMillis(wait),
             };
-            let goes_on = least(&|left| policy.continues(left, needs));
+            let goes_on = least(&|left| policy.continues(left, required));
             write!(lines, "{name} {work}+{wait}: goes on {goes_on:?}").unwrap();
-            for room in [1.0, 0.4] {
+            for allowance in [1.0, 0.4] {
                 for priority in [Priority::Low, Priority::Normal, Priority::High] {
-                    let admitted = least(&|left| policy.admits(left, needs, priority, Share(room)));
-                    write!(lines, ", {priority} {room}: {admitted:?}").unwrap();
+                    let admitted =
+                        least(&|left| policy.admits(left, required, priority, Share(allowance)));
+                    write!(lines, ", {priority} {allowance}: {admitted:?}").unwrap();
                 }
             }
             lines.push('\n');
--- a/lib/tests/test_retry.rs
+++ b/lib/tests/test_retry.rs
@@ -8,9 +8,9 @@
 
 /// A stage whose only attempt so far has just ended.
 const ENDED: StageProgress = StageProgress {
-    tries: 1,
+    attempts_sent: 1,
     in_flight: 0,
-    limit: Count(3),
+    max_attempts: Count(3),
     repeatable: true,
     tokens: 0,
     abandoned: false,
@@ -21,7 +21,7 @@
     let mut states = Vec::new();
     for bits in 0..64_u32 {
         states.push(StageProgress {
-            tries: 1 + bits % 4,
+            attempts_sent: 1 + bits % 4,
             in_flight: (bits as usize >> 2) % 2,
             repeatable: bits & 8 > 0,
             abandoned: bits & 16 > 0,
@@ -38,7 +38,7 @@
         let expected = match state {
             StageProgress { in_flight: 1, .. } => NextStep::Wait,
             StageProgress {
-                tries: 1 | 2,
+                attempts_sent: 1 | 2,
                 abandoned: false,
                 ..
             } => NextStep::Retry,
@@ -54,7 +54,7 @@
         let expected = match state {
             StageProgress { in_flight: 1, .. } => NextStep::Wait,
             StageProgress {
-                tries: 1 | 2,
+                attempts_sent: 1 | 2,
                 repeatable: true,
                 abandoned: false,
                 ..
@@ -69,14 +69,14 @@
 fn guarded_ends() {
     for state in states() {
         let expected = !state.repeatable && state.in_flight == 1;
-        assert_eq!(state.must_end(), expected, "{state:?}");
+        assert_eq!(state.must_complete(), expected, "{state:?}");
     }
 }
 
 #[test]
 fn hedges() {
     for state in states() {
-        let expected = state.tokens == 0 && state.tries < 3;
+        let expected = state.tokens == 0 && state.attempts_sent < 3;
         assert_eq!(state.may_hedge(false), expected, "{state:?}");
         assert!(!state.may_hedge(true), "{state:?}");
     }
@@ -85,10 +85,13 @@
 #[test]
 fn hedge_waits() {
     let mut settings = Settings::built_in();
-    assert_eq!(hedge_wait(&settings, AttemptKind::Next), None);
+    assert_eq!(hedge_wait(&settings, AttemptKind::Regular), None);
     settings.hedge_after.value = Maybe(Some(Millis(40)));
-    assert_eq!(hedge_wait(&settings, AttemptKind::Next), Some(Millis(40)));
+    assert_eq!(
+        hedge_wait(&settings, AttemptKind::Regular),
+        Some(Millis(40))
+    );
     assert_eq!(hedge_wait(&settings, AttemptKind::Hedge), None);
     settings.repeatable.value = false;
-    assert_eq!(hedge_wait(&settings, AttemptKind::Next), None);
+    assert_eq!(hedge_wait(&settings, AttemptKind::Regular), None);
 }
