--- a/lib/src/pipeline/decision/admit.rs
+++ b/lib/src/pipeline/decision/admit.rs
@@ -69,7 +69,7 @@
                     format!("no pipeline is named {id}"),
                 )),
             },
-            Target::Service(id) => match self.services.get(id) {
+            Target::Service(id) => match self.service_pipelines.get(id) {
                 Some(pipeline) => Ok((pipeline.clone(), pipeline.settings.clone())),
                 None => Err(Problem::not_run(
                     Code::UnknownService,
--- a/lib/src/pipeline/decision/attempt.rs
+++ b/lib/src/pipeline/decision/attempt.rs
@@ -83,7 +83,7 @@
             attempt: &attempt,
             end: &end,
             spent,
-            ejects: policy.ejects(),
+            may_eject: policy.ejects(),
         };
         if self.pools.ended(now, &stage.service, &ended) {
             self.counters.ejections += 1;
@@ -150,7 +150,7 @@
         let Some(request) = self.requests.get_mut(&id) else {
             return;
         };
-        request.clear_exposure();
+        request.record_not_run();
         let next = request.progress().after_not_run();
         let service = &request.current().service;
         let detail = format!("{service}: the last endpoint tried was {cause}");
--- a/lib/src/pipeline/decision/call_costs.rs
+++ b/lib/src/pipeline/decision/call_costs.rs
@@ -17,7 +17,7 @@
     pipeline::decision::{
         average::Average,
         endpoint::Generation,
-        prefix::{BLOCK, Holder, Prefix},
+        prefix::{BLOCK_BYTES, Holder, Prefix},
     },
     settings::tree::{Service, ServiceKind},
     shared::{ids::MemberSerial, units::WorkMillis},
@@ -25,13 +25,13 @@
 
 /// Assumed work of a call before the first one is observed, which replaces it; a larger `floor` setting is used
 /// instead.
-const CALL_GUESS: WorkMillis = WorkMillis(5.0);
+const INITIAL_CALL_COST: WorkMillis = WorkMillis(5.0);
 
 /// Assumed work per generated token before the first generation is observed.
-const TOKEN_GUESS: WorkMillis = WorkMillis(5.0);
+const INITIAL_TOKEN_COST: WorkMillis = WorkMillis(5.0);
 
 /// Assumed work per uncached byte of a prompt before the first prefill is observed.
-const BYTE_GUESS: WorkMillis = WorkMillis(0.005);
+const INITIAL_BYTE_COST: WorkMillis = WorkMillis(0.005);
 
 /// Size of one call: what its work is estimated from.
 #[derive(Debug, Clone, Default)]
@@ -83,19 +83,19 @@
     pub(crate) fn new(service: &Service) -> Self {
         let floor = service.settings.floor.value.0 as f64;
         Self {
-            call: Average::new(WorkMillis(floor.max(CALL_GUESS.0))),
-            token: Average::new(TOKEN_GUESS),
-            byte: Average::new(BYTE_GUESS),
+            call: Average::new(WorkMillis(floor.max(INITIAL_CALL_COST.0))),
+            token: Average::new(INITIAL_TOKEN_COST),
+            byte: Average::new(INITIAL_BYTE_COST),
         }
     }
 
     /// Estimates the work of an average call.
-    pub(crate) fn usual(&self) -> WorkMillis {
+    pub(crate) fn average_work(&self) -> WorkMillis {
         self.call.get()
     }
 
     /// Estimates the work of a call of `size` at an endpoint that has nothing of it in its cache.
-    pub(crate) fn work(&self, kind: &ServiceKind, size: &CallSize) -> WorkMillis {
+    pub(crate) fn call_work(&self, kind: &ServiceKind, size: &CallSize) -> WorkMillis {
         match kind {
             ServiceKind::Plain => self.call.get(),
             ServiceKind::Engine { .. } => {
@@ -106,8 +106,8 @@
     }
 
     /// Estimates the work for one uncached block of a prompt.
-    pub(crate) fn block(&self) -> WorkMillis {
-        WorkMillis(self.byte.get().0 * BLOCK as f64)
+    pub(crate) fn block_work(&self) -> WorkMillis {
+        WorkMillis(self.byte.get().0 * BLOCK_BYTES as f64)
     }
 
     /// Learns from a call of `size` that kept its endpoint busy for `served`.
@@ -123,7 +123,7 @@
         self.token.observe_bounded(WorkMillis(decode / tokens));
         let uncached = (size.bytes as u64).saturating_sub(prefill.cached_bytes);
         // A prefill of less than a block is too short to show the cost of a byte.
-        if uncached >= BLOCK as u64 {
+        if uncached >= BLOCK_BYTES as u64 {
             let byte = WorkMillis(prefill.spent.0 / uncached as f64);
             self.byte.observe_bounded(byte);
         }
--- a/lib/src/pipeline/decision/core.rs
+++ b/lib/src/pipeline/decision/core.rs
@@ -140,7 +140,7 @@
     pub(crate) shares: FairShares,
     pub(crate) customers: HashMap<CustomerId, CustomerUsage>,
     /// For each service, a pipeline of one stage that runs a direct call of it.
-    pub(crate) services: HashMap<ServiceId, Arc<Pipeline>>,
+    pub(crate) service_pipelines: HashMap<ServiceId, Arc<Pipeline>>,
     pub(crate) timers: Timers,
     /// Id of the last attempt started; 0 before the first.
     pub(crate) last_attempt: u64,
@@ -163,7 +163,7 @@
             attempts: HashMap::default(),
             shares: FairShares::default(),
             customers: HashMap::default(),
-            services: HashMap::default(),
+            service_pipelines: HashMap::default(),
             timers: Timers::default(),
             last_attempt: 0,
             rng,
@@ -190,8 +190,8 @@
             } => self.token(now, attempt, index, text),
             Event::Ended { attempt, end } => self.ended(now, attempt, end),
             Event::Left(request) => self.left(now, request),
-            Event::Load { endpoint, report } => self.pools.load(now, &endpoint, report),
-            Event::Cache { endpoint, events } => self.pools.cache(now, &endpoint, &events),
+            Event::Load { endpoint, report } => self.pools.record_load(now, &endpoint, report),
+            Event::Cache { endpoint, events } => self.pools.record_cache(now, &endpoint, &events),
             Event::Adopt(tree) => self.adopt(tree),
             Event::Tick => self.tick(now),
         }
@@ -234,7 +234,7 @@
             return;
         }
         self.pools.adopt(&tree, &self.config.data_centre);
-        self.services = tree
+        self.service_pipelines = tree
             .services
             .values()
             .map(|service| (service.id.clone(), Arc::new(Tree::service_call(service))))
@@ -257,7 +257,7 @@
                 self.requests.insert(id, request);
                 self.send_next(now, id, AttemptKind::Regular);
             }
-            Err(problem) => self.finish_unstarted(id, problem),
+            Err(problem) => self.refuse(id, problem),
         }
     }
 
--- a/lib/src/pipeline/decision/estimate.rs
+++ b/lib/src/pipeline/decision/estimate.rs
@@ -7,7 +7,7 @@
 //! Rule: the backlog is that of the last report, less what the endpoint has completed since, plus what this daemon has
 //! sent since. It is divided by the endpoint's slots; while slots are free, only [`FREE_SLOT_WEIGHT`] of it counts. The
 //! call's own work is added, and the sum is multiplied by the ratio of observed to expected times, within
-//! [`CORRECTION`]. If the report is missing, older than [`STALE_AFTER`] or absurd, only this daemon's calls in flight
+//! [`CORRECTION_RANGE`]. If the report is missing, older than [`STALE_AFTER`] or absurd, only this daemon's calls in flight
 //! count, since they are certain.
 //!
 //! Reason: a report is out of date when it arrives, and other daemons send calls as well, so neither the reports nor
@@ -52,9 +52,9 @@
 const OVERDUE_FACTOR: f64 = 2.0;
 
 /// Bounds of the factor by which observed times correct an estimate.
-pub const CORRECTION: CorrectionRange = CorrectionRange {
-    least: 0.25,
-    most: 8.0,
+pub const CORRECTION_RANGE: CorrectionRange = CorrectionRange {
+    min: 0.25,
+    max: 8.0,
 };
 
 /// Fraction of the queue's time that counts while slots are free. More than zero, so that of two endpoints with free
@@ -65,9 +65,9 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct CorrectionRange {
     /// Smallest value.
-    pub least: f64,
+    pub min: f64,
     /// Largest value.
-    pub most: f64,
+    pub max: f64,
 }
 
 /// Estimate of one endpoint's load.
@@ -75,15 +75,15 @@
 pub struct LoadEstimate {
     report: Option<DatedReport>,
     /// Calls that this daemon sent since the report was taken, oldest first.
-    sends: VecDeque<OwnSend>,
+    sends: VecDeque<RecentSend>,
     /// This daemon's calls in flight.
-    calls: Vec<OwnCall>,
+    calls: Vec<CallInFlight>,
     /// Sum of the observed times of ended calls, which decays with [`CORRECTION_HALF_LIFE`].
     observed: f64,
     /// Sum of the expected times of the same calls, which decays alike.
     expected: f64,
     /// Time at which the two sums were last changed.
-    corrected: Time,
+    updated: Time,
     /// Number of slots assumed without a fresh report.
     slots: u32,
 }
@@ -97,14 +97,14 @@
 
 /// A call that this daemon sent since the last report was taken.
 #[derive(Debug, Clone, Copy)]
-struct OwnSend {
+struct RecentSend {
     sent: Time,
     work: WorkMillis,
 }
 
 /// One of this daemon's calls in flight.
 #[derive(Debug, Clone, Copy)]
-struct OwnCall {
+struct CallInFlight {
     sent: Time,
     work: WorkMillis,
     /// Expected time to its end when it was sent, without the correction.
@@ -129,7 +129,7 @@
             calls: Vec::new(),
             observed: 0.0,
             expected: 0.0,
-            corrected: Time::default(),
+            updated: Time::default(),
             slots: slots.max(1),
         }
     }
@@ -153,8 +153,8 @@
 
     /// Records a call of `work` that this daemon sends, and returns its expected time without the correction.
     pub fn sent(&mut self, now: Time, work: WorkMillis) -> WorkMillis {
-        let expected = self.uncorrected(now, work);
-        self.calls.push(OwnCall {
+        let expected = self.uncorrected_finish(now, work);
+        self.calls.push(CallInFlight {
             sent: now,
             work,
             expected,
@@ -162,7 +162,7 @@
         if self.sends.len() == MAX_SENDS {
             self.sends.pop_front();
         }
-        self.sends.push_back(OwnSend { sent: now, work });
+        self.sends.push_back(RecentSend { sent: now, work });
         expected
     }
 
@@ -172,8 +172,8 @@
     ///
     /// Panics if no such call is in flight: an invariant, which `test_core_random.rs` checks.
     pub fn ended(&mut self, sent: Time, expected: WorkMillis) {
-        let own = |call: &OwnCall| call.sent == sent && call.expected == expected;
-        let found = self.calls.iter().position(own);
+        let is_ended = |call: &CallInFlight| call.sent == sent && call.expected == expected;
+        let found = self.calls.iter().position(is_ended);
         crate::invariant!(
             found.is_some(),
             "a call to an endpoint ended that was not in flight"
@@ -185,39 +185,39 @@
 
     /// Learns from a call that took `observed`; `expected` was its estimate without the correction.
     pub fn correct(&mut self, now: Time, expected: WorkMillis, observed: WorkMillis) {
-        let kept = self.kept(now);
-        self.observed = self.observed * kept + observed.0.max(0.0);
-        self.expected = self.expected * kept + expected.0.max(0.0);
-        self.corrected = now;
+        let retained = self.retained(now);
+        self.observed = self.observed * retained + observed.0.max(0.0);
+        self.expected = self.expected * retained + expected.0.max(0.0);
+        self.updated = now;
     }
 
     /// Estimates the time until a call of `work` would be finished, without the network time.
-    pub fn finish(&self, now: Time, work: WorkMillis) -> WorkMillis {
-        WorkMillis(self.uncorrected(now, work).0 * self.correction(now, work))
+    pub fn time_to_finish(&self, now: Time, work: WorkMillis) -> WorkMillis {
+        WorkMillis(self.uncorrected_finish(now, work).0 * self.correction(now, work))
     }
 
     /// Returns the fraction of the past observations that still counts at `now`.
-    fn kept(&self, now: Time) -> f64 {
-        let halves = now.millis_since(self.corrected) / CORRECTION_HALF_LIFE.0 as f64;
+    fn retained(&self, now: Time) -> f64 {
+        let halves = now.millis_since(self.updated) / CORRECTION_HALF_LIFE.0 as f64;
         (-halves).exp2()
     }
 
     /// Returns the ratio of observed to expected times, by which estimates are multiplied.
     fn correction(&self, now: Time, work: WorkMillis) -> f64 {
-        let kept = self.kept(now);
+        let retained = self.retained(now);
         let prior = work.0 * PRIOR_CALLS;
-        let overdue = |call: &OwnCall| {
+        let overdue = |call: &CallInFlight| {
             let took = now.millis_since(call.sent);
             (took - call.expected.0 * OVERDUE_FACTOR).max(0.0)
         };
         let late = self.calls.iter().map(overdue).fold(0.0, f64::max);
-        let observed = self.observed * kept + prior + late;
-        let expected = self.expected * kept + prior;
-        (observed / expected.max(f64::EPSILON)).clamp(CORRECTION.least, CORRECTION.most)
+        let observed = self.observed * retained + prior + late;
+        let expected = self.expected * retained + prior;
+        (observed / expected.max(f64::EPSILON)).clamp(CORRECTION_RANGE.min, CORRECTION_RANGE.max)
     }
 
     /// Estimates the time until a call of `work` would be finished, without the correction by observed times.
-    fn uncorrected(&self, now: Time, work: WorkMillis) -> WorkMillis {
+    fn uncorrected_finish(&self, now: Time, work: WorkMillis) -> WorkMillis {
         let load = self.load(now);
         let queue = load.backlog.0 / f64::from(load.slots);
         let wait = if load.busy < load.slots {
@@ -240,13 +240,17 @@
         };
         let report = &dated.report;
         let worked = now.millis_since(dated.taken) * f64::from(report.running.min(report.slots));
-        let left = (report.backlog.0 - worked).max(0.0);
-        let since: f64 = self.sends.iter().map(|send| send.work.0).sum();
+        let remaining = (report.backlog.0 - worked).max(0.0);
+        let sent_since: f64 = self.sends.iter().map(|send| send.work.0).sum();
         let running = report.running.saturating_add(self.sends.len() as u32);
-        let busy = if left + since > 0.0 { running } else { 0 };
+        let busy = if remaining + sent_since > 0.0 {
+            running
+        } else {
+            0
+        };
         // The reports of a hung endpoint may stay at "idle", but this daemon's calls in flight are certain.
         Load {
-            backlog: WorkMillis((left + since).max(self.outstanding().0)),
+            backlog: WorkMillis((remaining + sent_since).max(self.outstanding().0)),
             busy: busy.max(self.in_flight()),
             slots: report.slots,
         }
--- a/lib/src/pipeline/decision/finish.rs
+++ b/lib/src/pipeline/decision/finish.rs
@@ -1,6 +1,6 @@
 //! Ends of requests: answers, failures, refusals, deadlines, and callers that leave.
 //!
-//! Each request ends exactly once, in [`Core::finish`] or, if it was never admitted, in [`Core::finish_unstarted`]. The
+//! Each request ends exactly once, in [`Core::finish`] or, if it was never admitted, in [`Core::refuse`]. The
 //! outcome follows from the request's attempts ([`Request::problem`](super::request::Request::problem)), not from the
 //! code that ends it.
 
@@ -18,7 +18,7 @@
 
 impl Core {
     /// Refuses a request that was never admitted.
-    pub(crate) fn finish_unstarted(&mut self, request: RequestId, problem: Problem) {
+    pub(crate) fn refuse(&mut self, request: RequestId, problem: Problem) {
         crate::invariant!(
             problem.outcome == Outcome::NotRun,
             "request {request} was refused as {}",
@@ -93,7 +93,7 @@
             return;
         };
         let service = request.current().service.clone();
-        for attempt in std::mem::take(&mut request.live) {
+        for attempt in std::mem::take(&mut request.in_flight) {
             let spent = WorkMillis(now.millis_since(attempt.sent));
             request.add_wasted(spent);
             self.attempts.remove(&attempt.id);
--- a/lib/src/pipeline/decision/member.rs
+++ b/lib/src/pipeline/decision/member.rs
@@ -47,7 +47,7 @@
 
     /// Returns whether an entry of the tree is that of this member, with the same id and address, so that the member is
     /// kept.
-    pub fn stays(&self, spec: &EndpointSpec) -> bool {
+    pub fn is_same_endpoint(&self, spec: &EndpointSpec) -> bool {
         self.spec.id == spec.id && self.spec.address == spec.address
     }
 
--- a/lib/src/pipeline/decision/policy.rs
+++ b/lib/src/pipeline/decision/policy.rs
@@ -50,7 +50,7 @@
     fn grants_retry(&self, pool: &mut Pool) -> bool;
 
     /// Records a first attempt, which pays `share` of a retry into the pool's budget.
-    fn first_attempt(&self, pool: &mut Pool, share: Share);
+    fn record_first_attempt(&self, pool: &mut Pool, share: Share);
 
     /// Returns whether endpoints that fail are ejected.
     fn ejects(&self) -> bool;
--- a/lib/src/pipeline/decision/policy_choice.rs
+++ b/lib/src/pipeline/decision/policy_choice.rs
@@ -75,8 +75,8 @@
         delegate!(self, policy => policy.grants_retry(pool))
     }
 
-    fn first_attempt(&self, pool: &mut Pool, share: Share) {
-        delegate!(self, policy => policy.first_attempt(pool, share));
+    fn record_first_attempt(&self, pool: &mut Pool, share: Share) {
+        delegate!(self, policy => policy.record_first_attempt(pool, share));
     }
 
     fn ejects(&self) -> bool {
--- a/lib/src/pipeline/decision/policy_estimated.rs
+++ b/lib/src/pipeline/decision/policy_estimated.rs
@@ -75,31 +75,31 @@
 
 impl Search<'_> {
     /// Compares one endpoint with the best candidate so far; returns whether it may get the call.
-    fn look(&mut self, index: usize, hop: WorkMillis) -> bool {
+    fn check(&mut self, index: usize, hop: WorkMillis) -> bool {
         let member = &self.pool.members[index];
         if !member.is_open(self.now) {
             return false;
         }
         let work = self.placement.work_at(member.serial);
-        let found = PoolCandidate {
+        let candidate = PoolCandidate {
             tried: self.tried.contains(&member.serial),
-            finish: WorkMillis(member.load.finish(self.now, work).0 + hop.0),
+            finish: WorkMillis(member.load.time_to_finish(self.now, work).0 + hop.0),
             index,
         };
-        if self.best.is_none_or(|best| found.is_better(&best)) {
-            self.best = Some(found);
+        if self.best.is_none_or(|best| candidate.is_better(&best)) {
+            self.best = Some(candidate);
         }
         true
     }
 
     /// Checks endpoints of a list, from a random one on, until `wanted` of them may get the call.
     fn sample(&mut self, indexes: &[usize], hop: WorkMillis, wanted: usize, rng: &mut SmallRng) {
-        let mut seen = 0;
-        for position in walk(indexes.len(), rng) {
-            if seen == wanted {
+        let mut checked = 0;
+        for position in rotated_positions(indexes.len(), rng) {
+            if checked == wanted {
                 return;
             }
-            seen += usize::from(self.look(indexes[position], hop));
+            checked += usize::from(self.check(indexes[position], hop));
         }
     }
 
@@ -110,7 +110,7 @@
 }
 
 /// Yields all positions below `count` once, from a random one on, wrapping around at the end.
-fn walk(count: usize, rng: &mut SmallRng) -> impl Iterator<Item = usize> {
+fn rotated_positions(count: usize, rng: &mut SmallRng) -> impl Iterator<Item = usize> {
     let start = if count == 0 {
         0
     } else {
@@ -128,8 +128,8 @@
         tried: &[MemberSerial],
         rng: &mut SmallRng,
     ) -> Option<usize> {
-        let near = WorkMillis(0.0);
-        let far = WorkMillis(self.hop.0 as f64);
+        let local_hop = WorkMillis(0.0);
+        let remote_hop = WorkMillis(self.hop.0 as f64);
         let mut search = Search {
             now,
             pool,
@@ -137,18 +137,18 @@
             tried,
             best: None,
         };
-        search.sample(&pool.local, near, LOCAL_SAMPLE, rng);
+        search.sample(&pool.local, local_hop, LOCAL_SAMPLE, rng);
         let wanted = if search.has_untried() {
             REMOTE_SAMPLE
         } else {
             REMOTE_SAMPLE + LOCAL_SAMPLE
         };
-        search.sample(&pool.remote, far, wanted, rng);
+        search.sample(&pool.remote, remote_hop, wanted, rng);
         // An engine that has the start of the prompt in its cache has less work to do, but a long queue can outweigh
         // that. It is counted as in another data centre wherever it is.
         for holder in &placement.holders {
             if let Some(index) = pool.index_of(holder.serial) {
-                search.look(index, far);
+                search.check(index, remote_hop);
             }
         }
         search.best.map(|best| best.index)
@@ -172,7 +172,7 @@
         pool.budget.withdraw()
     }
 
-    fn first_attempt(&self, pool: &mut Pool, share: Share) {
+    fn record_first_attempt(&self, pool: &mut Pool, share: Share) {
         pool.budget.deposit(share);
     }
 
--- a/lib/src/pipeline/decision/policy_naive.rs
+++ b/lib/src/pipeline/decision/policy_naive.rs
@@ -64,7 +64,7 @@
         true
     }
 
-    fn first_attempt(&self, _pool: &mut Pool, _share: Share) {}
+    fn record_first_attempt(&self, _pool: &mut Pool, _share: Share) {}
 
     fn ejects(&self) -> bool {
         false
--- a/lib/src/pipeline/decision/pool.rs
+++ b/lib/src/pipeline/decision/pool.rs
@@ -36,9 +36,9 @@
     /// Endpoints of the service, in the tree's order.
     pub members: Vec<PoolMember>,
     /// Indexes of the endpoints by id, so that handling a reply costs the same in a pool of any size.
-    index: HashMap<EndpointId, usize>,
+    by_id: HashMap<EndpointId, usize>,
     /// Indexes of the endpoints by serial.
-    serials: HashMap<MemberSerial, usize>,
+    by_serial: HashMap<MemberSerial, usize>,
     /// Indexes of the endpoints in this daemon's data centre.
     pub local: Vec<usize>,
     /// Indexes of the endpoints in other data centres.
@@ -72,8 +72,8 @@
     fn empty(service: Arc<Service>) -> Self {
         Self {
             members: Vec::new(),
-            index: HashMap::default(),
-            serials: HashMap::default(),
+            by_id: HashMap::default(),
+            by_serial: HashMap::default(),
             local: Vec::new(),
             remote: Vec::new(),
             budget: RetryBudget::default(),
@@ -87,22 +87,22 @@
     fn index_members(&mut self, data_centre: &DataCentreId) {
         let members = &self.members;
         let numbered = || members.iter().enumerate();
-        self.index = numbered()
+        self.by_id = numbered()
             .map(|(i, member)| (member.spec.id.clone(), i))
             .collect();
-        self.serials = numbered().map(|(i, member)| (member.serial, i)).collect();
+        self.by_serial = numbered().map(|(i, member)| (member.serial, i)).collect();
         let is_local = |i: &usize| members[*i].spec.data_centre == *data_centre;
         (self.local, self.remote) = (0..members.len()).partition(is_local);
     }
 
     /// Returns the index of the member with a serial, if it is still in the pool.
     pub fn index_of(&self, serial: MemberSerial) -> Option<usize> {
-        self.serials.get(&serial).copied()
+        self.by_serial.get(&serial).copied()
     }
 
     /// Returns an endpoint by its id.
     pub fn member_named(&mut self, endpoint: &EndpointId) -> Option<&mut PoolMember> {
-        let index = self.index.get(endpoint)?;
+        let index = self.by_id.get(endpoint)?;
         self.members.get_mut(*index)
     }
 
@@ -120,8 +120,8 @@
     pub fn placement(&self, now: Time, input: &[u8], tokens: u32) -> CallPlacement {
         let size = self.size(input, tokens);
         CallPlacement {
-            work: self.costs.work(&self.service.kind, &size),
-            block_saving: self.costs.block(),
+            work: self.costs.call_work(&self.service.kind, &size),
+            block_saving: self.costs.block_work(),
             holders: self.prefixes.holders(now, &size.prefix),
             size,
         }
@@ -159,13 +159,13 @@
             expected: member.load.sent(now, work),
             size: placement.size,
         };
-        self.note_prefix(now, attempt.serial, &attempt.size.prefix);
+        self.record_prompt(now, attempt.serial, &attempt.size.prefix);
         attempt
     }
 
     /// Records that a prompt was sent to an engine, which will have its blocks in its cache.
-    pub fn note_prefix(&mut self, now: Time, serial: MemberSerial, prefix: &Prefix) {
-        self.prefixes.sent(now, serial, prefix);
+    pub fn record_prompt(&mut self, now: Time, serial: MemberSerial, prefix: &Prefix) {
+        self.prefixes.record_prompt(now, serial, prefix);
     }
 
     /// Learns from the end of an attempt; returns whether the endpoint was ejected because of it.
@@ -191,7 +191,7 @@
             // A refusal because the endpoint is full doesn't affect its health.
             AttemptEnd::NotRun(NotRunCause::Busy) => false,
             AttemptEnd::NotRun(NotRunCause::Unreachable) | AttemptEnd::Failed(_) => {
-                ended.ejects && self.failed(now, &attempt.endpoint, attempt.serial)
+                ended.may_eject && self.failed(now, &attempt.endpoint, attempt.serial)
             }
         }
     }
@@ -212,9 +212,10 @@
     ///
     /// Returns whether it was ejected now.
     pub fn failed(&mut self, now: Time, endpoint: &EndpointId, serial: MemberSerial) -> bool {
-        let is_out = |member: &&PoolMember| member.health.state(now) != HealthState::Healthy;
-        let out = self.members.iter().filter(is_out).count();
-        let may_eject = can_spare(out, self.members.len());
+        let is_unavailable =
+            |member: &&PoolMember| member.health.state(now) != HealthState::Healthy;
+        let unavailable = self.members.iter().filter(is_unavailable).count();
+        let may_eject = can_spare(unavailable, self.members.len());
         self.member(endpoint, serial)
             .is_some_and(|member| member.health.failed(now, may_eject))
     }
@@ -222,13 +223,13 @@
     /// Updates the assumed content of an engine's cache by its cache events.
     pub fn learn_cache(&mut self, now: Time, endpoint: &EndpointId, events: &[CacheEvent]) {
         if let Some(serial) = self.member_named(endpoint).map(|member| member.serial) {
-            self.prefixes.learn(now, serial, events);
+            self.prefixes.apply_events(now, serial, events);
         }
     }
 
     /// Estimates the endpoint time of an average call.
     pub fn average_work(&self) -> WorkMillis {
-        self.costs.usual()
+        self.costs.average_work()
     }
 
     /// Estimates the earliest finish of a call of `work` over the first `sample` endpoints that may get it, those of
@@ -244,7 +245,7 @@
             .map(|i| &self.members[*i])
             .filter(|member| member.is_open(now))
             .take(sample)
-            .map(|member| member.load.finish(now, work))
+            .map(|member| member.load.time_to_finish(now, work))
             .min_by(|a, b| a.0.total_cmp(&b.0))
     }
 
@@ -264,7 +265,7 @@
     let slots = service.settings.slots.value.0;
     let mut members = Vec::with_capacity(service.endpoints.len());
     for spec in &service.endpoints {
-        let kept = old.iter().position(|member| member.stays(spec));
+        let kept = old.iter().position(|member| member.is_same_endpoint(spec));
         members.push(match kept {
             Some(i) => PoolMember {
                 spec: spec.clone(),
--- a/lib/src/pipeline/decision/pools.rs
+++ b/lib/src/pipeline/decision/pools.rs
@@ -22,7 +22,7 @@
 pub struct Pools {
     pools: HashMap<ServiceId, Pool>,
     /// Service that each endpoint belongs to.
-    homes: HashMap<EndpointId, ServiceId>,
+    endpoint_services: HashMap<EndpointId, ServiceId>,
     /// Last serial given to a member; 0 before the first.
     last_serial: u64,
 }
@@ -56,10 +56,11 @@
     /// Rebuilds the pools for a new settings tree, and keeps what is known of endpoints that stay.
     pub fn adopt(&mut self, tree: &Tree, data_centre: &DataCentreId) {
         let mut old = std::mem::take(&mut self.pools);
-        self.homes.clear();
+        self.endpoint_services.clear();
         for service in tree.services.values() {
             for endpoint in &service.endpoints {
-                self.homes.insert(endpoint.id.clone(), service.id.clone());
+                self.endpoint_services
+                    .insert(endpoint.id.clone(), service.id.clone());
             }
             let last_serial = &mut self.last_serial;
             let mut next_serial = || {
@@ -73,8 +74,8 @@
     }
 
     /// Updates an endpoint's load estimate by its load report.
-    pub fn load(&mut self, now: Time, endpoint: &EndpointId, report: LoadReport) {
-        let pool = self.home(endpoint);
+    pub fn record_load(&mut self, now: Time, endpoint: &EndpointId, report: LoadReport) {
+        let pool = self.pool_of(endpoint);
         if let Some(member) = pool.and_then(|pool| pool.member_named(endpoint)) {
             member.leaving = report.leaving;
             member.load.report(now, report);
@@ -82,15 +83,15 @@
     }
 
     /// Updates the assumed content of an engine's cache by its cache events.
-    pub fn cache(&mut self, now: Time, endpoint: &EndpointId, events: &[CacheEvent]) {
-        if let Some(pool) = self.home(endpoint) {
+    pub fn record_cache(&mut self, now: Time, endpoint: &EndpointId, events: &[CacheEvent]) {
+        if let Some(pool) = self.pool_of(endpoint) {
             pool.learn_cache(now, endpoint, events);
         }
     }
 
     /// Returns the pool that an endpoint belongs to.
-    fn home(&mut self, endpoint: &EndpointId) -> Option<&mut Pool> {
-        let service = self.homes.get(endpoint)?;
+    fn pool_of(&mut self, endpoint: &EndpointId) -> Option<&mut Pool> {
+        let service = self.endpoint_services.get(endpoint)?;
         self.pools.get_mut(service)
     }
 
--- a/lib/src/pipeline/decision/prefix.rs
+++ b/lib/src/pipeline/decision/prefix.rs
@@ -1,11 +1,11 @@
 //! Which engines probably have the start of a prompt in their caches?
 //!
 //! Inputs: the prompts sent to each engine, the engines' own cache events, and the time. Output: for a prompt, the
-//! engines assumed to hold its longest known prefix, and the length of that prefix in blocks of [`BLOCK`] bytes.
+//! engines assumed to hold its longest known prefix, and the length of that prefix in blocks of [`BLOCK_BYTES`] bytes.
 //!
 //! Rule: the whole blocks of a prompt are hashed in a chain, so that equal hashes mean equal prefixes. An engine is
 //! assumed to hold a block from the time at which the block was sent to it, or reported by it, until it reports that
-//! it has evicted the block, or for [`FORGET_AFTER`]. For each block at most [`HOLDERS`] engines are remembered, the
+//! it has evicted the block, or for [`ENTRY_LIFETIME`]. For each block at most [`MAX_HOLDERS`] engines are remembered, the
 //! most recent ones.
 //!
 //! Reason: engines report late and with gaps, so an entry may be wrong and has to expire. An engine isn't preferred for
@@ -24,20 +24,20 @@
 };
 
 /// Bytes of one block of a prompt. The blocks of the engines' cache events have the same size (`docs/PROTOCOLS.md`).
-pub const BLOCK: usize = 512;
+pub const BLOCK_BYTES: usize = 512;
 
 /// Largest number of blocks of a prompt that are hashed (32 KB); bounds the cost of a prompt.
 const MAX_BLOCKS: usize = 64;
 
 /// Number of blocks in each of the two generations of a [`PrefixIndex`]. Bounds the memory, which `bounded_memory` in
 /// `test_prefix.rs` checks.
-const GENERATION: usize = 8_192;
+const GENERATION_BLOCKS: usize = 8_192;
 
 /// Largest number of engines remembered for one block.
-pub const HOLDERS: usize = 4;
+pub const MAX_HOLDERS: usize = 4;
 
 /// Age after which an entry no longer counts.
-pub const FORGET_AFTER: Millis = Millis(60_000);
+pub const ENTRY_LIFETIME: Millis = Millis(60_000);
 
 /// Hashes of a prompt's blocks. Each one covers the whole prefix up to the end of its block.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
@@ -48,7 +48,7 @@
     pub fn of(input: &[u8]) -> Self {
         let mut last = 0;
         let hashes = input
-            .chunks_exact(BLOCK)
+            .chunks_exact(BLOCK_BYTES)
             .take(MAX_BLOCKS)
             .map(|block| {
                 last = xxh3_64_with_seed(block, last);
@@ -93,13 +93,13 @@
 
 /// Entry of an engine that is assumed to hold a block since a time.
 #[derive(Debug, Clone, Copy)]
-struct Belief {
+struct HolderEntry {
     serial: MemberSerial,
     since: Time,
 }
 
 /// Entries of the holders of each block, by the block's hash.
-type HolderMap = HashMap<u64, Vec<Belief>>;
+type HolderMap = HashMap<u64, Vec<HolderEntry>>;
 
 /// Assumed content of the caches of one pool's engines. Bounded in memory: new blocks go into the newer of two
 /// generations; when it is full, it becomes the older one, and the previous older one is dropped.
@@ -111,14 +111,14 @@
 
 impl PrefixIndex {
     /// Records that an engine holds all blocks of a prompt that was sent to it.
-    pub fn sent(&mut self, now: Time, serial: MemberSerial, prefix: &Prefix) {
+    pub fn record_prompt(&mut self, now: Time, serial: MemberSerial, prefix: &Prefix) {
         for block in prefix.blocks() {
             self.add(now, serial, *block);
         }
     }
 
     /// Updates the entries of an engine by its cache events.
-    pub fn learn(&mut self, now: Time, serial: MemberSerial, events: &[CacheEvent]) {
+    pub fn apply_events(&mut self, now: Time, serial: MemberSerial, events: &[CacheEvent]) {
         for event in events {
             if event.held {
                 self.add(now, serial, event.block);
@@ -129,21 +129,21 @@
     }
 
     fn add(&mut self, now: Time, serial: MemberSerial, block: u64) {
-        if self.newer.len() >= GENERATION && !self.newer.contains_key(&block) {
+        if self.newer.len() >= GENERATION_BLOCKS && !self.newer.contains_key(&block) {
             self.older = std::mem::take(&mut self.newer);
         }
-        let beliefs = self.newer.entry(block).or_default();
-        beliefs.retain(|belief| belief.serial != serial);
-        if beliefs.len() == HOLDERS {
-            beliefs.remove(0);
+        let entries = self.newer.entry(block).or_default();
+        entries.retain(|entry| entry.serial != serial);
+        if entries.len() == MAX_HOLDERS {
+            entries.remove(0);
         }
-        beliefs.push(Belief { serial, since: now });
+        entries.push(HolderEntry { serial, since: now });
     }
 
     fn remove(&mut self, serial: MemberSerial, block: u64) {
-        for beliefs in [&mut self.newer, &mut self.older] {
-            if let Some(beliefs) = beliefs.get_mut(&block) {
-                beliefs.retain(|belief| belief.serial != serial);
+        for entries in [&mut self.newer, &mut self.older] {
+            if let Some(entries) = entries.get_mut(&block) {
+                entries.retain(|entry| entry.serial != serial);
             }
         }
     }
@@ -164,14 +164,14 @@
     fn holders_of(&self, now: Time, block: u64, count: usize) -> Vec<Holder> {
         [&self.newer, &self.older]
             .into_iter()
-            .filter_map(|beliefs| beliefs.get(&block))
+            .filter_map(|entries| entries.get(&block))
             .flatten()
-            .filter(|belief| now.since(belief.since) <= FORGET_AFTER.to_duration())
-            .map(|belief| Holder {
-                serial: belief.serial,
+            .filter(|entry| now.since(entry.since) <= ENTRY_LIFETIME.to_duration())
+            .map(|entry| Holder {
+                serial: entry.serial,
                 blocks: count,
             })
-            .take(HOLDERS)
+            .take(MAX_HOLDERS)
             .collect()
     }
 
--- a/lib/src/pipeline/decision/request.rs
+++ b/lib/src/pipeline/decision/request.rs
@@ -1,7 +1,7 @@
 //! The state of one request: its stage, its attempts, and the outcome that may be reported for it.
 //!
 //! A [`Request`] holds what the core knows of one request between its arrival and its final answer. Whether the outcome
-//! `not_run` may be reported depends on its field `exposed`: the number of attempts, at any stage, that may have run.
+//! `not_run` may be reported depends on its field `possible_runs`: the number of attempts, at any stage, that may have run.
 
 use {
     crate::{
@@ -112,7 +112,7 @@
     /// Endpoint time that the attempt took.
     pub spent: WorkMillis,
     /// True if endpoints that fail are ejected.
-    pub ejects: bool,
+    pub may_eject: bool,
 }
 
 /// One request between arrival and its final answer.
@@ -143,9 +143,9 @@
     /// Endpoints tried at the current stage.
     pub tried: Vec<MemberSerial>,
     /// Attempts in flight.
-    pub live: Vec<Attempt>,
+    pub in_flight: Vec<Attempt>,
     /// Number of attempts that may have run, at any stage.
-    pub exposed: u32,
+    pub possible_runs: u32,
     /// Tokens that the current stage has generated.
     pub generated: Resume,
     /// Endpoint time of each stage's winning attempt.
@@ -163,23 +163,27 @@
     /// priority.
     pub fn new(arrival: Arrival, pipeline: Arc<Pipeline>, settings: &Settings, now: Time) -> Self {
         let limit = settings.deadline.value;
-        let remaining = arrival.remaining.map_or(limit, |own| own.min(limit));
-        let most = settings.priority.value;
+        let remaining = arrival
+            .remaining
+            .map_or(limit, |requested| requested.min(limit));
+        let highest = settings.priority.value;
         let stages = pipeline.stages.len();
         Self {
             id: arrival.id,
             customer: arrival.customer,
             plain: matches!(arrival.target, Target::Service(_)),
             deadline: now + remaining,
-            priority: arrival.priority.map_or(most, |own| own.min(most)),
+            priority: arrival
+                .priority
+                .map_or(highest, |requested| requested.min(highest)),
             key: arrival.key,
             stream: arrival.stream,
             stage: 0,
             input: arrival.body,
             attempts_sent: 0,
             tried: Vec::new(),
-            live: Vec::new(),
-            exposed: 0,
+            in_flight: Vec::new(),
+            possible_runs: 0,
             generated: Resume::default(),
             spent: vec![WorkMillis::default(); stages],
             wasted: vec![WorkMillis::default(); stages],
@@ -209,7 +213,7 @@
         let settings = &self.current().settings;
         StageProgress {
             attempts_sent: self.attempts_sent,
-            in_flight: self.live.len(),
+            in_flight: self.in_flight.len(),
             max_attempts: settings.attempts.value,
             repeatable: settings.repeatable.value,
             tokens: self.generated.tokens,
@@ -227,15 +231,15 @@
         let stage = self.current();
         let guarded = !stage.settings.repeatable.value;
         crate::invariant!(
-            !guarded || self.live.is_empty(),
+            !guarded || self.in_flight.is_empty(),
             "request {} sends stage {} again while an attempt that must not be repeated is in flight",
             self.id,
             stage.id
         );
         self.attempts_sent += 1;
-        self.exposed += 1;
+        self.possible_runs += 1;
         self.tried.push(attempt.serial);
-        self.live.push(attempt);
+        self.in_flight.push(attempt);
     }
 
     /// Adds the endpoint time of the current stage's winning attempt.
@@ -250,18 +254,18 @@
 
     /// Removes an attempt that ended and returns it; `None` if it isn't in flight.
     pub fn remove_attempt(&mut self, id: AttemptId) -> Option<Attempt> {
-        let i = self.live.iter().position(|attempt| attempt.id == id)?;
-        Some(self.live.swap_remove(i))
+        let i = self.in_flight.iter().position(|attempt| attempt.id == id)?;
+        Some(self.in_flight.swap_remove(i))
     }
 
     /// Records that an attempt certainly did not run.
-    pub fn clear_exposure(&mut self) {
+    pub fn record_not_run(&mut self) {
         crate::invariant!(
-            self.exposed > 0,
+            self.possible_runs > 0,
             "request {} marks more attempts as not run than it sent",
             self.id
         );
-        self.exposed -= 1;
+        self.possible_runs -= 1;
     }
 
     /// Advances to the next stage, whose input is the current stage's output.
@@ -282,7 +286,7 @@
     pub fn problem(&self, code: Code, detail: String, retry_after: Option<Millis>) -> Problem {
         Problem {
             code,
-            outcome: if self.exposed == 0 {
+            outcome: if self.possible_runs == 0 {
                 Outcome::NotRun
             } else {
                 Outcome::Unknown
--- a/lib/src/pipeline/decision/send.rs
+++ b/lib/src/pipeline/decision/send.rs
@@ -48,7 +48,7 @@
         }
         let is_first = request.attempts_sent == 0;
         if is_first {
-            policy.first_attempt(pool, settings.retry_budget.value);
+            policy.record_first_attempt(pool, settings.retry_budget.value);
         }
         self.last_attempt += 1;
         let attempt = pool.start_attempt(now, AttemptId(self.last_attempt), chosen, placement);
--- a/lib/src/shared/health.rs
+++ b/lib/src/shared/health.rs
@@ -4,7 +4,7 @@
 //! already out of service. Output: a [`HealthState`], and for each failure whether the endpoint was ejected because of
 //! it.
 //!
-//! Rule: an endpoint is ejected after `EJECT_AFTER` failures in a row, or if more than `EJECT_RATE` of its recent calls
+//! Rule: an endpoint is ejected after `EJECT_AFTER` failures in a row, or if more than `EJECT_FAILURE_RATE` of its recent calls
 //! fail, provided that the pool can spare it ([`can_spare`]). After the ejection time, one call at a time probes the
 //! endpoint: a success returns it to service, a failure ejects it for twice as long.
 //!
@@ -18,33 +18,33 @@
 const EJECT_AFTER: u32 = 3;
 
 /// Fraction of failed calls among the recent ones above which an endpoint is ejected, even if some succeed.
-const EJECT_RATE: Share = Share(0.25);
+const EJECT_FAILURE_RATE: Share = Share(0.25);
 
 /// Weight of one call in the moving average of failed calls.
-const RATE_GAIN: f64 = 0.1;
+const FAILURE_RATE_GAIN: f64 = 0.1;
 
 /// Smallest number of calls since the last ejection for which the fraction of failed calls counts.
-const RATE_CALLS: u32 = 10;
+const MIN_RATE_CALLS: u32 = 10;
 
 /// Duration of the first ejection; each further ejection doubles it.
 const FIRST_EJECTION: Millis = Millis(500);
 
 /// Longest duration of an ejection.
-const LONGEST_EJECTION: Millis = Millis(16_000);
+const MAX_EJECTION: Millis = Millis(16_000);
 
-/// Largest number of doublings. Keeps the shift within its type, and is more than [`LONGEST_EJECTION`] allows.
-const MOST_DOUBLINGS: u32 = 10;
+/// Largest number of doublings. Keeps the shift within its type, and is more than [`MAX_EJECTION`] allows.
+const MAX_DOUBLINGS: u32 = 10;
 
 /// Successes in a row after which past ejections no longer count.
-const FORGET_AFTER: u32 = 20;
+const FORGET_EJECTIONS_AFTER: u32 = 20;
 
 /// Largest fraction of a pool that may be ejected. With more ejected, the rest would be overloaded, and the failures
 /// more likely have a common cause.
-const MAX_EJECTED: Share = Share(0.5);
+const MAX_EJECTED_SHARE: Share = Share(0.5);
 
 /// Returns whether a pool of `endpoints` may eject one more while `out` of them are out of service.
-pub fn can_spare(out: usize, endpoints: usize) -> bool {
-    out as f64 + 1.0 <= endpoints as f64 * MAX_EJECTED.0
+pub fn can_spare(unavailable: usize, endpoints: usize) -> bool {
+    unavailable as f64 + 1.0 <= endpoints as f64 * MAX_EJECTED_SHARE.0
 }
 
 /// Health of one endpoint, judged by how its calls ended.
@@ -52,14 +52,14 @@
 pub struct Health {
     /// Failures since the last success or ejection.
     failures: u32,
-    /// Successes since the last failure, counted up to [`FORGET_AFTER`].
+    /// Successes since the last failure, counted up to [`FORGET_EJECTIONS_AFTER`].
     successes: u32,
     /// Ejections that still count for the duration of the next one.
     ejections: u32,
     /// End of the last ejection; `None` once a call has succeeded.
-    until: Option<Time>,
+    ejected_until: Option<Time>,
     /// Moving average of recent calls, with 1 for a failed one.
-    rate: f64,
+    failure_rate: f64,
     /// Calls since the last ejection.
     calls: u32,
 }
@@ -78,9 +78,9 @@
 impl Health {
     /// Returns the endpoint's state at `now`.
     pub fn state(&self, now: Time) -> HealthState {
-        match self.until {
+        match self.ejected_until {
             None => HealthState::Healthy,
-            Some(until) if now < until => HealthState::Ejected,
+            Some(ejected_until) if now < ejected_until => HealthState::Ejected,
             Some(_) => HealthState::Probing,
         }
     }
@@ -88,10 +88,10 @@
     /// Records a success, which ends an ejection.
     pub fn succeeded(&mut self) {
         self.failures = 0;
-        self.until = None;
-        self.count(false);
+        self.ejected_until = None;
+        self.count_call(false);
         self.successes += 1;
-        if self.successes >= FORGET_AFTER {
+        if self.successes >= FORGET_EJECTIONS_AFTER {
             self.successes = 0;
             self.ejections = 0;
         }
@@ -104,9 +104,9 @@
     pub fn failed(&mut self, now: Time, may_eject: bool) -> bool {
         self.failures += 1;
         self.successes = 0;
-        self.count(true);
+        self.count_call(true);
         let probe_failed = self.state(now) == HealthState::Probing;
-        let due = self.is_failing() && self.until.is_none() && may_eject;
+        let due = self.is_failing() && self.ejected_until.is_none() && may_eject;
         if !probe_failed && !due {
             return false;
         }
@@ -115,23 +115,23 @@
     }
 
     fn is_failing(&self) -> bool {
-        let often = self.rate > EJECT_RATE.0 && self.calls >= RATE_CALLS;
+        let often = self.failure_rate > EJECT_FAILURE_RATE.0 && self.calls >= MIN_RATE_CALLS;
         self.failures >= EJECT_AFTER || often
     }
 
     fn eject(&mut self, now: Time) {
-        let doubled = FIRST_EJECTION.0 << self.ejections.min(MOST_DOUBLINGS);
-        self.until = Some(now + Millis(doubled.min(LONGEST_EJECTION.0)));
+        let doubled = FIRST_EJECTION.0 << self.ejections.min(MAX_DOUBLINGS);
+        self.ejected_until = Some(now + Millis(doubled.min(MAX_EJECTION.0)));
         self.ejections += 1;
         self.failures = 0;
-        self.rate = 0.0;
+        self.failure_rate = 0.0;
         self.calls = 0;
     }
 
     /// Adds one call to the moving average of failed calls.
-    fn count(&mut self, failed: bool) {
+    fn count_call(&mut self, failed: bool) {
         let value = if failed { 1.0 } else { 0.0 };
         self.calls = self.calls.saturating_add(1);
-        self.rate += RATE_GAIN * (value - self.rate);
+        self.failure_rate += FAILURE_RATE_GAIN * (value - self.failure_rate);
     }
 }
--- a/lib/tests/test_policy_pins.rs
+++ b/lib/tests/test_policy_pins.rs
@@ -80,7 +80,7 @@
             8 => load.report(now, report(&mut draws)),
             _ => {}
         }
-        let finish = load.finish(now, WorkMillis(50.0));
+        let finish = load.time_to_finish(now, WorkMillis(50.0));
         let at = now.0 / 1_000;
         writeln!(lines, "{at}: {} in flight, {finish}", load.in_flight()).unwrap();
     }
@@ -321,7 +321,7 @@
             if let Some(member) = choice {
                 let PoolMember { serial, load, .. } = &mut pool.members[member];
                 let (serial, expected) = (*serial, load.sent(now, work));
-                pool.note_prefix(now, serial, &placement.size.prefix);
+                pool.record_prompt(now, serial, &placement.size.prefix);
                 sent.push(Sent {
                     at: now,
                     member,
--- a/lib/tests/test_prefix.rs
+++ b/lib/tests/test_prefix.rs
@@ -4,7 +4,7 @@
 
 use {
     hazelyoke_lib::{
-        pipeline::decision::prefix::{BLOCK, CacheEvent, Prefix, PrefixIndex},
+        pipeline::decision::prefix::{BLOCK_BYTES, CacheEvent, Prefix, PrefixIndex},
         shared::{
             ids::MemberSerial,
             units::{Millis, Time},
@@ -21,7 +21,7 @@
 const B: MemberSerial = MemberSerial(2);
 
 fn prompt(blocks: usize, end: &str) -> Vec<u8> {
-    let mut text = vec![b'x'; blocks * BLOCK];
+    let mut text = vec![b'x'; blocks * BLOCK_BYTES];
     text.extend_from_slice(end.as_bytes());
     text
 }
@@ -30,8 +30,8 @@
 fn longest_beginning() {
     let mut index = PrefixIndex::default();
     let now = Time(1);
-    index.sent(now, A, &Prefix::of(&prompt(2, "")));
-    index.sent(now, B, &Prefix::of(&prompt(4, "")));
+    index.record_prompt(now, A, &Prefix::of(&prompt(2, "")));
+    index.record_prompt(now, B, &Prefix::of(&prompt(4, "")));
     let holders = index.holders(now, &Prefix::of(&prompt(8, "question")));
     assert_eq!(holders.len(), 1);
     assert_eq!((holders[0].serial, holders[0].blocks), (B, 4));
@@ -43,7 +43,7 @@
 #[test]
 fn other_beginning() {
     let mut index = PrefixIndex::default();
-    index.sent(Time(1), A, &Prefix::of(&prompt(4, "")));
+    index.record_prompt(Time(1), A, &Prefix::of(&prompt(4, "")));
     let mut other = prompt(4, "");
     other[0] = b'y';
     assert!(index.holders(Time(1), &Prefix::of(&other)).is_empty());
@@ -53,12 +53,12 @@
 fn given_up_block() {
     let mut index = PrefixIndex::default();
     let prefix = Prefix::of(&prompt(2, ""));
-    index.sent(Time(1), A, &prefix);
+    index.record_prompt(Time(1), A, &prefix);
     let gone = CacheEvent {
         block: prefix.blocks()[1],
         held: false,
     };
-    index.learn(Time(2), A, &[gone]);
+    index.apply_events(Time(2), A, &[gone]);
     let holders = index.holders(Time(2), &prefix);
     assert_eq!((holders[0].serial, holders[0].blocks), (A, 1));
 }
@@ -67,7 +67,7 @@
 fn forgotten_beliefs() {
     let mut index = PrefixIndex::default();
     let prefix = Prefix::of(&prompt(2, ""));
-    index.sent(Time(1), A, &prefix);
+    index.record_prompt(Time(1), A, &prefix);
     let later = Time(1) + Millis(61_000);
     assert!(index.holders(later, &prefix).is_empty());
 }
@@ -80,7 +80,7 @@
             block: number,
             held: true,
         };
-        index.learn(Time(number), A, &[event]);
+        index.apply_events(Time(number), A, &[event]);
     }
     assert!(index.len() <= 16_384, "{}", index.len());
 }
@@ -90,7 +90,7 @@
     let fixture = Fixture::start().await;
     let (_daemon, caller) = fixture.daemon().await;
     let engines = &fixture.endpoints["llm"];
-    let context = "c".repeat(16 * BLOCK);
+    let context = "c".repeat(16 * BLOCK_BYTES);
     for number in 0..8 {
         let body = format!("{{\"context\":\"{context}\",\"n\":{number}}}");
         let expected = answer(&[Step::Engine(MODEL.into(), TOKENS)], body.as_bytes());
--- a/lib/testutils/src/prefix_cache.rs
+++ b/lib/testutils/src/prefix_cache.rs
@@ -1,7 +1,7 @@
 //! A stand-in engine's prefix cache: limited, its changes reported late and with gaps.
 
 use {
-    hazelyoke_lib::pipeline::decision::prefix::{BLOCK, CacheEvent, CacheEvents, Prefix},
+    hazelyoke_lib::pipeline::decision::prefix::{BLOCK_BYTES, CacheEvent, CacheEvents, Prefix},
     std::{
         collections::{BTreeMap, HashMap, VecDeque},
         time::Duration,
@@ -65,7 +65,7 @@
         for block in blocks.iter().rev() {
             self.touch(*block);
         }
-        (cached * BLOCK) as u64
+        (cached * BLOCK_BYTES) as u64
     }
 
     fn touch(&mut self, block: u64) {
