--- a/lib/tests/test_core_random.rs
+++ b/lib/tests/test_core_random.rs
@@ -87,33 +87,33 @@
 const CHOICES: u32 = 1 << 13;
 
 /// Runs some seeds and returns whether the observer found a violation in any of them.
-fn any_broken(tree: &Arc<Tree>, options: RunOptions) -> bool {
-    let broken = Cell::new(false);
+fn any_violation(tree: &Arc<Tree>, options: RunOptions) -> bool {
+    let violated = Cell::new(false);
     for_seeds(FEW, CHOICES, |u| {
         let findings = CoreRun::new(tree.clone(), options, u).run()?;
-        broken.set(broken.get() || !findings.broken.is_empty());
+        violated.set(violated.get() || !findings.violations.is_empty());
         Ok(())
     });
-    broken.get()
+    violated.get()
 }
 
-fn assert_kept(policy: &str) {
+fn assert_no_violation(policy: &str) {
     let tree = tree(policy, GUARDED, 8);
     for_seeds(MANY, CHOICES, |u| {
         let findings = CoreRun::new(tree.clone(), FAULTY, u).run()?;
-        assert!(findings.broken.is_empty(), "{:#?}", findings.broken);
+        assert!(findings.violations.is_empty(), "{:#?}", findings.violations);
         Ok(())
     });
 }
 
 #[test]
 fn estimated_keeps_promises() {
-    assert_kept("estimated");
+    assert_no_violation("estimated");
 }
 
 #[test]
 fn naive_keeps_promises() {
-    assert_kept("naive");
+    assert_no_violation("naive");
 }
 
 #[test]
@@ -141,7 +141,7 @@
 #[test]
 fn repeat_is_noticed() {
     // Without the settings that forbid to repeat a guarded call, the observer has to find calls that ran twice.
-    assert!(any_broken(&tree("estimated", "", 8), FAULTY));
+    assert!(any_violation(&tree("estimated", "", 8), FAULTY));
 }
 
 #[test]
@@ -151,7 +151,7 @@
         lying: true,
         ..FAULTY
     };
-    assert!(any_broken(&tree("estimated", GUARDED, 8), lying));
+    assert!(any_violation(&tree("estimated", GUARDED, 8), lying));
 }
 
 #[test]
--- a/lib/testutils/src/core_run/observer.rs
+++ b/lib/testutils/src/core_run/observer.rs
@@ -33,7 +33,7 @@
     /// Ends of the requests, in order of arrival; `None` if the caller had left.
     pub reported: Vec<Option<Reported>>,
     /// Descriptions of the violations found.
-    pub broken: Vec<String>,
+    pub violations: Vec<String>,
 }
 
 /// State of one request as observed.
@@ -73,7 +73,7 @@
             runs: BTreeMap::new(),
             findings: Findings {
                 reported: vec![None; requests],
-                broken: Vec::new(),
+                violations: Vec::new(),
             },
         }
     }
@@ -108,7 +108,7 @@
         let seen = self.seen(request);
         seen.ran |= ran;
         if seen.finished {
-            self.broken(format!("{request}: sent after its end"));
+            self.add_violation(format!("{request}: sent after its end"));
         }
         if ran {
             let stage = call.ids.stage.clone();
@@ -129,7 +129,7 @@
         let next = seen.tokens;
         seen.tokens += 1;
         if next != index || seen.finished {
-            self.broken(format!("{request}: token {index} instead of {next}"));
+            self.add_violation(format!("{request}: token {index} instead of {next}"));
         }
     }
 
@@ -138,7 +138,7 @@
         let seen = self.seen(request);
         let (number, ran) = (seen.number, seen.ran);
         if seen.finished {
-            self.broken(format!("{request}: ended twice"));
+            self.add_violation(format!("{request}: ended twice"));
         }
         self.seen(request).finished = true;
         let reported = match result {
@@ -147,10 +147,10 @@
             Err(problem) => Reported::Problem(problem.outcome),
         };
         if reported == Reported::Wrong {
-            self.broken(format!("{request}: wrong answer"));
+            self.add_violation(format!("{request}: wrong answer"));
         }
         if reported == Reported::Problem(Outcome::NotRun) && ran {
-            self.broken(format!("{request}: false not_run"));
+            self.add_violation(format!("{request}: false not_run"));
         }
         self.findings.reported[number as usize] = Some(reported);
     }
@@ -173,16 +173,16 @@
 
     fn check_requests(&mut self) {
         let requests = self.requests.iter();
-        let endless = requests.filter(|(_, seen)| !seen.finished && !seen.left);
-        let broken = endless.map(|(request, _)| format!("{request}: no end"));
-        self.findings.broken.extend(broken);
+        let unfinished = requests.filter(|(_, seen)| !seen.finished && !seen.left);
+        let violations = unfinished.map(|(request, _)| format!("{request}: no end"));
+        self.findings.violations.extend(violations);
     }
 
     fn check_guarded(&mut self) {
         for ((request, stage), count) in &self.runs {
             if stage.as_str().starts_with(GUARDED) && *count > 1 {
-                let broken = format!("{request}: {stage} ran {count} times");
-                self.findings.broken.push(broken);
+                let violation = format!("{request}: {stage} ran {count} times");
+                self.findings.violations.push(violation);
             }
         }
     }
@@ -193,7 +193,7 @@
         let busy: u32 = members.map(|member| member.load.in_flight()).sum();
         let requests = core.in_flight();
         if busy > 0 || requests > 0 {
-            self.broken(format!("{busy} calls and {requests} requests left over"));
+            self.add_violation(format!("{busy} calls and {requests} requests left over"));
         }
     }
 
@@ -203,7 +203,7 @@
         let requests = running.map(|pending| &self.requests[&pending.request]);
         let forgotten = requests.filter(|seen| !seen.finished && !seen.left).count();
         if forgotten > 0 {
-            self.broken(format!("{forgotten} calls forgotten"));
+            self.add_violation(format!("{forgotten} calls forgotten"));
         }
     }
 
@@ -212,7 +212,7 @@
         seen.expect("the core acts for requests that arrived")
     }
 
-    fn broken(&mut self, finding: String) {
-        self.findings.broken.push(finding);
+    fn add_violation(&mut self, violation: String) {
+        self.findings.violations.push(violation);
     }
 }
