--- a/lib/src/pipeline/decision/attempt.rs
+++ b/lib/src/pipeline/decision/attempt.rs
@@ -99,7 +99,7 @@
     fn answered(&mut self, now: Time, id: RequestId, reply: EndpointReply) {
         let request = &self.requests[&id];
         let rejected = reply.status >= FIRST_REJECTION;
-        if rejected && !request.plain {
+        if rejected && !request.direct_call {
             let stage = &request.current().id;
             let detail = format!("stage {stage} was rejected with status {}", reply.status);
             return self.fail(now, id, Code::StageRejected, detail);
--- a/lib/src/pipeline/decision/pool.rs
+++ b/lib/src/pipeline/decision/pool.rs
@@ -101,7 +101,7 @@
     }
 
     /// Returns an endpoint by its id.
-    pub fn member_named(&mut self, endpoint: &EndpointId) -> Option<&mut PoolMember> {
+    pub fn member_by_id(&mut self, endpoint: &EndpointId) -> Option<&mut PoolMember> {
         let index = self.by_id.get(endpoint)?;
         self.members.get_mut(*index)
     }
@@ -112,7 +112,7 @@
         endpoint: &EndpointId,
         serial: MemberSerial,
     ) -> Option<&mut PoolMember> {
-        self.member_named(endpoint)
+        self.member_by_id(endpoint)
             .filter(|member| member.serial == serial)
     }
 
@@ -222,7 +222,7 @@
 
     /// Updates the assumed content of an engine's cache by its cache events.
     pub fn learn_cache(&mut self, now: Time, endpoint: &EndpointId, events: &[CacheEvent]) {
-        if let Some(serial) = self.member_named(endpoint).map(|member| member.serial) {
+        if let Some(serial) = self.member_by_id(endpoint).map(|member| member.serial) {
             self.prefixes.apply_events(now, serial, events);
         }
     }
--- a/lib/src/pipeline/decision/pools.rs
+++ b/lib/src/pipeline/decision/pools.rs
@@ -76,7 +76,7 @@
     /// Updates an endpoint's load estimate by its load report.
     pub fn record_load(&mut self, now: Time, endpoint: &EndpointId, report: LoadReport) {
         let pool = self.pool_of(endpoint);
-        if let Some(member) = pool.and_then(|pool| pool.member_named(endpoint)) {
+        if let Some(member) = pool.and_then(|pool| pool.member_by_id(endpoint)) {
             member.leaving = report.leaving;
             member.load.report(now, report);
         }
--- a/lib/src/pipeline/decision/request.rs
+++ b/lib/src/pipeline/decision/request.rs
@@ -125,7 +125,7 @@
     /// Pipeline that the request runs; for a direct call of a service, one with a single stage.
     pub pipeline: Arc<Pipeline>,
     /// True for a direct call of a service, whose reply is passed on unchanged, a rejection included.
-    pub plain: bool,
+    pub direct_call: bool,
     /// Time by which the request must be answered.
     pub deadline: Time,
     /// Priority of the request in the admission and at the endpoints.
@@ -171,7 +171,7 @@
         Self {
             id: arrival.id,
             customer: arrival.customer,
-            plain: matches!(arrival.target, Target::Service(_)),
+            direct_call: matches!(arrival.target, Target::Service(_)),
             deadline: now + remaining,
             priority: arrival
                 .priority
