--- a/lib/src/pipeline/decision/admission.rs
+++ b/lib/src/pipeline/decision/admission.rs
@@ -5,10 +5,10 @@
 //! [`fair`](super::fair)). Output: yes or no.
 //!
 //! Rule: the time needed is the sum over the remaining stages, each with the work of an average call and the wait at
-//! the endpoint that would finish it first. A request is admitted if its own work fits into the time left, and its
-//! wait into a share of the time that its work leaves over: [`LOW_WAIT_SHARE`], [`NORMAL_WAIT_SHARE`] or [`HIGH_WAIT_SHARE`] by its
-//! priority, times its customer's wait allowance. Once its first stage has run, it continues as long as it can finish
-//! before the deadline.
+//! the endpoint that would finish it first. A request is admitted if its own work fits into the time left, and its wait
+//! into a share of the time that its work leaves over: [`LOW_WAIT_SHARE`], [`NORMAL_WAIT_SHARE`] or [`HIGH_WAIT_SHARE`]
+//! by its priority, times its customer's wait allowance. Once its first stage has run, it continues as long as it can
+//! finish before the deadline.
 //!
 //! Reason: if a queue is as long as the deadline, all work in it is wasted, while a shorter queue wastes nothing;
 //! and a request that stops midway wastes the work already done. The shares limit the wait and not the work, since a
--- a/lib/src/pipeline/decision/admit.rs
+++ b/lib/src/pipeline/decision/admit.rs
@@ -2,7 +2,7 @@
 //!
 //! Applies the rules: [`admission`](super::admission) compares the time needed with the time left,
 //! [`fair`](super::fair) gives the customer's wait allowance, [`limit`](super::limit) checks the customer's limits, and
-//! [`retry_after`](super::retry_after) gives the wait that a refused caller is told.
+//! [`retry_after`](super::retry_after) gives the wait that is suggested to a refused caller.
 
 use {
     crate::{
--- a/lib/src/pipeline/decision/attempt.rs
+++ b/lib/src/pipeline/decision/attempt.rs
@@ -140,7 +140,7 @@
         let request = &self.requests[&id];
         match self.check_time(now, request) {
             Ok(()) => self.send_next(now, id, AttemptKind::Regular),
-            // Only code and detail are taken over: parts of the request have run, so `fail` finds the outcome and the
+            // Only code and detail are taken over: parts of the request have run, so `fail` determines outcome and
             // wait.
             Err(late) => self.fail(now, id, late.code, late.detail),
         }
--- a/lib/src/pipeline/decision/endpoint.rs
+++ b/lib/src/pipeline/decision/endpoint.rs
@@ -1,7 +1,7 @@
 //! Calls of endpoints and how they can end: the interface between the decisions and the endpoints' protocols.
 //!
 //! [`Transport`] has one implementation for the protocols (`pipeline::endpoints`) and one for tests. The outcome
-//! `not_run` that callers are told depends on it: [`AttemptEnd::NotRun`] is only for a call that certainly did not run.
+//! `not_run` reported to callers depends on it: [`AttemptEnd::NotRun`] is only for a call that certainly did not run.
 
 use {
     crate::{
@@ -60,7 +60,7 @@
 pub enum AttemptEnd {
     /// The endpoint sent a complete reply with matching ids.
     Answered(EndpointReply),
-    /// The engine ended the stream of tokens with its closing message.
+    /// The engine ended the stream of tokens with its closing event.
     StreamEnded {
         /// Number of tokens in the whole generation, those before a resume included.
         tokens: u32,
--- a/lib/src/pipeline/decision/fair.rs
+++ b/lib/src/pipeline/decision/fair.rs
@@ -5,8 +5,8 @@
 //! by which [`admission`](super::admission) multiplies the wait that it allows.
 //!
 //! Rule: a customer with up to an equal share of the recently admitted work has the full wait allowance. Beyond that
-//! its allowance is the equal share divided by its own work, but at least [`MIN_WAIT_ALLOWANCE`]. The reduction applies in
-//! proportion to how far the requested work exceeds the completed work: not at all up to a ratio of
+//! its allowance is the equal share divided by its own work, but at least [`MIN_WAIT_ALLOWANCE`]. The reduction applies
+//! in proportion to how far the requested work exceeds the completed work: not at all up to a ratio of
 //! [`OVERLOAD_START`], and in full [`OVERLOAD_SPAN`] above it.
 //!
 //! Reason: with a smaller wait allowance, a customer over its share is refused while the queue is still short enough
@@ -26,8 +26,8 @@
 /// Half-life of the work admitted for customers.
 const SHARE_HALF_LIFE: Millis = Millis(2_000);
 
-/// Half-life of the work requested by all customers and of the work completed. Shorter than [`SHARE_HALF_LIFE`], since the
-/// ratio of the two has to show the overload of this moment.
+/// Half-life of the work requested by all customers and of the work completed. Shorter than [`SHARE_HALF_LIFE`], since
+/// the ratio of the two has to show the overload of this moment.
 const OVERLOAD_HALF_LIFE: Millis = Millis(500);
 
 /// Ratio of requested to completed work above which the customers' shares begin to count.
--- a/lib/src/pipeline/decision/limit.rs
+++ b/lib/src/pipeline/decision/limit.rs
@@ -74,7 +74,11 @@
         self.in_flight == 0
     }
 
-    /// Refills the bucket and takes the token of one request; returns the wait until there is one if there isn't.
+    /// Refills the bucket and takes the tokens of one request.
+    ///
+    /// # Errors
+    ///
+    /// Returns the wait until the bucket holds enough, if it doesn't yet.
     fn take_token(&mut self, now: Time, rate: Rate) -> Result<(), Millis> {
         let burst = (rate.0 * BURST_SECONDS).max(REQUEST_COST);
         let gained = match self.refilled {
--- a/lib/src/pipeline/decision/pool.rs
+++ b/lib/src/pipeline/decision/pool.rs
@@ -106,7 +106,7 @@
         self.members.get_mut(*index)
     }
 
-    /// Returns an endpoint by its id, if it still has the given serial: it hasn't left the pool in between.
+    /// Returns an endpoint by its id; `None` if it has left the pool, or has left it and come back under a new serial.
     pub fn member(
         &mut self,
         endpoint: &EndpointId,
--- a/lib/src/pipeline/decision/prefix.rs
+++ b/lib/src/pipeline/decision/prefix.rs
@@ -4,8 +4,8 @@
 //! engines assumed to hold its longest known prefix, and the length of that prefix in blocks of [`BLOCK_BYTES`] bytes.
 //!
 //! Rule: the whole blocks of a prompt are hashed in a chain, so that equal hashes mean equal prefixes. An engine is
-//! assumed to hold a block from the time at which the block was sent to it, or reported by it, until it reports that
-//! it has evicted the block, or for [`ENTRY_LIFETIME`]. For each block at most [`MAX_HOLDERS`] engines are remembered, the
+//! assumed to hold a block from the time at which the block was sent to it, or reported by it, until it reports that it
+//! has evicted the block, or for [`ENTRY_LIFETIME`]. For each block at most [`MAX_HOLDERS`] engines are remembered, the
 //! most recent ones.
 //!
 //! Reason: engines report late and with gaps, so an entry may be wrong and has to expire. An engine isn't preferred for
--- a/lib/src/pipeline/decision/request.rs
+++ b/lib/src/pipeline/decision/request.rs
@@ -1,7 +1,8 @@
 //! The state of one request: its stage, its attempts, and the outcome that may be reported for it.
 //!
 //! A [`Request`] holds what the core knows of one request between its arrival and its final answer. Whether the outcome
-//! `not_run` may be reported depends on its field `possible_runs`: the number of attempts, at any stage, that may have run.
+//! `not_run` may be reported depends on its field `possible_runs`: the number of attempts, at any stage, that may have
+//! run.
 
 use {
     crate::{
@@ -136,13 +137,13 @@
     pub stream: bool,
     /// Index of the current stage.
     pub stage: usize,
-    /// Input of the current stage.
+    /// Input of the current stage: a JSON value.
     pub input: Bytes,
     /// Number of attempts sent at the current stage.
     pub attempts_sent: u32,
-    /// Endpoints tried at the current stage.
+    /// Serials of the endpoints tried at the current stage.
     pub tried: Vec<MemberSerial>,
-    /// Attempts in flight.
+    /// Attempts of the current stage that are in flight.
     pub in_flight: Vec<Attempt>,
     /// Number of attempts that may have run, at any stage.
     pub possible_runs: u32,
--- a/lib/src/pipeline/decision/retry_after.rs
+++ b/lib/src/pipeline/decision/retry_after.rs
@@ -1,4 +1,4 @@
-//! When may a caller try again that was refused, or whose request failed?
+//! When may a caller whose request was refused or failed try again?
 //!
 //! Input: the earliest time, in milliseconds, in which one of some endpoints of the stage's pool would finish an
 //! average call; none if no endpoint may get work. Output: a wait in whole milliseconds.
--- a/lib/src/shared/health.rs
+++ b/lib/src/shared/health.rs
@@ -4,9 +4,9 @@
 //! already out of service. Output: a [`HealthState`], and for each failure whether the endpoint was ejected because of
 //! it.
 //!
-//! Rule: an endpoint is ejected after `EJECT_AFTER` failures in a row, or if more than `EJECT_FAILURE_RATE` of its recent calls
-//! fail, provided that the pool can spare it ([`can_spare`]). After the ejection time, one call at a time probes the
-//! endpoint: a success returns it to service, a failure ejects it for twice as long.
+//! Rule: an endpoint is ejected after `EJECT_AFTER` failures in a row, or if more than `EJECT_FAILURE_RATE` of its
+//! recent calls fail, provided that the pool can spare it ([`can_spare`]). After the ejection time, one call at a time
+//! probes the endpoint: a success returns it to service, a failure ejects it for twice as long.
 //!
 //! Reason: an endpoint that fails now and then may never fail often enough in a row, yet uses up the retry budget. A
 //! pool that ejects all of its endpoints serves nobody. `test_health.rs` and `test_decision_pins.rs` pin the rule. Both
@@ -42,7 +42,7 @@
 /// more likely have a common cause.
 const MAX_EJECTED_SHARE: Share = Share(0.5);
 
-/// Returns whether a pool of `endpoints` may eject one more while `out` of them are out of service.
+/// Returns whether a pool of `endpoints` may eject one more while `unavailable` of them are out of service.
 pub fn can_spare(unavailable: usize, endpoints: usize) -> bool {
     unavailable as f64 + 1.0 <= endpoints as f64 * MAX_EJECTED_SHARE.0
 }
