--- a/lib/tests/test_prefix.rs
+++ b/lib/tests/test_prefix.rs
@@ -97,8 +97,8 @@
         let request = CallerRequest::new("/v1/services/llm", "market", body);
         assert_eq!(caller.post(request).await.unwrap().body, expected);
     }
-    // Without the affinity all engines would get some of the requests. With it, one engine computes the prefix once and
-    // at least one other gets none.
+    // Without the affinity, any engine could get each request. With it, one engine computes the prefix once, and at least
+    // one other gets no request.
     let runs: Vec<_> = engines
         .iter()
         .map(|server| server.endpoint.runs().len())
