--- a/lib/src/gateway/rules/backlog.rs
+++ b/lib/src/gateway/rules/backlog.rs
@@ -1,38 +1,37 @@
-//! How much of the outstanding work of a stage service goes ahead of a piece?
+//! How many of the outstanding pieces of a stage service are served before a given piece?
 //!
-//! Inputs: the times by which waiting pieces are ordered (`rules::piece_order`), as spans from now in
-//! milliseconds.
+//! Inputs: the times by which waiting pieces are ordered (`rules::piece_order`), as spans from now in milliseconds.
 //!
-//! Pieces are counted by bands of these spans. Bands get wider with the span, by `BANDS_PER_DOUBLING`
-//! for each doubling, so that a few of them tell near objectives apart and reach far ones. A piece waits
-//! for those of lower bands and of its own: pieces of one route are served in the order in which they
-//! came.
+//! Rule: pieces are counted in buckets by these spans. The width of a bucket grows with the span, with
+//! `BANDS_PER_DOUBLING` buckets for each doubling, so that a few buckets separate near objectives and still cover
+//! distant ones. A piece waits for those in lower buckets and in its own bucket, since pieces of one route are served
+//! in order of arrival.
 //!
-//! Daemons exchange the counts with their heartbeats, so that a request is admitted by what goes ahead of
-//! its pieces, not by all that is outstanding: the mean worth of days with trouble rose from 0.512 to 0.576
-//! where the most urgent route has the shortest objective (five days, three scores each).
+//! Reason: daemons exchange these counts in their heartbeats, so that a request is admitted by the pieces that are
+//! served before its own and not by all outstanding ones. Otherwise requests of an urgent route with a short objective
+//! are refused because of work that would be served after them.
 
 use {
     crate::shared::units::{Millis, Time},
     serde::{Deserialize, Serialize},
 };
 
-/// Number of bands (a count), which is part of the messages between daemons. They reach 6.2 s, beyond which all pieces
-/// count as equally late.
+/// Number of buckets, part of the messages between daemons. They cover spans up to 6.2 s; beyond that, all pieces count
+/// as equally late.
 pub const BANDS: usize = 16;
 
-/// Span that the bands begin to double from. About the shortest call of a stage.
+/// Span from which the buckets begin to double, about the duration of the shortest call of a stage.
 const FIRST_SPAN: Millis = Millis(200);
 
-/// Bands for each doubling of the span.
+/// Number of buckets for each doubling of the span.
 const BANDS_PER_DOUBLING: f64 = 3.0;
 
-/// A band of the spans until pieces are due; lower ones go first.
+/// Bucket of the spans until pieces are due; pieces in lower buckets go first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Band(usize);
 
 impl Band {
-    /// Returns the band of a piece that is due at `due`; one that is overdue is in the first band.
+    /// Returns the bucket of a piece that is due at `due`. An overdue piece is in the first bucket.
     pub fn of(now: Time, due: Time) -> Self {
         let span = due.millis_since(now);
         let doublings = (1.0 + span / FIRST_SPAN.0 as f64).log2();
@@ -41,37 +40,37 @@
     }
 }
 
-/// Pieces by band.
+/// Number of pieces in each bucket.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Backlog([u32; BANDS]);
 
 impl Backlog {
-    /// Counts pieces.
+    /// Adds pieces to a bucket.
     pub fn add(&mut self, band: Band, pieces: u32) {
         let count = &mut self.0[band.0];
         *count = count.saturating_add(pieces);
     }
 
-    /// Counts pieces of which no more is known than their number, as if they went first.
+    /// Counts pieces with unknown due times in the first bucket, as if they were served first.
     pub fn unordered(pieces: u32) -> Self {
         let mut backlog = Self::default();
         backlog.add(Band(0), pieces);
         backlog
     }
 
-    /// Returns the pieces that go ahead of one in a band.
+    /// Returns the number of pieces that are served before one in `band`.
     pub fn ahead(&self, band: Band) -> u32 {
         let ahead = self.0[..=band.0].iter();
         ahead.copied().fold(0, u32::saturating_add)
     }
 
-    /// Returns all pieces.
+    /// Returns the number of pieces in all buckets.
     pub fn total(&self) -> u32 {
         self.ahead(Band(BANDS - 1))
     }
 
-    /// Returns the sum of two counts.
+    /// Returns the sum of both counts, by bucket.
     #[must_use]
     pub fn plus(&self, other: &Self) -> Self {
         let mut sum = *self;
@@ -81,7 +80,7 @@
         sum
     }
 
-    /// Returns these counts without others that are part of them.
+    /// Returns these counts less those of `part`, by bucket.
     #[must_use]
     pub fn minus(&self, part: &Self) -> Self {
         let mut rest = *self;
--- a/lib/src/gateway/rules/call_fill.rs
+++ b/lib/src/gateway/rules/call_fill.rs
@@ -1,20 +1,19 @@
 //! How many of the waiting pieces go into one call?
 //!
-//! Inputs: the share of the waiting pieces that the call should take (`rules::piece_order`), the
-//! most pieces that the table allows in a call, and the room for results at its endpoint (bytes).
+//! Inputs: the share of the waiting pieces that the call should take (`rules::piece_order`), the largest number of
+//! pieces that the table allows in a call, and the result capacity of its endpoint (bytes).
 //!
-//! Jobs are taken in their order until the call has its share. A job that was begun is taken whole
-//! where it fits, past the share too: its request needs all of its pieces. No call gets more pieces
-//! than allowed, or more results than its endpoint has room for.
+//! Rule: jobs are taken in order until the call has its share. Once a job is begun, all of its pieces that fit are
+//! taken, also beyond the share, because its request needs all of them. No call gets more pieces than the table allows,
+//! or more results than its endpoint has capacity for.
 //!
-//! A call costs its endpoint a fixed time, so that throughput is the fill of calls; free endpoints
-//! share what waits, so that none of them idles (`docs/design/stages.md`). No constants.
-//! `idle_endpoints_share`, `result_room` and
-//! `test_stage_rules` pin the rule.
+//! Reason: a call costs its endpoint a fixed time, so throughput depends on how full calls are. Free endpoints divide
+//! the waiting pieces, so that none of them is idle (`docs/design/stages.md`). The rule has no constants. Tests:
+//! `idle_endpoints_share`, `result_room` and `test_stage_rules`.
 
 use crate::shared::units::ByteSize;
 
-/// Bounds of one call and what it holds so far.
+/// Limits of one call, and the pieces added to it so far.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CallFill {
     share: usize,
@@ -24,19 +23,20 @@
     reserved: ByteSize,
 }
 
-/// The answer for one more piece of a call.
+/// Whether one more piece fits into a call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fit {
-    /// It may.
+    /// The piece fits.
     Fits,
-    /// The call has as many pieces as it may have.
+    /// The call has the largest number of pieces that the table allows.
     CallFull,
-    /// The endpoint has no room for one more result.
+    /// The endpoint lacks the capacity for the result.
     NoRoom,
 }
 
 impl CallFill {
-    /// Starts an empty call that should take `share` pieces, and may take `most`.
+    /// Starts an empty call that should take `share` pieces and may take `most`, at an endpoint with result capacity
+    /// `room`.
     pub fn new(share: usize, most: usize, room: ByteSize) -> Self {
         Self {
             share,
@@ -52,7 +52,7 @@
         self.pieces < self.share
     }
 
-    /// Returns whether the call may take a piece with a result of `size`.
+    /// Returns whether a piece with a result of `size` fits into the call.
     pub fn fit(&self, size: ByteSize) -> Fit {
         if self.pieces >= self.most {
             Fit::CallFull
@@ -69,12 +69,12 @@
         self.reserved.0 += size.0;
     }
 
-    /// Returns the number of pieces.
+    /// Returns the number of pieces in the call.
     pub fn pieces(&self) -> usize {
         self.pieces
     }
 
-    /// Returns the room that the results of the call need.
+    /// Returns the capacity that the results of the call need.
     pub fn reserved(&self) -> ByteSize {
         self.reserved
     }
--- a/lib/src/gateway/rules/call_spacing.rs
+++ b/lib/src/gateway/rules/call_spacing.rs
@@ -1,33 +1,33 @@
 //! When may a free endpoint of a stage start a call that isn't full?
 //!
-//! Inputs: the time of the last call in the endpoint's data centre, how long calls there usually take
-//! (milliseconds, learnt), and how many endpoints there may be called and are free.
+//! Inputs: the time of the last call in the endpoint's data centre, the average time that calls there should take
+//! (milliseconds), and how many endpoints there may be called and are free.
 //!
-//! Rule: at once if `FREE_PART` of them or more are free, or if the call would be full. Else once
-//! `EVENNESS` of an even share of the round has passed since the last call: the usual time of a call,
-//! divided by the endpoints.
+//! Rule: at once if at least `FREE_PART` of the endpoints are free, or if the call would be full. Otherwise once
+//! `EVENNESS` of an even interval has passed since the last call. The even interval is the average time of a call
+//! divided by the number of endpoints.
 //!
-//! Reason: a call costs a fixed time before its first piece. Whoever is free first takes nearly all that waits,
-//! the next one takes two pieces and is gone for as long; full calls last longer than small ones, so
-//! that bunches stay bunches. Even calls hold what comes between them, and a piece waits for half of the
-//! space between two calls.
+//! Reason: a call costs a fixed time before its first piece. Without spacing, the first free endpoint takes nearly all
+//! waiting pieces, and the next one takes a few and is busy for almost as long. Full calls last longer than small ones,
+//! so calls stay bunched. With even intervals, calls share the pieces that arrive, and a piece waits for half an
+//! interval on average.
 //!
-//! It needs no knowledge of the work: the usual time is that of the calls that were planned.
+//! The average time is that of the calls that were scheduled; the rule needs no other knowledge of the work.
 
 use crate::shared::units::{Time, WorkMillis};
 
-/// Part of a data centre's endpoints from which on a free one starts at once. With so many idle, nothing waits for
-/// them.
+/// Fraction of a data centre's endpoints that must be free for a call to start at once. With so many free endpoints,
+/// pieces don't wait for one.
 const FREE_PART: f64 = 0.5;
 
-/// Part of an even share of the round that passes between two calls: more of it would hold calls that are nearly
-/// full.
+/// Fraction of an even interval that must pass between two calls. A larger one would delay calls that are nearly full.
 const EVENNESS: f64 = 0.8;
 
-/// Weight of a new call in the usual time. Some ten calls, half a second of one data centre at load.
+/// Weight of a new call in the average time: it covers some ten calls, about half a second of one data centre under
+/// load.
 const GAIN: f64 = 0.1;
 
-/// The calls of one data centre.
+/// Last call and average time of calls in one data centre.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct CallSpacing {
     last: Time,
@@ -35,7 +35,7 @@
 }
 
 impl CallSpacing {
-    /// Starts with a first call and the time that it should take.
+    /// Starts with a first call, which should take `expected`.
     pub fn new(now: Time, expected: WorkMillis) -> Self {
         Self {
             last: now,
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Returns the spacing after another call.
+    /// Returns the spacing after another call, which should take `expected`.
     #[must_use]
     pub fn after_call(self, now: Time, expected: WorkMillis) -> Self {
         Self {
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Returns when a call that isn't full may start, where so many endpoints may be called and are free.
+    /// Returns when a call that isn't full may start, where `endpoints` may be called and `free` of them are free.
     pub fn due(self, endpoints: usize, free: usize) -> Time {
         if free as f64 >= endpoints as f64 * FREE_PART {
             return self.last;
--- a/lib/src/gateway/rules/catch_up.rs
+++ b/lib/src/gateway/rules/catch_up.rs
@@ -1,20 +1,20 @@
 //! Which daemon is asked for a newer table or a newer list of endpoints, and when?
 //!
-//! Inputs: versions of tables and revisions of lists as living daemons report them; the version or
-//! revision known here; the time (microseconds of this daemon's clock) of the directory's last
-//! answer; the longest time that the directory holds a call for changes; a random fraction.
+//! Inputs: versions of tables and revisions of lists as living daemons report them; the version or revision known here;
+//! the time (microseconds of this daemon's clock) of the directory's last answer; the longest time for which the
+//! directory holds a call for changes; a random fraction.
 //!
-//! Rule: a newer table is fetched at once, by a daemon that reads the directory itself only after
-//! [`READ_FIRST`], from one drawn among those that report the newest; after one that was busy or
-//! failed, from another one. A newer list is fetched only by a daemon that has no list yet, that
-//! leaves reading the directory to others, or that the directory hasn't answered for [`LIST_LAG`]
-//! longer than it holds a call; it asks one drawn from the newer half of those that have a newer one, for the changes
-//! alone if it has a list. When it is its turn to ask is the rule [`fetch_turn`]. A daemon that knows of something newer
-//! for more than [`BEHIND`], in a large fleet longer, while nothing of it comes, reads the directory itself.
+//! Rule: a newer table is fetched at once, except that a daemon that reads the directory itself waits for
+//! [`READ_FIRST`]. The source is drawn at random among the daemons that report the newest table; after one that was
+//! busy or failed, another one is drawn. A newer list is fetched only by a daemon that has no list yet, that leaves
+//! reading the directory to others, or that the directory hasn't answered for [`LIST_LAG`] longer than it holds a call.
+//! Its source is drawn from the newer half of the daemons with a newer list; a daemon that has a list asks only for the
+//! changes. The rule [`fetch_turn`] decides when it asks. A daemon that has known of something newer for more than
+//! [`BEHIND`] (longer in a large fleet) without receiving any of it reads the directory itself.
 //!
-//! Reason: tables are rare and may be large, so that each daemon that has one passes it on; lists
-//! change all the time, and the directory has them first for whoever reads it. As long as parts of
-//! a table come, a second copy of it from the directory would only take their room on the link.
+//! Reason: tables are rare and may be large, so each daemon that has one passes it on. Lists change all the time, and
+//! the directory delivers them first to daemons that read it. As long as chunks of a table arrive, a second copy of it
+//! from the directory would only compete for the link.
 
 use {
     crate::{
@@ -24,28 +24,28 @@
     std::{cmp::Reverse, net::SocketAddr, time::Duration},
 };
 
-/// Time beyond the wait of a call for changes after which a silent directory counts as out of reach, so that a peer is
+/// Time beyond the wait of a call for changes after which a silent directory counts as unreachable, so that a peer is
 /// asked for the list.
 pub const LIST_LAG: Millis = Millis(500);
 
-/// Time for which a peer may be known to have something newer, and nothing of it comes, before the directory is read.
-/// Three heartbeats.
+/// Time for which a peer may have something newer while none of it arrives before the directory is read. Three
+/// heartbeats.
 pub const BEHIND: Millis = Millis(600);
 
-/// Time that a daemon which reads the directory itself leaves to that reading before it asks another daemon for a newer
-/// table. One heartbeat.
+/// Time for which a daemon that reads the directory itself waits for a newer table from there before it asks another
+/// daemon. One heartbeat.
 pub const READ_FIRST: Millis = Millis(200);
 
-/// Longest pause after a daemon that was busy, of which a random part is waited. The batches that a busy daemon still
-/// has to send take most of it.
+/// Longest pause after a daemon was busy; a random fraction of it is waited. The batches that a busy daemon still has
+/// to send take most of this time.
 const BUSY_PAUSE: Millis = Millis(200);
 
-/// A list that another daemon reports.
+/// A list of endpoints that another daemon reports.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Offer {
     /// The daemon.
     pub address: SocketAddr,
-    /// Revision of its list.
+    /// Revision of the daemon's list.
     pub revision: Revision,
 }
 
@@ -54,31 +54,31 @@
 pub struct TableOffer {
     /// The daemon.
     pub address: SocketAddr,
-    /// Version of its table.
+    /// Version of the daemon's table.
     pub version: Version,
-    /// Fingerprint of its table.
+    /// Fingerprint of the daemon's table.
     pub fingerprint: u64,
-    /// It sends its table in parts.
+    /// Whether the daemon sends its table in chunks.
     pub in_parts: bool,
 }
 
-/// Since when others are known to have something newer than this daemon.
+/// Since when other daemons are known to have something newer than this one.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct BehindSince {
-    /// A newer table, of which nothing has come since.
+    /// Since when a newer table is known of which nothing has arrived; absent if none is.
     pub table: Option<Time>,
-    /// A newer list of endpoints, of which nothing has come since.
+    /// Since when a newer list of endpoints is known of which nothing has arrived; absent if none is.
     pub list: Option<Time>,
 }
 
-/// How this daemon stands with the directory.
+/// State of this daemon's reads of the directory.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct DirectoryReading {
-    /// Set while it leaves reading the directory to others.
+    /// Whether the daemon leaves reading the directory to others.
     pub covered: bool,
-    /// Last answer of the directory; the start of this daemon if there was none.
+    /// When the directory last answered; the start of this daemon if it never did.
     pub answered: Time,
-    /// Longest time that the directory holds a call for changes.
+    /// Longest time for which the directory holds a call for changes.
     pub wait: Duration,
 }
 
@@ -87,7 +87,7 @@
 pub enum ListFetch {
     /// The whole list.
     Whole,
-    /// The changes after a revision.
+    /// Only the changes after a revision.
     Changes(Revision),
 }
 
@@ -101,8 +101,8 @@
     }
 }
 
-/// Returns a daemon to ask for a list newer than `known`: one of the newer half of those that have one, by a
-/// random fraction, so that a whole fleet doesn't ask the same one.
+/// Returns a daemon to ask for a list newer than `known`: one of the newer half of the daemons with such a list, drawn
+/// by a random fraction so that a whole fleet doesn't ask the same one.
 pub fn list_source(
     offers: impl Iterator<Item = Offer>,
     known: Revision,
@@ -114,9 +114,9 @@
     Some(draw(newer, fraction)?.address)
 }
 
-/// Returns a daemon to ask for the newest table, if that is newer than `known`: one drawn by a
-/// random fraction, of those that send it in parts if there is any. One to avoid is asked only if
-/// there is no other.
+/// Returns a daemon to ask for the newest table, if that is newer than `known`. It is drawn by a random fraction from
+/// the daemons with this table, preferably from those that send it in chunks. `avoid` is asked only if there is no
+/// other.
 pub fn table_source(
     offers: &[TableOffer],
     known: Version,
@@ -142,25 +142,25 @@
     draw(candidates, fraction).copied()
 }
 
-/// Returns the element at a fraction, from 0 up to 1, of a list.
+/// Returns the element at a fraction of a list, from 0 up to 1.
 fn draw<T>(list: &[T], fraction: f64) -> Option<&T> {
     let last = list.len().checked_sub(1)?;
     list.get(((list.len() as f64 * fraction) as usize).min(last))
 }
 
-/// Returns whether a newer table is fetched from another daemon now; `reads` is set for a daemon that
-/// has a table and reads the directory itself.
+/// Returns whether a newer table, known since `since`, is fetched from another daemon now. `reads` is set for a daemon
+/// that has a table and reads the directory itself.
 pub fn is_fetch_due(now: Time, since: Option<Time>, reads: bool) -> bool {
     since.is_some_and(|since| !reads || now.since(since) >= READ_FIRST.to_duration())
 }
 
-/// Returns the pause before another daemon is asked after one that was busy; `fraction` is random.
+/// Returns the pause after a daemon was busy before another one is asked; `fraction` is random.
 pub fn busy_pause(fraction: f64) -> Duration {
     BUSY_PAUSE.to_duration().mul_f64(fraction)
 }
 
-/// Returns what this daemon would fetch of a newer list; nothing while the directory brings it.
-/// `known` is the revision of its own list, if it has one.
+/// Returns what this daemon would fetch of a newer list, or `None` while it gets the list from the directory. `known`
+/// is the revision of its own list, if it has one.
 pub fn list_fetch(
     now: Time,
     known: Option<Revision>,
@@ -174,24 +174,25 @@
     (!reads).then_some(ListFetch::Changes(known))
 }
 
-/// Returns since when a peer has something newer, from the same result a moment ago.
+/// Returns since when a peer has something newer; `since` is the result of the check before, `newer` is set if a peer
+/// has something newer now.
 pub fn behind_since(now: Time, since: Option<Time>, newer: bool) -> Option<Time> {
     newer.then_some(since.unwrap_or(now))
 }
 
-/// Returns whether a peer has had something newer for too long, in a fleet of so many daemons.
+/// Returns whether a peer has had something newer since `since` for too long, in a fleet of `daemons`.
 pub fn is_behind(now: Time, since: Option<Time>, daemons: usize) -> bool {
     let limit = Millis(BEHIND.0 + fetch_turn::spread_time(daemons).0);
     since.is_some_and(|since| now.since(since) > limit.to_duration())
 }
 
 impl BehindSince {
-    /// Returns whether a peer has had something newer for too long, in a fleet of so many daemons.
+    /// Returns whether a peer has had something newer for too long, in a fleet of `daemons`.
     pub fn is_behind(self, now: Time, daemons: usize) -> bool {
         is_behind(now, self.table, daemons) || is_behind(now, self.list, daemons)
     }
 
-    /// Returns the state with other times in place of its own.
+    /// Returns the state with each time converted by `to`.
     #[must_use]
     pub fn moved(self, to: impl Fn(Time) -> Time) -> Self {
         Self {
@@ -205,7 +206,8 @@
         self.table.is_some() || self.list.is_some()
     }
 
-    /// Returns the state after changes of a list have come: there may be newer ones all the time.
+    /// Returns the state after changes of a list have arrived. Newer ones may exist all the time, so only the time
+    /// without any arrival counts.
     #[must_use]
     pub fn after_changes(self, now: Time) -> Self {
         Self {
@@ -214,7 +216,7 @@
         }
     }
 
-    /// Returns the state after a part of a newer table has come.
+    /// Returns the state after a chunk of a newer table has arrived.
     #[must_use]
     pub fn after_part(self, now: Time) -> Self {
         Self {
--- a/lib/src/gateway/rules/coordinator.rs
+++ b/lib/src/gateway/rules/coordinator.rs
@@ -1,19 +1,17 @@
-//! Which daemon coordinates a service, that is plans its calls and sums up its load?
+//! Which daemon coordinates a service, that is, schedules its calls and sums up its load?
 //!
-//! Inputs: the service's name, the address and capacity (thousandths of a core) of this daemon and
-//! of each other one, what is known of their state, the time (microseconds of this daemon's
-//! clock), and the daemons that already failed for the job at hand.
+//! Inputs: the service's name, the address and capacity (thousandths of a core) of this daemon and of each other one,
+//! what is known of the others' state, the time (microseconds of this daemon's clock), and the daemons that already
+//! failed for the job at hand.
 //!
-//! Rule: rendezvous hashing among the daemons with the most capacity. Each candidate ranks by its
-//! capacity first, and then by a hash of service and address; the highest rank coordinates. A
-//! daemon is a candidate when it is alive and ready, didn't fail for this job, and wasn't passed
-//! over in the last [`PASSED_OVER`]. This daemon is a candidate once it is ready and [`SETTLED`]
-//! has passed since its start, or [`YIELD`] if it knows a living daemon with more capacity; with no candidate
-//! at all, it coordinates for itself.
+//! Rule: rendezvous hashing among the daemons with the most capacity. Each candidate ranks by its capacity first, and
+//! then by a hash of service and address; the one with the highest rank coordinates. A daemon is a candidate if it is
+//! alive and ready, didn't fail for this job, and wasn't excluded in the last [`PASSED_OVER`]. This daemon is a
+//! candidate once it is ready and [`SETTLED`] has passed since its start, or [`YIELD`] if it knows a living daemon with
+//! more capacity. Without any candidate, it coordinates for itself.
 //!
-//! Reason: all daemons that know the same others agree without a message, a lost coordinator moves
-//! only its own services, and the load of coordinating goes to hosts that have the processor for
-//! it.
+//! Reason: all daemons that know the same others agree without a message, a lost coordinator moves only its own
+//! services, and the load of coordinating goes to hosts with enough processor capacity.
 
 use {
     crate::shared::{
@@ -24,19 +22,19 @@
     xxhash_rust::xxh3::xxh3_64_with_seed,
 };
 
-/// Time for which a daemon that failed to accept a job is passed over. Longer than it takes to notice that a
-/// coordinator is silent.
+/// Time for which a daemon that failed to accept a job is excluded. Longer than it takes to notice that a coordinator
+/// is silent.
 pub const PASSED_OVER: Millis = Millis(1_500);
 
 /// Time after its start within which a daemon receives heartbeats of the others. Three heartbeats.
 pub const SETTLED: Millis = Millis(600);
 
-/// Time after its start for which a daemon leaves coordinating to one with more capacity that has just started too:
-/// dozens of a fleet that starts at once would plan the calls of the same service. Daemons that start together are
-/// ready within a second of each other.
+/// Time after its start for which a daemon leaves coordinating to one with more capacity that has just started too.
+/// Without it, dozens of daemons of a fleet that starts at once would schedule the calls of the same service. Daemons
+/// that start together are ready within a second of each other.
 pub const YIELD: Millis = Millis(2_000);
 
-/// Bytes of an address as it is hashed: an IP number of either kind, and a port.
+/// Size of an address in the hash: an IP number of either kind, and a port (bytes).
 const IP_SIZE: usize = size_of::<u128>();
 const ADDRESS_SIZE: usize = IP_SIZE + size_of::<u16>();
 
@@ -52,34 +50,34 @@
 /// A daemon that may coordinate.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct DaemonCandidate {
-    /// Address for other daemons.
+    /// Address at which other daemons reach it.
     pub address: SocketAddr,
-    /// Processor that it may use.
+    /// Processor capacity that it may use.
     pub capacity: Capacity,
 }
 
-/// Standing of another daemon that might coordinate.
+/// State of another daemon that might coordinate.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PeerStanding {
-    /// Its address and capacity.
+    /// Address and capacity of the daemon.
     pub candidate: DaemonCandidate,
-    /// Set if it is alive.
+    /// Whether the daemon is alive.
     pub alive: bool,
-    /// Set if it reports that it serves.
+    /// Whether the daemon reports that it serves requests.
     pub ready: bool,
-    /// End of the time for which it is passed over.
+    /// End of the time for which the daemon is excluded.
     pub avoid_until: Time,
 }
 
-/// Place of a candidate for one service; the highest coordinates.
+/// Rank of a candidate for one service; the highest coordinates.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Rank {
     capacity: Capacity,
     hash: u64,
 }
 
-/// Returns the coordinator of a service. `ready` is set if this daemon, `me`, may coordinate;
-/// daemons in `except` already failed for the job at hand.
+/// Returns the coordinator of a service. `ready` is set if this daemon, `me`, may coordinate; daemons in `except`
+/// already failed for the job at hand.
 pub fn coordinator(
     now: Time,
     service: &ServiceId,
@@ -104,16 +102,16 @@
     now >= Time::default() + SETTLED
 }
 
-/// Returns whether a daemon has run long enough to coordinate; times count from its start. `stronger` is set if
-/// it knows a living daemon with more capacity that isn't stopping.
+/// Returns whether a daemon has run long enough to coordinate; times count from its start. `stronger` is set if it
+/// knows a living daemon with more capacity that isn't stopping.
 pub fn may_coordinate(now: Time, stronger: bool) -> bool {
     let wait = if stronger { YIELD } else { SETTLED };
     now >= Time::default() + wait
 }
 
-/// Returns whether a daemon that has coordinated since a time reads the directory as the coordinator of a service.
-/// `others` are the living daemons that aren't stopping, ready or not: daemons that start together are ready one
-/// after the other, and each would read for a moment in the place of the one that is to.
+/// Returns whether a daemon that has coordinated since `since` reads the directory as the coordinator of a service.
+/// `others` are the living daemons that aren't stopping, ready or not: daemons that start together become ready one
+/// after the other, and each would otherwise read for a moment until the proper coordinator is ready.
 pub fn reads_first(
     now: Time,
     since: Time,
@@ -131,7 +129,7 @@
     has_waited || coordinator(now, service, me, true, ready, &[]) == Coordinator::Me
 }
 
-/// Returns until when a daemon is passed over that failed to accept a job now.
+/// Returns until when a daemon that failed to accept a job at `now` is excluded.
 pub fn passed_over_until(now: Time) -> Time {
     now + PASSED_OVER
 }
--- a/lib/src/gateway/rules/fetch_turn.rs
+++ b/lib/src/gateway/rules/fetch_turn.rs
@@ -1,46 +1,48 @@
-//! Does a daemon ask another one now for what is newer there, or leave its time to others first?
+//! Does a daemon ask another one now for something newer, or does it let others ask first?
 //!
-//! Inputs: the number of daemons alive; of those whose heartbeats came here within the last second, how many there are
-//! and how many have what is newer, told apart by whether they send their heartbeats to everybody; a random fraction.
+//! Inputs: the number of daemons alive; of the daemons whose heartbeats arrived here within the last second, how many
+//! there are and how many have the newer state, counted separately for those that send their heartbeats to everybody; a
+//! random fraction.
 //!
-//! Rule: a daemon asks with a probability of [`ASKERS`] times the part of the fleet that has it, drawn anew with each
-//! heartbeat. That part is estimated by the heartbeats that came here; a daemon that sends to everybody is heard by
-//! all, and counts as one of the fleet.
+//! Rule: a daemon asks with a probability of [`ASKERS`] times the fraction of the fleet that has the newer state, drawn
+//! anew with each heartbeat. That fraction is estimated from the heartbeats that arrived here. A daemon that sends to
+//! everybody is received by all, so it counts as one daemon of the whole fleet.
 //!
-//! Reason: what one daemon tells everybody, all want at the same moment, from the only one that has it. Asked by
-//! [`ASKERS`] for each daemon that has it, those can answer, and each that has got it is asked next: the time until
-//! everybody has it grows with the logarithm of the fleet, and no daemon is asked by more of a larger one.
+//! Reason: when one daemon announces something to everybody, all want it at the same moment from the only daemon that
+//! has it. If only [`ASKERS`] ask each daemon that has it, those can be answered, and each that has received it is
+//! asked next. The time until everybody has it grows with the logarithm of the fleet, and no daemon is asked by more
+//! others in a larger fleet.
 //!
 //! Tests: `lib/tests/test_fetch_turn.rs`.
 
 use crate::shared::units::Millis;
 
-/// Daemons that ask each one that has something newer, within a heartbeat.
+/// Number of daemons that ask each daemon with something newer, within a heartbeat.
 pub const ASKERS: usize = 12;
 
-/// Daemons up to which everybody may ask at once where five have something newer, as the coordinators of five services
-/// do.
+/// Largest number of daemons at which everybody may ask at once if five daemons have something newer, as the
+/// coordinators of five services do.
 const AT_ONCE: usize = ASKERS * 5;
 
-/// Time that news takes from those that have it to [`ASKERS`] times as many. One heartbeat.
+/// Time in which the number of daemons that have something newer grows by a factor of [`ASKERS`]. One heartbeat.
 const STEP: Millis = Millis(200);
 
-/// Age up to which a heartbeat tells what its sender has now. Five heartbeats.
+/// Age up to which a heartbeat shows what its sender has now. Five heartbeats.
 pub const FRESH: Millis = Millis(1_000);
 
-/// Who has something newer, by the heartbeats that came here lately.
+/// Numbers of daemons with something newer, by the heartbeats that were received recently.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Holders {
-    /// Daemons that were heard and don't send to everybody.
+    /// Number of daemons whose heartbeats were received and that don't send to everybody.
     pub heard: usize,
-    /// Those of them that have it.
+    /// Number of those that have it.
     pub holding: usize,
-    /// Daemons that send to everybody and have it.
+    /// Number of daemons that send to everybody and have it.
     pub broadcasting: usize,
 }
 
 impl Holders {
-    /// Counts a daemon that was heard.
+    /// Counts a daemon whose heartbeat was received.
     pub fn add(&mut self, broadcasts: bool, has: bool) {
         if broadcasts {
             self.broadcasting += usize::from(has);
@@ -50,7 +52,7 @@
         }
     }
 
-    /// Estimates the part of a fleet that has it.
+    /// Estimates the fraction of a fleet that has it.
     fn part(self, daemons: usize) -> f64 {
         self.others_part() + self.broadcasting_part(daemons)
     }
@@ -64,19 +66,19 @@
     }
 }
 
-/// Which of the daemons that have something newer are asked for it.
+/// Which of the daemons with something newer are asked for it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Sources {
-    /// Any.
+    /// All of them.
     Any,
-    /// Those that send to everybody.
+    /// Those that send their heartbeats to everybody.
     Broadcasting,
-    /// The others.
+    /// Those that don't.
     Others,
 }
 
 impl Sources {
-    /// Returns whether a daemon is among them.
+    /// Returns whether a daemon is among them, by whether it sends to everybody.
     pub fn include(self, broadcasts: bool) -> bool {
         match self {
             Self::Any => true,
@@ -86,8 +88,9 @@
     }
 }
 
-/// Returns which daemons are asked; `fraction` is random, from 0 up to 1. One that sends to everybody is known to all, so
-/// that it is asked by its part among those that have it, not by everybody who hears of few others.
+/// Returns which daemons are asked; `fraction` is random, from 0 up to 1. A daemon that sends to everybody is known to
+/// all, so it is chosen in proportion to the estimated number of daemons with the newer state. Otherwise, everybody
+/// that receives few other heartbeats would ask it.
 pub fn sources(holders: Holders, daemons: usize, fraction: f64) -> Sources {
     if !is_spread(daemons) {
         return Sources::Any;
@@ -105,7 +108,7 @@
     fraction < chance(holders, daemons)
 }
 
-/// Returns whether a daemon asks now whatever is drawn.
+/// Returns whether a daemon asks now for any random fraction.
 pub fn is_certain(holders: Holders, daemons: usize) -> bool {
     chance(holders, daemons) >= 1.0
 }
@@ -114,12 +117,12 @@
     holders.part(daemons) * ASKERS as f64
 }
 
-/// Returns whether news takes several steps to reach a fleet of so many daemons.
+/// Returns whether something newer takes several steps to reach a fleet of `daemons`.
 pub fn is_spread(daemons: usize) -> bool {
     daemons > AT_ONCE
 }
 
-/// Returns the time by which news that somebody has may take longer to come here than in a small fleet.
+/// Returns by how much longer something newer may take to arrive here than in a small fleet.
 pub fn spread_time(daemons: usize) -> Millis {
     let mut steps = 0;
     let mut reached = AT_ONCE;
--- a/lib/src/gateway/rules/gossip.rs
+++ b/lib/src/gateway/rules/gossip.rs
@@ -1,27 +1,27 @@
 //! Which daemons get a heartbeat, and which daemons and loads does it name?
 //!
-//! Inputs: the number of other daemons known, their addresses, the coordinators of services, the
-//! seeds that aren't alive, whether this daemon coordinates, the loads in flight (requests, prompt
-//! tokens), and a generator of random numbers.
+//! Inputs: the number of other daemons known, their addresses, the coordinators of services, the seeds that aren't
+//! alive, whether this daemon coordinates, the loads in flight (requests, prompt tokens), and a generator of random
+//! numbers.
 //!
-//! Rule: in a fleet of at most [`SMALL_FLEET`] other daemons each heartbeat goes to everybody. In a
-//! larger one a daemon that coordinates, or did so within its last [`LAST_BROADCASTS`] heartbeats,
-//! sends to everybody; any other sends to the [`WATCHERS`] living daemons that come next in an order by
-//! hash, to [`DRAWN`] daemons drawn anew each time, to the coordinators, to those that asked it for a
-//! heartbeat or told it that it is suspect, to those that it asks itself, and to seeds that aren't
-//! alive. Watchers and drawn daemons are of its own region, and everybody means all of it; of other regions, those that
-//! coordinate there alone get the heartbeats of a coordinator, and with one in `FAR_EVERY` it tells its region what they
-//! report. A heartbeat names [`NAMED`] daemons: suspects first, then living ones that others take for suspect, then other
-//! living ones, drawn anew each time; and the [`LOADS`] largest loads.
+//! Rule: in a fleet of at most [`SMALL_FLEET`] other daemons, each heartbeat goes to everybody. In a larger one, a
+//! daemon that coordinates, or did so within its last [`LAST_BROADCASTS`] heartbeats, sends to everybody. Any other
+//! daemon sends to the [`WATCHERS`] living daemons that come next in an order by hash, to [`DRAWN`] daemons drawn at
+//! random for each heartbeat, to the coordinators, to daemons that asked it for a heartbeat or reported it as suspect,
+//! to daemons that it asks itself, and to seeds that aren't alive.
 //!
-//! Reason: what one daemon sends and receives doesn't grow with the fleet, coordinators alone
-//! receive everything, and gossip still reaches everybody within seconds. Each daemon is watched by some
-//! that should receive all of its heartbeats, so that its silence means something. A heartbeat fits into
-//! one datagram that no network splits.
+//! Watchers and drawn daemons are in the sender's own region, and "everybody" means all daemons of this region. In
+//! other regions, only coordinators get the heartbeats of a coordinator, and with one heartbeat in `FAR_EVERY` it
+//! reports to its region what they sent. A heartbeat names [`NAMED`] daemons: suspects first, then living ones that
+//! others suspect, then other living ones drawn at random; and the [`LOADS`] largest loads.
+//!
+//! Reason: what one daemon sends and receives doesn't grow with the fleet, only coordinators receive everything, and
+//! gossip still reaches everybody within seconds. Each daemon is watched by some that should receive all of its
+//! heartbeats, so that its silence means something. A heartbeat fits into one datagram that no network splits.
 //!
 //! Tests: `received_heartbeats`, `heartbeat_size`.
 //!
-//! The only types from outside of the rules are a load and a daemon as heartbeats carry them, plain values.
+//! The only types from outside of the rules are a load and a daemon as heartbeats carry them, which are plain values.
 
 use {
     crate::{
@@ -36,76 +36,76 @@
 /// Time between two heartbeats.
 pub const HEARTBEAT: Millis = Millis(200);
 
-/// Largest number of other daemons to which every heartbeat goes.
+/// Largest number of other daemons at which every heartbeat goes to everybody.
 pub const SMALL_FLEET: usize = 12;
 
-/// Daemons that receive each heartbeat of one of a larger fleet, and notice its silence.
+/// Number of daemons that receive each heartbeat of a daemon in a larger fleet, and notice its silence.
 pub const WATCHERS: usize = 3;
 
-/// Daemons drawn for one heartbeat of a larger fleet.
+/// Number of daemons drawn at random for one heartbeat in a larger fleet.
 pub const DRAWN: usize = 3;
 
-/// Daemons that one heartbeat asks for theirs, bounded so that it fits into a datagram.
+/// Largest number of daemons that one heartbeat asks for theirs, so that it fits into a datagram.
 pub const ASKED: usize = 8;
 
-/// Evacuated data centres that a heartbeat names at most, so that it fits into a datagram.
+/// Largest number of evacuated data centres that a heartbeat names, so that it fits into a datagram.
 pub const EVACUATED: usize = 12;
 
-/// Loads that a heartbeat leaves out for each evacuated data centre that it names: one takes up to 15 bytes, a
-/// load 10 or more.
+/// Number of loads that a heartbeat omits for each evacuated data centre that it names. A data centre takes up to 15
+/// bytes, a load 10 or more.
 const LOADS_PER_EVACUATED: usize = 2;
 
-/// Loads that a heartbeat leaves out where it names regions: those of its sender and of the daemons in it take up to 8
-/// bytes each.
+/// Number of loads that a heartbeat omits if it names regions. The regions of its sender and of the daemons that it
+/// names take up to 8 bytes each.
 const LOADS_FOR_REGIONS: usize = 9;
 
-/// Loads that give way to the eras of the directory.
+/// Number of loads that a heartbeat omits if it names eras of the directory.
 const LOADS_FOR_ERAS: usize = 2;
 
-/// With one heartbeat in so many a coordinator tells its region how its services stand in other ones. What daemons
-/// decide by it may be a second old.
+/// A coordinator reports the services of other regions to its own region with one heartbeat in this many. Daemons may
+/// decide by reports that are up to a second old.
 const FAR_EVERY: u64 = 5;
 
-/// Services of other regions in one datagram.
+/// Largest number of services of other regions in one datagram.
 pub const FAR_NOTES: usize = 12;
 
-/// Daemons that a heartbeat asks in the room of one that it names.
+/// Number of daemons that a heartbeat asks in the space of one that it names.
 const ASKED_PER_NAMED: usize = 2;
 
-/// Suspects that one heartbeat names at most, so that other daemons are named too.
+/// Largest number of suspects that one heartbeat names, so that other daemons are named too.
 pub const SUSPECTS: usize = 5;
 
-/// Heartbeats that go to everybody from the last one as a coordinator on, so that all learn that it stopped even if one
-/// of the two that report it is lost.
+/// Number of heartbeats that go to everybody from the last one as a coordinator on. Two of them report that the daemon
+/// stopped coordinating, so that all learn of it even if one is lost.
 pub const LAST_BROADCASTS: u32 = 3;
 
-/// Daemons that one heartbeat names, bounded so that it fits into a datagram: test
-/// `heartbeat_size`.
+/// Largest number of daemons that one heartbeat names, so that it fits into a datagram (test `heartbeat_size`).
 pub const NAMED: usize = 10;
 
-/// Loads that one heartbeat carries, bounded so that it fits into a datagram: the same test.
+/// Largest number of loads that one heartbeat carries, so that it fits into a datagram (test `heartbeat_size`).
 pub const LOADS: usize = 24;
 
-/// Loads in one datagram of a coordinator's digest.
+/// Largest number of loads in one datagram of a coordinator's digest.
 pub const DIGEST_LOADS: usize = 80;
 
-/// Loads of a service that a digest names, the largest: an engine with little to do is as good as one with nothing.
-/// With the loads of 3,001 endpoints, each of 299 daemons would receive 38 datagrams with every heartbeat, 0.18 MB a
-/// second (worked out).
+/// Largest number of loads of a service in a digest; it names the largest ones, since an engine with little to do is as
+/// good as an idle one. With the loads of 3,001 endpoints, each of 299 daemons would receive 38 datagrams with every
+/// heartbeat, 0.18 MB a second.
 pub const DIGEST_LARGEST: usize = 160;
 
-/// Daemons in one datagram of a roster.
+/// Largest number of daemons in one datagram of a roster.
 pub const ROSTER_PEERS: usize = 40;
 
-/// Daemons of a roster at most. A fleet that starts at once asks everybody for rosters, its seeds most: 295 daemons
-/// made one of them send 11,800 datagrams a second, and with this bound and [`ROSTER_PAUSE`] 1,180 (worked out). Who
-/// has just started asks some ten daemons in each heartbeat, and knows 295 others after two of them.
+/// Largest number of daemons in a roster. In a fleet that starts at once, each daemon asks others for rosters, mostly
+/// the seeds. With 295 daemons, one seed would send 11,800 datagrams a second without a bound, and sends 1,180 with
+/// this one and [`ROSTER_PAUSE`]. A daemon that has just started asks about ten others in each heartbeat, and knows 295
+/// others after two heartbeats.
 pub const ROSTER: usize = 80;
 
-/// Daemons of a roster that are chosen for their capacity.
+/// Number of daemons in a roster that are chosen for their capacity.
 const ROSTER_STRONGEST: usize = 20;
 
-/// Least time between two rosters for the same daemon.
+/// Shortest time between two rosters for the same daemon.
 pub const ROSTER_PAUSE: Millis = Millis(500);
 
 /// Returns whether every heartbeat goes to everybody, by the number of other daemons known.
@@ -113,7 +113,7 @@
     others <= SMALL_FLEET
 }
 
-/// Returns how many heartbeats, the next one included, go to everybody.
+/// Returns how many heartbeats, including the next one, go to everybody.
 pub fn broadcasts_left(coordinates: bool, left: u32) -> u32 {
     if coordinates {
         LAST_BROADCASTS
@@ -127,34 +127,34 @@
     broadcasts_left == LAST_BROADCASTS
 }
 
-/// A living daemon's place in the order in which daemons watch each other.
+/// Position of a living daemon on the hash ring on which daemons watch their neighbours.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct WatchPlace {
-    /// Hash of its address.
+    /// Hash of the daemon's address, by which the ring is ordered.
     pub hash: u64,
-    /// Its address.
+    /// Address of the daemon.
     pub address: SocketAddr,
 }
 
 impl WatchPlace {
-    /// Returns the place of a daemon.
+    /// Returns the position of the daemon with this address.
     pub fn new(address: SocketAddr) -> Self {
         let hash = xxh3_64(address.to_string().as_bytes());
         Self { hash, address }
     }
 }
 
-/// Returns the daemons that watch this one: the next living ones after it.
+/// Returns the daemons that watch this one: the living ones that follow it on the ring.
 pub fn watchers(me: WatchPlace, living: &[WatchPlace]) -> Vec<SocketAddr> {
     nearest(living, |place| (*place < me, *place))
 }
 
-/// Returns the daemons that this one watches: the living ones just before it.
+/// Returns the daemons that this one watches: the living ones just before it on the ring.
 pub fn watched(me: WatchPlace, living: &[WatchPlace]) -> Vec<SocketAddr> {
     nearest(living, |place| (*place > me, Reverse(*place)))
 }
 
-/// Returns the daemons with the smallest keys.
+/// Returns the [`WATCHERS`] daemons with the smallest keys.
 fn nearest<K: Ord>(living: &[WatchPlace], key: impl Fn(&WatchPlace) -> K) -> Vec<SocketAddr> {
     let mut places: Vec<&WatchPlace> = living.iter().collect();
     if places.len() > WATCHERS {
@@ -164,8 +164,8 @@
     places.iter().map(|place| place.address).collect()
 }
 
-/// Draws the daemons that get a heartbeat whatever their part: all `known` ones, in the order of
-/// their addresses, or `watchers` and some others.
+/// Draws the daemons that get a heartbeat whatever service they coordinate: all `known` ones in the order of their
+/// addresses, or `watchers` and some others.
 pub fn draw_targets(
     mut known: Vec<SocketAddr>,
     watchers: Vec<SocketAddr>,
@@ -181,8 +181,8 @@
     watchers.iter().copied().chain(drawn).collect()
 }
 
-/// Adds daemons that have to get a heartbeat, coordinators and seeds that aren't alive, to those
-/// that get it anyway.
+/// Adds required receivers of a heartbeat, coordinators and seeds that aren't alive, unless they are among the targets
+/// already.
 pub fn add_targets(targets: &mut Vec<SocketAddr>, required: impl Iterator<Item = SocketAddr>) {
     for address in required {
         if !targets.contains(&address) {
@@ -191,8 +191,7 @@
     }
 }
 
-/// Draws the daemons that a roster names: those with the most capacity, since they coordinate, and some of
-/// the others.
+/// Draws the daemons that a roster names: those with the most capacity, since they coordinate, and some of the others.
 pub fn draw_roster(mut living: Vec<PeerNote>, rng: &mut impl Rng) -> Vec<PeerNote> {
     living.sort_by_key(|note| Reverse(note.capacity));
     let strongest = living.len().min(ROSTER_STRONGEST);
@@ -201,19 +200,18 @@
     living
 }
 
-/// Returns whether a daemon that has just started is sent a roster now, by when it got the last one.
+/// Returns whether a daemon that has just started is sent a roster now; `last` is when it was last sent one.
 pub fn is_roster_due(now: Time, last: Option<Time>) -> bool {
     last.is_none_or(|last| now.since(last) >= ROSTER_PAUSE.to_duration())
 }
 
-/// Draws the daemons that a heartbeat asks for theirs, of those that are silent.
+/// Draws the daemons that a heartbeat asks for theirs, from those that are silent.
 pub fn draw_asked(silent: &[SocketAddr], rng: &mut impl Rng) -> Vec<SocketAddr> {
     silent.sample(rng, ASKED).copied().collect()
 }
 
-/// Draws the daemons that a heartbeat names beside the suspects: of the living ones that others suspect, and
-/// of the other living ones; fewer if it asks `asked` daemons for heartbeats, so that it fits into a datagram
-/// all the same.
+/// Draws the daemons that a heartbeat names: the suspects, then living ones that others suspect (`refuted`), then other
+/// living ones. It names fewer if it asks `asked` daemons for heartbeats, so that it still fits into a datagram.
 pub fn draw_named<T: Clone>(
     suspects: Vec<T>,
     asked: usize,
@@ -229,15 +227,15 @@
     named
 }
 
-/// Returns whether a heartbeat names so many evacuated data centres: all that are known, or none, since a
-/// report that lacks some would take them back. A fleet with more than [`EVACUATED`] of them learns of them
-/// from the directory alone.
+/// Returns whether a heartbeat names this number of evacuated data centres. It names either all that are known or none,
+/// since a report without some of them would end their evacuation. A fleet with more than [`EVACUATED`] of them learns
+/// of them only from the directory.
 pub fn reports_evacuations(evacuated: usize) -> bool {
     evacuated <= EVACUATED
 }
 
-/// Returns the loads of a service that a digest names: the largest ones that aren't 0, and what has become
-/// of those that the one before named.
+/// Returns the loads of a service that a digest names: the largest ones that aren't 0, and the present state of those
+/// that the digest before named.
 pub fn digest_loads(
     mut loads: Vec<LoadNote>,
     was_named: impl Fn(&LoadNote) -> bool,
@@ -249,19 +247,19 @@
     loads
 }
 
-/// What a heartbeat names that leaves less room for loads.
+/// Other content of a heartbeat that leaves less space for loads.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct NamedBeside {
-    /// Evacuated data centres.
+    /// Number of evacuated data centres that it names.
     pub evacuated: usize,
-    /// Set if it names regions.
+    /// Whether it names regions.
     pub regions: bool,
-    /// Set if it names eras of the directory.
+    /// Whether it names eras of the directory.
     pub eras: bool,
 }
 
-/// Returns the loads that a heartbeat carries: those with the most prompt tokens, and of equal
-/// ones those with the most requests; fewer beside what else it names.
+/// Returns the loads that a heartbeat carries: those with the most prompt tokens, and of equal ones those with the most
+/// requests. There are fewer if it has other content.
 pub fn largest_loads(mut loads: Vec<LoadNote>, beside: NamedBeside) -> Vec<LoadNote> {
     let regions = if beside.regions { LOADS_FOR_REGIONS } else { 0 };
     let eras = if beside.eras { LOADS_FOR_ERAS } else { 0 };
@@ -271,7 +269,7 @@
     loads
 }
 
-/// Returns whether other regions are told of with the heartbeat of a number.
+/// Returns whether the heartbeat with this number is followed by reports on other regions.
 pub fn is_far_due(sequence: u64) -> bool {
     sequence.is_multiple_of(FAR_EVERY)
 }
--- a/lib/src/gateway/rules/liveness.rs
+++ b/lib/src/gateway/rules/liveness.rs
@@ -1,92 +1,93 @@
 //! Is another daemon alive, suspect, lost, or to be forgotten?
 //!
-//! Inputs: the times (microseconds of this daemon's clock) of its last heartbeat here and of its
-//! last sign of life anywhere, as gossip brought it; whether it sends each heartbeat to everybody;
-//! since when this daemon should have received each of its heartbeats; since when it is suspect; the number
-//! of daemons known; when this process last woke from a pause.
+//! Inputs: the times (microseconds of this daemon's clock) of its last heartbeat received here and of its last sign of
+//! life anywhere, as reported by gossip; whether it sends each heartbeat to everybody; since when this daemon should
+//! have received each of its heartbeats; since when it is suspect; the number of daemons known; when this process last
+//! resumed after a pause.
 //!
-//! Rule: a daemon whose every heartbeat should arrive here, because the fleet is small or because it
-//! broadcasts, is alive while its last heartbeat is at most [`SILENCE`] old. Any other daemon is alive
-//! until it is suspect. Whoever should receive all of its heartbeats (the coordinators, and the next
-//! [`WATCHERS`](crate::gateway::rules::gossip::WATCHERS) daemons in an order by hash) asks it for one
-//! after [`ASK`] of silence, suspects it as long after that, and tells the others; one that has a sign
-//! of life not older than that doesn't believe it, and tells them so, as does the suspect. A suspect is
-//! lost once it has been one for [`REFUTE`] and its last sign is more than [`GOSSIP_SILENCE`] old. A
-//! daemon that nobody suspects is lost after the time of [`quiet_limit`], and one that receives nothing
-//! at all suspects everybody. Time before the end of a pause of this process isn't silence of a daemon
-//! that was alive when the pause began. A daemon that is lost is forgotten [`FORGET`] after its last
-//! sign of life, and gossip older than half of that is ignored.
+//! Rule: a daemon whose every heartbeat should arrive here, because the fleet is small or because it broadcasts, is
+//! alive while its last heartbeat is at most [`SILENCE`] old. Any other daemon is alive until it is suspect. Each
+//! daemon that should receive all of its heartbeats (the coordinators, and the next
+//! [`WATCHERS`](crate::gateway::rules::gossip::WATCHERS) daemons in an order by hash) asks it for a heartbeat after
+//! [`ASK`] of silence, suspects it if none comes within the same time again, and reports this to the others. A daemon
+//! with a sign of life that is not older than that rejects the suspicion and reports so, as does the suspect itself. A
+//! suspect is lost once it has been suspect for [`REFUTE`] and its last sign of life is more than [`GOSSIP_SILENCE`]
+//! old. A daemon that nobody suspects is lost after the time of [`quiet_limit`], and a daemon that receives nothing at
+//! all suspects all others. Time before the end of a pause of this process doesn't count as silence of a daemon that
+//! was alive when the pause began. A lost daemon is forgotten [`FORGET`] after its last sign of life, and gossip older
+//! than half of that is ignored.
 //!
-//! Reason: a daemon of a large fleet receives few signs of life of each other one, fewer the larger the
-//! fleet: with 295 daemons about one a second, so that 2.5 s without one told nothing and a calm fleet counted
-//! 6,000 losses a second. A suspicion comes from those that know, at a cost that doesn't grow with the
-//! fleet. Each daemon judges for itself: a partition loses nobody for those that still receive heartbeats.
+//! Reason: a daemon of a large fleet receives few signs of life of each other one, and fewer the larger the fleet is:
+//! with 295 daemons about one a second. A limit of 2.5 s alone then proves nothing; a calm fleet counted 6,000 losses a
+//! second. A suspicion comes only from daemons that should have received the heartbeats, at a cost that doesn't grow
+//! with the fleet. Each daemon decides by itself, so in a partition nobody is lost for those that still receive its
+//! heartbeats.
 //!
 //! Tests: `calm_fleet`, `coordinator_replacement`.
 
 use crate::shared::units::{Millis, Time};
 
-/// Time without a heartbeat after which a daemon is lost whose every heartbeat should arrive. Five heartbeats.
+/// Time without a heartbeat after which a daemon is lost whose every heartbeat should arrive here. Five heartbeats.
 pub const SILENCE: Millis = Millis(1_000);
 
 /// Time without a sign of life after which a daemon known by gossip is lost, if it is suspect.
 pub const GOSSIP_SILENCE: Millis = Millis(2_500);
 
-/// Time without a heartbeat after which a daemon is asked for one, and time for its answer. Without asking, a watcher
-/// took daemons for silent that hadn't known it yet: 61,464 losses of living ones in 10 s of a calm fleet of 1,000
-/// (test `calm_fleet`). Three heartbeats.
+/// Time without a heartbeat after which a daemon is asked for one, and time for its answer. Three heartbeats. Without
+/// asking, watchers suspected daemons that didn't yet know that they were to send them heartbeats: 61,464 losses of
+/// living daemons in 10 s of a calm fleet of 1,000 (test `calm_fleet`).
 pub const ASK: Millis = Millis(600);
 
-/// Time for which a daemon is suspect at least before it is lost: news takes five heartbeats to reach a thousand
-/// daemons (worked out, six receivers each).
+/// Shortest time for which a daemon is suspect before it is lost. A report takes five heartbeats to reach a thousand
+/// daemons, with six receivers each.
 pub const REFUTE: Millis = Millis(1_000);
 
-/// Time without a sign of life after which a daemon is lost although nobody suspects it: at least, and
-/// for each daemon known. Signs of one daemon arrive 300 times a second divided by the number of
-/// daemons (worked out: 30 heartbeats a second that name ten), so that one in 26 thousand million such
-/// times passes without one.
+/// Time without a sign of life after which a daemon is lost that nobody suspects: the minimum, and the time for each
+/// daemon known. Signs of life of one daemon arrive at a rate of 300 a second divided by the number of daemons (30
+/// heartbeats a second that name ten daemons each), so that a living daemon exceeds the limit once in 26 thousand
+/// million such times.
 const QUIET: Millis = Millis(4_000);
 const QUIET_EACH: Millis = Millis(80);
 
-/// Age of a suspect's last sign of life up to which others are told of it. 160 daemons lost at once are each named over
-/// ten times to everybody meanwhile (worked out).
+/// Age of a suspect's last sign of life up to which it is reported to others. If 160 daemons are lost at once, each is
+/// named to everybody more than ten times meanwhile.
 const NEWS: Millis = Millis(10_000);
 
 /// Time after which the address of a lost daemon is forgotten.
 pub const FORGET: Millis = Millis(60_000);
 
-/// Age from which gossip is ignored: half of the time for which addresses are kept, so that
-/// daemons don't go on reminding each other of a dead one.
+/// Age from which gossip is ignored: half of the time for which addresses are kept, so that daemons don't keep
+/// reminding each other of a dead one.
 pub const STALE_GOSSIP: Millis = Millis(FORGET.0 / 2);
 
 /// Time after its start during which a daemon asks for the roster of all daemons.
 pub const JOINING: Millis = Millis(1_500);
 
-/// Signs of life of a daemon.
+/// Signs of life of another daemon.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LifeSigns {
-    /// When its last heartbeat was received here.
+    /// When the last heartbeat of the daemon was received here.
     pub heartbeat: Option<Time>,
-    /// Last sign of life, received here or by a third daemon.
+    /// When the last sign of life was received, here or by another daemon that reported it.
     pub sign: Option<Time>,
-    /// Set if it sends each heartbeat to everybody, by its last one.
+    /// Whether the daemon sends each heartbeat to everybody, by its last one.
     pub broadcasts: bool,
-    /// Set if it counted as alive until now.
+    /// Whether the daemon counted as alive until now.
     pub alive: bool,
-    /// Since when it is suspect, if it is.
+    /// Since when the daemon is suspect; absent if it isn't.
     pub suspect: Option<Time>,
 }
 
 /// Conditions under which this daemon receives signs of life.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Listening {
-    /// Set if the fleet is so small that every heartbeat goes to everybody.
+    /// Whether the fleet is so small that every heartbeat goes to everybody.
     pub small_fleet: bool,
-    /// When this process last woke from a pause; zero if there was none.
+    /// When this process last resumed after a pause; zero if there was none.
     pub awake: Time,
     /// Number of other daemons known.
     pub others: usize,
-    /// When anything was last received of any daemon.
+    /// When anything was last received from any daemon.
     pub heard: Time,
 }
 
@@ -94,7 +95,7 @@
 pub fn is_alive(now: Time, signs: LifeSigns, listening: Listening) -> bool {
     let direct = listening.small_fleet || signs.broadcasts;
     let last = if direct { signs.heartbeat } else { signs.sign };
-    // Only a daemon that was alive is excused for what was missed in a pause.
+    // Time missed in a pause is excluded only for a daemon that was alive before it.
     let awake = if signs.alive {
         listening.awake
     } else {
@@ -121,30 +122,30 @@
     QUIET.max(Millis(QUIET_EACH.0 * others as u64))
 }
 
-/// Returns whether a daemon is asked for a heartbeat whose every heartbeat should arrive here, by the time of
-/// the last one.
+/// Returns whether a daemon is asked for a heartbeat, by the time of its last one. All of its heartbeats should arrive
+/// here.
 pub fn is_unheard(now: Time, heartbeat: Option<Time>, awake: Time) -> bool {
     let heard = heartbeat.unwrap_or_default().max(awake);
     now.since(heard) > ASK.to_duration()
 }
 
-/// Returns whether a daemon is suspect that was asked for a heartbeat and hasn't answered.
+/// Returns whether a daemon that was asked for a heartbeat at `asked` and hasn't sent one is suspect.
 pub fn is_silent(now: Time, asked: Time, awake: Time) -> bool {
     now.since(asked.max(awake)) > ASK.to_duration()
 }
 
-/// Returns whether a suspicion that gossip brings is refuted by a sign of life known here.
+/// Returns whether a sign of life known here refutes a suspicion reported by gossip.
 pub fn refutes(now: Time, sign: Option<Time>) -> bool {
     sign.is_some_and(|sign| now.since(sign) <= SILENCE.to_duration())
 }
 
-/// Returns whether others are still told of a suspect with this last sign of life: lost ones too, so that
-/// everybody hears of them.
+/// Returns whether a suspect with this last sign of life is still reported to others. Lost daemons are reported too, so
+/// that all daemons learn of the loss.
 pub fn is_news(now: Time, sign: Time) -> bool {
     now.since(sign) <= NEWS.to_duration()
 }
 
-/// Returns since when this daemon has received nothing although it should; nothing while it does.
+/// Returns since when this daemon has received nothing although it should have; `None` while it receives something.
 fn isolated_since(now: Time, listening: Listening) -> Option<Time> {
     let since = listening.heard.max(listening.awake) + SILENCE;
     (now > since).then_some(since)
@@ -159,13 +160,12 @@
     now.since(known) >= FORGET.to_duration()
 }
 
-/// Returns whether gossip of this age is worth knowing.
+/// Returns whether gossip of this age is recent enough to be used.
 pub fn is_recent(age: Millis) -> bool {
     age < STALE_GOSSIP
 }
 
-/// Returns when a sign of life was received that is now of this age; at the earliest, the start of
-/// this daemon.
+/// Returns the time of a sign of life that is now of this age, not earlier than the start of this daemon.
 pub fn sign_time(now: Time, age: Millis) -> Time {
     now - age
 }
--- a/lib/src/gateway/rules/pause.rs
+++ b/lib/src/gateway/rules/pause.rs
@@ -1,49 +1,49 @@
-//! Did this process stand still, and for how much of a time did it run?
+//! Did this process stall, and how much of a span of time did it run?
 //!
-//! Inputs: the times (microseconds of this daemon's clock) at which it looked at the clock: one with every
-//! heartbeat that it sends, and one each [`CLOCK_LOOK`].
+//! Inputs: the times (microseconds of this daemon's clock) at which it read the clock: with every heartbeat that it
+//! sends, and every [`CLOCK_LOOK`].
 //!
-//! Rule: a gap of `PAUSE` or more between two heartbeats is a pause, from which membership recovers. A gap of
-//! more than `STANDSTILL` between two looks is a standstill: neither it nor the `GRACE` after it counts as time
-//! in which others were late.
+//! Rule: a gap of `PAUSE` or more between two heartbeats is a pause, after which membership recovers. A gap of more
+//! than `STANDSTILL` between two checks of the clock is a stall. Neither the stall nor the `GRACE` after it counts as
+//! time in which others were late.
 //!
-//! Reason: a suspended host, a busy host or a daemon that had much to do at once received nothing meanwhile, and
-//! must not take others for lost or late. What waits in its sockets is received in the grace. The effect on
+//! Reason: a daemon on a suspended or busy host, or one that had much to do at once, received nothing meanwhile, and
+//! must not consider others lost or late. What waits in its sockets is received in the grace period. The effect on
 //! membership is in [`liveness`](crate::gateway::rules::liveness), that on reads of the directory in
-//! [`directory_reads`](crate::gateway::rules::directory_reads). Whether an endpoint is used goes by the whole time:
-//! what a daemon knows of it ages while the daemon stands still.
+//! [`directory_reads`](crate::gateway::rules::directory_reads). Whether an endpoint is used depends on the whole time,
+//! since what a daemon knows of an endpoint ages during a stall too.
 //!
-//! Without it, 15 of 15 daemons went to read the directory after a standstill of 1 s of all, and 7 of 15 read a new
-//! table from it after 0.9 s (tests `fleet_stands_still`, `behind_meanwhile`).
+//! Without the rule, 15 of 15 daemons read the directory after all had stalled for 1 s, and 7 of 15 read a new table
+//! from it after 0.9 s (tests `fleet_stands_still`, `behind_meanwhile`).
 
 use {
     crate::shared::units::{Millis, Time},
     std::{collections::VecDeque, time::Duration},
 };
 
-/// Time without a heartbeat of its own that counts as a pause. Three heartbeats.
+/// Time between two of this daemon's heartbeats that counts as a pause. Three heartbeats.
 const PAUSE: Millis = Millis(600);
 
-/// Time between two looks at the clock.
+/// Time between two checks of the clock.
 pub const CLOCK_LOOK: Millis = Millis(100);
 
-/// Time without a look beyond which a process stood still. Two looks.
+/// Time between two checks of the clock beyond which the process stalled. Two checks.
 const STANDSTILL: Millis = Millis(200);
 
-/// Time after a standstill in which what came meanwhile is received. Half of a heartbeat.
+/// Time after a stall in which the messages that arrived meanwhile are received. Half of a heartbeat.
 const GRACE: Millis = Millis(100);
 
-/// Time for which standstills are remembered: longer than what is concluded from others' silence takes.
+/// Time for which stalls are kept. Longer than any time after which silence of others has consequences.
 const REMEMBERED: Millis = Millis(10_000);
 
-/// Detects pauses from the times of looks.
+/// Detects pauses from the times of heartbeats.
 #[derive(Debug, Default)]
 pub struct PauseDetector {
     last: Option<Time>,
 }
 
 impl PauseDetector {
-    /// Records a look; returns the length of the pause before it, if it was one.
+    /// Records a heartbeat. Returns the length of the gap before it, if that was a pause.
     pub fn look(&mut self, now: Time) -> Option<Duration> {
         let last = self.last.replace(now)?;
         let gap = now.since(last);
@@ -51,7 +51,7 @@
     }
 }
 
-/// A time in which this process stood still, with the grace after it.
+/// Time span of a stall, including the grace period after it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct Standstill {
     from: Time,
@@ -59,22 +59,22 @@
 }
 
 impl Standstill {
-    /// Returns the part of it within a time.
+    /// Returns how much of the stall lies between two times.
     fn within(self, from: Time, until: Time) -> Duration {
         self.until.min(until).since(self.from.max(from))
     }
 }
 
-/// The times of late in which this process stood still.
+/// Recent stalls of this process.
 #[derive(Debug, Default)]
 pub struct Standstills {
     looked: Time,
-    /// In their order; none overlaps another one.
+    /// In chronological order, without overlap.
     recent: VecDeque<Standstill>,
 }
 
 impl Standstills {
-    /// Records a look at the clock.
+    /// Records a check of the clock.
     pub fn look(&mut self, now: Time) {
         if let Some(last) = self.current(now) {
             self.record(last);
@@ -83,15 +83,15 @@
         self.recent.retain(|one| now < one.until + REMEMBERED);
     }
 
-    /// Returns for how long this process ran since a time.
+    /// Returns for how long this process has run since `since`, without stalls.
     pub fn ran_since(&self, since: Time, now: Time) -> Duration {
         let stood = self.stood_since(since, now);
         now.since(since).saturating_sub(stood)
     }
 
-    /// Returns for how long this process stood still since a time, with the grace after each standstill.
+    /// Returns for how long this process has stalled since `since`, including the grace period after each stall.
     pub fn stood_since(&self, since: Time, now: Time) -> Duration {
-        // One that has just ended may begin in the grace of the one before.
+        // A stall that has just ended may begin in the grace period of the one before.
         let counted = self.recent.back().map_or(Time::default(), |one| one.until);
         let current = self.current(now).map(|one| Standstill {
             from: one.from.max(counted),
@@ -101,13 +101,14 @@
         stood.map(|one| one.within(since, now)).sum()
     }
 
-    /// Returns the time from which on this process would have run as long if it hadn't stood still.
+    /// Returns the time that is as long ago as this process has run since `since`, that is, `since` moved later by the
+    /// stalls.
     pub fn excused(&self, since: Time, now: Time) -> Time {
         let ran = self.ran_since(since, now);
         now - ran
     }
 
-    /// Returns the standstill that ends just now, if there is one.
+    /// Returns the stall that ends at `now`, if there is one.
     fn current(&self, now: Time) -> Option<Standstill> {
         let stood = now.since(self.looked) > STANDSTILL.to_duration();
         stood.then_some(Standstill {
--- a/lib/src/gateway/rules/piece_order.rs
+++ b/lib/src/gateway/rules/piece_order.rs
@@ -1,21 +1,21 @@
 //! Which waiting pieces may an endpoint of a stage take, in which order, and how many of them?
 //!
-//! Inputs: the clock, each job with waiting pieces (`WaitingJob`: its objective, rank, home and what
-//! would cross between data centres, in bytes), the data centre of the endpoint, and the number of
-//! endpoints that may be called in each data centre.
+//! Inputs: the clock, each job with waiting pieces (`WaitingJob`: its objective, rank, preferred data centre and the
+//! bytes that would cross between data centres), the data centre of the endpoint, and the number of endpoints that may
+//! be called in each data centre.
 //!
-//! A job has a home: the data centre where its request's endpoint probably is. Its pieces go to
-//! endpoints there. Endpoints elsewhere may take them once they have waited `WAIT_MS_PER_MB` for
-//! each megabyte that would cross, `LONGEST_WAIT` at most; the wait shrinks with the number of
-//! endpoints at home, and ends with the objective. Jobs are ordered by their objective, with
-//! `RANK_STEP` for each rank, `LATE_STEP` for those past their objective, and `AWAY_STEP` for those
-//! whose home is elsewhere. The endpoints that are free share what waits.
+//! Rule: the preferred data centre of a job is the one where its request will probably run. Endpoints there may take
+//! its pieces at once. Endpoints in other data centres may take them once they have waited for `WAIT_MS_PER_MB` for
+//! each megabyte that would cross, at most `LONGEST_WAIT`. This wait is shorter where the preferred data centre has few
+//! endpoints, and ends when the objective has passed. Jobs are ordered by their objective; each rank adds `RANK_STEP`,
+//! a missed objective adds `LATE_STEP`, and an endpoint outside the preferred data centre adds `AWAY_STEP`. The free
+//! endpoints divide the waiting pieces among themselves.
 //!
-//! A result that crosses between data centres costs money and time, an idle endpoint only time. A late job has lost
-//! most of its worth, so that it goes last. `large_result_home` and its neighbours in `test_batch_queue`, and
-//! `test_stage_rules`, pin the rule.
+//! Reason: a result that crosses between data centres costs money and time, an idle endpoint only time. A late job has
+//! lost most of its worth, so it goes last. Tests: `large_result_home` and its neighbours in `test_batch_queue`, and
+//! `test_stage_rules`.
 //!
-//! Of `stages`, the rule uses the id of jobs only, which is a plain number.
+//! Of the module `stages`, the rule uses only the ids of jobs, which are plain numbers.
 
 use {
     crate::{
@@ -28,30 +28,29 @@
     foldhash::HashMap,
 };
 
-/// Wait for an endpoint at home, for each megabyte that would cross (ms/MB; rows "longer waits"
-/// and "1.2 s a MB" of the second milestone, the latter together with a change that was dropped).
+/// Wait for an endpoint in the preferred data centre, for each megabyte that would cross (ms/MB).
 const WAIT_MS_PER_MB: f64 = 1200.0;
 
-/// The longest such wait.
+/// Upper bound of the wait for an endpoint in the preferred data centre.
 const LONGEST_WAIT: Millis = Millis(600);
 
-/// Endpoints at home from which on the whole wait is worth it (a count; row "the wait follows from
-/// the endpoints at home").
+/// Number of endpoints in the preferred data centre from which the whole wait applies. With fewer, it takes longer
+/// until one is free, so the wait is shortened in proportion.
 const MANY_ENDPOINTS: f64 = 4.0;
 
-/// Handicap of a job at an endpoint outside its home.
+/// Added to the objective of a job when it is ordered for an endpoint outside its preferred data centre.
 const AWAY_STEP: Millis = Millis(200);
 
-/// Head start that each rank has over the next one.
+/// Added to the objective of a job for each rank; rank 0 goes first.
 const RANK_STEP: Millis = Millis(400);
 
-/// Handicap of a job past its objective ("late jobs 2.5 s behind instead of 20 s": 0.068 -> -0.017,
-/// so that it stayed at 20 s).
+/// Added to the objective of a job that has missed it, so that late jobs go behind all others. A step of 2.5 s gave
+/// worse results.
 const LATE_STEP: Millis = Millis(20_000);
 
 const BYTES_PER_MB: f64 = 1e6;
 
-/// Numbers of the endpoints that may be called, by data centre.
+/// Number of endpoints that may be called, by data centre.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct DataCentreCounts(HashMap<DataCentreId, usize>);
 
@@ -65,65 +64,66 @@
         Self(counts)
     }
 
-    /// Returns the endpoints in a data centre; nothing if there is none.
+    /// Returns the number of endpoints in a data centre, or `None` if it has none.
     pub fn get(&self, data_centre: &DataCentreId) -> Option<usize> {
         self.0.get(data_centre).copied()
     }
 }
 
-/// A job with waiting pieces, as far as its place in the order depends on it.
+/// The properties of a job with waiting pieces that decide its position in the order.
 #[derive(Debug, Clone, Copy)]
 pub struct WaitingJob<'a> {
-    /// Its id.
+    /// Identifies the job in the queue of its stage.
     pub id: JobId,
-    /// Its waiting pieces.
+    /// Number of pieces that are accepted and not sent yet.
     pub waiting: usize,
-    /// When it was queued.
+    /// When the job was queued.
     pub added: Time,
-    /// When it should be done.
+    /// When the job should have ended.
     pub objective: Time,
-    /// Its rank; 0 goes first.
+    /// Rank of the job's route; 0 goes first.
     pub rank: u32,
-    /// Data centre where its results will probably be used.
+    /// Preferred data centre: the one where the results will probably be used.
     pub home: Option<&'a DataCentreId>,
-    /// Data centres where its pieces may run.
+    /// Data centres where the pieces are allowed to run.
     pub places: &'a Places,
-    /// Bytes that cross between data centres for each piece that runs away from home.
+    /// Bytes that cross between data centres for each piece that runs outside the preferred data centre.
     pub moved: ByteSize,
 }
 
 impl WaitingJob<'_> {
-    /// Returns the time by which jobs are ordered, wherever they run.
+    /// Returns the time by which the job is ordered, before the addition for endpoints outside its preferred data
+    /// centre.
     fn urgency(&self, now: Time) -> Time {
         due(now, self.objective, self.rank)
     }
 
-    /// Returns whether its pieces may run outside its home, which has so many endpoints.
+    /// Returns whether the pieces may run outside the preferred data centre, which has `endpoints` endpoints.
     fn may_leave(&self, now: Time, endpoints: usize) -> bool {
         now.since(self.added) >= home_wait(self.moved, endpoints).to_duration()
             || now > self.objective
     }
 }
 
-/// The jobs that one endpoint may take pieces of.
+/// The jobs from which one endpoint may take pieces.
 #[derive(Debug, Default)]
 pub struct WaitingOrder {
-    /// The jobs, the most urgent first.
+    /// Jobs, the most urgent first.
     pub jobs: Vec<JobId>,
-    /// Pieces that only endpoints of its data centre may take yet.
+    /// Number of pieces that only endpoints in this endpoint's data centre may take at present.
     pub own: usize,
-    /// Pieces that endpoints anywhere may take.
+    /// Number of pieces that endpoints in any allowed data centre may take.
     pub shared: usize,
-    /// Who may take the pieces of each job.
+    /// Which endpoints may take the pieces of each job.
     pub takers: HashMap<JobId, Takers>,
 }
 
-/// Which endpoints may take the pieces of a job yet.
+/// Which endpoints may take the pieces of a job at present.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Takers {
-    /// Those of its home alone.
+    /// Only endpoints in the preferred data centre.
     Home,
-    /// Any.
+    /// Endpoints in any allowed data centre.
     Anywhere,
 }
 
@@ -138,7 +138,7 @@
         let mut order = Self::default();
         let mut keys: Vec<(Time, JobId)> = Vec::new();
         for job in jobs.filter(|job| job.places.allow(data_centre)) {
-            // A home without endpoints is none.
+            // A preferred data centre without endpoints is ignored.
             let home = job.home.and_then(|home| Some((home, endpoints.get(home)?)));
             let is_shared = home.is_none_or(|(_, count)| job.may_leave(now, count));
             let is_own = home.is_some_and(|(home, _)| home == data_centre);
@@ -156,16 +156,16 @@
             let handicap = if is_away { AWAY_STEP } else { Millis(0) };
             keys.push((job.urgency(now) + handicap, job.id));
         }
-        // Among equally urgent jobs, the one that was queued first goes first.
+        // Of equally urgent jobs, the one that was queued first goes first.
         keys.sort_unstable();
         order.jobs = keys.into_iter().map(|(_, id)| id).collect();
         order
     }
 
-    /// Records that a call took pieces of a job. The order stays: sorted anew for each call, as many jobs were
-    /// compared for 100 calls as 100 times those that wait (test `planning_cost`).
+    /// Records that a call took pieces of a job. The order stays as it is: sorting again for each of 100 calls would
+    /// multiply the comparisons by 100 (test `planning_cost`).
     pub fn take(&mut self, job: JobId, pieces: usize) {
-        // A job that isn't in this order waits for endpoints of another data centre.
+        // A job that isn't in this order waits for endpoints in another data centre.
         if let Some(takers) = self.takers.get(&job).copied() {
             *self.count(takers) -= pieces;
         }
@@ -178,15 +178,15 @@
         }
     }
 
-    /// Returns the pieces that one call should take, where so many endpoints are free in its data
-    /// centre and anywhere.
+    /// Returns the number of pieces that one call should take, with `free_here` free endpoints in its data centre and
+    /// `free` in all.
     pub fn share(&self, free_here: usize, free: usize) -> usize {
         self.own.div_ceil(free_here.max(1)) + self.shared.div_ceil(free.max(1))
     }
 }
 
-/// Returns the time by which the pieces of a job are ordered, wherever they run; the job should end by
-/// `objective`.
+/// Returns the time by which the pieces of a job with this objective and rank are ordered, before the addition for
+/// endpoints outside its preferred data centre.
 pub fn due(now: Time, objective: Time, rank: u32) -> Time {
     let late = if now > objective {
         LATE_STEP
@@ -196,8 +196,8 @@
     objective + Millis(u64::from(rank) * RANK_STEP.0 + late.0)
 }
 
-/// Returns the time for which pieces wait for one of so many endpoints at home: the fewer there are,
-/// the longer it takes until one is free, and the less the wait is worth.
+/// Returns the time for which pieces wait for one of `endpoints` endpoints in the preferred data centre. With fewer
+/// endpoints, it takes longer until one is free, and the wait is worth less.
 pub fn home_wait(moved: ByteSize, endpoints: usize) -> Millis {
     let chance = (endpoints as f64 / MANY_ENDPOINTS).min(1.0);
     let wait = moved.0 as f64 / BYTES_PER_MB * WAIT_MS_PER_MB;
--- a/lib/src/gateway/rules/piece_retry.rs
+++ b/lib/src/gateway/rules/piece_retry.rs
@@ -1,22 +1,22 @@
 //! May a piece be sent again, and when is a whole job given up?
 //!
-//! Inputs: how often the piece was sent, what is known of the send that was lost, the clock and the
-//! job's deadline, and the fixed time of a call (milliseconds).
+//! Inputs: how often the piece was sent, whether the endpoint may have run the lost send, the clock and the job's
+//! deadline, and the fixed time of a call (milliseconds).
 //!
-//! A piece is sent `PIECE_TRIES` times at most. A send that certainly wasn't run doesn't count. A
-//! job whose deadline comes before even an empty call could end is hopeless as long as any of its
-//! pieces waits. Each send after the first one also needs a unit of the service's budget
-//! (`rules::retry_budget`); without it the piece waits until the budget has one.
+//! Rule: a piece is sent at most `PIECE_TRIES` times. A send that certainly wasn't run doesn't count. A job with
+//! waiting pieces is given up when its deadline comes before even an empty call could end. Each send after the first
+//! also needs a unit of the service's retry budget (`rules::retry_budget`); without one, the piece waits until the
+//! budget has a unit.
 //!
-//! Pieces may run any number of times, so that only cost bounds their retries: a retry waits for the budget instead
-//! of failing its job. `jobs_end_once` and `test_stage_rules` pin the rule.
+//! Reason: pieces may run any number of times, so only their cost limits retries. A retry waits for the budget instead
+//! of failing its job. Tests: `jobs_end_once` and `test_stage_rules`.
 
 use crate::shared::units::{Millis, Time, WorkMillis};
 
-/// Sends of one piece (a count).
+/// Largest number of sends of one piece.
 const PIECE_TRIES: u32 = 3;
 
-/// A send of a piece that brought no result, by what is known of it.
+/// A send of a piece without a result, by whether the piece may have run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LostSend {
     /// The endpoint certainly didn't run the piece.
@@ -28,12 +28,12 @@
 /// The decision about a piece whose send was lost.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PieceRetry {
-    /// It waits for the next call; `tries` of its sends count.
+    /// The piece waits for another call.
     Requeue {
-        /// Sends that count.
+        /// Number of sends that count.
         tries: u32,
     },
-    /// It was sent as often as it may be; its job fails.
+    /// The piece was sent as often as allowed; its job fails.
     GiveUp,
 }
 
@@ -61,8 +61,7 @@
     tries > 0
 }
 
-/// Returns whether no call that begins now could end before `deadline`; `call` is the time of a
-/// call apart from its pieces.
+/// Returns whether a call that begins now can't end before `deadline`; `call` is the time of a call without its pieces.
 pub fn is_hopeless(now: Time, deadline: Time, call: WorkMillis) -> bool {
     now + Millis(call.0 as u64) > deadline
 }
--- a/lib/src/gateway/rules/shutdown.rs
+++ b/lib/src/gateway/rules/shutdown.rs
@@ -2,29 +2,29 @@
 //!
 //! Input: the grace period, from the signal to the end of the process (milliseconds).
 //!
-//! Rule: a stopping daemon is not ready at once, but accepts callers until the balancer has had time
-//! to notice; then it closes idle connections and ends once nothing is in flight. It ends a little
-//! before the grace period is over in any case.
+//! Rule: a stopping daemon reports at once that it is not ready, but accepts callers until the balancer has had time to
+//! notice. Then it closes idle connections and ends once nothing is in flight. In any case it ends shortly before the
+//! grace period is over.
 //!
-//! Reason: a caller that the balancer still sends here must be served, and a process that is ended
-//! from outside cuts its answers and loses its last log lines.
+//! Reason: a caller that the balancer still sends here must be served, and a process that is killed loses its pending
+//! answers and its last log lines.
 //!
 //! Tests: `lib/tests/test_shutdown.rs`.
 
 use {crate::shared::units::Millis, std::time::Duration};
 
-/// Time that the balancer has to notice a stop, during which callers are accepted.
+/// Time for the balancer to notice that the daemon is stopping, during which callers are accepted.
 const NOTICE: Millis = Millis(2_700);
 
-/// Part of the grace period that isn't used, so that the daemon ends before it is ended.
+/// Time before the end of the grace period at which the daemon ends, so that it isn't killed.
 const GRACE_MARGIN: Millis = Millis(400);
 
-/// Steps of a stop, as times since its signal.
+/// Steps of a shutdown, as times since its signal.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct StopSchedule {
-    /// Callers are no longer accepted, and idle connections are closed.
+    /// When callers are no longer accepted, and idle connections are closed.
     pub close: Duration,
-    /// The daemon ends, whatever is in flight.
+    /// When the daemon ends, even if something is in flight.
     pub end: Duration,
 }
 
--- a/lib/src/gateway/rules/stage_home.rs
+++ b/lib/src/gateway/rules/stage_home.rs
@@ -1,44 +1,43 @@
 //! In which data centre should a stage's pieces run?
 //!
-//! Inputs: where the results lie that each piece of the stage fetches (by data centre, in bytes), the number
-//! of pieces, the size of one result, and the data centre where the request will probably run.
+//! Inputs: the results that each piece of the stage fetches (by data centre, in bytes), the number of pieces, the size
+//! of one result, and the data centre where the request will probably run.
 //!
-//! Rule: in the data centre from and to which the fewest bytes cross; where several are equal, that of the
-//! request. Each piece fetches all results of the stages before it, so that a stage of many pieces belongs
-//! to its inputs, and one with large results to its request.
+//! Rule: in the data centre with the fewest bytes crossing to and from it; in a tie, that of the request. Each piece
+//! fetches all results of the stages before it, so a stage of many pieces runs near its inputs, and one with large
+//! results near its request.
 //!
-//! Reason: results that cross between data centres cost money and time. Of a route whose last stage has ten
-//! pieces that fetch 0.36 MB each, 407 of 1,069 requests ran the last two stages in different data centres,
-//! 1.5 of the 1.7 GB that crossed on that day.
+//! Reason: results that cross between data centres cost money and time. With a last stage of ten pieces that fetch 0.36
+//! MB each, 407 of 1,069 requests ran their last two stages in different data centres, which made up 1.5 of the 1.7 GB
+//! that crossed in a day.
 
 use crate::{
     gateway::rules::endpoint_choice::InputLocation,
     shared::{ids::DataCentreId, units::ByteSize},
 };
 
-/// A stage that is about to begin.
+/// A stage that is about to begin, with all that decides its data centre.
 #[derive(Debug, Clone, Copy)]
 pub struct StagePlace<'a> {
-    /// Results that each of its pieces fetches.
+    /// Results that each piece of the stage fetches.
     pub inputs: &'a [InputLocation],
-    /// Its pieces.
+    /// Number of pieces of the stage.
     pub pieces: u32,
     /// Size of one result.
     pub result: ByteSize,
-    /// Where the request will probably run.
+    /// Data centre where the request will probably run, if known.
     pub request: Option<&'a DataCentreId>,
 }
 
 impl<'a> StagePlace<'a> {
-    /// Returns the data centre where its pieces should run; nothing if no data centre is better than
-    /// another one.
+    /// Returns the preferred data centre of the pieces, or `None` if no data centre is better than another.
     pub fn home(&self) -> Option<&'a DataCentreId> {
         let by_inputs = self.inputs.iter().map(|input| &input.data_centre);
         let candidates = self.request.into_iter().chain(by_inputs);
         candidates.min_by_key(|candidate| self.crossing(candidate))
     }
 
-    /// Returns the bytes that cross if the pieces run in a data centre.
+    /// Returns the bytes that cross between data centres if the pieces run in `place`.
     fn crossing(&self, place: &DataCentreId) -> u64 {
         let pieces = u64::from(self.pieces);
         let fetched: u64 = self
--- a/lib/src/gateway/rules/suspect_entry.rs
+++ b/lib/src/gateway/rules/suspect_entry.rs
@@ -1,55 +1,52 @@
-//! Is an endpoint whose directory entry vanished gone, or only suspect; and for how long is a
-//! suspect endpoint used?
+//! Is an endpoint whose directory entry vanished gone, or only unconfirmed; and for how long is an unconfirmed endpoint
+//! used?
 //!
-//! Inputs: when the directory last answered this daemon and last failed (times on the daemon's
-//! clock), whether another daemon reads the directory steadily, whether the endpoint was draining,
-//! the time between two writes of an endpoint's entry and the time within which a leaving endpoint
-//! must get nothing new (milliseconds).
+//! Inputs: when the directory last answered this daemon and last failed (times on the daemon's clock), whether another
+//! daemon reads the directory steadily, whether the endpoint was draining, the time between two writes of an endpoint's
+//! entry, and the time within which a leaving endpoint must get nothing new (milliseconds).
 //!
-//! Rule: an entry that vanishes while the directory fails for this daemon, or shortly after, and
-//! for every other daemon too, is suspect: it stays in use for a little more than one interval
-//! between two writes, counted from the last failure. In every other case it is gone at once, and
-//! so is an entry whose endpoint was draining.
+//! Rule: an entry that vanishes while the directory fails for this daemon, or shortly after, and for every other daemon
+//! too, is unconfirmed. It stays in use for a little more than one interval between two writes, counted from the last
+//! failure. In every other case it is gone at once, and so is an entry whose endpoint was draining.
 //!
-//! Reason: entries lapse while a directory is down although their endpoints live; dropping them
-//! would leave a service without endpoints. An endpoint that has really left must not be used
-//! beyond the drain time, so a daemon whose own connection failed mustn't suspect what others saw
-//! vanish (`docs/FINDINGS.md`, the row about DRAIN).
+//! Reason: entries expire while a directory is down although their endpoints are alive; dropping them would leave a
+//! service without endpoints. An endpoint that has really left must not be used beyond the drain time, so a daemon
+//! whose own connection failed must not keep an entry that others saw vanish (`docs/FINDINGS.md`, the row about DRAIN).
 //!
-//! The constants name their own sources; tests: `lib/tests/test_suspect_entry.rs`.
+//! Tests: `lib/tests/test_suspect_entry.rs`.
 
 use crate::shared::units::{Millis, Time};
 
-/// Time after a failed read of the directory during which vanished entries are suspect.
+/// Time after a failed read of the directory during which vanished entries are unconfirmed.
 const OUTAGE: Millis = Millis(1_500);
 
 /// Time without a failed read after which the directory counts as steady for a daemon, and within which it must have
-/// answered: a daemon whose own connections were reset would use an endpoint after it has left.
+/// answered. Without it, a daemon whose own connections were reset would use an endpoint after it has left.
 const STEADY: Millis = Millis(3_000);
 
-/// Shortest time for which a suspect endpoint is used.
+/// Shortest time for which an unconfirmed endpoint is used.
 const LEAST_SUSPECT: Millis = Millis(200);
 
-/// Part of the drain time that isn't used, since other daemons need time to report that an entry vanished and suspects
-/// are only checked at each heartbeat.
+/// Time subtracted from the drain time, since other daemons need time to report that an entry vanished, and unconfirmed
+/// entries are only checked at each heartbeat.
 const DRAIN_MARGIN: Millis = Millis(600);
 
-/// Intervals between two writes for which a suspect endpoint is used, as a fraction: a living
-/// endpoint writes its entry again within one interval, and a sixth of it is for the way to here.
-/// Chosen so that 1.2 s between two writes give 1.4 s (`docs/design/platform.md`).
+/// Number of intervals between two writes for which an unconfirmed endpoint is used, as a fraction. A living endpoint
+/// writes its entry again within one interval; a sixth more is for the entry to arrive here. With 1.2 s between two
+/// writes, this is 1.4 s (`docs/design/platform.md`).
 const INTERVALS: u64 = 7;
 const INTERVAL_PARTS: u64 = 6;
 
-/// Intervals between two writes after which an entry that nobody writes any more has lapsed: the directory keeps it for
-/// three, and daemons learn of its end within one.
+/// Number of intervals between two writes after which an entry that is no longer written has expired: the directory
+/// keeps it for three, and daemons learn of its end within one.
 const LAPSE_INTERVALS: u64 = 4;
 
 /// When one daemon's own reads of the directory last succeeded and last failed.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct ReadHistory {
-    /// Last answer.
+    /// When the directory last answered.
     pub answered: Option<Time>,
-    /// Last failure.
+    /// When a read last failed.
     pub failed: Option<Time>,
 }
 
@@ -59,7 +56,7 @@
         self.failed > self.answered
     }
 
-    /// Returns whether a read failed so lately that entries may have lapsed.
+    /// Returns whether a read failed so recently that entries may have expired.
     pub fn failed_lately(&self, now: Time) -> bool {
         self.failed
             .is_some_and(|failed| now.since(failed) < OUTAGE.to_duration())
@@ -78,33 +75,33 @@
     }
 }
 
-/// Returns whether another daemon's read of this age still speaks for the directory: that of a daemon which has left
-/// the reading to others since then doesn't, however well it went.
+/// Returns whether another daemon's read of this age is recent enough to judge the directory by. An older one was made
+/// before that daemon left the reading to others and proves nothing, even if it succeeded.
 pub fn is_current(read_age: Millis) -> bool {
     read_age < STEADY
 }
 
-/// Returns whether entries that vanish now may have lapsed although their endpoints live.
+/// Returns whether entries that vanish now may have expired although their endpoints are alive.
 pub fn is_outage(now: Time, reads: ReadHistory, has_steady_peer: bool) -> bool {
     reads.failed_lately(now) && !has_steady_peer
 }
 
-/// Returns whether an endpoint whose entry vanished is suspect; otherwise it is gone.
+/// Returns whether an endpoint whose entry vanished is unconfirmed; otherwise it is gone.
 pub fn is_suspect(is_outage: bool, was_draining: bool) -> bool {
     is_outage && !was_draining
 }
 
-/// Returns the time after which an entry that nobody writes any more has lapsed for certain. An endpoint that had departed
-/// and is listed by an older copy of the directory is back if its entry lasts longer.
+/// Returns the time after which an entry that is no longer written has certainly expired. An endpoint that departed and
+/// is listed again by an older copy of the directory is back if its entry lasts longer.
 pub fn lapse_time(write_interval: Millis) -> Millis {
     Millis(write_interval.0 * LAPSE_INTERVALS)
 }
 
-/// Returns the time for which a suspect endpoint is used: long enough for a living one to write its
-/// entry again, and short enough for one that has really left.
+/// Returns the time for which an unconfirmed endpoint is used: long enough for a living one to write its entry again,
+/// and short enough for one that has really left.
 ///
-/// `write_interval` is the time between two writes of an endpoint's entry, `drain` the time within
-/// which a leaving endpoint must get nothing new.
+/// `write_interval` is the time between two writes of an endpoint's entry, `drain` the time within which a leaving
+/// endpoint must get nothing new.
 pub fn suspect_time(write_interval: Millis, drain: Millis) -> Millis {
     let rewritten = write_interval.0 * INTERVALS / INTERVAL_PARTS;
     let allowed = drain.0.saturating_sub(DRAIN_MARGIN.0);
--- a/lib/src/gateway/rules/table_upload.rs
+++ b/lib/src/gateway/rules/table_upload.rs
@@ -1,31 +1,31 @@
-//! May a daemon send another batch of a table's parts now?
+//! May a daemon send another batch of a table's chunks now?
 //!
-//! Inputs: the bandwidth of the host's link (bits a second), the size of the batch (bytes), when the
-//! batches sent so far have gone out (microseconds of this daemon's clock).
+//! Inputs: the bandwidth of the host's link (bits per second), the size of the batch (bytes), and when the batches sent
+//! so far will have been transmitted (microseconds of this daemon's clock).
 //!
-//! Rule: batches count as going out one after the other, over [`SHARE`] of the link. While those
-//! before would take longer than [`BACKLOG`], another daemon's request is refused as busy, and it
-//! asks one that has the table too.
+//! Rule: batches count as transmitted one after the other, over [`SHARE`] of the link. While those before would take
+//! longer than [`BACKLOG`], another daemon's request is refused as busy, and that daemon asks another one with the
+//! table.
 //!
-//! Reason: a whole fleet asks the first daemons that have a newer table. Served at once, all
-//! transfers share the link, and the first one ends hardly before the last; one after the other, each
-//! daemon that has the table passes it on while the next ones get it. The rest of the link is left to
-//! callers' requests and to stages.
+//! Reason: a whole fleet asks the first daemons that have a newer table. If all were served at once, all transfers
+//! would share the link, and the first would end hardly sooner than the last. One after the other, each daemon that has
+//! received the table passes it on while the next ones receive it. The rest of the link is left to callers' requests
+//! and to stages.
 //!
 //! Tests: `lib/tests/test_table_upload.rs`.
 
 use crate::shared::units::{BitRate, ByteSize, Millis, Share, Time};
 
-/// Share of the link that batches take.
+/// Share of the link's bandwidth that batches may use.
 pub const SHARE: Share = Share(0.5);
 
-/// Longest time that batches may wait for those before them.
+/// Longest time for which a batch may wait for those before it.
 pub const BACKLOG: Millis = Millis(150);
 
-/// Batches on their way out.
+/// Batches that are being transmitted.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Uploads {
-    /// When the last one has gone out.
+    /// When the last batch will have been transmitted.
     free: Time,
 }
 
@@ -35,8 +35,8 @@
         self.free <= now + BACKLOG
     }
 
-    /// Returns the batches on their way once one of `size` is sent over a link; over one of unknown
-    /// bandwidth it takes no time.
+    /// Returns the state after another batch of `size` is sent over a link. Over a link of unknown bandwidth it counts
+    /// as taking no time.
     #[must_use]
     pub fn with(self, now: Time, size: ByteSize, link: Option<BitRate>) -> Self {
         let Some(BitRate(rate)) = link else {
--- a/lib/src/gateway/rules/worker_pace.rs
+++ b/lib/src/gateway/rules/worker_pace.rs
@@ -1,63 +1,63 @@
-//! How fast is an endpoint of a stage at present, and for how long does it get no call?
+//! How slow is an endpoint of a stage at present, and for how long does it get no call?
 //!
-//! Inputs: how long its calls took, as a multiple of what was expected (`Pace`, a ratio), the clock,
-//! and why it gets no call.
+//! Inputs: how long its calls took as a multiple of the expected time (`Pace`, a ratio), the clock, and why it gets no
+//! call.
 //!
-//! A pace follows the calls that were answered, half of the way each time, and rises at once to what
-//! an overdue call shows. It is believed for `PACE_KEPT` and then counts as usual again, so that a
-//! slow endpoint is tried once more. An endpoint at `SLOW_PACE` or above gets no call while any other
-//! may take it. One that refused or broke off a call is passed over for `PASSED_OVER`, one without
-//! room for a result for `FULL_PASSED_OVER`.
+//! Rule: the slowdown of an endpoint is a moving average over its answered calls, with weight `PACE_GAIN` for the
+//! newest. An overdue call raises it at once. It is valid for `PACE_KEPT`; after that the endpoint counts as running at
+//! the expected speed, so that a slow endpoint is tried again. An endpoint with a slowdown of at least `SLOW_PACE` gets
+//! no call while another may take it. One that refused or broke off a call is excluded for `PASSED_OVER`, one without
+//! capacity for a result for `FULL_PASSED_OVER`.
 //!
-//! A call to a slow endpoint delays each request with a piece in it, and a full endpoint refuses the next call as
-//! well. `test_stage_rules` pins the rule.
+//! Reason: a call to a slow endpoint delays each request with a piece in it, and an endpoint without capacity refuses
+//! the next call as well. Test: `test_stage_rules`.
 
 use {
     crate::shared::units::{Millis, Time, WorkMillis},
     std::cmp::Ordering,
 };
 
-/// Weight of a new observation against what was known (a share).
+/// Weight of a new observation in the moving average (a share).
 const PACE_GAIN: f64 = 0.5;
 
-/// Time for which a known pace is believed.
+/// Time for which a slowdown is valid after it was observed.
 const PACE_KEPT: Millis = Millis(3_000);
 
-/// Pace from which on an endpoint gets no call while others may take it (a ratio).
+/// Slowdown from which an endpoint gets no call while another may take it (a ratio).
 const SLOW_PACE: Pace = Pace(1.8);
 
-/// Bounds of a learnt pace (ratios): one wrong estimate of a call's cost can't make an endpoint look better or worse
-/// than this.
+/// Bounds of the moving average (ratios), so that one wrong estimate of a call's cost doesn't make an endpoint look
+/// better or worse than this.
 const FASTEST_PACE: f64 = 0.5;
 const SLOWEST_PACE: f64 = 20.0;
 
-/// Time for which an endpoint is passed over that refused or broke off a call, or wasn't reached.
+/// Time for which an endpoint is excluded that refused or broke off a call, or wasn't reached.
 const PASSED_OVER: Millis = Millis(300);
 
-/// Time for which an endpoint without room for a result is passed over.
+/// Time for which an endpoint without capacity for a result is excluded.
 const FULL_PASSED_OVER: Millis = Millis(60);
 
-/// Time of calls as a multiple of what was expected; more is slower.
+/// Time of calls as a multiple of the expected time: 1 is as expected, more is slower.
 #[derive(Debug, Clone, Copy, PartialEq, PartialOrd)]
 pub struct Pace(pub f64);
 
 impl Pace {
-    /// The pace of an endpoint of which nothing is known.
+    /// Slowdown of an endpoint without recent calls.
     pub const USUAL: Pace = Pace(1.0);
 
-    /// Compares what a call took, or has taken so far, to what was expected.
+    /// Returns the slowdown of a call that took `elapsed`, or has run for that long so far.
     pub fn of_call(elapsed: WorkMillis, expected: WorkMillis) -> Self {
         Self(elapsed.0 / expected.0)
     }
 
-    /// Returns whether an endpoint of this pace gets no call while others may take it.
+    /// Returns whether an endpoint with this slowdown gets no call while another may take it.
     pub fn is_slow(self) -> bool {
-        // A pace that isn't a number, from calls that should take no time, counts as slow.
+        // NaN, from calls with an expected time of zero, counts as slow.
         self.partial_cmp(&SLOW_PACE) != Some(Ordering::Less)
     }
 }
 
-/// The pace of one endpoint as its calls showed it.
+/// Slowdown of one endpoint, learnt from its calls.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct KnownPace {
     pace: Pace,
@@ -74,7 +74,7 @@
 }
 
 impl KnownPace {
-    /// Returns the pace that is believed at `now`.
+    /// Returns the slowdown that is valid at `now`.
     pub fn at(&self, now: Time) -> Pace {
         if now.since(self.observed) > PACE_KEPT.to_duration() {
             Pace::USUAL
@@ -83,7 +83,7 @@
         }
     }
 
-    /// Returns what is known after a call was answered at `now`.
+    /// Returns the slowdown after a call was answered at `now`.
     #[must_use]
     pub fn after_answer(&self, now: Time, observed: Pace) -> Self {
         let before = self.at(now).0;
@@ -94,7 +94,7 @@
         }
     }
 
-    /// Returns what is known after a call became overdue; `so_far` is its pace up to now.
+    /// Returns the slowdown after a call became overdue; `so_far` is that of the call up to now.
     #[must_use]
     pub fn after_overdue(&self, now: Time, so_far: Pace) -> Self {
         Self {
@@ -104,12 +104,12 @@
     }
 }
 
-/// Why an endpoint gets no call for a while.
+/// Why an endpoint gets no call for a time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PassedOver {
-    /// It refused or broke off a call, or wasn't reached.
+    /// The endpoint refused or broke off a call, or wasn't reached.
     NoAnswer,
-    /// It had no room for a result.
+    /// The endpoint had no capacity for a result.
     NoRoom,
 }
 
