--- a/lib/src/gateway/rules/gossip.rs
+++ b/lib/src/gateway/rules/gossip.rs
@@ -164,8 +164,8 @@
     places.iter().map(|place| place.address).collect()
 }
 
-/// Draws the daemons that get a heartbeat whatever service they coordinate: all `known` ones in the order of their
-/// addresses, or `watchers` and some others.
+/// Draws the daemons that get a heartbeat whatever their role: all `known` ones in the order of their addresses, or
+/// `watchers` and some others.
 pub fn draw_targets(
     mut known: Vec<SocketAddr>,
     watchers: Vec<SocketAddr>,
--- a/lib/tests/load/mod.rs
+++ b/lib/tests/load/mod.rs
@@ -1,4 +1,4 @@
-//! A driver of load for the queue of a stage: arrivals, endpoints and calls in virtual time, from a seed.
+//! A load generator for the queue of a stage: simulates arrivals, endpoints and calls in virtual time, from a seed.
 
 #![allow(clippy::unwrap_used, reason = "a failed unwrap fails the test")]
 
@@ -26,31 +26,31 @@
     },
 };
 
-/// A pattern of load at one stage.
+/// A load pattern at one stage.
 #[derive(Debug, Clone)]
 pub struct Pattern {
     /// Limits of the service.
     pub limits: BatchLimits,
-    /// Endpoints in each data centre.
+    /// Number of endpoints in each data centre.
     pub endpoints: Vec<usize>,
-    /// Jobs a second, over all data centres evenly.
+    /// Jobs per second, spread evenly over all data centres.
     pub rate: f64,
-    /// Pieces of a job.
+    /// Number of pieces of a job.
     pub pieces: u32,
-    /// Seconds of arrivals.
+    /// Time during which jobs arrive (seconds).
     pub seconds: u64,
-    /// Greatest part by which a call takes longer or shorter than it should.
+    /// Largest fraction by which a call takes longer or shorter than expected.
     pub jitter: f64,
 }
 
-/// What became of the jobs.
+/// Results of a simulation.
 #[derive(Debug, Clone)]
 pub struct Outcome {
-    /// Milliseconds from the arrival of each completed job to its end, in order.
+    /// Time from the arrival of each completed job to its end (milliseconds), in ascending order.
     pub times: Vec<f64>,
-    /// Pieces of each call.
+    /// Number of pieces of each call.
     pub fills: Vec<usize>,
-    /// Jobs that weren't completed.
+    /// Number of jobs that weren't completed.
     pub lost: usize,
 }
 
@@ -59,7 +59,7 @@
         self.times.iter().sum::<f64>() / self.times.len() as f64
     }
 
-    /// The time that this part of the jobs stayed within.
+    /// Returns the time within which this fraction of the jobs ended.
     pub fn within(&self, part: f64) -> f64 {
         let place = (self.times.len() as f64 * part) as usize;
         self.times[place.min(self.times.len() - 1)]
@@ -70,16 +70,16 @@
     }
 }
 
-/// What happens next in a run.
+/// An event of a simulation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
     Arrival,
     CallEnd(u64),
-    /// A look of the planner without news, unless another planning was made since.
+    /// The coordinator schedules without another event, unless it has scheduled since this was set.
     Look(u64),
 }
 
-/// A run of a pattern.
+/// A simulation of a pattern.
 struct Run {
     pattern: Pattern,
     queue: BatchQueue,
@@ -91,10 +91,10 @@
     outcome: Outcome,
 }
 
-/// Start late enough for the retry budget's slack to be there.
+/// Start, late enough for the retry budget's slack to be available.
 const START: Time = Time(20_000_000);
 
-/// Time between two looks of the planner without news.
+/// Time between two schedulings without another event.
 const LOOK: Millis = Millis(25);
 
 fn entry(centre: usize, number: usize) -> Arc<EndpointEntry> {
@@ -111,7 +111,7 @@
     })
 }
 
-/// Plays a pattern.
+/// Simulates a pattern.
 pub fn play(pattern: Pattern, seed: u64) -> Outcome {
     let budget = BudgetLimits {
         ratio: Share(0.2),
--- a/lib/tests/test_backlog.rs
+++ b/lib/tests/test_backlog.rs
@@ -1,4 +1,4 @@
-//! Which outstanding pieces go ahead of a piece, as daemons count and exchange them.
+//! Counts of the outstanding pieces that are served before a piece, as daemons keep and exchange them.
 
 use {
     arbtest::arbtest,
@@ -22,7 +22,7 @@
     let spans = [0, 100, 300, 700, 1_100, 2_000, 2_600, 5_000, 20_000];
     let bands: Vec<Band> = spans.into_iter().map(band).collect();
     assert!(bands.is_sorted(), "{bands:?}");
-    // Objectives of usual routes are told apart; spans beyond the last band are not.
+    // Typical objectives fall into different buckets; spans beyond the last bucket share it.
     assert!(band(1_000) < band(2_000));
     assert!(band(2_000) < band(2_600));
     assert_eq!(band(20_000), band(90_000));
@@ -36,14 +36,14 @@
     backlog.add(band(1_000), 7);
     backlog.add(band(2_600), 11);
     assert_eq!(backlog.ahead(band(0)), 0);
-    // Those of its own band go ahead too.
+    // Pieces in the same bucket are served before it too.
     assert_eq!(backlog.ahead(band(1_000)), 12);
     assert_eq!(backlog.ahead(band(20_000)), 23);
     assert_eq!(backlog.total(), 23);
     assert_eq!(Backlog::unordered(4).ahead(band(0)), 4);
 }
 
-/// A job past its objective goes behind all others.
+/// A job past its objective is ordered behind all others.
 #[test]
 fn late_jobs() {
     let late = due(NOW, NOW - Millis(1), 0);
@@ -51,7 +51,7 @@
     assert!(Band::of(NOW, late) >= Band::of(NOW, patient));
 }
 
-/// The later a piece is due, the more goes ahead of it; sums and differences agree.
+/// The later a piece is due, the more pieces are served before it; sums and differences agree.
 #[test]
 fn ordered_sums() {
     arbtest(|u| {
--- a/lib/tests/test_catch_up_rule.rs
+++ b/lib/tests/test_catch_up_rule.rs
@@ -1,4 +1,4 @@
-//! When a peer is asked for a newer table or list, pinned around the bounds.
+//! When a peer is asked for a newer table or list, checked on both sides of each bound.
 
 use {
     hazelyoke_lib::{
@@ -24,7 +24,7 @@
     })
 }
 
-/// Daemons of a fleet in which everybody hears of news at once.
+/// Number of daemons in a fleet in which everybody may ask at once.
 const SMALL: usize = 60;
 
 #[test]
@@ -38,7 +38,7 @@
     assert_eq!(at(4.into(), &[9, 5, 7]), Some(address(1)));
 }
 
-/// Tables of the given versions, in parts where the flag says so.
+/// Tables of the given versions, in chunks where the flag is set.
 fn tables(offers: &[(u64, bool)]) -> Vec<TableOffer> {
     (1..)
         .zip(offers)
@@ -60,12 +60,12 @@
     };
     assert_eq!(source(&[], 0, None, 0.0), None);
     assert_eq!(source(&[(3, true), (3, true)], 3, None, 0.0), None);
-    // Every daemon with the newest is drawn.
+    // Every daemon with the newest table may be drawn.
     let three = [(5, true), (4, true), (5, true), (5, true)];
     assert_eq!(source(&three, 3, None, 0.0), Some(address(1)));
     assert_eq!(source(&three, 3, None, 0.5), Some(address(3)));
     assert_eq!(source(&three, 3, None, 0.99), Some(address(4)));
-    // One that sends parts goes before one that can't, whichever is drawn.
+    // A daemon that sends chunks is preferred to one that can't, whatever the fraction.
     assert_eq!(
         source(&[(5, false), (5, true)], 3, None, 0.0),
         Some(address(2))
@@ -74,7 +74,7 @@
         source(&[(5, false), (4, true)], 3, None, 0.9),
         Some(address(1))
     );
-    // The one to avoid is asked only where there is no other.
+    // The daemon to avoid is asked only if there is no other.
     assert_eq!(source(&three, 3, Some(1), 0.0), Some(address(3)));
     assert_eq!(
         source(&[(5, true), (4, true)], 3, Some(1), 0.0),
@@ -88,7 +88,7 @@
     assert_eq!(source(&[], 0.0), None);
     assert_eq!(source(&[0, 0], 0.0), None);
     assert_eq!(source(&[0, 4], 0.9), Some(address(2)));
-    // The newer half alone.
+    // Only the newer half is drawn from.
     assert_eq!(source(&[9, 1, 8, 2], 0.0), Some(address(1)));
     assert_eq!(source(&[9, 1, 8, 2], 0.9), Some(address(3)));
 }
@@ -102,9 +102,9 @@
     assert!(is_fetch_due(start + Millis(200), Some(start), true));
 }
 
-/// While 9,999 endpoints started, some list was always newer, and daemons that got changes twice a second took
-/// themselves for behind: all of 985 read the directory, which no longer accepted their connections ("not connected:
-/// timed out", 107 of 225 failed reads). One that gets changes isn't behind; its table is judged by itself.
+/// A daemon that receives changes of the list isn't behind, even if a newer list is always known; its table is judged
+/// separately. While 9,999 endpoints started, daemons that received changes twice a second counted as behind. All 985
+/// read the directory, which then refused connections (107 of 225 failed reads: "not connected: timed out").
 #[test]
 fn changes_keep_waiting() {
     let start = Time(0) + Millis(4_000);
@@ -131,7 +131,7 @@
     assert_eq!(none.after_changes(later), none);
 }
 
-/// While parts of a table come, a daemon isn't behind; its list is judged by itself.
+/// While chunks of a table arrive, a daemon isn't behind; its list is judged separately.
 #[test]
 fn parts_keep_waiting() {
     let start = Time(0) + Millis(4_000);
--- a/lib/tests/test_coordinator_rule.rs
+++ b/lib/tests/test_coordinator_rule.rs
@@ -1,4 +1,4 @@
-//! Which daemon coordinates a service, pinned over fleets, services and states of the daemons.
+//! Which daemon coordinates a service, for various fleets, services and states of the daemons.
 
 #![allow(clippy::unwrap_used, reason = "a failed unwrap fails the test")]
 
@@ -25,7 +25,7 @@
     "assist", "pay", "encode", "retrieve", "rerank", "a", "enc", "plan-9",
 ];
 
-/// Addresses of both kinds, with ports of more than one size.
+/// IPv4 and IPv6 addresses, with ports of different lengths.
 fn address(number: u16) -> SocketAddr {
     match number % 3 {
         0 => SocketAddr::from(([10, 0, 0, number as u8], 7_000 + number)),
@@ -81,7 +81,7 @@
     }
 }
 
-/// Daemon 0 of a fleet of `size` that are all ready.
+/// Daemon 0 of a fleet of `size` daemons that are all ready.
 fn fleet(size: u16) -> Peers {
     let mut me = peers(0);
     for number in 1..size {
@@ -149,7 +149,7 @@
     assert_eq!(coordinators(&me, Time(0), false, &all), [0; 8]);
 }
 
-/// A daemon that isn't ready leaves the services to any other daemon that is.
+/// A daemon that isn't ready leaves the services to any daemon that is.
 #[test]
 fn unready_daemon() {
     assert_eq!(coordinators(&fleet(1), Time(0), false, &[]), [0; 8]);
@@ -201,7 +201,7 @@
     assert!(is_settled(Time(u64::MAX)));
 }
 
-/// A daemon leaves coordinating to a stronger one that has just started as well, for a while.
+/// For a time after its start, a daemon leaves coordinating to a stronger one that has just started too.
 #[test]
 fn stronger_first() {
     for (ms, stronger, expected) in [
@@ -216,8 +216,8 @@
     }
 }
 
-/// Of daemons that start together, the one that is to coordinate reads the directory, although others are ready before
-/// it; if it isn't ready two seconds later, they read as well.
+/// Of daemons that start together, only the future coordinator reads the directory, even if others are ready before it.
+/// If it isn't ready two seconds later, they read as well.
 #[test]
 fn first_reader() {
     let service: ServiceId = "assist".parse().unwrap();
--- a/lib/tests/test_directory_reads.rs
+++ b/lib/tests/test_directory_reads.rs
@@ -52,13 +52,13 @@
         let wait = Duration::from_millis(wait);
         let found = read_duty(reader, peers, false, wait);
         assert_eq!(found, expected, "{reader:?} {peers:?} {wait:?}");
-        // A substitute reads where another daemon would look for the directory, and nowhere else.
+        // A substitute reads where another daemon would probe the directory, and nowhere else.
         let substitute = if expected == Probe { Read } else { expected };
         assert_eq!(read_duty(reader, peers, true, wait), substitute);
     }
 }
 
-/// Calls that a fleet makes in five seconds of an outage, of which nobody knows the end.
+/// Number of calls that a fleet makes in the first five seconds of an outage.
 fn outage_calls(daemons: usize) -> usize {
     let mut rng = SmallRng::seed_from_u64(daemons as u64);
     let outage = Duration::from_secs(5);
@@ -84,8 +84,8 @@
     }
 }
 
-/// Times of the calls that a fleet makes that starts at once, in order: all make the first one at the start, when there
-/// is no configuration yet, and it fails.
+/// Times of the calls of a fleet that starts at once, in order. Each daemon's first call, at the start, fails because
+/// there is no configuration yet.
 fn calls_after_start(daemons: usize) -> Vec<Duration> {
     let mut rng = SmallRng::seed_from_u64(daemons as u64);
     let mut calls = Vec::new();
@@ -102,10 +102,10 @@
     calls
 }
 
-/// A fleet of 985 started with a directory that had no configuration yet. All asked at once, and each then left half a
-/// minute to the others' turns, so that nobody looked: the first table came after 32.5 s ("there is no configuration
-/// yet" 0.02 s after the start, then silence), and each request was refused until then. Turns are even from the first
-/// call on now, whatever the fleet.
+/// A fleet that starts before the directory has a configuration gets the first table soon after it is published. The
+/// turns have to be spread evenly from the first call on. A fleet of 985 once called all at once, then each daemon left
+/// half a minute to the turns of the others and nobody called: the first table came after 32.5 s, and requests were
+/// refused until then.
 #[test]
 fn fleet_starts_empty() {
     for daemons in [30, 300, 985, 2_000] {
@@ -122,7 +122,7 @@
     }
 }
 
-/// A daemon that looks for the directory leaves what peers have just sent time to be received.
+/// A daemon that probes the directory first leaves time to receive what peers have just sent.
 #[test]
 fn earliest_turn() {
     for daemons in [13, 295] {
@@ -136,7 +136,7 @@
     SocketAddr::from(([10, 0, 0, number], 7_000))
 }
 
-/// A coordinator reports its own read while that is fresh, else the same substitute's as all others.
+/// A coordinator reports its own read while that is fresh, otherwise the same substitute's as all others.
 #[test]
 fn reported_reads() {
     let wait = Duration::from_millis(1_000);
@@ -181,7 +181,7 @@
 
 #[test]
 fn shorter_pauses_again() {
-    // A daemon that begins to coordinate during an outage looks more often from then on.
+    // A daemon that begins to coordinate during an outage calls more often from then on.
     let mut backoff = Backoff::default();
     for _ in 0..6 {
         backoff = backoff.next(FOLLOWER, true);
@@ -209,7 +209,7 @@
         assert_eq!(limit.to_duration(), Duration::from_millis(expected));
         limit = limit.after_late();
     }
-    // It stays while answers are slow, and not longer.
+    // The limit stays raised while answers are slow, and not longer.
     let slow = limit.after_answer(Duration::from_millis(500));
     assert_eq!(slow, limit);
     let quick = limit.after_answer(Duration::from_millis(499));
@@ -236,7 +236,7 @@
     }
 }
 
-/// A check that comes on time doesn't count as a standstill, one that misses the next one does.
+/// A check on time is no stall; a gap in which more than one check is missed is.
 #[test]
 fn standstill() {
     let check = COVER_CHECK.to_duration();
--- a/lib/tests/test_fetch_turn.rs
+++ b/lib/tests/test_fetch_turn.rs
@@ -1,4 +1,4 @@
-//! Who asks whom for what is newer, and how fast that reaches a fleet.
+//! Which daemons ask which others for something newer, and how fast it reaches a fleet.
 
 use {
     hazelyoke_lib::{
@@ -11,27 +11,27 @@
     rand::{RngExt, SeedableRng, rngs::SmallRng, seq::index::sample},
 };
 
-/// Heartbeats that a daemon of a large fleet sends to others, those drawn and its watchers.
+/// Number of daemons to which a daemon of a large fleet sends each heartbeat: those drawn and its watchers.
 const RECEIVERS: usize = 6;
 
-/// Heartbeats within which one counts as fresh.
+/// Number of heartbeats for which a received one counts as fresh.
 const FRESH: usize = 5;
 
-/// What came of a spread.
+/// Result of a simulated spread.
 #[derive(Debug)]
 struct Spread {
-    /// Heartbeats until everybody had it.
+    /// Number of heartbeats until everybody had it.
     rounds: usize,
-    /// Daemons that asked the same one within a heartbeat, at most.
+    /// Largest number of daemons that asked the same one within a heartbeat.
     most_asked: usize,
 }
 
-/// Spreads news of the first `readers` daemons, who send to everybody if there are several, through a fleet; each
-/// daemon that asks is answered within a heartbeat, by one of those that it heard.
+/// Simulates how something that the first `readers` daemons have reaches a fleet. If there are several, they send to
+/// everybody. Each daemon that asks is answered within a heartbeat, by one of those from which it received a heartbeat.
 fn spread(daemons: usize, readers: usize, rng: &mut SmallRng) -> Spread {
     let mut has = vec![false; daemons];
     has[..readers].fill(true);
-    // Who was heard, by the heartbeat.
+    // Senders received by each daemon, by heartbeat.
     let mut heard: Vec<Vec<Vec<usize>>> = Vec::new();
     let mut most_asked = 0;
     for round in 1..100 {
@@ -78,9 +78,8 @@
     panic!("{daemons} daemons haven't got it");
 }
 
-/// The first daemon of 985 that had the table told everybody, and all asked it at once: 74 of 93 whose logs were kept got
-/// no reply within 1.5 s, and lost it for its silence. A few ask each that has it now, and everybody gets it in a few
-/// heartbeats.
+/// Few daemons ask the same one at once, and everybody is served within a few heartbeats. When all of 985 asked the
+/// first daemon with a table at once, 74 of 93 whose logs were kept got no reply within 1.5 s and considered it lost.
 #[test]
 fn few_askers() {
     let mut rng = SmallRng::seed_from_u64(3);
@@ -99,7 +98,7 @@
     }
 }
 
-/// In a small fleet, and in one of sixty whose five readers have it, everybody asks at once.
+/// In a small fleet, and in one of sixty with five readers, everybody asks at once.
 #[test]
 fn small_fleets_ask() {
     let holders = |heard, holding, broadcasting| Holders {
@@ -116,7 +115,7 @@
     assert!(is_turn(holders(0, 0, 1), 985, 0.0));
 }
 
-/// The larger the fleet, the longer news may take before a daemon reads the directory for it.
+/// The larger the fleet, the longer a newer state may take to arrive before a daemon reads the directory for it.
 #[test]
 fn later_behind() {
     for (daemons, expected) in [
--- a/lib/tests/test_gossip_rule.rs
+++ b/lib/tests/test_gossip_rule.rs
@@ -1,4 +1,4 @@
-//! To whom a heartbeat goes, and what it names, pinned around the bounds.
+//! Which daemons get a heartbeat, and what it names, checked on both sides of each bound.
 
 #![allow(clippy::unwrap_used, reason = "a failed unwrap fails the test")]
 
@@ -61,7 +61,7 @@
     }
 }
 
-/// A daemon that knows `others`, of which number 1 is the strongest if any is.
+/// A daemon that knows `others` daemons, of which number 1 (if any) has the most capacity.
 fn fleet(capacity: Capacity, others: u8, seeds: &[SocketAddr]) -> Peers {
     let mut me = peers(0, capacity, seeds);
     for number in 1..=others {
@@ -132,7 +132,7 @@
     }
 }
 
-/// A daemon that gave up its last service sends two further heartbeats to all.
+/// A daemon that stops coordinating its last service sends two further heartbeats to everybody.
 #[test]
 fn last_broadcasts() {
     let mut me = fleet(STRONG, 40, &[]);
--- a/lib/tests/test_liveness_rule.rs
+++ b/lib/tests/test_liveness_rule.rs
@@ -1,4 +1,4 @@
-//! When another daemon counts as alive, lost or forgotten, pinned at both sides of each bound.
+//! When another daemon counts as alive, lost or forgotten, checked on both sides of each bound.
 
 #![allow(clippy::unwrap_used, reason = "a failed unwrap fails the test")]
 
@@ -78,13 +78,13 @@
     }
 }
 
-/// Makes a fleet large: others are known by gossip too old to make any of them alive.
+/// Makes a fleet large by gossip on others that is too old to make any of them alive.
 fn enlarge(me: &mut Peers, now: Time) {
     let notes: Vec<PeerNote> = (100..=100 + SMALL).map(|n| note(n, 20_000)).collect();
     me.merge_roster(now, &notes);
 }
 
-/// A daemon heard at time 0 in a fleet of either size; returns whether it is alive at a time.
+/// Returns whether a daemon whose heartbeat was received at time 0 is alive at a time, in a fleet of either size.
 fn heard_then(large: bool, broadcasts: bool, now: Time) -> bool {
     let mut me = peers();
     me.receive_heartbeat(Time(0), heartbeat(1, 1, broadcasts));
@@ -96,7 +96,7 @@
     me.is_alive(&address(1))
 }
 
-/// A daemon may be silent for longer where the fleet is large and it doesn't broadcast.
+/// A daemon may be silent for longer if the fleet is large and it doesn't broadcast.
 #[test]
 fn silence_limits() {
     for (large, broadcasts, limit) in [
@@ -181,7 +181,7 @@
     me.receive_heartbeat(first, heartbeat(2, 2, false));
     let lost = me.update_liveness(first);
     assert!(matches!(lost[..], [PeerChange::Lost(..)]));
-    // Daemon 2 is excused until a second after the pause; daemon 1 was lost before it.
+    // The pause isn't silence of daemon 2, so it is lost a second after it; daemon 1 was lost before it.
     let woken = Time(0) + Millis(9_000);
     me.end_pause(woken);
     assert!(me.update_liveness(woken + Millis(1_000)).is_empty());
--- a/lib/tests/test_load_patterns.rs
+++ b/lib/tests/test_load_patterns.rs
@@ -1,4 +1,4 @@
-//! Patterns of load at the queue of a stage: what it makes of them, in virtual time.
+//! Load patterns at the queue of a stage, simulated in virtual time.
 
 mod load;
 
@@ -10,7 +10,7 @@
     load::{Outcome, Pattern, play},
 };
 
-/// A stage whose calls cost much before their first piece, in four data centres, at half of its load.
+/// A stage in four data centres at half of its capacity, whose calls have a high fixed cost.
 fn busy_stage() -> Pattern {
     Pattern {
         limits: BatchLimits {
@@ -36,8 +36,7 @@
     values.iter().sum::<f64>() / values.len() as f64
 }
 
-/// Calls don't come in bunches: of a stage at half of its load, 99 of 100 jobs end within 560 ms. Without spacing
-/// it was 605.
+/// Calls aren't bunched: at half of the stage's capacity, 99 of 100 jobs end within 560 ms (605 ms without spacing).
 #[test]
 fn spaced_calls() {
     let slowest = mean_of(&busy_stage(), |outcome| outcome.within(0.99));
@@ -46,7 +45,7 @@
     assert!(mean <= 355.0, "{mean}");
 }
 
-/// Spacing holds nothing back at little load, with unlike endpoints or with few.
+/// Spacing delays nothing under low load, with endpoints of different speed, or with few endpoints.
 #[test]
 fn nothing_held() {
     let calm = Pattern {
@@ -83,7 +82,8 @@
     assert!(lost < 1.0, "{lost}");
 }
 
-/// A call that isn't full waits for its share of the round, and not at all where half of the endpoints are free.
+/// A call that isn't full waits for its share of the average call time, and not at all if half of the endpoints are
+/// free.
 #[test]
 fn due_times() {
     let start = Time(1_000_000);
--- a/lib/tests/test_membership.rs
+++ b/lib/tests/test_membership.rs
@@ -1,8 +1,8 @@
-//! Who counts as alive in fleets of some hundred daemons: no living daemon is lost while all is calm, and one
+//! Which daemons count as alive in fleets of some hundred daemons: no living daemon is lost in a calm fleet, and one
 //! that dies is noticed soon, whatever the size of the fleet.
 //!
-//! `HAZELYOKE_MEMBERSHIP=1000 cargo test --release -p hazelyoke-lib --test test_membership -- --nocapture`
-//! prints the figures of a fleet of another size.
+//! `HAZELYOKE_MEMBERSHIP=1000 cargo test --release -p hazelyoke-lib --test test_membership -- --nocapture` prints the
+//! figures of a fleet of another size.
 
 #![allow(clippy::unwrap_used, reason = "a failed unwrap fails the test")]
 
@@ -21,17 +21,17 @@
     std::env,
 };
 
-/// Daemons where the variable names no number.
+/// Number of daemons if the variable names none.
 const DAEMONS: usize = 295;
 
-/// Rounds of heartbeats, five a second, until all know each other.
+/// Number of rounds of heartbeats, five a second, until all daemons know each other.
 const START: usize = 25;
 
-/// Part of the datagrams that are lost.
+/// Fraction of the datagrams that are lost.
 const LOSS: f64 = 0.02;
 
-/// Rounds within which all have to notice that one daemon died, 4 s, and that a third did, its coordinators
-/// among them, 6.4 s.
+/// Number of rounds within which all have to notice that one daemon died (4 s), and that a third of them died,
+/// coordinators included (6.4 s).
 const NOTICED: [usize; 2] = [20, 32];
 
 fn daemons() -> usize {
@@ -46,7 +46,7 @@
     fleet
 }
 
-/// A calm fleet, of which some datagrams are lost, loses nobody.
+/// A calm fleet in which some datagrams are lost loses no daemon.
 #[test]
 fn calm_fleet() {
     let mut fleet = started(1);
@@ -63,7 +63,7 @@
     }
 }
 
-/// Every daemon notices the loss of one, and of every third one at once, and loses no other.
+/// Every daemon notices the loss of one daemon, and of every third at once, and loses no other.
 #[test]
 fn noticed_losses() {
     for (lost, limit) in [1, daemons() / 3].into_iter().zip(NOTICED) {
@@ -88,10 +88,10 @@
     }
 }
 
-/// Rounds by which the strong daemons start later than the others: 0.2 s.
+/// Number of rounds by which the strong daemons start later than the others: 0.2 s.
 const LATER: usize = 1;
 
-/// A fleet that starts anew, its strong daemons last: none of the others coordinates meanwhile.
+/// In a fleet whose strong daemons start last, none of the others coordinates meanwhile.
 #[test]
 fn start_without_strong() {
     let mut fleet = Fleet::new(3, daemons(), plain_report(Some(40)));
--- a/lib/tests/test_plan_pins.rs
+++ b/lib/tests/test_plan_pins.rs
@@ -1,5 +1,5 @@
-//! Which pieces go to which endpoint, and when, over a long course of events, as a snapshot: a
-//! change of the code that means to change no plan leaves it as it is.
+//! Snapshot of which pieces go to which endpoint, and when, over a long random sequence of events. A change of the code
+//! that isn't meant to change the schedule leaves it as it is.
 
 #![allow(clippy::unwrap_used, reason = "a failed unwrap fails the test")]
 
@@ -34,7 +34,7 @@
     keep: Millis(4_000),
 };
 
-/// The start of a course: late enough that the budget's slack may be spent.
+/// Start of a sequence, late enough for the retry budget's slack to be available.
 const START: Time = Time(20_000_000);
 
 const CENTRES: [&str; 2] = ["north", "south"];
@@ -72,12 +72,12 @@
     }
 }
 
-/// A queue under a drawn course of events; it is planned for once a tick.
+/// A queue under a random sequence of events, scheduled once per tick.
 struct Course {
     draws: Draws,
     queue: BatchQueue,
     now: Time,
-    /// Calls under way, with the time of their ends.
+    /// Calls in flight, with the times at which they end.
     calls: Vec<(Time, BatchCall)>,
     jobs: u64,
     lines: String,
@@ -200,7 +200,7 @@
                 call.entry.id, call.expected.0, call.waiting, call.retries
             );
             self.note(&text);
-            // Now and then an endpoint is far slower than it should be.
+            // Sometimes an endpoint is far slower than expected.
             let factor = *self.draws.pick(&[9, 10, 10, 10, 10, 12, 15, 30]);
             let took = Millis(call.expected.0 as u64 * factor / 10);
             self.calls.push((self.now + took, call));
@@ -211,7 +211,7 @@
         for EndedJob { id, end } in self.queue.take_ended() {
             let text = format!("  r{}: {}", id.0, end_name(&end));
             self.note(&text);
-            // Some callers keep their results until the endpoint drops them by itself.
+            // Some callers keep their results until the endpoint drops them.
             if let JobEnd::Completed(handles) = end
                 && self.draws.percent(80)
             {
--- a/lib/tests/test_shutdown.rs
+++ b/lib/tests/test_shutdown.rs
@@ -1,4 +1,4 @@
-//! Steps of a stop within its grace period.
+//! Steps of a shutdown within its grace period.
 
 use {
     hazelyoke_lib::{gateway::rules::shutdown::StopSchedule, shared::units::Millis},
--- a/lib/tests/test_stage_home.rs
+++ b/lib/tests/test_stage_home.rs
@@ -45,7 +45,7 @@
     assert_eq!(home(&[], 3, 1_500_000, None), None);
 }
 
-/// Many pieces that fetch much run beside it; few with a large result run beside the request.
+/// Many pieces with large inputs run near these; few pieces with a large result run near the request.
 #[test]
 fn fewest_bytes() {
     let located = [("b", 60_000); 6];
@@ -62,7 +62,7 @@
     assert_eq!(home(&located, 2, 6_000, Some("a")).as_deref(), Some("a"));
 }
 
-/// No other data centre would have fewer bytes cross.
+/// No other data centre needs fewer bytes to cross.
 #[test]
 fn least_crossing() {
     arbtest(|u| {
--- a/lib/tests/test_stage_rules.rs
+++ b/lib/tests/test_stage_rules.rs
@@ -1,4 +1,4 @@
-//! The rules of stages by themselves, at and around each of their thresholds.
+//! The rules of stages, each checked on its own at and around its thresholds.
 
 #![allow(clippy::unwrap_used, reason = "a failed unwrap fails the test")]
 
@@ -82,7 +82,7 @@
     assert_eq!(slow, [false, false, true, true, true]);
     let elapsed = Pace::of_call(WorkMillis(300.0), WorkMillis(200.0));
     assert_eq!(elapsed, Pace(1.5));
-    // Half of the way to each observation, between 0.5 and 20.
+    // Moves half of the way to each observation, between 0.5 and 20.
     let mut known = KnownPace::default();
     let mut paces = Vec::new();
     for observed in [2.0, 2.0, 0.25, 0.0, 0.0, 100.0] {
@@ -145,7 +145,7 @@
 #[test]
 fn home_waits() {
     let wait = |moved, endpoints| home_wait(ByteSize(moved), endpoints).0;
-    // 1.2 s a MB and 0.6 s at most, a quarter of it for one endpoint and all of it from four on.
+    // 1.2 s per MB and at most 0.6 s; a quarter of it with one endpoint, all of it from four on.
     assert_eq!(wait(100_000, 4), 120);
     assert_eq!(wait(100_000, 9), 120);
     assert_eq!(wait(100_000, 1), 30);
@@ -185,7 +185,7 @@
         objective: after(objective),
         ..job(id, None)
     };
-    // Ranks are 400 ms apart, and what is late goes 20 s behind.
+    // Ranks are 400 ms apart, and late jobs go 20 s behind.
     let jobs = [
         ranked(1, 1, 1_000),
         ranked(2, 0, 1_401),
@@ -207,8 +207,8 @@
         job(3, Some(&none)),
         job(4, None),
     ];
-    // 30 ms for the one endpoint at "far", 60 ms for the two at "z"; a home without endpoints is
-    // none. A job away from home goes 200 ms behind.
+    // Wait of 30 ms for the one endpoint at "far", 60 ms for the two at "z". A preferred data centre without endpoints
+    // is ignored. A job outside its preferred data centre goes 200 ms behind.
     assert_eq!(order_at(after(29), jobs), (vec![2, 3, 4], 2, 4));
     assert_eq!(order_at(after(30), jobs), (vec![2, 3, 4, 1], 2, 6));
     assert_eq!(order_at(after(60), jobs), (vec![2, 3, 4, 1], 0, 8));
--- a/lib/tests/test_standstill.rs
+++ b/lib/tests/test_standstill.rs
@@ -1,4 +1,4 @@
-//! How long a process ran since a time, although it stood still in between.
+//! For how long a process ran since a time, although it stalled in between.
 
 use hazelyoke_lib::{
     gateway::rules::pause::{CLOCK_LOOK, Standstills},
@@ -9,7 +9,7 @@
     Time::default() + Millis(ms)
 }
 
-/// Looks as a daemon does that runs from one time to another.
+/// Checks the clock as a running daemon does, from one time to another.
 fn run(standstills: &mut Standstills, from: u64, until: u64) {
     for ms in (from..=until).step_by(CLOCK_LOOK.0 as usize) {
         standstills.look(at(ms));
@@ -20,7 +20,7 @@
     standstills.ran_since(at(since), at(now)).as_millis() as u64
 }
 
-/// A process that runs loses nothing; gaps of up to two looks are none.
+/// A running process has no stalls; gaps of up to two checks are none.
 #[test]
 fn running() {
     let mut standstills = Standstills::default();
@@ -31,24 +31,24 @@
     assert_eq!(standstills.excused(at(4_000), at(5_250)), at(4_000));
 }
 
-/// A standstill and the grace after it don't count, before and after the process has looked at the clock again.
+/// A stall and the grace period after it don't count, before and after the process has checked the clock again.
 #[test]
 fn one_standstill() {
     let mut standstills = Standstills::default();
     run(&mut standstills, 0, 2_000);
-    // It looks again only after this question.
+    // The clock is checked again only after this query.
     assert_eq!(ran_ms(&standstills, 1_500, 3_000), 500);
     run(&mut standstills, 3_000, 3_500);
     assert_eq!(ran_ms(&standstills, 1_500, 3_000), 500);
     assert_eq!(ran_ms(&standstills, 1_500, 3_100), 500);
     assert_eq!(ran_ms(&standstills, 1_500, 3_500), 900);
     assert_eq!(standstills.excused(at(1_500), at(3_500)), at(2_600));
-    // Something from within the standstill, and something from after it.
+    // From a time within the stall, and from one after it.
     assert_eq!(ran_ms(&standstills, 2_500, 3_500), 400);
     assert_eq!(ran_ms(&standstills, 3_200, 3_500), 300);
 }
 
-/// Standstills one after the other: what runs between two of them counts but for the grace.
+/// Of repeated stalls, the time between two of them counts, except for the grace period.
 #[test]
 fn many_standstills() {
     let mut standstills = Standstills::default();
@@ -59,7 +59,7 @@
     }
     run(&mut standstills, now, now);
     assert_eq!(ran_ms(&standstills, 0, now), 300 + 4 * 200);
-    // Shorter than the grace: nothing of it counts.
+    // Time shorter than the grace period doesn't count at all.
     let begun = now;
     for _ in 0..5 {
         standstills.look(at(now));
@@ -69,7 +69,7 @@
     assert_eq!(ran_ms(&standstills, begun, now), 0);
 }
 
-/// Standstills of long ago are forgotten, and don't count twice meanwhile.
+/// Old stalls are forgotten, and don't count twice before.
 #[test]
 fn old_standstill() {
     let mut standstills = Standstills::default();
--- a/lib/tests/test_suspect_entry.rs
+++ b/lib/tests/test_suspect_entry.rs
@@ -1,4 +1,4 @@
-//! Entries that vanish from the directory: when they are suspect, and for how long.
+//! Entries that vanish from the directory: when they are unconfirmed, and for how long.
 
 use hazelyoke_lib::{
     gateway::rules::suspect_entry::{ReadHistory, is_outage, is_suspect, suspect_time},
@@ -93,7 +93,7 @@
 
 #[test]
 fn suspect_time_spread() {
-    // (drain, heartbeat, suspect time), in milliseconds.
+    // (drain, heartbeat, time for which an unconfirmed entry is used), in milliseconds.
     for (drain, heartbeat, expected) in [
         (0, 0, 200),
         (2_000, 0, 200),
--- a/lib/tests/test_table_upload.rs
+++ b/lib/tests/test_table_upload.rs
@@ -1,11 +1,11 @@
-//! When a daemon sends another batch of a table's parts, pinned around the bounds.
+//! When a daemon sends another batch of a table's chunks, checked on both sides of each bound.
 
 use hazelyoke_lib::{
     gateway::rules::table_upload::Uploads,
     shared::units::{BitRate, ByteSize, Millis, Time},
 };
 
-/// A batch that takes 100 ms of half of a link of 10 Mbit/s.
+/// A batch that takes 100 ms over half of a link of 10 Mbit/s.
 const BATCH: ByteSize = ByteSize(62_500);
 const THIN: Option<BitRate> = Some(BitRate(10e6));
 
@@ -20,7 +20,7 @@
     assert!(two.has_room(now + Millis(50)));
 }
 
-/// Time without a batch isn't saved up.
+/// Idle time of the link isn't credited to later batches.
 #[test]
 fn idle_link() {
     let one = Uploads::default().with(Time(0), BATCH, THIN);
