--- a/lib/src/gateway/directory/contact.rs
+++ b/lib/src/gateway/directory/contact.rs
@@ -1,12 +1,12 @@
 //! Times of this daemon's own reads of the directory.
 //!
 //! Owns the last answer for each topic and the last failure. How these are judged is the rule
-//! [`suspect_entry`](crate::gateway::rules::suspect_entry).
+//! [`suspect_entry`](crate::gateway::rules::unconfirmed_entry).
 
 use crate::{
     gateway::{
         directory::source::{TOPICS, Topic},
-        rules::suspect_entry::ReadHistory,
+        rules::unconfirmed_entry::ReadHistory,
     },
     shared::units::{Millis, Time},
 };
--- a/lib/src/gateway/directory/coverage.rs
+++ b/lib/src/gateway/directory/coverage.rs
@@ -11,7 +11,7 @@
         rules::{
             coordinator::is_settled,
             directory_reads::{
-                COVER_CHECK, LastCall, PeerKnowledge, ReadDuty, Reader, next_turn, read_duty,
+                COVER_CHECK, LastCall, PeerReads, ReadDuty, Reader, next_turn, read_duty,
                 stood_still,
             },
             fetch_turn::is_spread,
@@ -56,7 +56,7 @@
         let now = self.now();
         let state = self.state.borrow();
         let is_starting = !state.knows_directory();
-        let peers = PeerKnowledge {
+        let peers = PeerReads {
             lags: state.lags(now),
             // What peers read is of no use before it has come here.
             read_age: state.known_read_age(now).filter(|_| !is_starting),
--- a/lib/src/gateway/directory/follow.rs
+++ b/lib/src/gateway/directory/follow.rs
@@ -15,7 +15,7 @@
         },
         revision::{Era, Revision},
         rules::directory_reads::{
-            AnswerLimit, Backoff, COVER_CHECK, LastCall, PAGES_EACH, PAUSE_PARTS, ReadDuty,
+            AnswerTimeout, Backoff, COVER_CHECK, LastCall, PAUSE_FRACTIONS, ReadDuty, START_PAGES,
             pause_after_answer, topic_wait,
         },
         serving::metrics::TableSource,
@@ -50,7 +50,7 @@
         last_call: None,
         in_turn: false,
         backoff: Backoff::default(),
-        limit: AnswerLimit::default(),
+        limit: AnswerTimeout::default(),
     };
     loop {
         let wait = follower.wait_for_turn().await;
@@ -86,7 +86,7 @@
     /// The present call is made in this daemon's turn.
     in_turn: bool,
     backoff: Backoff,
-    limit: AnswerLimit,
+    limit: AnswerTimeout,
 }
 
 impl<D: Dialect, S: Directory> Follower<D, S> {
@@ -243,7 +243,7 @@
         self.last_call = Some(LastCall::after_failure(self.last_call));
         self.gateway.end_substitution();
         self.gateway.directory_failed(&error.to_string());
-        let part = rand::random_range(PAUSE_PARTS);
+        let part = rand::random_range(PAUSE_FRACTIONS);
         tokio::time::sleep(self.backoff.pause(part)).await;
         let now = self.gateway.now();
         let state = self.gateway.state.borrow();
@@ -260,7 +260,7 @@
     /// Waits until this daemon knows its fleet. In a large one few read a long list, in their turn; the others get it
     /// from them.
     async fn goes_on(&self, pages: usize) -> bool {
-        if self.in_turn || pages < PAGES_EACH || self.gateway.read_duty() == ReadDuty::Read {
+        if self.in_turn || pages < START_PAGES || self.gateway.read_duty() == ReadDuty::Read {
             return true;
         }
         while !self.gateway.knows_fleet() {
--- a/lib/src/gateway/peers/heartbeats.rs
+++ b/lib/src/gateway/peers/heartbeats.rs
@@ -13,9 +13,9 @@
                 sockets::send_datagram,
             },
             rules::{
-                coordinator::{SETTLED, YIELD},
-                gossip::{self, DIGEST_LOADS, FAR_NOTES, HEARTBEAT},
-                pause::{CLOCK_LOOK, PauseDetector},
+                coordinator::{SETTLE_TIME, YIELD_TIME},
+                gossip::{self, DATAGRAM_LOADS, HEARTBEAT, MAX_REMOTE_NOTES},
+                stall::{CLOCK_CHECK, PauseDetector},
             },
             state::Gateway,
         },
@@ -54,7 +54,7 @@
 
 /// Looks at the clock for good, so that it shows whether this process stands still.
 pub async fn look_at_clock<D: Dialect>(gateway: Rc<Gateway<D>>) {
-    let mut looks = interval(CLOCK_LOOK.to_duration());
+    let mut looks = interval(CLOCK_CHECK.to_duration());
     looks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
         looks.tick().await;
@@ -66,7 +66,7 @@
 /// Announces at once that this daemon may coordinate services now. With its next heartbeat, up to 200 ms later,
 /// others that start at the same time would take themselves for the coordinator meanwhile.
 pub async fn announce_settled<D: Dialect>(gateway: Rc<Gateway<D>>) {
-    for wait in [SETTLED, YIELD] {
+    for wait in [SETTLE_TIME, YIELD_TIME] {
         let end = Time::default() + wait;
         loop {
             let ran = gateway.state.borrow().peers.ran(gateway.now());
@@ -100,7 +100,7 @@
     let loads = state.next_digest(now, ready);
     let everybody: Vec<SocketAddr> = state.peers.near_addresses().collect();
     drop(state);
-    for part in loads.chunks(DIGEST_LOADS) {
+    for part in loads.chunks(DATAGRAM_LOADS) {
         gateway.state.borrow_mut().load_sums.merge(now, part);
         let digest = LoadDigest {
             protocol: PROTOCOL,
@@ -123,7 +123,7 @@
     state.peers.merge_far_services(now, &notes);
     let everybody: Vec<SocketAddr> = state.peers.near_addresses().collect();
     drop(state);
-    for part in notes.chunks(FAR_NOTES) {
+    for part in notes.chunks(MAX_REMOTE_NOTES) {
         let report = RegionReport {
             protocol: PROTOCOL,
             notes: part.to_vec(),
--- a/lib/src/gateway/peers/membership.rs
+++ b/lib/src/gateway/peers/membership.rs
@@ -20,10 +20,10 @@
             },
             rules::{
                 coordinator,
-                gossip::{self, WatchPlace},
+                gossip::{self, RingPosition},
                 homes::RegionHash,
-                liveness::{self, Listening},
-                pause::Standstills,
+                liveness::{self, ReceiveConditions},
+                stall::StallLog,
             },
         },
         shared::{
@@ -58,7 +58,7 @@
 pub struct Peers {
     pub(super) me: Identity,
     /// This daemon's place among those that watch each other.
-    pub(super) place: WatchPlace,
+    pub(super) place: RingPosition,
     /// Addresses that get a heartbeat as long as no daemon is alive there.
     pub(super) seeds: Vec<SocketAddr>,
     pub(super) known: HashMap<SocketAddr, Peer>,
@@ -68,7 +68,7 @@
     /// When the process last woke from a pause.
     pub(super) awake: Time,
     /// Times in which the process stood still.
-    pub(crate) standstills: Standstills,
+    pub(crate) standstills: StallLog,
     /// When a heartbeat of any daemon was last received.
     heard: Time,
     /// Daemons that asked this one for a heartbeat, or told it that it is suspect.
@@ -90,14 +90,14 @@
     pub fn new(me: Identity, seeds: &[SocketAddr]) -> Self {
         let rng = SmallRng::seed_from_u64(me.run);
         let mut peers = Self {
-            place: WatchPlace::new(me.address),
+            place: RingPosition::new(me.address),
             me,
             seeds: Vec::new(),
             known: HashMap::default(),
             sequence: 0,
             rng,
             awake: Time::default(),
-            standstills: Standstills::default(),
+            standstills: StallLog::default(),
             heard: Time::default(),
             questioners: Vec::new(),
             broadcasts_left: 0,
@@ -191,7 +191,7 @@
         &mut self,
         now: Time,
         note: &PeerNote,
-        listening: Listening,
+        listening: ReceiveConditions,
     ) -> Option<PeerChange> {
         let home = self.me.region;
         let peer = self.known.get_mut(&note.address)?;
@@ -265,7 +265,7 @@
 
     /// Returns the places of the daemons of this region, which watch each other, in no order. Suspects are left out, so that
     /// whoever is watched by them alone has other watchers within a second, not only once they are lost.
-    pub(super) fn watch_places(&self) -> Vec<WatchPlace> {
+    pub(super) fn watch_places(&self) -> Vec<RingPosition> {
         let watching = self
             .known
             .values()
@@ -296,8 +296,8 @@
         }
     }
 
-    fn listening(&self) -> Listening {
-        Listening {
+    fn listening(&self) -> ReceiveConditions {
+        ReceiveConditions {
             small_fleet: self.is_small(),
             awake: self.awake,
             others: self.known.len(),
--- a/lib/src/gateway/peers/outgoing.rs
+++ b/lib/src/gateway/peers/outgoing.rs
@@ -13,7 +13,7 @@
             revision::Revision,
             rules::{
                 coordinator::{self, Coordinator},
-                gossip::{self, NamedBeside},
+                gossip::{self, HeartbeatExtras},
                 homes::RegionHash,
                 liveness,
             },
@@ -69,7 +69,7 @@
             list: report.catalogue.era,
             evacuations: report.evacuations.until().era,
         };
-        let beside = NamedBeside {
+        let beside = HeartbeatExtras {
             evacuated: report.evacuations.len(),
             regions: self.me.region.is_some(),
             eras: !eras.are_unnamed(),
@@ -233,7 +233,7 @@
         let mut suspects = self.notes(now, |peer| peer.is_suspect_news(now));
         suspects.shuffle(&mut self.rng);
         suspects.sort_by_key(|note| self.known.get(&note.address).map(|peer| peer.told));
-        suspects.truncate(gossip::SUSPECTS);
+        suspects.truncate(gossip::MAX_SUSPECTS);
         for note in &suspects {
             if let Some(peer) = self.known.get_mut(&note.address) {
                 peer.told += 1;
--- a/lib/src/gateway/peers/queries.rs
+++ b/lib/src/gateway/peers/queries.rs
@@ -10,11 +10,11 @@
             },
             revision::Revision,
             rules::{
-                catch_up::{self, Offer, TableOffer},
+                catch_up::{self, ListOffer, TableOffer},
                 coordinator::{self, Coordinator, DaemonCandidate},
                 fetch_turn::{self, Holders, Sources},
                 homes::RegionHash,
-                suspect_entry,
+                unconfirmed_entry,
             },
             table::Version,
         },
@@ -101,7 +101,7 @@
     pub fn has_steady_peer(&self, now: Time) -> bool {
         self.received().any(|last| {
             let read_age = last.read_age(now);
-            last.heartbeat.steady && read_age.is_some_and(suspect_entry::is_current)
+            last.heartbeat.steady && read_age.is_some_and(unconfirmed_entry::is_current)
         })
     }
 
@@ -185,7 +185,7 @@
     fn holders(&self, now: Time, has: impl Fn(&Heartbeat) -> bool) -> Holders {
         let fresh = self
             .received()
-            .filter(|last| now.since(last.at) <= fetch_turn::FRESH.to_duration());
+            .filter(|last| now.since(last.at) <= fetch_turn::MAX_HEARTBEAT_AGE.to_duration());
         let mut holders = Holders::default();
         for last in fresh {
             holders.add(last.heartbeat.broadcasts, has(&last.heartbeat));
@@ -199,8 +199,8 @@
         heartbeats.filter(move |heartbeat| sources.include(heartbeat.broadcasts))
     }
 
-    fn catalogue_offers(&self, sources: Sources) -> impl Iterator<Item = Offer> {
-        self.offering(sources).map(|heartbeat| Offer {
+    fn catalogue_offers(&self, sources: Sources) -> impl Iterator<Item = ListOffer> {
+        self.offering(sources).map(|heartbeat| ListOffer {
             address: heartbeat.address,
             revision: heartbeat.list_revision(),
         })
--- a/lib/src/gateway/peers/record.rs
+++ b/lib/src/gateway/peers/record.rs
@@ -5,9 +5,9 @@
         gateway::{
             peers::message::{Heartbeat, PeerNote, Phase},
             rules::{
-                coordinator::{DaemonCandidate, PeerStanding},
+                coordinator::{DaemonCandidate, PeerState},
                 distance::are_apart,
-                gossip::WatchPlace,
+                gossip::RingPosition,
                 homes::RegionHash,
                 liveness::{self, LifeSigns},
             },
@@ -40,7 +40,7 @@
 #[derive(Debug, Clone)]
 pub(crate) struct Peer {
     /// Its place among those that watch each other.
-    pub(crate) place: WatchPlace,
+    pub(crate) place: RingPosition,
     /// Its region, once that is known.
     pub(crate) region: Option<RegionHash>,
     /// It is in another region than this daemon.
@@ -72,7 +72,7 @@
 impl Peer {
     pub(crate) fn new(now: Time, address: SocketAddr) -> Self {
         Self {
-            place: WatchPlace::new(address),
+            place: RingPosition::new(address),
             region: None,
             is_far: false,
             last_mention: now,
@@ -173,8 +173,8 @@
     }
 
     /// Returns the inputs of the rule of coordinators.
-    pub(crate) fn standing(&self, address: SocketAddr) -> PeerStanding {
-        PeerStanding {
+    pub(crate) fn standing(&self, address: SocketAddr) -> PeerState {
+        PeerState {
             candidate: DaemonCandidate {
                 address,
                 capacity: self.capacity,
--- a/lib/src/gateway/routing/stage_load.rs
+++ b/lib/src/gateway/routing/stage_load.rs
@@ -12,7 +12,7 @@
                 self, AdmissionDecision, AdmissionRequest, CountSources, PieceCount, PlannedStage,
                 StageService,
             },
-            backlog::{Backlog, Band},
+            backlog::{Backlog, DeadlineBucket},
             call_timing::CallCost,
             homes::RegionHash,
             piece_order::due,
@@ -52,7 +52,7 @@
     let now = gateway.now();
     let backlog = backlog(&gateway.state.borrow(), now, &stage.service, request.region);
     let PieceRank { objective, rank } = request.piece_rank(place);
-    let band = Band::of(now, due(now, objective, rank));
+    let band = DeadlineBucket::of(now, due(now, objective, rank));
     PlannedStage {
         service: stage_service(gateway, request, stage, backlog.total()),
         ahead: PieceCount(f64::from(backlog.ahead(band))),
--- a/lib/src/gateway/rules/backlog.rs
+++ b/lib/src/gateway/rules/backlog.rs
@@ -3,7 +3,7 @@
 //! Inputs: the times by which waiting pieces are ordered (`rules::piece_order`), as spans from now in milliseconds.
 //!
 //! Rule: pieces are counted in buckets by these spans. The width of a bucket grows with the span, with
-//! `BANDS_PER_DOUBLING` buckets for each doubling, so that a few buckets separate near objectives and still cover
+//! `BUCKETS_PER_DOUBLING` buckets for each doubling, so that a few buckets separate near objectives and still cover
 //! distant ones. A piece waits for those in lower buckets and in its own bucket, since pieces of one route are served
 //! in order of arrival.
 //!
@@ -18,36 +18,36 @@
 
 /// Number of buckets, part of the messages between daemons. They cover spans up to 6.2 s; beyond that, all pieces count
 /// as equally late.
-pub const BANDS: usize = 16;
+pub const BUCKETS: usize = 16;
 
 /// Span from which the buckets begin to double, about the duration of the shortest call of a stage.
 const FIRST_SPAN: Millis = Millis(200);
 
 /// Number of buckets for each doubling of the span.
-const BANDS_PER_DOUBLING: f64 = 3.0;
+const BUCKETS_PER_DOUBLING: f64 = 3.0;
 
 /// Bucket of the spans until pieces are due; pieces in lower buckets go first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Band(usize);
+pub struct DeadlineBucket(usize);
 
-impl Band {
+impl DeadlineBucket {
     /// Returns the bucket of a piece that is due at `due`. An overdue piece is in the first bucket.
     pub fn of(now: Time, due: Time) -> Self {
         let span = due.millis_since(now);
         let doublings = (1.0 + span / FIRST_SPAN.0 as f64).log2();
-        let band = (doublings * BANDS_PER_DOUBLING) as usize;
-        Self(band.min(BANDS - 1))
+        let band = (doublings * BUCKETS_PER_DOUBLING) as usize;
+        Self(band.min(BUCKETS - 1))
     }
 }
 
 /// Number of pieces in each bucket.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(transparent)]
-pub struct Backlog([u32; BANDS]);
+pub struct Backlog([u32; BUCKETS]);
 
 impl Backlog {
     /// Adds pieces to a bucket.
-    pub fn add(&mut self, band: Band, pieces: u32) {
+    pub fn add(&mut self, band: DeadlineBucket, pieces: u32) {
         let count = &mut self.0[band.0];
         *count = count.saturating_add(pieces);
     }
@@ -55,19 +55,19 @@
     /// Counts pieces with unknown due times in the first bucket, as if they were served first.
     pub fn unordered(pieces: u32) -> Self {
         let mut backlog = Self::default();
-        backlog.add(Band(0), pieces);
+        backlog.add(DeadlineBucket(0), pieces);
         backlog
     }
 
     /// Returns the number of pieces that are served before one in `band`.
-    pub fn ahead(&self, band: Band) -> u32 {
+    pub fn ahead(&self, band: DeadlineBucket) -> u32 {
         let ahead = self.0[..=band.0].iter();
         ahead.copied().fold(0, u32::saturating_add)
     }
 
     /// Returns the number of pieces in all buckets.
     pub fn total(&self) -> u32 {
-        self.ahead(Band(BANDS - 1))
+        self.ahead(DeadlineBucket(BUCKETS - 1))
     }
 
     /// Returns the sum of both counts, by bucket.
--- a/lib/src/gateway/rules/call_spacing.rs
+++ b/lib/src/gateway/rules/call_spacing.rs
@@ -3,8 +3,8 @@
 //! Inputs: the time of the last call in the endpoint's data centre, the average time that calls there should take
 //! (milliseconds), and how many endpoints there may be called and are free.
 //!
-//! Rule: at once if at least `FREE_PART` of the endpoints are free, or if the call would be full. Otherwise once
-//! `EVENNESS` of an even interval has passed since the last call. The even interval is the average time of a call
+//! Rule: at once if at least `FREE_FRACTION` of the endpoints are free, or if the call would be full. Otherwise once
+//! `SPACING_FRACTION` of an even interval has passed since the last call. The even interval is the average time of a call
 //! divided by the number of endpoints.
 //!
 //! Reason: a call costs a fixed time before its first piece. Without spacing, the first free endpoint takes nearly all
@@ -18,14 +18,14 @@
 
 /// Fraction of a data centre's endpoints that must be free for a call to start at once. With so many free endpoints,
 /// pieces don't wait for one.
-const FREE_PART: f64 = 0.5;
+const FREE_FRACTION: f64 = 0.5;
 
 /// Fraction of an even interval that must pass between two calls. A larger one would delay calls that are nearly full.
-const EVENNESS: f64 = 0.8;
+const SPACING_FRACTION: f64 = 0.8;
 
 /// Weight of a new call in the average time: it covers some ten calls, about half a second of one data centre under
 /// load.
-const GAIN: f64 = 0.1;
+const CALL_TIME_GAIN: f64 = 0.1;
 
 /// Last call and average time of calls in one data centre.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -48,16 +48,16 @@
     pub fn after_call(self, now: Time, expected: WorkMillis) -> Self {
         Self {
             last: now,
-            usual: WorkMillis(self.usual.0 + GAIN * (expected.0 - self.usual.0)),
+            usual: WorkMillis(self.usual.0 + CALL_TIME_GAIN * (expected.0 - self.usual.0)),
         }
     }
 
     /// Returns when a call that isn't full may start, where `endpoints` may be called and `free` of them are free.
     pub fn due(self, endpoints: usize, free: usize) -> Time {
-        if free as f64 >= endpoints as f64 * FREE_PART {
+        if free as f64 >= endpoints as f64 * FREE_FRACTION {
             return self.last;
         }
-        let space = self.usual.0 / endpoints as f64 * EVENNESS;
+        let space = self.usual.0 / endpoints as f64 * SPACING_FRACTION;
         self.last + WorkMillis(space)
     }
 }
--- a/lib/src/gateway/rules/call_timing.rs
+++ b/lib/src/gateway/rules/call_timing.rs
@@ -4,8 +4,8 @@
 //! which it has run (milliseconds).
 //!
 //! Rule: a call costs a fixed time and a time for each piece. It is overdue once it has run for `OVERDUE_FACTOR` times
-//! its expected time plus `OVERDUE_MS`. Its pieces are then also sent to another endpoint, and the first result counts.
-//! The answer is awaited for much longer, `CALL_FACTOR` times the expected time plus `CALL_LIMIT`, since a late result
+//! its expected time plus `OVERDUE_FIXED_MS`. Its pieces are then also sent to another endpoint, and the first result counts.
+//! The answer is awaited for much longer, `ANSWER_FACTOR` times the expected time plus `ANSWER_FIXED`, since a late result
 //! still counts if the other endpoint is even later.
 //!
 //! Reason: a slow or unreachable endpoint would otherwise delay all requests with a piece in its call. The factors are
@@ -17,13 +17,13 @@
 const OVERDUE_FACTOR: f64 = 1.7;
 
 /// Fixed part of the bound for overdue calls (milliseconds).
-const OVERDUE_MS: f64 = 120.0;
+const OVERDUE_FIXED_MS: f64 = 120.0;
 
 /// Fixed part of the time for which an answer is awaited.
-const CALL_LIMIT: Duration = Duration::from_millis(2_500);
+const ANSWER_FIXED: Duration = Duration::from_millis(2_500);
 
 /// Multiple of the expected time for which an answer is awaited (a factor).
-const CALL_FACTOR: f64 = 6.0;
+const ANSWER_FACTOR: f64 = 6.0;
 
 const MS_PER_SECOND: f64 = 1_000.0;
 
@@ -46,10 +46,10 @@
 
 /// Returns whether a call that has run for `elapsed` is overdue.
 pub fn is_overdue(elapsed: WorkMillis, expected: WorkMillis) -> bool {
-    elapsed.0 >= expected.0 * OVERDUE_FACTOR + OVERDUE_MS
+    elapsed.0 >= expected.0 * OVERDUE_FACTOR + OVERDUE_FIXED_MS
 }
 
 /// Returns the longest time for which the answer to a call is awaited.
 pub fn answer_limit(expected: WorkMillis) -> Duration {
-    CALL_LIMIT + Duration::from_secs_f64(expected.0 * CALL_FACTOR / MS_PER_SECOND)
+    ANSWER_FIXED + Duration::from_secs_f64(expected.0 * ANSWER_FACTOR / MS_PER_SECOND)
 }
--- a/lib/src/gateway/rules/catch_up.rs
+++ b/lib/src/gateway/rules/catch_up.rs
@@ -5,12 +5,12 @@
 //! directory holds a call for changes; a random fraction.
 //!
 //! Rule: a newer table is fetched at once, except that a daemon that reads the directory itself waits for
-//! [`READ_FIRST`]. The source is drawn at random among the daemons that report the newest table; after one that was
+//! [`DIRECTORY_HEAD_START`]. The source is drawn at random among the daemons that report the newest table; after one that was
 //! busy or failed, another one is drawn. A newer list is fetched only by a daemon that has no list yet, that leaves
-//! reading the directory to others, or that the directory hasn't answered for [`LIST_LAG`] longer than it holds a call.
+//! reading the directory to others, or that the directory hasn't answered for [`DIRECTORY_TIMEOUT`] longer than it holds a call.
 //! Its source is drawn from the newer half of the daemons with a newer list; a daemon that has a list asks only for the
 //! changes. The rule [`fetch_turn`] decides when it asks. A daemon that has known of something newer for more than
-//! [`BEHIND`] (longer in a large fleet) without receiving any of it reads the directory itself.
+//! [`BEHIND_LIMIT`] (longer in a large fleet) without receiving any of it reads the directory itself.
 //!
 //! Reason: tables are rare and may be large, so each daemon that has one passes it on. Lists change all the time, and
 //! the directory delivers them first to daemons that read it. As long as chunks of a table arrive, a second copy of it
@@ -26,15 +26,15 @@
 
 /// Time beyond the wait of a call for changes after which a silent directory counts as unreachable, so that a peer is
 /// asked for the list.
-pub const LIST_LAG: Millis = Millis(500);
+pub const DIRECTORY_TIMEOUT: Millis = Millis(500);
 
 /// Time for which a peer may have something newer while none of it arrives before the directory is read. Three
 /// heartbeats.
-pub const BEHIND: Millis = Millis(600);
+pub const BEHIND_LIMIT: Millis = Millis(600);
 
 /// Time for which a daemon that reads the directory itself waits for a newer table from there before it asks another
 /// daemon. One heartbeat.
-pub const READ_FIRST: Millis = Millis(200);
+pub const DIRECTORY_HEAD_START: Millis = Millis(200);
 
 /// Longest pause after a daemon was busy; a random fraction of it is waited. The batches that a busy daemon still has
 /// to send take most of this time.
@@ -42,7 +42,7 @@
 
 /// A list of endpoints that another daemon reports.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Offer {
+pub struct ListOffer {
     /// The daemon.
     pub address: SocketAddr,
     /// Revision of the daemon's list.
@@ -104,11 +104,11 @@
 /// Returns a daemon to ask for a list newer than `known`: one of the newer half of the daemons with such a list, drawn
 /// by a random fraction so that a whole fleet doesn't ask the same one.
 pub fn list_source(
-    offers: impl Iterator<Item = Offer>,
+    offers: impl Iterator<Item = ListOffer>,
     known: Revision,
     fraction: f64,
 ) -> Option<SocketAddr> {
-    let mut offers: Vec<Offer> = offers.filter(|offer| offer.revision > known).collect();
+    let mut offers: Vec<ListOffer> = offers.filter(|offer| offer.revision > known).collect();
     offers.sort_unstable_by_key(|offer| Reverse(offer.revision));
     let newer = &offers[..offers.len().div_ceil(2)];
     Some(draw(newer, fraction)?.address)
@@ -151,7 +151,7 @@
 /// Returns whether a newer table, known since `since`, is fetched from another daemon now. `reads` is set for a daemon
 /// that has a table and reads the directory itself.
 pub fn is_fetch_due(now: Time, since: Option<Time>, reads: bool) -> bool {
-    since.is_some_and(|since| !reads || now.since(since) >= READ_FIRST.to_duration())
+    since.is_some_and(|since| !reads || now.since(since) >= DIRECTORY_HEAD_START.to_duration())
 }
 
 /// Returns the pause after a daemon was busy before another one is asked; `fraction` is random.
@@ -170,7 +170,7 @@
         return Some(ListFetch::Whole);
     };
     let silence = now.since(reading.answered);
-    let reads = !reading.covered && silence < reading.wait + LIST_LAG.to_duration();
+    let reads = !reading.covered && silence < reading.wait + DIRECTORY_TIMEOUT.to_duration();
     (!reads).then_some(ListFetch::Changes(known))
 }
 
@@ -182,7 +182,7 @@
 
 /// Returns whether a peer has had something newer since `since` for too long, in a fleet of `daemons`.
 pub fn is_behind(now: Time, since: Option<Time>, daemons: usize) -> bool {
-    let limit = Millis(BEHIND.0 + fetch_turn::spread_time(daemons).0);
+    let limit = Millis(BEHIND_LIMIT.0 + fetch_turn::spread_time(daemons).0);
     since.is_some_and(|since| now.since(since) > limit.to_duration())
 }
 
--- a/lib/src/gateway/rules/coordinator.rs
+++ b/lib/src/gateway/rules/coordinator.rs
@@ -6,8 +6,8 @@
 //!
 //! Rule: rendezvous hashing among the daemons with the most capacity. Each candidate ranks by its capacity first, and
 //! then by a hash of service and address; the one with the highest rank coordinates. A daemon is a candidate if it is
-//! alive and ready, didn't fail for this job, and wasn't excluded in the last [`PASSED_OVER`]. This daemon is a
-//! candidate once it is ready and [`SETTLED`] has passed since its start, or [`YIELD`] if it knows a living daemon with
+//! alive and ready, didn't fail for this job, and wasn't excluded in the last [`FAILURE_EXCLUSION`]. This daemon is a
+//! candidate once it is ready and [`SETTLE_TIME`] has passed since its start, or [`YIELD_TIME`] if it knows a living daemon with
 //! more capacity. Without any candidate, it coordinates for itself.
 //!
 //! Reason: all daemons that know the same others agree without a message, a lost coordinator moves only its own
@@ -24,15 +24,15 @@
 
 /// Time for which a daemon that failed to accept a job is excluded. Longer than it takes to notice that a coordinator
 /// is silent.
-pub const PASSED_OVER: Millis = Millis(1_500);
+pub const FAILURE_EXCLUSION: Millis = Millis(1_500);
 
 /// Time after its start within which a daemon receives heartbeats of the others. Three heartbeats.
-pub const SETTLED: Millis = Millis(600);
+pub const SETTLE_TIME: Millis = Millis(600);
 
 /// Time after its start for which a daemon leaves coordinating to one with more capacity that has just started too.
 /// Without it, dozens of daemons of a fleet that starts at once would schedule the calls of the same service. Daemons
 /// that start together are ready within a second of each other.
-pub const YIELD: Millis = Millis(2_000);
+pub const YIELD_TIME: Millis = Millis(2_000);
 
 /// Size of an address in the hash: an IP number of either kind, and a port (bytes).
 const IP_SIZE: usize = size_of::<u128>();
@@ -58,7 +58,7 @@
 
 /// State of another daemon that might coordinate.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct PeerStanding {
+pub struct PeerState {
     /// Address and capacity of the daemon.
     pub candidate: DaemonCandidate,
     /// Whether the daemon is alive.
@@ -83,7 +83,7 @@
     service: &ServiceId,
     me: DaemonCandidate,
     ready: bool,
-    peers: impl Iterator<Item = PeerStanding>,
+    peers: impl Iterator<Item = PeerState>,
     except: &[SocketAddr],
 ) -> Coordinator {
     let seed = xxh3_64_with_seed(service.as_str().as_bytes(), 0);
@@ -99,13 +99,13 @@
 
 /// Returns whether a daemon has run long enough to know the others; times count from its start.
 pub fn is_settled(now: Time) -> bool {
-    now >= Time::default() + SETTLED
+    now >= Time::default() + SETTLE_TIME
 }
 
 /// Returns whether a daemon has run long enough to coordinate; times count from its start. `stronger` is set if it
 /// knows a living daemon with more capacity that isn't stopping.
 pub fn may_coordinate(now: Time, stronger: bool) -> bool {
-    let wait = if stronger { YIELD } else { SETTLED };
+    let wait = if stronger { YIELD_TIME } else { SETTLE_TIME };
     now >= Time::default() + wait
 }
 
@@ -119,22 +119,22 @@
     me: DaemonCandidate,
     others: impl Iterator<Item = DaemonCandidate>,
 ) -> bool {
-    let ready = others.map(|candidate| PeerStanding {
+    let ready = others.map(|candidate| PeerState {
         candidate,
         alive: true,
         ready: true,
         avoid_until: Time::default(),
     });
-    let has_waited = now >= since + YIELD;
+    let has_waited = now >= since + YIELD_TIME;
     has_waited || coordinator(now, service, me, true, ready, &[]) == Coordinator::Me
 }
 
 /// Returns until when a daemon that failed to accept a job at `now` is excluded.
 pub fn passed_over_until(now: Time) -> Time {
-    now + PASSED_OVER
+    now + FAILURE_EXCLUSION
 }
 
-impl PeerStanding {
+impl PeerState {
     fn is_eligible(&self, now: Time) -> bool {
         self.alive && self.ready && self.avoid_until <= now
     }
--- a/lib/src/gateway/rules/directory_reads.rs
+++ b/lib/src/gateway/rules/directory_reads.rs
@@ -42,7 +42,7 @@
 const LONGEST_PAUSE_INFORMED: Millis = Millis(1_200);
 
 /// Fraction of a pause that a daemon waits, drawn at random so that daemons that failed together don't call together.
-pub const PAUSE_PARTS: Range<f64> = 0.5..1.0;
+pub const PAUSE_FRACTIONS: Range<f64> = 0.5..1.0;
 
 /// Pause between two calls for changes of endpoints while the directory is steady. Without it, the entries that
 /// endpoints write periodically would answer every call at once.
@@ -57,14 +57,14 @@
 
 /// Number of pages of a list that each daemon of a large fleet reads at its start. The rest of a longer list is read by
 /// a few daemons in turns. A fleet that starts at once makes this number of calls for each daemon.
-pub const PAGES_EACH: usize = 4;
+pub const START_PAGES: usize = 4;
 
 /// Shortest time from noticing that all reads are out of date to a call, so that what peers have sent meanwhile is
 /// received first. Half of a heartbeat.
 const TURN_DELAY: Millis = Millis(100);
 
 /// Smallest fraction of the mean time between two turns that passes before a daemon's next one.
-const NEXT_TURN: f64 = 0.5;
+const NEXT_TURN_FRACTION: f64 = 0.5;
 
 /// Role of a daemon as a reader of the directory.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -114,7 +114,7 @@
 
 /// How recent the state is that a daemon receives from its peers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct PeerKnowledge {
+pub struct PeerReads {
     /// Whether peers have had something newer than this daemon for too long.
     pub lags: bool,
     /// Time since the directory last answered a peer that reports its reads; absent if no peer does.
@@ -128,12 +128,7 @@
 
 /// Returns what a daemon does about the directory. `wait` is the wait of one call; `substitutes` is set if the daemon's
 /// own probe was answered and it has read for the others since then.
-pub fn read_duty(
-    reader: Reader,
-    peers: PeerKnowledge,
-    substitutes: bool,
-    wait: Duration,
-) -> ReadDuty {
+pub fn read_duty(reader: Reader, peers: PeerReads, substitutes: bool, wait: Duration) -> ReadDuty {
     if reader.must_read() || peers.lags {
         return ReadDuty::Read;
     }
@@ -172,7 +167,7 @@
 pub fn next_turn(daemons: usize, last: LastCall, fraction: f64) -> Duration {
     let part = match last {
         LastCall::Answered | LastCall::FirstFailed => fraction,
-        LastCall::Failed => NEXT_TURN + fraction,
+        LastCall::Failed => NEXT_TURN_FRACTION + fraction,
     };
     TURN_DELAY.to_duration() + turn_interval(daemons).mul_f64(part)
 }
@@ -235,20 +230,20 @@
 /// enough to notice a silent connection and call again before a change has to be in force; with it alone, a directory
 /// that takes longer to begin its answers would never be read (test `slow_store`). The longest leaves a daemon up to
 /// two seconds behind a directory that was silent.
-const FIRST_ANSWER: Millis = Millis(500);
-const LONGEST_ANSWER: Millis = Millis(2_000);
+const FIRST_ANSWER_TIMEOUT: Millis = Millis(500);
+const LONGEST_ANSWER_TIMEOUT: Millis = Millis(2_000);
 
 /// Time in which an answer has to begin, by how many in a row were late.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct AnswerLimit(Duration);
+pub struct AnswerTimeout(Duration);
 
-impl Default for AnswerLimit {
+impl Default for AnswerTimeout {
     fn default() -> Self {
-        Self(FIRST_ANSWER.to_duration())
+        Self(FIRST_ANSWER_TIMEOUT.to_duration())
     }
 }
 
-impl AnswerLimit {
+impl AnswerTimeout {
     /// Returns the time limit.
     pub fn to_duration(self) -> Duration {
         self.0
@@ -257,14 +252,14 @@
     /// Returns the limit after one more late answer.
     #[must_use]
     pub fn after_late(self) -> Self {
-        Self((self.0 * 2).min(LONGEST_ANSWER.to_duration()))
+        Self((self.0 * 2).min(LONGEST_ANSWER_TIMEOUT.to_duration()))
     }
 
     /// Returns the limit after an answer that was complete `took` after the wait of its call. The limit stays raised as
     /// long as the directory is slow.
     #[must_use]
     pub fn after_answer(self, took: Duration) -> Self {
-        if took < FIRST_ANSWER.to_duration() {
+        if took < FIRST_ANSWER_TIMEOUT.to_duration() {
             Self::default()
         } else {
             self
@@ -283,7 +278,7 @@
 }
 
 impl Backoff {
-    /// Returns the pause after this failure; `part` is drawn from [`PAUSE_PARTS`].
+    /// Returns the pause after this failure; `part` is drawn from [`PAUSE_FRACTIONS`].
     pub fn pause(self, part: f64) -> Duration {
         self.0.mul_f64(part)
     }
--- a/lib/src/gateway/rules/fetch_turn.rs
+++ b/lib/src/gateway/rules/fetch_turn.rs
@@ -4,12 +4,12 @@
 //! there are and how many have the newer state, counted separately for those that send their heartbeats to everybody; a
 //! random fraction.
 //!
-//! Rule: a daemon asks with a probability of [`ASKERS`] times the fraction of the fleet that has the newer state, drawn
+//! Rule: a daemon asks with a probability of [`ASKERS_PER_HOLDER`] times the fraction of the fleet that has the newer state, drawn
 //! anew with each heartbeat. That fraction is estimated from the heartbeats that arrived here. A daemon that sends to
 //! everybody is received by all, so it counts as one daemon of the whole fleet.
 //!
 //! Reason: when one daemon announces something to everybody, all want it at the same moment from the only daemon that
-//! has it. If only [`ASKERS`] ask each daemon that has it, those can be answered, and each that has received it is
+//! has it. If only [`ASKERS_PER_HOLDER`] ask each daemon that has it, those can be answered, and each that has received it is
 //! asked next. The time until everybody has it grows with the logarithm of the fleet, and no daemon is asked by more
 //! others in a larger fleet.
 //!
@@ -18,17 +18,17 @@
 use crate::shared::units::Millis;
 
 /// Number of daemons that ask each daemon with something newer, within a heartbeat.
-pub const ASKERS: usize = 12;
+pub const ASKERS_PER_HOLDER: usize = 12;
 
 /// Largest number of daemons at which everybody may ask at once if five daemons have something newer, as the
 /// coordinators of five services do.
-const AT_ONCE: usize = ASKERS * 5;
+const MAX_UNLIMITED_FLEET: usize = ASKERS_PER_HOLDER * 5;
 
-/// Time in which the number of daemons that have something newer grows by a factor of [`ASKERS`]. One heartbeat.
-const STEP: Millis = Millis(200);
+/// Time in which the number of daemons that have something newer grows by a factor of [`ASKERS_PER_HOLDER`]. One heartbeat.
+const SPREAD_STEP: Millis = Millis(200);
 
 /// Age up to which a heartbeat shows what its sender has now. Five heartbeats.
-pub const FRESH: Millis = Millis(1_000);
+pub const MAX_HEARTBEAT_AGE: Millis = Millis(1_000);
 
 /// Numbers of daemons with something newer, by the heartbeats that were received recently.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
@@ -114,21 +114,21 @@
 }
 
 fn chance(holders: Holders, daemons: usize) -> f64 {
-    holders.part(daemons) * ASKERS as f64
+    holders.part(daemons) * ASKERS_PER_HOLDER as f64
 }
 
 /// Returns whether something newer takes several steps to reach a fleet of `daemons`.
 pub fn is_spread(daemons: usize) -> bool {
-    daemons > AT_ONCE
+    daemons > MAX_UNLIMITED_FLEET
 }
 
 /// Returns by how much longer something newer may take to arrive here than in a small fleet.
 pub fn spread_time(daemons: usize) -> Millis {
     let mut steps = 0;
-    let mut reached = AT_ONCE;
+    let mut reached = MAX_UNLIMITED_FLEET;
     while reached < daemons {
-        reached *= ASKERS;
+        reached *= ASKERS_PER_HOLDER;
         steps += 1;
     }
-    Millis(STEP.0 * steps)
+    Millis(SPREAD_STEP.0 * steps)
 }
--- a/lib/src/gateway/rules/gossip.rs
+++ b/lib/src/gateway/rules/gossip.rs
@@ -4,16 +4,16 @@
 //! alive, whether this daemon coordinates, the loads in flight (requests, prompt tokens), and a generator of random
 //! numbers.
 //!
-//! Rule: in a fleet of at most [`SMALL_FLEET`] other daemons, each heartbeat goes to everybody. In a larger one, a
+//! Rule: in a fleet of at most [`MAX_SMALL_FLEET`] other daemons, each heartbeat goes to everybody. In a larger one, a
 //! daemon that coordinates, or did so within its last [`LAST_BROADCASTS`] heartbeats, sends to everybody. Any other
-//! daemon sends to the [`WATCHERS`] living daemons that come next in an order by hash, to [`DRAWN`] daemons drawn at
+//! daemon sends to the [`WATCHERS`] living daemons that come next in an order by hash, to [`RANDOM_TARGETS`] daemons drawn at
 //! random for each heartbeat, to the coordinators, to daemons that asked it for a heartbeat or reported it as suspect,
 //! to daemons that it asks itself, and to seeds that aren't alive.
 //!
 //! Watchers and drawn daemons are in the sender's own region, and "everybody" means all daemons of this region. In
-//! other regions, only coordinators get the heartbeats of a coordinator, and with one heartbeat in `FAR_EVERY` it
-//! reports to its region what they sent. A heartbeat names [`NAMED`] daemons: suspects first, then living ones that
-//! others suspect, then other living ones drawn at random; and the [`LOADS`] largest loads.
+//! other regions, only coordinators get the heartbeats of a coordinator, and with one heartbeat in `REMOTE_EVERY` it
+//! reports to its region what they sent. A heartbeat names [`MAX_NAMED`] daemons: suspects first, then living ones that
+//! others suspect, then other living ones drawn at random; and the [`MAX_LOADS`] largest loads.
 //!
 //! Reason: what one daemon sends and receives doesn't grow with the fleet, only coordinators receive everything, and
 //! gossip still reaches everybody within seconds. Each daemon is watched by some that should receive all of its
@@ -37,19 +37,19 @@
 pub const HEARTBEAT: Millis = Millis(200);
 
 /// Largest number of other daemons at which every heartbeat goes to everybody.
-pub const SMALL_FLEET: usize = 12;
+pub const MAX_SMALL_FLEET: usize = 12;
 
 /// Number of daemons that receive each heartbeat of a daemon in a larger fleet, and notice its silence.
 pub const WATCHERS: usize = 3;
 
 /// Number of daemons drawn at random for one heartbeat in a larger fleet.
-pub const DRAWN: usize = 3;
+pub const RANDOM_TARGETS: usize = 3;
 
 /// Largest number of daemons that one heartbeat asks for theirs, so that it fits into a datagram.
-pub const ASKED: usize = 8;
+pub const MAX_ASKED: usize = 8;
 
 /// Largest number of evacuated data centres that a heartbeat names, so that it fits into a datagram.
-pub const EVACUATED: usize = 12;
+pub const MAX_EVACUATED: usize = 12;
 
 /// Number of loads that a heartbeat omits for each evacuated data centre that it names. A data centre takes up to 15
 /// bytes, a load 10 or more.
@@ -64,53 +64,53 @@
 
 /// A coordinator reports the services of other regions to its own region with one heartbeat in this many. Daemons may
 /// decide by reports that are up to a second old.
-const FAR_EVERY: u64 = 5;
+const REMOTE_EVERY: u64 = 5;
 
 /// Largest number of services of other regions in one datagram.
-pub const FAR_NOTES: usize = 12;
+pub const MAX_REMOTE_NOTES: usize = 12;
 
 /// Number of daemons that a heartbeat asks in the space of one that it names.
 const ASKED_PER_NAMED: usize = 2;
 
 /// Largest number of suspects that one heartbeat names, so that other daemons are named too.
-pub const SUSPECTS: usize = 5;
+pub const MAX_SUSPECTS: usize = 5;
 
 /// Number of heartbeats that go to everybody from the last one as a coordinator on. Two of them report that the daemon
 /// stopped coordinating, so that all learn of it even if one is lost.
 pub const LAST_BROADCASTS: u32 = 3;
 
 /// Largest number of daemons that one heartbeat names, so that it fits into a datagram (test `heartbeat_size`).
-pub const NAMED: usize = 10;
+pub const MAX_NAMED: usize = 10;
 
 /// Largest number of loads that one heartbeat carries, so that it fits into a datagram (test `heartbeat_size`).
-pub const LOADS: usize = 24;
+pub const MAX_LOADS: usize = 24;
 
 /// Largest number of loads in one datagram of a coordinator's digest.
-pub const DIGEST_LOADS: usize = 80;
+pub const DATAGRAM_LOADS: usize = 80;
 
 /// Largest number of loads of a service in a digest; it names the largest ones, since an engine with little to do is as
 /// good as an idle one. With the loads of 3,001 endpoints, each of 299 daemons would receive 38 datagrams with every
 /// heartbeat, 0.18 MB a second.
-pub const DIGEST_LARGEST: usize = 160;
+pub const MAX_DIGEST_LOADS: usize = 160;
 
 /// Largest number of daemons in one datagram of a roster.
 pub const ROSTER_PEERS: usize = 40;
 
 /// Largest number of daemons in a roster. In a fleet that starts at once, each daemon asks others for rosters, mostly
 /// the seeds. With 295 daemons, one seed would send 11,800 datagrams a second without a bound, and sends 1,180 with
-/// this one and [`ROSTER_PAUSE`]. A daemon that has just started asks about ten others in each heartbeat, and knows 295
+/// this one and [`ROSTER_INTERVAL`]. A daemon that has just started asks about ten others in each heartbeat, and knows 295
 /// others after two heartbeats.
-pub const ROSTER: usize = 80;
+pub const MAX_ROSTER: usize = 80;
 
 /// Number of daemons in a roster that are chosen for their capacity.
 const ROSTER_STRONGEST: usize = 20;
 
 /// Shortest time between two rosters for the same daemon.
-pub const ROSTER_PAUSE: Millis = Millis(500);
+pub const ROSTER_INTERVAL: Millis = Millis(500);
 
 /// Returns whether every heartbeat goes to everybody, by the number of other daemons known.
 pub fn is_small_fleet(others: usize) -> bool {
-    others <= SMALL_FLEET
+    others <= MAX_SMALL_FLEET
 }
 
 /// Returns how many heartbeats, including the next one, go to everybody.
@@ -129,14 +129,14 @@
 
 /// Position of a living daemon on the hash ring on which daemons watch their neighbours.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub struct WatchPlace {
+pub struct RingPosition {
     /// Hash of the daemon's address, by which the ring is ordered.
     pub hash: u64,
     /// Address of the daemon.
     pub address: SocketAddr,
 }
 
-impl WatchPlace {
+impl RingPosition {
     /// Returns the position of the daemon with this address.
     pub fn new(address: SocketAddr) -> Self {
         let hash = xxh3_64(address.to_string().as_bytes());
@@ -145,18 +145,18 @@
 }
 
 /// Returns the daemons that watch this one: the living ones that follow it on the ring.
-pub fn watchers(me: WatchPlace, living: &[WatchPlace]) -> Vec<SocketAddr> {
+pub fn watchers(me: RingPosition, living: &[RingPosition]) -> Vec<SocketAddr> {
     nearest(living, |place| (*place < me, *place))
 }
 
 /// Returns the daemons that this one watches: the living ones just before it on the ring.
-pub fn watched(me: WatchPlace, living: &[WatchPlace]) -> Vec<SocketAddr> {
+pub fn watched(me: RingPosition, living: &[RingPosition]) -> Vec<SocketAddr> {
     nearest(living, |place| (*place > me, Reverse(*place)))
 }
 
 /// Returns the [`WATCHERS`] daemons with the smallest keys.
-fn nearest<K: Ord>(living: &[WatchPlace], key: impl Fn(&WatchPlace) -> K) -> Vec<SocketAddr> {
-    let mut places: Vec<&WatchPlace> = living.iter().collect();
+fn nearest<K: Ord>(living: &[RingPosition], key: impl Fn(&RingPosition) -> K) -> Vec<SocketAddr> {
+    let mut places: Vec<&RingPosition> = living.iter().collect();
     if places.len() > WATCHERS {
         places.select_nth_unstable_by_key(WATCHERS, |place| key(place));
         places.truncate(WATCHERS);
@@ -177,7 +177,7 @@
         return known;
     }
     known.retain(|address| !watchers.contains(address));
-    let drawn = known.sample(rng, DRAWN).copied();
+    let drawn = known.sample(rng, RANDOM_TARGETS).copied();
     watchers.iter().copied().chain(drawn).collect()
 }
 
@@ -196,18 +196,18 @@
     living.sort_by_key(|note| Reverse(note.capacity));
     let strongest = living.len().min(ROSTER_STRONGEST);
     let others = living.split_off(strongest);
-    living.extend(others.sample(rng, ROSTER - ROSTER_STRONGEST).cloned());
+    living.extend(others.sample(rng, MAX_ROSTER - ROSTER_STRONGEST).cloned());
     living
 }
 
 /// Returns whether a daemon that has just started is sent a roster now; `last` is when it was last sent one.
 pub fn is_roster_due(now: Time, last: Option<Time>) -> bool {
-    last.is_none_or(|last| now.since(last) >= ROSTER_PAUSE.to_duration())
+    last.is_none_or(|last| now.since(last) >= ROSTER_INTERVAL.to_duration())
 }
 
 /// Draws the daemons that a heartbeat asks for theirs, from those that are silent.
 pub fn draw_asked(silent: &[SocketAddr], rng: &mut impl Rng) -> Vec<SocketAddr> {
-    silent.sample(rng, ASKED).copied().collect()
+    silent.sample(rng, MAX_ASKED).copied().collect()
 }
 
 /// Draws the daemons that a heartbeat names: the suspects, then living ones that others suspect (`refuted`), then other
@@ -221,17 +221,17 @@
 ) -> Vec<T> {
     let mut named = suspects;
     for others in [refuted, living] {
-        let room = NAMED - asked.div_ceil(ASKED_PER_NAMED) - named.len();
+        let room = MAX_NAMED - asked.div_ceil(ASKED_PER_NAMED) - named.len();
         named.extend(others.sample(rng, room).cloned());
     }
     named
 }
 
 /// Returns whether a heartbeat names this number of evacuated data centres. It names either all that are known or none,
-/// since a report without some of them would end their evacuation. A fleet with more than [`EVACUATED`] of them learns
+/// since a report without some of them would end their evacuation. A fleet with more than [`MAX_EVACUATED`] of them learns
 /// of them only from the directory.
 pub fn reports_evacuations(evacuated: usize) -> bool {
-    evacuated <= EVACUATED
+    evacuated <= MAX_EVACUATED
 }
 
 /// Returns the loads of a service that a digest names: the largest ones that aren't 0, and the present state of those
@@ -242,14 +242,14 @@
 ) -> Vec<LoadNote> {
     loads.retain(|load| !load.is_zero() || was_named(load));
     loads.sort_unstable_by_key(|load| Reverse((load.prefill, load.running, load.endpoint)));
-    let smaller = loads.split_off(loads.len().min(DIGEST_LARGEST));
+    let smaller = loads.split_off(loads.len().min(MAX_DIGEST_LOADS));
     loads.extend(smaller.into_iter().filter(was_named));
     loads
 }
 
 /// Other content of a heartbeat that leaves less space for loads.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct NamedBeside {
+pub struct HeartbeatExtras {
     /// Number of evacuated data centres that it names.
     pub evacuated: usize,
     /// Whether it names regions.
@@ -260,16 +260,16 @@
 
 /// Returns the loads that a heartbeat carries: those with the most prompt tokens, and of equal ones those with the most
 /// requests. There are fewer if it has other content.
-pub fn largest_loads(mut loads: Vec<LoadNote>, beside: NamedBeside) -> Vec<LoadNote> {
+pub fn largest_loads(mut loads: Vec<LoadNote>, beside: HeartbeatExtras) -> Vec<LoadNote> {
     let regions = if beside.regions { LOADS_FOR_REGIONS } else { 0 };
     let eras = if beside.eras { LOADS_FOR_ERAS } else { 0 };
     let others = beside.evacuated * LOADS_PER_EVACUATED + regions + eras;
     loads.sort_unstable_by_key(|load| Reverse((load.prefill, load.running)));
-    loads.truncate(LOADS.saturating_sub(others));
+    loads.truncate(MAX_LOADS.saturating_sub(others));
     loads
 }
 
 /// Returns whether the heartbeat with this number is followed by reports on other regions.
 pub fn is_far_due(sequence: u64) -> bool {
-    sequence.is_multiple_of(FAR_EVERY)
+    sequence.is_multiple_of(REMOTE_EVERY)
 }
--- a/lib/src/gateway/rules/liveness.rs
+++ b/lib/src/gateway/rules/liveness.rs
@@ -6,15 +6,15 @@
 //! resumed after a pause.
 //!
 //! Rule: a daemon whose every heartbeat should arrive here, because the fleet is small or because it broadcasts, is
-//! alive while its last heartbeat is at most [`SILENCE`] old. Any other daemon is alive until it is suspect. Each
+//! alive while its last heartbeat is at most [`HEARTBEAT_TIMEOUT`] old. Any other daemon is alive until it is suspect. Each
 //! daemon that should receive all of its heartbeats (the coordinators, and the next
 //! [`WATCHERS`](crate::gateway::rules::gossip::WATCHERS) daemons in an order by hash) asks it for a heartbeat after
-//! [`ASK`] of silence, suspects it if none comes within the same time again, and reports this to the others. A daemon
+//! [`PROBE_TIMEOUT`] of silence, suspects it if none comes within the same time again, and reports this to the others. A daemon
 //! with a sign of life that is not older than that rejects the suspicion and reports so, as does the suspect itself. A
-//! suspect is lost once it has been suspect for [`REFUTE`] and its last sign of life is more than [`GOSSIP_SILENCE`]
+//! suspect is lost once it has been suspect for [`SUSPICION_TIME`] and its last sign of life is more than [`GOSSIP_TIMEOUT`]
 //! old. A daemon that nobody suspects is lost after the time of [`quiet_limit`], and a daemon that receives nothing at
 //! all suspects all others. Time before the end of a pause of this process doesn't count as silence of a daemon that
-//! was alive when the pause began. A lost daemon is forgotten [`FORGET`] after its last sign of life, and gossip older
+//! was alive when the pause began. A lost daemon is forgotten [`FORGET_TIME`] after its last sign of life, and gossip older
 //! than half of that is ignored.
 //!
 //! Reason: a daemon of a large fleet receives few signs of life of each other one, and fewer the larger the fleet is:
@@ -28,40 +28,40 @@
 use crate::shared::units::{Millis, Time};
 
 /// Time without a heartbeat after which a daemon is lost whose every heartbeat should arrive here. Five heartbeats.
-pub const SILENCE: Millis = Millis(1_000);
+pub const HEARTBEAT_TIMEOUT: Millis = Millis(1_000);
 
 /// Time without a sign of life after which a daemon known by gossip is lost, if it is suspect.
-pub const GOSSIP_SILENCE: Millis = Millis(2_500);
+pub const GOSSIP_TIMEOUT: Millis = Millis(2_500);
 
 /// Time without a heartbeat after which a daemon is asked for one, and time for its answer. Three heartbeats. Without
 /// asking, watchers suspected daemons that didn't yet know that they were to send them heartbeats: 61,464 losses of
 /// living daemons in 10 s of a calm fleet of 1,000 (test `calm_fleet`).
-pub const ASK: Millis = Millis(600);
+pub const PROBE_TIMEOUT: Millis = Millis(600);
 
 /// Shortest time for which a daemon is suspect before it is lost. A report takes five heartbeats to reach a thousand
 /// daemons, with six receivers each.
-pub const REFUTE: Millis = Millis(1_000);
+pub const SUSPICION_TIME: Millis = Millis(1_000);
 
 /// Time without a sign of life after which a daemon is lost that nobody suspects: the minimum, and the time for each
 /// daemon known. Signs of life of one daemon arrive at a rate of 300 a second divided by the number of daemons (30
 /// heartbeats a second that name ten daemons each), so that a living daemon exceeds the limit once in 26 thousand
 /// million such times.
-const QUIET: Millis = Millis(4_000);
-const QUIET_EACH: Millis = Millis(80);
+const UNSUSPECTED_TIMEOUT: Millis = Millis(4_000);
+const UNSUSPECTED_TIMEOUT_EACH: Millis = Millis(80);
 
 /// Age of a suspect's last sign of life up to which it is reported to others. If 160 daemons are lost at once, each is
 /// named to everybody more than ten times meanwhile.
-const NEWS: Millis = Millis(10_000);
+const SUSPECT_REPORT_AGE: Millis = Millis(10_000);
 
 /// Time after which the address of a lost daemon is forgotten.
-pub const FORGET: Millis = Millis(60_000);
+pub const FORGET_TIME: Millis = Millis(60_000);
 
 /// Age from which gossip is ignored: half of the time for which addresses are kept, so that daemons don't keep
 /// reminding each other of a dead one.
-pub const STALE_GOSSIP: Millis = Millis(FORGET.0 / 2);
+pub const MAX_GOSSIP_AGE: Millis = Millis(FORGET_TIME.0 / 2);
 
 /// Time after its start during which a daemon asks for the roster of all daemons.
-pub const JOINING: Millis = Millis(1_500);
+pub const JOIN_TIME: Millis = Millis(1_500);
 
 /// Signs of life of another daemon.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -80,7 +80,7 @@
 
 /// Conditions under which this daemon receives signs of life.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Listening {
+pub struct ReceiveConditions {
     /// Whether the fleet is so small that every heartbeat goes to everybody.
     pub small_fleet: bool,
     /// When this process last resumed after a pause; zero if there was none.
@@ -92,7 +92,7 @@
 }
 
 /// Returns whether a daemon counts as alive.
-pub fn is_alive(now: Time, signs: LifeSigns, listening: Listening) -> bool {
+pub fn is_alive(now: Time, signs: LifeSigns, listening: ReceiveConditions) -> bool {
     let direct = listening.small_fleet || signs.broadcasts;
     let last = if direct { signs.heartbeat } else { signs.sign };
     // Time missed in a pause is excluded only for a daemon that was alive before it.
@@ -106,48 +106,48 @@
     };
     let silence = now.since(last);
     if direct {
-        return silence <= SILENCE.to_duration();
+        return silence <= HEARTBEAT_TIMEOUT.to_duration();
     }
-    if silence <= GOSSIP_SILENCE.to_duration() {
+    if silence <= GOSSIP_TIMEOUT.to_duration() {
         return true;
     }
     let suspect = earliest(signs.suspect, isolated_since(now, listening));
     let refuted =
-        suspect.is_none_or(|suspect| now.since(suspect.max(awake)) <= REFUTE.to_duration());
+        suspect.is_none_or(|suspect| now.since(suspect.max(awake)) <= SUSPICION_TIME.to_duration());
     signs.alive && refuted && silence <= quiet_limit(listening.others).to_duration()
 }
 
 /// Returns the time without a sign of life after which a daemon is lost that nobody suspects.
 pub fn quiet_limit(others: usize) -> Millis {
-    QUIET.max(Millis(QUIET_EACH.0 * others as u64))
+    UNSUSPECTED_TIMEOUT.max(Millis(UNSUSPECTED_TIMEOUT_EACH.0 * others as u64))
 }
 
 /// Returns whether a daemon is asked for a heartbeat, by the time of its last one. All of its heartbeats should arrive
 /// here.
 pub fn is_unheard(now: Time, heartbeat: Option<Time>, awake: Time) -> bool {
     let heard = heartbeat.unwrap_or_default().max(awake);
-    now.since(heard) > ASK.to_duration()
+    now.since(heard) > PROBE_TIMEOUT.to_duration()
 }
 
 /// Returns whether a daemon that was asked for a heartbeat at `asked` and hasn't sent one is suspect.
 pub fn is_silent(now: Time, asked: Time, awake: Time) -> bool {
-    now.since(asked.max(awake)) > ASK.to_duration()
+    now.since(asked.max(awake)) > PROBE_TIMEOUT.to_duration()
 }
 
 /// Returns whether a sign of life known here refutes a suspicion reported by gossip.
 pub fn refutes(now: Time, sign: Option<Time>) -> bool {
-    sign.is_some_and(|sign| now.since(sign) <= SILENCE.to_duration())
+    sign.is_some_and(|sign| now.since(sign) <= HEARTBEAT_TIMEOUT.to_duration())
 }
 
 /// Returns whether a suspect with this last sign of life is still reported to others. Lost daemons are reported too, so
 /// that all daemons learn of the loss.
 pub fn is_news(now: Time, sign: Time) -> bool {
-    now.since(sign) <= NEWS.to_duration()
+    now.since(sign) <= SUSPECT_REPORT_AGE.to_duration()
 }
 
 /// Returns since when this daemon has received nothing although it should have; `None` while it receives something.
-fn isolated_since(now: Time, listening: Listening) -> Option<Time> {
-    let since = listening.heard.max(listening.awake) + SILENCE;
+fn isolated_since(now: Time, listening: ReceiveConditions) -> Option<Time> {
+    let since = listening.heard.max(listening.awake) + HEARTBEAT_TIMEOUT;
     (now > since).then_some(since)
 }
 
@@ -157,12 +157,12 @@
 
 /// Returns whether a lost daemon is forgotten whose last sign of life or mention was at `known`.
 pub fn is_forgotten(now: Time, known: Time) -> bool {
-    now.since(known) >= FORGET.to_duration()
+    now.since(known) >= FORGET_TIME.to_duration()
 }
 
 /// Returns whether gossip of this age is recent enough to be used.
 pub fn is_recent(age: Millis) -> bool {
-    age < STALE_GOSSIP
+    age < MAX_GOSSIP_AGE
 }
 
 /// Returns the time of a sign of life that is now of this age, not earlier than the start of this daemon.
@@ -172,5 +172,5 @@
 
 /// Returns whether a daemon has just started; times count from its start.
 pub fn is_joining(now: Time) -> bool {
-    now < Time::default() + JOINING
+    now < Time::default() + JOIN_TIME
 }
--- a/lib/src/gateway/rules/piece_group.rs
+++ b/lib/src/gateway/rules/piece_group.rs
@@ -13,10 +13,10 @@
 //! terminates one endpoint less, but needs 50 calls instead of 14.
 
 /// Divisor of the number of pieces of the call.
-const PARTS: usize = 8;
+const GROUP_DIVISOR: usize = 8;
 
 /// Returns the largest number of pieces of a call that contains any piece of a call of `pieces` during which an
 /// endpoint terminated.
 pub fn after_end(pieces: usize) -> usize {
-    (pieces / PARTS).max(1)
+    (pieces / GROUP_DIVISOR).max(1)
 }
--- a/lib/src/gateway/rules/piece_order.rs
+++ b/lib/src/gateway/rules/piece_order.rs
@@ -5,10 +5,10 @@
 //! be called in each data centre.
 //!
 //! Rule: the preferred data centre of a job is the one where its request will probably run. Endpoints there may take
-//! its pieces at once. Endpoints in other data centres may take them once they have waited for `WAIT_MS_PER_MB` for
-//! each megabyte that would cross, at most `LONGEST_WAIT`. This wait is shorter where the preferred data centre has few
+//! its pieces at once. Endpoints in other data centres may take them once they have waited for `PREFERRED_WAIT_MS_PER_MB` for
+//! each megabyte that would cross, at most `LONGEST_PREFERRED_WAIT`. This wait is shorter where the preferred data centre has few
 //! endpoints, and ends when the objective has passed. Jobs are ordered by their objective; each rank adds `RANK_STEP`,
-//! a missed objective adds `LATE_STEP`, and an endpoint outside the preferred data centre adds `AWAY_STEP`. The free
+//! a missed objective adds `LATE_STEP`, and an endpoint outside the preferred data centre adds `NOT_PREFERRED_STEP`. The free
 //! endpoints divide the waiting pieces among themselves.
 //!
 //! Reason: a result that crosses between data centres costs money and time, an idle endpoint only time. A late job has
@@ -29,17 +29,17 @@
 };
 
 /// Wait for an endpoint in the preferred data centre, for each megabyte that would cross (ms/MB).
-const WAIT_MS_PER_MB: f64 = 1200.0;
+const PREFERRED_WAIT_MS_PER_MB: f64 = 1200.0;
 
 /// Upper bound of the wait for an endpoint in the preferred data centre.
-const LONGEST_WAIT: Millis = Millis(600);
+const LONGEST_PREFERRED_WAIT: Millis = Millis(600);
 
 /// Number of endpoints in the preferred data centre from which the whole wait applies. With fewer, it takes longer
 /// until one is free, so the wait is shortened in proportion.
-const MANY_ENDPOINTS: f64 = 4.0;
+const FULL_WAIT_ENDPOINTS: f64 = 4.0;
 
 /// Added to the objective of a job when it is ordered for an endpoint outside its preferred data centre.
-const AWAY_STEP: Millis = Millis(200);
+const NOT_PREFERRED_STEP: Millis = Millis(200);
 
 /// Added to the objective of a job for each rank; rank 0 goes first.
 const RANK_STEP: Millis = Millis(400);
@@ -115,12 +115,12 @@
     /// Number of pieces that endpoints in any allowed data centre may take.
     pub shared: usize,
     /// Which endpoints may take the pieces of each job.
-    pub takers: HashMap<JobId, Takers>,
+    pub takers: HashMap<JobId, EligibleEndpoints>,
 }
 
 /// Which endpoints may take the pieces of a job at present.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Takers {
+pub enum EligibleEndpoints {
     /// Only endpoints in the preferred data centre.
     Home,
     /// Endpoints in any allowed data centre.
@@ -146,14 +146,18 @@
                 continue;
             }
             let takers = if is_shared {
-                Takers::Anywhere
+                EligibleEndpoints::Anywhere
             } else {
-                Takers::Home
+                EligibleEndpoints::Home
             };
             *order.count(takers) += job.waiting;
             order.takers.insert(job.id, takers);
             let is_away = home.is_some() && !is_own;
-            let handicap = if is_away { AWAY_STEP } else { Millis(0) };
+            let handicap = if is_away {
+                NOT_PREFERRED_STEP
+            } else {
+                Millis(0)
+            };
             keys.push((job.urgency(now) + handicap, job.id));
         }
         // Of equally urgent jobs, the one that was queued first goes first.
@@ -171,10 +175,10 @@
         }
     }
 
-    fn count(&mut self, takers: Takers) -> &mut usize {
+    fn count(&mut self, takers: EligibleEndpoints) -> &mut usize {
         match takers {
-            Takers::Home => &mut self.own,
-            Takers::Anywhere => &mut self.shared,
+            EligibleEndpoints::Home => &mut self.own,
+            EligibleEndpoints::Anywhere => &mut self.shared,
         }
     }
 
@@ -199,8 +203,8 @@
 /// Returns the time for which pieces wait for one of `endpoints` endpoints in the preferred data centre. With fewer
 /// endpoints, it takes longer until one is free, and the wait is worth less.
 pub fn home_wait(moved: ByteSize, endpoints: usize) -> Millis {
-    let chance = (endpoints as f64 / MANY_ENDPOINTS).min(1.0);
-    let wait = moved.0 as f64 / BYTES_PER_MB * WAIT_MS_PER_MB;
-    let wait = wait.min(LONGEST_WAIT.0 as f64) * chance;
+    let chance = (endpoints as f64 / FULL_WAIT_ENDPOINTS).min(1.0);
+    let wait = moved.0 as f64 / BYTES_PER_MB * PREFERRED_WAIT_MS_PER_MB;
+    let wait = wait.min(LONGEST_PREFERRED_WAIT.0 as f64) * chance;
     Millis(wait as u64)
 }
--- a/lib/src/gateway/rules/piece_retry.rs
+++ b/lib/src/gateway/rules/piece_retry.rs
@@ -3,7 +3,7 @@
 //! Inputs: how often the piece was sent, whether the endpoint may have run the lost send, the clock and the job's
 //! deadline, and the fixed time of a call (milliseconds).
 //!
-//! Rule: a piece is sent at most `PIECE_TRIES` times. A send that certainly wasn't run doesn't count. A job with
+//! Rule: a piece is sent at most `MAX_PIECE_SENDS` times. A send that certainly wasn't run doesn't count. A job with
 //! waiting pieces is given up when its deadline comes before even an empty call could end. Each send after the first
 //! also needs a unit of the service's retry budget (`rules::retry_budget`); without one, the piece waits until the
 //! budget has a unit.
@@ -14,7 +14,7 @@
 use crate::shared::units::{Millis, Time, WorkMillis};
 
 /// Largest number of sends of one piece.
-const PIECE_TRIES: u32 = 3;
+const MAX_PIECE_SENDS: u32 = 3;
 
 /// A send of a piece without a result, by whether the piece may have run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -52,7 +52,7 @@
 
 /// Returns whether a piece that was sent `tries` times may be sent once more.
 pub fn may_resend(tries: u32) -> bool {
-    tries < PIECE_TRIES
+    tries < MAX_PIECE_SENDS
 }
 
 /// Returns whether the next send of a piece that was sent `tries` times is a retry, which needs a
--- a/lib/src/gateway/rules/shutdown.rs
+++ b/lib/src/gateway/rules/shutdown.rs
@@ -14,7 +14,7 @@
 use {crate::shared::units::Millis, std::time::Duration};
 
 /// Time for the balancer to notice that the daemon is stopping, during which callers are accepted.
-const NOTICE: Millis = Millis(2_700);
+const BALANCER_NOTICE_TIME: Millis = Millis(2_700);
 
 /// Time before the end of the grace period at which the daemon ends, so that it isn't killed.
 const GRACE_MARGIN: Millis = Millis(400);
@@ -33,7 +33,7 @@
     pub fn new(grace: Millis) -> Self {
         let end = Millis(grace.0.saturating_sub(GRACE_MARGIN.0)).to_duration();
         Self {
-            close: NOTICE.to_duration().min(end),
+            close: BALANCER_NOTICE_TIME.to_duration().min(end),
             end,
         }
     }
--- a/lib/src/gateway/rules/stage_objective.rs
+++ b/lib/src/gateway/rules/stage_objective.rs
@@ -3,7 +3,7 @@
 //! Inputs: the request's objective (a time), the number of stages after this one along the longest path, and the time
 //! that the request itself needs (milliseconds).
 //!
-//! Rule: `LATER_STAGE` is reserved for each later stage, and the request's own time.
+//! Rule: `LATER_STAGE_TIME` is reserved for each later stage, and the request's own time.
 //!
 //! Reason: waiting pieces are ordered by this time (`rules::piece_order`). Without it, the first stages of a request
 //! would be served after the last stages of less urgent requests. Test: `test_stage_rules`.
@@ -11,10 +11,10 @@
 use crate::shared::units::{Millis, Time};
 
 /// Time reserved for each later stage.
-const LATER_STAGE: Millis = Millis(350);
+const LATER_STAGE_TIME: Millis = Millis(350);
 
 /// Returns when a stage should have ended; `request` is the objective of the request.
 pub fn stage_objective(request: Time, later_stages: u64, own_time: Millis) -> Time {
-    let kept = Millis(LATER_STAGE.0 * later_stages + own_time.0);
+    let kept = Millis(LATER_STAGE_TIME.0 * later_stages + own_time.0);
     request - kept
 }
--- a/lib/src/gateway/rules/stage_home.rs
+++ b/lib/src/gateway/rules/stage_placement.rs
@@ -18,7 +18,7 @@
 
 /// A stage that is about to begin, with all that decides its data centre.
 #[derive(Debug, Clone, Copy)]
-pub struct StagePlace<'a> {
+pub struct StagePlacement<'a> {
     /// Results that each piece of the stage fetches.
     pub inputs: &'a [InputLocation],
     /// Number of pieces of the stage.
@@ -29,7 +29,7 @@
     pub request: Option<&'a DataCentreId>,
 }
 
-impl<'a> StagePlace<'a> {
+impl<'a> StagePlacement<'a> {
     /// Returns the preferred data centre of the pieces, or `None` if no data centre is better than another.
     pub fn home(&self) -> Option<&'a DataCentreId> {
         let by_inputs = self.inputs.iter().map(|input| &input.data_centre);
--- a/lib/src/gateway/rules/pause.rs
+++ b/lib/src/gateway/rules/stall.rs
@@ -1,10 +1,10 @@
 //! Did this process stall, and how much of a span of time did it run?
 //!
 //! Inputs: the times (microseconds of this daemon's clock) at which it read the clock: with every heartbeat that it
-//! sends, and every [`CLOCK_LOOK`].
+//! sends, and every [`CLOCK_CHECK`].
 //!
-//! Rule: a gap of `PAUSE` or more between two heartbeats is a pause, after which membership recovers. A gap of more
-//! than `STANDSTILL` between two checks of the clock is a stall. Neither the stall nor the `GRACE` after it counts as
+//! Rule: a gap of `PAUSE_GAP` or more between two heartbeats is a pause, after which membership recovers. A gap of more
+//! than `STALL_GAP` between two checks of the clock is a stall. Neither the stall nor the `STALL_GRACE` after it counts as
 //! time in which others were late.
 //!
 //! Reason: a daemon on a suspended or busy host, or one that had much to do at once, received nothing meanwhile, and
@@ -22,19 +22,19 @@
 };
 
 /// Time between two of this daemon's heartbeats that counts as a pause. Three heartbeats.
-const PAUSE: Millis = Millis(600);
+const PAUSE_GAP: Millis = Millis(600);
 
 /// Time between two checks of the clock.
-pub const CLOCK_LOOK: Millis = Millis(100);
+pub const CLOCK_CHECK: Millis = Millis(100);
 
 /// Time between two checks of the clock beyond which the process stalled. Two checks.
-const STANDSTILL: Millis = Millis(200);
+const STALL_GAP: Millis = Millis(200);
 
 /// Time after a stall in which the messages that arrived meanwhile are received. Half of a heartbeat.
-const GRACE: Millis = Millis(100);
+const STALL_GRACE: Millis = Millis(100);
 
 /// Time for which stalls are kept. Longer than any time after which silence of others has consequences.
-const REMEMBERED: Millis = Millis(10_000);
+const STALL_MEMORY: Millis = Millis(10_000);
 
 /// Detects pauses from the times of heartbeats.
 #[derive(Debug, Default)]
@@ -47,18 +47,18 @@
     pub fn look(&mut self, now: Time) -> Option<Duration> {
         let last = self.last.replace(now)?;
         let gap = now.since(last);
-        (gap >= PAUSE.to_duration()).then_some(gap)
+        (gap >= PAUSE_GAP.to_duration()).then_some(gap)
     }
 }
 
 /// Time span of a stall, including the grace period after it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-struct Standstill {
+struct Stall {
     from: Time,
     until: Time,
 }
 
-impl Standstill {
+impl Stall {
     /// Returns how much of the stall lies between two times.
     fn within(self, from: Time, until: Time) -> Duration {
         self.until.min(until).since(self.from.max(from))
@@ -67,20 +67,20 @@
 
 /// Recent stalls of this process.
 #[derive(Debug, Default)]
-pub struct Standstills {
+pub struct StallLog {
     looked: Time,
     /// In chronological order, without overlap.
-    recent: VecDeque<Standstill>,
+    recent: VecDeque<Stall>,
 }
 
-impl Standstills {
+impl StallLog {
     /// Records a check of the clock.
     pub fn look(&mut self, now: Time) {
         if let Some(last) = self.current(now) {
             self.record(last);
         }
         self.looked = now;
-        self.recent.retain(|one| now < one.until + REMEMBERED);
+        self.recent.retain(|one| now < one.until + STALL_MEMORY);
     }
 
     /// Returns for how long this process has run since `since`, without stalls.
@@ -93,7 +93,7 @@
     pub fn stood_since(&self, since: Time, now: Time) -> Duration {
         // A stall that has just ended may begin in the grace period of the one before.
         let counted = self.recent.back().map_or(Time::default(), |one| one.until);
-        let current = self.current(now).map(|one| Standstill {
+        let current = self.current(now).map(|one| Stall {
             from: one.from.max(counted),
             ..one
         });
@@ -109,15 +109,15 @@
     }
 
     /// Returns the stall that ends at `now`, if there is one.
-    fn current(&self, now: Time) -> Option<Standstill> {
-        let stood = now.since(self.looked) > STANDSTILL.to_duration();
-        stood.then_some(Standstill {
+    fn current(&self, now: Time) -> Option<Stall> {
+        let stood = now.since(self.looked) > STALL_GAP.to_duration();
+        stood.then_some(Stall {
             from: self.looked,
-            until: now + GRACE,
+            until: now + STALL_GRACE,
         })
     }
 
-    fn record(&mut self, last: Standstill) {
+    fn record(&mut self, last: Stall) {
         match self.recent.back_mut() {
             Some(before) if before.until >= last.from => before.until = last.until,
             _ => self.recent.push_back(last),
--- a/lib/src/gateway/rules/table_upload.rs
+++ b/lib/src/gateway/rules/table_upload.rs
@@ -3,8 +3,8 @@
 //! Inputs: the bandwidth of the host's link (bits per second), the size of the batch (bytes), and when the batches sent
 //! so far will have been transmitted (microseconds of this daemon's clock).
 //!
-//! Rule: batches count as transmitted one after the other, over [`SHARE`] of the link. While those before would take
-//! longer than [`BACKLOG`], another daemon's request is refused as busy, and that daemon asks another one with the
+//! Rule: batches count as transmitted one after the other, over [`LINK_SHARE`] of the link. While those before would take
+//! longer than [`MAX_BACKLOG`], another daemon's request is refused as busy, and that daemon asks another one with the
 //! table.
 //!
 //! Reason: a whole fleet asks the first daemons that have a newer table. If all were served at once, all transfers
@@ -17,10 +17,10 @@
 use crate::shared::units::{BitRate, ByteSize, Millis, Share, Time};
 
 /// Share of the link's bandwidth that batches may use.
-pub const SHARE: Share = Share(0.5);
+pub const LINK_SHARE: Share = Share(0.5);
 
 /// Longest time for which a batch may wait for those before it.
-pub const BACKLOG: Millis = Millis(150);
+pub const MAX_BACKLOG: Millis = Millis(150);
 
 /// Batches that are being transmitted.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
@@ -32,7 +32,7 @@
 impl Uploads {
     /// Returns whether another batch may be sent.
     pub fn has_room(self, now: Time) -> bool {
-        self.free <= now + BACKLOG
+        self.free <= now + MAX_BACKLOG
     }
 
     /// Returns the state after another batch of `size` is sent over a link. Over a link of unknown bandwidth it counts
@@ -42,7 +42,7 @@
         let Some(BitRate(rate)) = link else {
             return self;
         };
-        let took = BitRate(rate * SHARE.0).time(size);
+        let took = BitRate(rate * LINK_SHARE.0).time(size);
         Self {
             free: self.free.max(now) + Millis(took.as_millis() as u64),
         }
--- a/lib/src/gateway/rules/suspect_entry.rs
+++ b/lib/src/gateway/rules/unconfirmed_entry.rs
@@ -18,14 +18,14 @@
 use crate::shared::units::{Millis, Time};
 
 /// Time after a failed read of the directory during which vanished entries are unconfirmed.
-const OUTAGE: Millis = Millis(1_500);
+const OUTAGE_TIME: Millis = Millis(1_500);
 
 /// Time without a failed read after which the directory counts as steady for a daemon, and within which it must have
 /// answered. Without it, a daemon whose own connections were reset would use an endpoint after it has left.
-const STEADY: Millis = Millis(3_000);
+const STEADY_TIME: Millis = Millis(3_000);
 
 /// Shortest time for which an unconfirmed endpoint is used.
-const LEAST_SUSPECT: Millis = Millis(200);
+const SHORTEST_UNCONFIRMED: Millis = Millis(200);
 
 /// Time subtracted from the drain time, since other daemons need time to report that an entry vanished, and unconfirmed
 /// entries are only checked at each heartbeat.
@@ -34,8 +34,8 @@
 /// Number of intervals between two writes for which an unconfirmed endpoint is used, as a fraction. A living endpoint
 /// writes its entry again within one interval; a sixth more is for the entry to arrive here. With 1.2 s between two
 /// writes, this is 1.4 s (`docs/design/platform.md`).
-const INTERVALS: u64 = 7;
-const INTERVAL_PARTS: u64 = 6;
+const UNCONFIRMED_INTERVALS: u64 = 7;
+const UNCONFIRMED_DIVISOR: u64 = 6;
 
 /// Number of intervals between two writes after which an entry that is no longer written has expired: the directory
 /// keeps it for three, and daemons learn of its end within one.
@@ -59,7 +59,7 @@
     /// Returns whether a read failed so recently that entries may have expired.
     pub fn failed_lately(&self, now: Time) -> bool {
         self.failed
-            .is_some_and(|failed| now.since(failed) < OUTAGE.to_duration())
+            .is_some_and(|failed| now.since(failed) < OUTAGE_TIME.to_duration())
     }
 
     /// Returns whether the directory has answered for a while without a failure.
@@ -69,8 +69,8 @@
         };
         // Without a failure, the time counts from the start of the daemon.
         let failed = self.failed.unwrap_or_default();
-        let answers = now.since(answered) < STEADY.to_duration();
-        let lasts = now.since(failed) > STEADY.to_duration();
+        let answers = now.since(answered) < STEADY_TIME.to_duration();
+        let lasts = now.since(failed) > STEADY_TIME.to_duration();
         answers && !self.is_lost() && lasts
     }
 }
@@ -78,7 +78,7 @@
 /// Returns whether another daemon's read of this age is recent enough to judge the directory by. An older one was made
 /// before that daemon left the reading to others and proves nothing, even if it succeeded.
 pub fn is_current(read_age: Millis) -> bool {
-    read_age < STEADY
+    read_age < STEADY_TIME
 }
 
 /// Returns whether entries that vanish now may have expired although their endpoints are alive.
@@ -103,7 +103,7 @@
 /// `write_interval` is the time between two writes of an endpoint's entry, `drain` the time within which a leaving
 /// endpoint must get nothing new.
 pub fn suspect_time(write_interval: Millis, drain: Millis) -> Millis {
-    let rewritten = write_interval.0 * INTERVALS / INTERVAL_PARTS;
+    let rewritten = write_interval.0 * UNCONFIRMED_INTERVALS / UNCONFIRMED_DIVISOR;
     let allowed = drain.0.saturating_sub(DRAIN_MARGIN.0);
-    Millis(rewritten.min(allowed).max(LEAST_SUSPECT.0))
+    Millis(rewritten.min(allowed).max(SHORTEST_UNCONFIRMED.0))
 }
--- a/lib/src/gateway/rules/worker_pace.rs
+++ b/lib/src/gateway/rules/worker_slowdown.rs
@@ -1,13 +1,13 @@
 //! How slow is an endpoint of a stage at present, and for how long does it get no call?
 //!
-//! Inputs: how long its calls took as a multiple of the expected time (`Pace`, a ratio), the clock, and why it gets no
+//! Inputs: how long its calls took as a multiple of the expected time (`Slowdown`, a ratio), the clock, and why it gets no
 //! call.
 //!
-//! Rule: the slowdown of an endpoint is a moving average over its answered calls, with weight `PACE_GAIN` for the
-//! newest. An overdue call raises it at once. It is valid for `PACE_KEPT`; after that the endpoint counts as running at
-//! the expected speed, so that a slow endpoint is tried again. An endpoint with a slowdown of at least `SLOW_PACE` gets
-//! no call while another may take it. One that refused or broke off a call is excluded for `PASSED_OVER`, one without
-//! capacity for a result for `FULL_PASSED_OVER`.
+//! Rule: the slowdown of an endpoint is a moving average over its answered calls, with weight `SLOWDOWN_GAIN` for the
+//! newest. An overdue call raises it at once. It is valid for `SLOWDOWN_VALIDITY`; after that the endpoint counts as running at
+//! the expected speed, so that a slow endpoint is tried again. An endpoint with a slowdown of at least `SLOW_THRESHOLD` gets
+//! no call while another may take it. One that refused or broke off a call is excluded for `NO_ANSWER_EXCLUSION`, one without
+//! capacity for a result for `NO_CAPACITY_EXCLUSION`.
 //!
 //! Reason: a call to a slow endpoint delays each request with a piece in it, and an endpoint without capacity refuses
 //! the next call as well. Test: `test_stage_rules`.
@@ -18,32 +18,32 @@
 };
 
 /// Weight of a new observation in the moving average (a share).
-const PACE_GAIN: f64 = 0.5;
+const SLOWDOWN_GAIN: f64 = 0.5;
 
 /// Time for which a slowdown is valid after it was observed.
-const PACE_KEPT: Millis = Millis(3_000);
+const SLOWDOWN_VALIDITY: Millis = Millis(3_000);
 
 /// Slowdown from which an endpoint gets no call while another may take it (a ratio).
-const SLOW_PACE: Pace = Pace(1.8);
+const SLOW_THRESHOLD: Slowdown = Slowdown(1.8);
 
 /// Bounds of the moving average (ratios), so that one wrong estimate of a call's cost doesn't make an endpoint look
 /// better or worse than this.
-const FASTEST_PACE: f64 = 0.5;
-const SLOWEST_PACE: f64 = 20.0;
+const MIN_SLOWDOWN: f64 = 0.5;
+const MAX_SLOWDOWN: f64 = 20.0;
 
 /// Time for which an endpoint is excluded that refused or broke off a call, or wasn't reached.
-const PASSED_OVER: Millis = Millis(300);
+const NO_ANSWER_EXCLUSION: Millis = Millis(300);
 
 /// Time for which an endpoint without capacity for a result is excluded.
-const FULL_PASSED_OVER: Millis = Millis(60);
+const NO_CAPACITY_EXCLUSION: Millis = Millis(60);
 
 /// Time of calls as a multiple of the expected time: 1 is as expected, more is slower.
 #[derive(Debug, Clone, Copy, PartialEq, PartialOrd)]
-pub struct Pace(pub f64);
+pub struct Slowdown(pub f64);
 
-impl Pace {
+impl Slowdown {
     /// Slowdown of an endpoint without recent calls.
-    pub const USUAL: Pace = Pace(1.0);
+    pub const USUAL: Slowdown = Slowdown(1.0);
 
     /// Returns the slowdown of a call that took `elapsed`, or has run for that long so far.
     pub fn of_call(elapsed: WorkMillis, expected: WorkMillis) -> Self {
@@ -53,31 +53,31 @@
     /// Returns whether an endpoint with this slowdown gets no call while another may take it.
     pub fn is_slow(self) -> bool {
         // NaN, from calls with an expected time of zero, counts as slow.
-        self.partial_cmp(&SLOW_PACE) != Some(Ordering::Less)
+        self.partial_cmp(&SLOW_THRESHOLD) != Some(Ordering::Less)
     }
 }
 
 /// Slowdown of one endpoint, learnt from its calls.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct KnownPace {
-    pace: Pace,
+pub struct LearntSlowdown {
+    pace: Slowdown,
     observed: Time,
 }
 
-impl Default for KnownPace {
+impl Default for LearntSlowdown {
     fn default() -> Self {
         Self {
-            pace: Pace::USUAL,
+            pace: Slowdown::USUAL,
             observed: Time::default(),
         }
     }
 }
 
-impl KnownPace {
+impl LearntSlowdown {
     /// Returns the slowdown that is valid at `now`.
-    pub fn at(&self, now: Time) -> Pace {
-        if now.since(self.observed) > PACE_KEPT.to_duration() {
-            Pace::USUAL
+    pub fn at(&self, now: Time) -> Slowdown {
+        if now.since(self.observed) > SLOWDOWN_VALIDITY.to_duration() {
+            Slowdown::USUAL
         } else {
             self.pace
         }
@@ -85,20 +85,20 @@
 
     /// Returns the slowdown after a call was answered at `now`.
     #[must_use]
-    pub fn after_answer(&self, now: Time, observed: Pace) -> Self {
+    pub fn after_answer(&self, now: Time, observed: Slowdown) -> Self {
         let before = self.at(now).0;
-        let learnt = before + PACE_GAIN * (observed.0 - before);
+        let learnt = before + SLOWDOWN_GAIN * (observed.0 - before);
         Self {
-            pace: Pace(learnt.clamp(FASTEST_PACE, SLOWEST_PACE)),
+            pace: Slowdown(learnt.clamp(MIN_SLOWDOWN, MAX_SLOWDOWN)),
             observed: now,
         }
     }
 
     /// Returns the slowdown after a call became overdue; `so_far` is that of the call up to now.
     #[must_use]
-    pub fn after_overdue(&self, now: Time, so_far: Pace) -> Self {
+    pub fn after_overdue(&self, now: Time, so_far: Slowdown) -> Self {
         Self {
-            pace: Pace(self.pace.0.max(so_far.0)),
+            pace: Slowdown(self.pace.0.max(so_far.0)),
             observed: now,
         }
     }
@@ -106,19 +106,19 @@
 
 /// Why an endpoint gets no call for a time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum PassedOver {
+pub enum WorkerExclusion {
     /// The endpoint refused or broke off a call, or wasn't reached.
     NoAnswer,
     /// The endpoint had no capacity for a result.
     NoRoom,
 }
 
-impl PassedOver {
+impl WorkerExclusion {
     /// Returns when the endpoint may get calls again.
     pub fn until(self, now: Time) -> Time {
         match self {
-            Self::NoAnswer => now + PASSED_OVER,
-            Self::NoRoom => now + FULL_PASSED_OVER,
+            Self::NoAnswer => now + NO_ANSWER_EXCLUSION,
+            Self::NoRoom => now + NO_CAPACITY_EXCLUSION,
         }
     }
 }
--- a/lib/src/gateway/serving/settings.rs
+++ b/lib/src/gateway/serving/settings.rs
@@ -7,7 +7,7 @@
 use {
     crate::{
         gateway::rules::{
-            directory_reads, homes::Regions, retry_budget::BudgetLimits, suspect_entry,
+            directory_reads, homes::Regions, retry_budget::BudgetLimits, unconfirmed_entry,
         },
         shared::{
             ids::{DataCentreId, HostId},
@@ -56,13 +56,13 @@
     /// Returns the time for which a suspect endpoint is used; see
     /// [`suspect_entry`].
     pub fn suspect_time(&self) -> Millis {
-        suspect_entry::suspect_time(self.endpoint_heartbeat, self.drain)
+        unconfirmed_entry::suspect_time(self.endpoint_heartbeat, self.drain)
     }
 
     /// Returns the time after which an entry that nobody writes any more has lapsed for certain; see
     /// [`suspect_entry`].
     pub fn lapse_time(&self) -> Millis {
-        suspect_entry::lapse_time(self.endpoint_heartbeat)
+        unconfirmed_entry::lapse_time(self.endpoint_heartbeat)
     }
 }
 
--- a/lib/src/gateway/stages/batch_plan.rs
+++ b/lib/src/gateway/stages/batch_plan.rs
@@ -14,7 +14,7 @@
                 call_timing::is_overdue,
                 piece_order::{DataCentreCounts, WaitingOrder},
                 piece_retry::{is_hopeless, is_retry},
-                worker_pace::Pace,
+                worker_slowdown::Slowdown,
             },
             stages::{
                 batch_call::{BatchCall, CallId, PieceRef, RunningCall, SentPiece},
@@ -301,7 +301,7 @@
             }
             call.overdue = true;
             if let Some(worker) = self.workers.get_mut(&call.endpoint) {
-                worker.call_overdue(now, Pace::of_call(elapsed, call.expected));
+                worker.call_overdue(now, Slowdown::of_call(elapsed, call.expected));
             }
             for sent in &call.pieces {
                 if let Some(state) = self.jobs.get_mut(&sent.piece.job) {
--- a/lib/src/gateway/stages/batch_queue.rs
+++ b/lib/src/gateway/stages/batch_queue.rs
@@ -14,7 +14,7 @@
             directory::endpoint_entry::EndpointEntry,
             rules::{
                 call_spacing::CallSpacing,
-                result_room,
+                result_capacity,
                 retry_budget::{BudgetLimits, WindowBudget},
             },
             stages::{
@@ -163,7 +163,7 @@
     /// Returns whether a call was kept small lately because an endpoint had no room for results.
     pub fn is_short_of_room(&self, now: Time) -> bool {
         self.short_at
-            .is_some_and(|met| result_room::is_shortage(now, met))
+            .is_some_and(|met| result_capacity::is_shortage(now, met))
     }
 
     /// Returns inputs that endpoints have fetched and that may be released early, each once;
@@ -175,7 +175,7 @@
     ) -> Vec<ResultHandle> {
         let mut fetched = Vec::new();
         for state in self.jobs.values_mut() {
-            if result_room::are_inputs_fetched(now, state.last_sent()) {
+            if result_capacity::are_inputs_fetched(now, state.last_sent()) {
                 fetched.extend_from_slice(state.release_inputs(&is_short));
             }
         }
--- a/lib/src/gateway/stages/batch_results.rs
+++ b/lib/src/gateway/stages/batch_results.rs
@@ -9,7 +9,7 @@
         rules::{
             piece_group,
             piece_retry::{LostSend, PieceRetry},
-            worker_pace::{Pace, PassedOver},
+            worker_slowdown::{Slowdown, WorkerExclusion},
         },
         stages::{
             batch_call::{CallEnd, CallId, PieceRef, RunningCall, SentPiece},
@@ -50,10 +50,10 @@
         match end {
             CallEnd::Answered(_) => {
                 let elapsed = WorkMillis(now.millis_since(call.sent));
-                worker.call_answered(now, Pace::of_call(elapsed, call.expected));
+                worker.call_answered(now, Slowdown::of_call(elapsed, call.expected));
             }
             CallEnd::Refused | CallEnd::Broken | CallEnd::Ended => {
-                worker.pass_over(now, PassedOver::NoAnswer)
+                worker.pass_over(now, WorkerExclusion::NoAnswer)
             }
             // It may be called again once the directory lists it anew.
             CallEnd::Replaced => worker.open = false,
@@ -113,7 +113,7 @@
         }
         if let Some(worker) = self.workers.get_mut(endpoint) {
             // It has less room than was believed, and gets time to clear.
-            worker.pass_over(now, PassedOver::NoRoom);
+            worker.pass_over(now, WorkerExclusion::NoRoom);
         }
         self.send_lost(piece, LostSend::NotRun);
     }
--- a/lib/src/gateway/stages/chain.rs
+++ b/lib/src/gateway/stages/chain.rs
@@ -7,7 +7,7 @@
     crate::{
         gateway::{
             dialect::Dialect,
-            rules::stage_home::StagePlace,
+            rules::stage_placement::StagePlacement,
             stages::{
                 chain_request::ChainRequest,
                 handover::run_by_coordinator,
@@ -139,7 +139,7 @@
     /// Returns where the pieces of a stage should run.
     fn home(&self, place: usize, stage: &RouteStage) -> Option<DataCentreId> {
         let inputs = self.results.stage_inputs(stage);
-        let stage_place = StagePlace {
+        let stage_place = StagePlacement {
             inputs: &inputs,
             pieces: self.request.count(place),
             result: stage.result,
--- a/lib/src/gateway/stages/stage_results.rs
+++ b/lib/src/gateway/stages/stage_results.rs
@@ -6,7 +6,7 @@
     crate::{
         gateway::{
             dialect::Dialect,
-            rules::{endpoint_choice::InputLocation, result_room::REQUEST_FETCH},
+            rules::{endpoint_choice::InputLocation, result_capacity::REQUEST_FETCH_TIME},
             stages::{
                 job::{PieceInput, ResultHandle},
                 release::{release, release_if_short},
@@ -171,7 +171,7 @@
             let released = stage.released.clone();
             tokio::task::spawn_local(async move {
                 loop {
-                    tokio::time::sleep(REQUEST_FETCH.to_duration()).await;
+                    tokio::time::sleep(REQUEST_FETCH_TIME.to_duration()).await;
                     if released.get() {
                         return;
                     }
--- a/lib/src/gateway/stages/worker.rs
+++ b/lib/src/gateway/stages/worker.rs
@@ -8,8 +8,8 @@
         gateway::{
             directory::endpoint_entry::EndpointEntry,
             rules::{
-                result_room,
-                worker_pace::{KnownPace, Pace, PassedOver},
+                result_capacity,
+                worker_slowdown::{LearntSlowdown, Slowdown, WorkerExclusion},
             },
             stages::job::ResultHandle,
         },
@@ -33,7 +33,7 @@
     /// Set while it may get calls at all.
     pub(crate) open: bool,
     calls: usize,
-    pace: KnownPace,
+    pace: LearntSlowdown,
     avoid_until: Time,
     /// Calls that it may get, where it names the rate that it takes.
     allowed: Option<usize>,
@@ -48,7 +48,7 @@
             entry,
             open: true,
             calls: 0,
-            pace: KnownPace::default(),
+            pace: LearntSlowdown::default(),
             avoid_until: Time::default(),
             allowed: None,
             kept: HashMap::default(),
@@ -61,7 +61,7 @@
         self.calls
     }
 
-    pub(crate) fn pace(&self, now: Time) -> Pace {
+    pub(crate) fn pace(&self, now: Time) -> Slowdown {
         self.pace.at(now)
     }
 
@@ -85,7 +85,7 @@
     pub(crate) fn free_room(&mut self, now: Time, stated: ByteSize) -> ByteSize {
         self.kept.retain(|_, result| result.until > now);
         let kept: u64 = self.kept.values().map(|result| result.size.0).sum();
-        result_room::free_room(stated, ByteSize(kept + self.reserved.0))
+        result_capacity::free_room(stated, ByteSize(kept + self.reserved.0))
     }
 
     pub(crate) fn call_sent(&mut self, reserved: ByteSize) {
@@ -99,15 +99,15 @@
         self.reserved.0 = self.reserved.0.saturating_sub(reserved.0);
     }
 
-    pub(crate) fn call_answered(&mut self, now: Time, observed: Pace) {
+    pub(crate) fn call_answered(&mut self, now: Time, observed: Slowdown) {
         self.pace = self.pace.after_answer(now, observed);
     }
 
-    pub(crate) fn call_overdue(&mut self, now: Time, so_far: Pace) {
+    pub(crate) fn call_overdue(&mut self, now: Time, so_far: Slowdown) {
         self.pace = self.pace.after_overdue(now, so_far);
     }
 
-    pub(crate) fn pass_over(&mut self, now: Time, why: PassedOver) {
+    pub(crate) fn pass_over(&mut self, now: Time, why: WorkerExclusion) {
         self.avoid_until = why.until(now);
     }
 
--- a/lib/src/gateway/stages/workload.rs
+++ b/lib/src/gateway/stages/workload.rs
@@ -10,7 +10,7 @@
             hashes::service_hash,
             peers::message::WorkNote,
             rules::{
-                backlog::{Backlog, Band},
+                backlog::{Backlog, DeadlineBucket},
                 piece_order::due,
             },
         },
@@ -58,7 +58,7 @@
         let mut backlog = Backlog::default();
         for (rank, pieces) in self.pieces(service) {
             let due = due(now, rank.objective, rank.rank);
-            backlog.add(Band::of(now, due), pieces);
+            backlog.add(DeadlineBucket::of(now, due), pieces);
         }
         backlog
     }
--- a/lib/tests/test_backlog.rs
+++ b/lib/tests/test_backlog.rs
@@ -4,7 +4,7 @@
     arbtest::arbtest,
     hazelyoke_lib::{
         gateway::rules::{
-            backlog::{Backlog, Band},
+            backlog::{Backlog, DeadlineBucket},
             piece_order::due,
         },
         shared::units::{Millis, Time},
@@ -13,20 +13,20 @@
 
 const NOW: Time = Time(60_000_000);
 
-fn band(span: u64) -> Band {
-    Band::of(NOW, NOW + Millis(span))
+fn band(span: u64) -> DeadlineBucket {
+    DeadlineBucket::of(NOW, NOW + Millis(span))
 }
 
 #[test]
 fn bands_in_order() {
     let spans = [0, 100, 300, 700, 1_100, 2_000, 2_600, 5_000, 20_000];
-    let bands: Vec<Band> = spans.into_iter().map(band).collect();
+    let bands: Vec<DeadlineBucket> = spans.into_iter().map(band).collect();
     assert!(bands.is_sorted(), "{bands:?}");
     // Typical objectives fall into different buckets; spans beyond the last bucket share it.
     assert!(band(1_000) < band(2_000));
     assert!(band(2_000) < band(2_600));
     assert_eq!(band(20_000), band(90_000));
-    assert_eq!(Band::of(NOW, NOW - Millis(500)), band(0));
+    assert_eq!(DeadlineBucket::of(NOW, NOW - Millis(500)), band(0));
 }
 
 #[test]
@@ -48,7 +48,7 @@
 fn late_jobs() {
     let late = due(NOW, NOW - Millis(1), 0);
     let patient = due(NOW, NOW + Millis(6_000), 2);
-    assert!(Band::of(NOW, late) >= Band::of(NOW, patient));
+    assert!(DeadlineBucket::of(NOW, late) >= DeadlineBucket::of(NOW, patient));
 }
 
 /// The later a piece is due, the more pieces are served before it; sums and differences agree.
--- a/lib/tests/test_catch_up_rule.rs
+++ b/lib/tests/test_catch_up_rule.rs
@@ -3,8 +3,8 @@
 use {
     hazelyoke_lib::{
         gateway::rules::catch_up::{
-            BehindSince, DirectoryReading, ListFetch, Offer, TableOffer, behind_since, is_behind,
-            is_fetch_due, list_fetch, list_source, table_source,
+            BehindSince, DirectoryReading, ListFetch, ListOffer, TableOffer, behind_since,
+            is_behind, is_fetch_due, list_fetch, list_source, table_source,
         },
         shared::units::{Millis, Time},
     },
@@ -17,8 +17,8 @@
     SocketAddr::from(([10, 0, 0, number], 7_000))
 }
 
-fn offers(revisions: &[u64]) -> impl Iterator<Item = Offer> {
-    (1..).zip(revisions).map(|(number, revision)| Offer {
+fn offers(revisions: &[u64]) -> impl Iterator<Item = ListOffer> {
+    (1..).zip(revisions).map(|(number, revision)| ListOffer {
         address: address(number),
         revision: (*revision).into(),
     })
--- a/lib/tests/test_directory_reads.rs
+++ b/lib/tests/test_directory_reads.rs
@@ -5,9 +5,9 @@
         gateway::{
             directory::source::Topic,
             rules::directory_reads::{
-                AnswerLimit, Backoff, COVER_CHECK, LastCall, PAUSE_PARTS, PeerKnowledge, ReadDuty,
-                Reader, ReportedRead, call_wait, next_turn, pause_after_answer, read_duty,
-                reported_read, stood_still, topic_wait,
+                AnswerTimeout, Backoff, COVER_CHECK, LastCall, PAUSE_FRACTIONS, PeerReads,
+                ReadDuty, Reader, ReportedRead, call_wait, next_turn, pause_after_answer,
+                read_duty, reported_read, stood_still, topic_wait,
             },
         },
         shared::units::Millis,
@@ -45,7 +45,7 @@
         (COORDINATOR, false, None, 1_000, Read),
         (SMALL, false, Some(0), 1_000, Read),
     ] {
-        let peers = PeerKnowledge {
+        let peers = PeerReads {
             lags,
             read_age: read_age.map(Millis),
         };
@@ -176,7 +176,7 @@
             backoff = backoff.next(reader, has_list);
         }
     }
-    assert_eq!(PAUSE_PARTS, 0.5..1.0);
+    assert_eq!(PAUSE_FRACTIONS, 0.5..1.0);
 }
 
 #[test]
@@ -204,7 +204,7 @@
 
 #[test]
 fn late_answers() {
-    let mut limit = AnswerLimit::default();
+    let mut limit = AnswerTimeout::default();
     for expected in [500, 1_000, 2_000, 2_000] {
         assert_eq!(limit.to_duration(), Duration::from_millis(expected));
         limit = limit.after_late();
@@ -213,7 +213,7 @@
     let slow = limit.after_answer(Duration::from_millis(500));
     assert_eq!(slow, limit);
     let quick = limit.after_answer(Duration::from_millis(499));
-    assert_eq!(quick, AnswerLimit::default());
+    assert_eq!(quick, AnswerTimeout::default());
 }
 
 #[test]
--- a/lib/tests/test_fetch_turn.rs
+++ b/lib/tests/test_fetch_turn.rs
@@ -4,7 +4,7 @@
     hazelyoke_lib::{
         gateway::rules::{
             catch_up::is_behind,
-            fetch_turn::{ASKERS, Holders, is_certain, is_turn, sources, spread_time},
+            fetch_turn::{ASKERS_PER_HOLDER, Holders, is_certain, is_turn, sources, spread_time},
         },
         shared::units::{Millis, Time},
     },
@@ -91,7 +91,7 @@
                 "{rounds} heartbeats, {daemons} daemons, {readers} readers"
             );
             assert!(
-                most_asked <= 5 * ASKERS,
+                most_asked <= 5 * ASKERS_PER_HOLDER,
                 "{most_asked} of {daemons} asked one of {readers}"
             );
         }
--- a/lib/tests/test_liveness_rule.rs
+++ b/lib/tests/test_liveness_rule.rs
@@ -10,7 +10,7 @@
                 message::{Heartbeat, PROTOCOL, PeerNote, Phase},
                 peer_change::PeerChange,
             },
-            rules::pause::PauseDetector,
+            rules::stall::PauseDetector,
         },
         shared::units::{Capacity, Millis, Time},
     },
--- a/lib/tests/test_message_bytes.rs
+++ b/lib/tests/test_message_bytes.rs
@@ -23,9 +23,9 @@
             quarantine::note::{EndedNote, EvidenceNote},
             rates::note::{PermitNote, RateNote},
             rules::{
-                backlog::{Backlog, Band},
+                backlog::{Backlog, DeadlineBucket},
                 endpoint_rate::Claim,
-                gossip::FAR_NOTES,
+                gossip::MAX_REMOTE_NOTES,
                 homes::RegionHash,
             },
             stages::job::{JobEnd, PieceInput, ResultHandle},
@@ -343,7 +343,7 @@
     }
     lines.add("heartbeat", &Datagram::Heartbeat(Box::new(beat)));
     let mut backlog = Backlog::default();
-    backlog.add(Band::of(Time(0), Time(900_000)), 70_000);
+    backlog.add(DeadlineBucket::of(Time(0), Time(900_000)), 70_000);
     let note = FarNote {
         region: RegionHash(7),
         service: ServiceHash(u32::MAX),
@@ -363,7 +363,7 @@
 fn region_report_size() {
     let mut backlog = Backlog::default();
     for span in 0..9_000 {
-        backlog.add(Band::of(Time(0), Time(0) + Millis(span)), 9);
+        backlog.add(DeadlineBucket::of(Time(0), Time(0) + Millis(span)), 9);
     }
     let note = FarNote {
         region: RegionHash(u32::MAX),
@@ -373,7 +373,7 @@
     };
     let report = Datagram::Regions(RegionReport {
         protocol: PROTOCOL,
-        notes: vec![note; FAR_NOTES],
+        notes: vec![note; MAX_REMOTE_NOTES],
     });
     let bytes = encode(&report).len();
     assert!(bytes <= 1_400, "{bytes} bytes");
--- a/lib/tests/test_peers.rs
+++ b/lib/tests/test_peers.rs
@@ -19,9 +19,9 @@
             },
             revision::{Era, Revision},
             rules::{
-                backlog::{Backlog, Band},
+                backlog::{Backlog, DeadlineBucket},
                 coordinator::Coordinator,
-                gossip::{ASKED, NAMED},
+                gossip::{MAX_ASKED, MAX_NAMED},
                 homes::RegionHash,
             },
             stages::job::{JobEnd, PieceInput, ResultHandle},
@@ -253,7 +253,7 @@
 fn full_backlog(service: u32) -> BacklogNote {
     let mut all = Backlog::default();
     for span in 0..9_000 {
-        all.add(Band::of(Time(0), Time(0) + Millis(span)), 1);
+        all.add(DeadlineBucket::of(Time(0), Time(0) + Millis(span)), 1);
     }
     BacklogNote {
         service: ServiceHash(service),
@@ -292,9 +292,9 @@
     assert!(bytes.len() <= 1_400, "{} bytes", bytes.len());
     assert_eq!(decode::<Heartbeat>(&bytes).unwrap(), heartbeat);
     // With as many questions and suspects as one may have, and another daemon's read.
-    let asked = (0..ASKED as u8).map(|n| address(n + 200)).collect();
+    let asked = (0..MAX_ASKED as u8).map(|n| address(n + 200)).collect();
     let mut peers = heartbeat.peers.clone();
-    peers.truncate(NAMED - ASKED / 2);
+    peers.truncate(MAX_NAMED - MAX_ASKED / 2);
     for note in &mut peers {
         note.suspect = true;
     }
--- a/lib/tests/test_scale.rs
+++ b/lib/tests/test_scale.rs
@@ -10,7 +10,7 @@
             peers::message::LoadNote,
             rules::{
                 eligibility::Places,
-                gossip::{DIGEST_LARGEST, digest_loads},
+                gossip::{MAX_DIGEST_LOADS, digest_loads},
                 retry_budget::{BudgetLimits, WindowBudget},
             },
             stages::{
@@ -116,7 +116,7 @@
         };
         let loads: Vec<LoadNote> = (0..endpoints).map(|number| load(number, 1)).collect();
         let first = digest_loads(loads.clone(), |_| false);
-        assert!(first.len() <= DIGEST_LARGEST);
+        assert!(first.len() <= MAX_DIGEST_LOADS);
         let least_named = first.iter().map(|load| load.prefill).min().unwrap();
         let named: HashSet<EndpointHash> = first.iter().map(|load| load.endpoint).collect();
         let larger = loads.iter().filter(|load| load.prefill > least_named);
--- a/lib/tests/test_stage_home.rs
+++ b/lib/tests/test_stage_home.rs
@@ -5,7 +5,7 @@
 use {
     arbtest::arbtest,
     hazelyoke_lib::{
-        gateway::rules::{endpoint_choice::InputLocation, stage_home::StagePlace},
+        gateway::rules::{endpoint_choice::InputLocation, stage_placement::StagePlacement},
         shared::{ids::DataCentreId, units::ByteSize},
     },
 };
@@ -30,7 +30,7 @@
     request: Option<&str>,
 ) -> Option<String> {
     let request = request.map(centre);
-    let place = StagePlace {
+    let place = StagePlacement {
         inputs: &inputs(located),
         pieces,
         result: ByteSize(result),
--- a/lib/tests/test_stage_rules.rs
+++ b/lib/tests/test_stage_rules.rs
@@ -14,9 +14,9 @@
                 piece_retry::{
                     LostSend, PieceRetry, after_loss, is_hopeless, is_retry, may_resend,
                 },
-                result_room::{are_inputs_fetched, free_room, is_shortage},
+                result_capacity::{are_inputs_fetched, free_room, is_shortage},
                 stage_objective::stage_objective,
-                worker_pace::{KnownPace, Pace, PassedOver},
+                worker_slowdown::{LearntSlowdown, Slowdown, WorkerExclusion},
             },
             stages::job::JobId,
         },
@@ -78,15 +78,15 @@
 
 #[test]
 fn worker_paces() {
-    let slow = [1.0, 1.79, 1.8, 20.0, f64::NAN].map(|pace| Pace(pace).is_slow());
+    let slow = [1.0, 1.79, 1.8, 20.0, f64::NAN].map(|pace| Slowdown(pace).is_slow());
     assert_eq!(slow, [false, false, true, true, true]);
-    let elapsed = Pace::of_call(WorkMillis(300.0), WorkMillis(200.0));
-    assert_eq!(elapsed, Pace(1.5));
+    let elapsed = Slowdown::of_call(WorkMillis(300.0), WorkMillis(200.0));
+    assert_eq!(elapsed, Slowdown(1.5));
     // Moves half of the way to each observation, between 0.5 and 20.
-    let mut known = KnownPace::default();
+    let mut known = LearntSlowdown::default();
     let mut paces = Vec::new();
     for observed in [2.0, 2.0, 0.25, 0.0, 0.0, 100.0] {
-        known = known.after_answer(NOW, Pace(observed));
+        known = known.after_answer(NOW, Slowdown(observed));
         paces.push(known.at(NOW).0);
     }
     assert_eq!(paces, [1.5, 1.75, 1.0, 0.5, 0.5, 20.0]);
@@ -94,18 +94,18 @@
 
 #[test]
 fn pace_memory() {
-    let known = KnownPace::default().after_overdue(NOW, Pace(3.0));
-    assert_eq!(known.at(after(3_000)), Pace(3.0));
-    assert_eq!(known.at(Time(after(3_000).0 + 1)), Pace::USUAL);
+    let known = LearntSlowdown::default().after_overdue(NOW, Slowdown(3.0));
+    assert_eq!(known.at(after(3_000)), Slowdown(3.0));
+    assert_eq!(known.at(Time(after(3_000).0 + 1)), Slowdown::USUAL);
     // An overdue call never makes an endpoint look faster than it was.
-    let known = known.after_overdue(NOW, Pace(2.0));
-    assert_eq!(known.at(NOW), Pace(3.0));
+    let known = known.after_overdue(NOW, Slowdown(2.0));
+    assert_eq!(known.at(NOW), Slowdown(3.0));
 }
 
 #[test]
 fn passed_over() {
-    assert_eq!(PassedOver::NoAnswer.until(NOW), after(300));
-    assert_eq!(PassedOver::NoRoom.until(NOW), after(60));
+    assert_eq!(WorkerExclusion::NoAnswer.until(NOW), after(300));
+    assert_eq!(WorkerExclusion::NoRoom.until(NOW), after(60));
 }
 
 #[test]
--- a/lib/tests/test_standstill.rs
+++ b/lib/tests/test_standstill.rs
@@ -1,7 +1,7 @@
 //! For how long a process ran since a time, although it stalled in between.
 
 use hazelyoke_lib::{
-    gateway::rules::pause::{CLOCK_LOOK, Standstills},
+    gateway::rules::stall::{CLOCK_CHECK, StallLog},
     shared::units::{Millis, Time},
 };
 
@@ -10,20 +10,20 @@
 }
 
 /// Checks the clock as a running daemon does, from one time to another.
-fn run(standstills: &mut Standstills, from: u64, until: u64) {
-    for ms in (from..=until).step_by(CLOCK_LOOK.0 as usize) {
+fn run(standstills: &mut StallLog, from: u64, until: u64) {
+    for ms in (from..=until).step_by(CLOCK_CHECK.0 as usize) {
         standstills.look(at(ms));
     }
 }
 
-fn ran_ms(standstills: &Standstills, since: u64, now: u64) -> u64 {
+fn ran_ms(standstills: &StallLog, since: u64, now: u64) -> u64 {
     standstills.ran_since(at(since), at(now)).as_millis() as u64
 }
 
 /// A running process has no stalls; gaps of up to two checks are none.
 #[test]
 fn running() {
-    let mut standstills = Standstills::default();
+    let mut standstills = StallLog::default();
     run(&mut standstills, 0, 5_000);
     standstills.look(at(5_200));
     assert_eq!(ran_ms(&standstills, 0, 5_200), 5_200);
@@ -34,7 +34,7 @@
 /// A stall and the grace period after it don't count, before and after the process has checked the clock again.
 #[test]
 fn one_standstill() {
-    let mut standstills = Standstills::default();
+    let mut standstills = StallLog::default();
     run(&mut standstills, 0, 2_000);
     // The clock is checked again only after this query.
     assert_eq!(ran_ms(&standstills, 1_500, 3_000), 500);
@@ -51,7 +51,7 @@
 /// Of repeated stalls, the time between two of them counts, except for the grace period.
 #[test]
 fn many_standstills() {
-    let mut standstills = Standstills::default();
+    let mut standstills = StallLog::default();
     let mut now = 0;
     for _ in 0..5 {
         run(&mut standstills, now, now + 300);
@@ -72,7 +72,7 @@
 /// Old stalls are forgotten, and don't count twice before.
 #[test]
 fn old_standstill() {
-    let mut standstills = Standstills::default();
+    let mut standstills = StallLog::default();
     run(&mut standstills, 0, 1_000);
     run(&mut standstills, 4_000, 13_900);
     assert_eq!(ran_ms(&standstills, 3_900, 13_900), 9_800);
--- a/lib/tests/test_suspect_entry.rs
+++ b/lib/tests/test_suspect_entry.rs
@@ -1,7 +1,7 @@
 //! Entries that vanish from the directory: when they are unconfirmed, and for how long.
 
 use hazelyoke_lib::{
-    gateway::rules::suspect_entry::{ReadHistory, is_outage, is_suspect, suspect_time},
+    gateway::rules::unconfirmed_entry::{ReadHistory, is_outage, is_suspect, suspect_time},
     shared::units::{Millis, Time},
 };
 
