--- a/lib/src/gateway/directory/catalogue.rs
+++ b/lib/src/gateway/directory/catalogue.rs
@@ -13,7 +13,7 @@
                 endpoint_entry::{EndpointChanges, EndpointEntry, EndpointList, GoneEndpoint},
             },
             revision::Revision,
-            rules::unconfirmed_entry::is_suspect,
+            rules::unconfirmed_entry::is_unconfirmed,
         },
         shared::{
             ids::EndpointId,
@@ -50,7 +50,7 @@
 #[derive(Debug, Clone)]
 pub struct Catalogue {
     /// Time for which suspect endpoints are used.
-    suspect_time: Millis,
+    unconfirmed_time: Millis,
     /// Time after which the entry of an endpoint that doesn't write it any more has lapsed for certain.
     lapse_time: Millis,
     /// Revision up to which all changes were applied.
@@ -66,10 +66,10 @@
 impl Catalogue {
     /// Starts without entries; endpoints whose entries vanish in an outage of the directory are used
     /// for `suspect_time` more.
-    pub fn new(suspect_time: Millis) -> Self {
+    pub fn new(unconfirmed_time: Millis) -> Self {
         Self {
-            suspect_time,
-            lapse_time: suspect_time,
+            unconfirmed_time,
+            lapse_time: unconfirmed_time,
             revision: Revision::default(),
             log: ChangeLog::default(),
             entries: HashMap::default(),
@@ -79,8 +79,8 @@
     }
 
     /// Sets the time for which endpoints are used whose entries vanish from now on.
-    pub fn set_suspect_time(&mut self, time: Millis) {
-        self.suspect_time = time;
+    pub fn set_unconfirmed_time(&mut self, time: Millis) {
+        self.unconfirmed_time = time;
     }
 
     /// Sets the time after which the entry of an endpoint that doesn't write it any more has lapsed for certain.
@@ -220,11 +220,12 @@
 
     fn vanish(&mut self, now: Time, id: &EndpointId, is_outage: bool) -> Option<EndpointChange> {
         let entry = self.entries.get(id)?.clone();
-        if is_suspect(is_outage, entry.draining) {
+        if is_unconfirmed(is_outage, entry.draining) {
             if self.suspects.contains_key(id) {
                 return None;
             }
-            self.suspects.insert(id.clone(), now + self.suspect_time);
+            self.suspects
+                .insert(id.clone(), now + self.unconfirmed_time);
             return Some(EndpointChange::Suspect(entry));
         }
         self.suspects.remove(id);
@@ -348,7 +349,7 @@
     /// Starts the time of all suspects anew, since their entries can't be written while the directory
     /// can't be read.
     pub fn extend_suspects(&mut self, now: Time) {
-        let until_next = now + self.suspect_time;
+        let until_next = now + self.unconfirmed_time;
         for until in self.suspects.values_mut() {
             *until = until_next;
         }
--- a/lib/src/gateway/directory/coverage.rs
+++ b/lib/src/gateway/directory/coverage.rs
@@ -11,8 +11,7 @@
         rules::{
             coordinator::is_settled,
             directory_reads::{
-                COVER_CHECK, LastCall, PeerReads, ReadDuty, Reader, next_turn, read_duty,
-                stood_still,
+                COVER_CHECK, LastCall, PeerReads, ReadDuty, Reader, is_stall, next_turn, read_duty,
             },
             fetch_turn::is_spread,
         },
@@ -44,7 +43,7 @@
         let others = self.peers.read_age(now);
         let own = self.contact.read_age(now).filter(|_| !self.substitutes);
         let age = others.into_iter().chain(own).min()?;
-        let stood = self.peers.standstills.stood_since(now - age, now);
+        let stood = self.peers.standstills.stalled_since(now - age, now);
         Some(Millis(age.0.saturating_sub(stood.as_millis() as u64)))
     }
 }
@@ -120,7 +119,7 @@
     let mut looked = gateway.now();
     loop {
         let now = gateway.now();
-        if stood_still(now.since(looked)) {
+        if is_stall(now.since(looked)) {
             turn = None;
         }
         looked = now;
--- a/lib/src/gateway/peers/heartbeats.rs
+++ b/lib/src/gateway/peers/heartbeats.rs
@@ -39,7 +39,7 @@
             () = gateway.announcement.notified() => {}
         }
         let now = gateway.now();
-        if let Some(gap) = pauses.look(now) {
+        if let Some(gap) = pauses.check(now) {
             log::warn!(gap_ms = gap.as_millis() as u64; "pause.noticed");
             gateway.state.borrow_mut().peers.end_pause(now);
             gateway.resumed.notify_waiters();
@@ -59,7 +59,7 @@
     loop {
         looks.tick().await;
         let now = gateway.now();
-        gateway.state.borrow_mut().peers.standstills.look(now);
+        gateway.state.borrow_mut().peers.standstills.check(now);
     }
 }
 
@@ -115,7 +115,7 @@
 fn send_far_services<D: Dialect>(gateway: &Gateway<D>, socket: &UdpSocket, now: Time) {
     let ready = gateway.may_coordinate();
     let mut state = gateway.state.borrow_mut();
-    if !ready || !gossip::is_far_due(state.peers.last_sequence()) {
+    if !ready || !gossip::is_remote_due(state.peers.last_sequence()) {
         return;
     }
     let services: Vec<ServiceId> = state.planning.services().cloned().collect();
--- a/lib/src/gateway/peers/membership.rs
+++ b/lib/src/gateway/peers/membership.rs
@@ -292,16 +292,16 @@
     /// Passes a daemon over as a coordinator for a while: it failed to accept a job.
     pub fn pass_over(&mut self, now: Time, address: &SocketAddr) {
         if let Some(peer) = self.known.get_mut(address) {
-            peer.avoid_until = coordinator::passed_over_until(now);
+            peer.avoid_until = coordinator::excluded_until(now);
         }
     }
 
     fn listening(&self) -> ReceiveConditions {
         ReceiveConditions {
             small_fleet: self.is_small(),
-            awake: self.awake,
+            resumed: self.awake,
             others: self.known.len(),
-            heard: self.heard,
+            received: self.heard,
         }
     }
 }
--- a/lib/src/gateway/peers/outgoing.rs
+++ b/lib/src/gateway/peers/outgoing.rs
@@ -58,7 +58,7 @@
         self.coordinates_since = coordinates.then(|| self.coordinates_since.unwrap_or(now));
         self.reads = self
             .coordinates_since
-            .map(|since| self.standstills.excused(since, now))
+            .map(|since| self.standstills.exclude_stalls(since, now))
             .is_some_and(|since| self.reads_first(now, since, &report));
         let asked = self.ask(now);
         let targets = self.targets(now, &report.services, &coordinators, &asked);
@@ -136,7 +136,7 @@
             staying.map(|(address, peer)| peer.standing(*address).candidate)
         };
         let mut services = report.services.iter();
-        services.any(|service| coordinator::reads_first(now, since, service, me, others()))
+        services.any(|service| coordinator::reads_directory(now, since, service, me, others()))
     }
 
     /// Draws the daemons that get a heartbeat.
--- a/lib/src/gateway/peers/part_batches.rs
+++ b/lib/src/gateway/peers/part_batches.rs
@@ -34,7 +34,7 @@
 impl PartBatches {
     /// Returns whether another batch may be sent.
     pub(crate) fn has_room(&self, now: Time) -> bool {
-        self.uploads.has_room(now)
+        self.uploads.may_send(now)
     }
 
     /// Returns a batch that was sent before.
--- a/lib/src/gateway/peers/queries.rs
+++ b/lib/src/gateway/peers/queries.rs
@@ -137,7 +137,7 @@
             address: heartbeat.address,
             version: heartbeat.table,
             fingerprint: heartbeat.fingerprint,
-            in_parts: heartbeat.table_until.is_some(),
+            in_chunks: heartbeat.table_until.is_some(),
         })
     }
 
--- a/lib/src/gateway/peers/record.rs
+++ b/lib/src/gateway/peers/record.rs
@@ -111,7 +111,7 @@
             self.asked = None;
         } else if self
             .asked
-            .is_some_and(|asked| liveness::is_silent(now, asked, awake))
+            .is_some_and(|asked| liveness::is_probe_unanswered(now, asked, awake))
         {
             self.suspect.get_or_insert(now);
         }
@@ -125,12 +125,12 @@
     /// Returns whether it lives, and its heartbeats should arrive here and don't.
     fn is_unheard(&self, now: Time, awake: Time) -> bool {
         let heartbeat = self.last_heartbeat.as_ref().map(|last| last.at);
-        self.alive && self.expected && liveness::is_unheard(now, heartbeat, awake)
+        self.alive && self.expected && liveness::is_probe_due(now, heartbeat, awake)
     }
 
     /// Returns whether others should be told that it is suspect.
     pub(crate) fn is_suspect_news(&self, now: Time) -> bool {
-        let told = |sign| liveness::is_news(now, sign);
+        let told = |sign| liveness::is_reported(now, sign);
         self.suspect.is_some() && self.last_sign.is_some_and(told)
     }
 
@@ -181,7 +181,7 @@
             },
             alive: self.alive,
             ready: self.phase == Phase::Ready,
-            avoid_until: self.avoid_until,
+            excluded_until: self.avoid_until,
         }
     }
 
--- a/lib/src/gateway/peers/self_report.rs
+++ b/lib/src/gateway/peers/self_report.rs
@@ -113,7 +113,7 @@
             return reported_read(own, self.peers.substitute_reads(now), wait);
         }
         let relied_on = self.substitutes || self.peers.is_small();
-        own.filter(|_| relied_on).map(ReportedRead::own)
+        own.filter(|_| relied_on).map(ReportedRead::local)
     }
 }
 
--- a/lib/src/gateway/peers/table_fetch.rs
+++ b/lib/src/gateway/peers/table_fetch.rs
@@ -166,7 +166,7 @@
 
     /// Asks a daemon for the next thing that is missing.
     async fn advance(&mut self, source: TableOffer) -> Result<(), FetchError> {
-        if !source.in_parts {
+        if !source.in_chunks {
             return self.fetch_whole(source.address).await;
         }
         let begun = self.partial.as_ref();
@@ -214,7 +214,7 @@
         }
         let now = self.gateway.now();
         let mut state = self.gateway.state.borrow_mut();
-        state.behind_since = state.behind_since.after_part(now);
+        state.behind_since = state.behind_since.after_chunk(now);
         Ok(())
     }
 
--- a/lib/src/gateway/routing/stage_load.rs
+++ b/lib/src/gateway/routing/stage_load.rs
@@ -15,7 +15,7 @@
             backlog::{Backlog, DeadlineBucket},
             call_timing::CallCost,
             homes::RegionHash,
-            piece_order::due,
+            piece_order::due_time,
         },
         stages::{chain_request::ChainRequest, workload::PieceRank},
         state::{Gateway, GatewayState},
@@ -52,7 +52,7 @@
     let now = gateway.now();
     let backlog = backlog(&gateway.state.borrow(), now, &stage.service, request.region);
     let PieceRank { objective, rank } = request.piece_rank(place);
-    let band = DeadlineBucket::of(now, due(now, objective, rank));
+    let band = DeadlineBucket::of(now, due_time(now, objective, rank));
     PlannedStage {
         service: stage_service(gateway, request, stage, backlog.total()),
         ahead: PieceCount(f64::from(backlog.ahead(band))),
--- a/lib/src/gateway/rules/call_fill.rs
+++ b/lib/src/gateway/rules/call_fill.rs
@@ -17,8 +17,8 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CallFill {
     share: usize,
-    most: usize,
-    room: ByteSize,
+    max_pieces: usize,
+    capacity: ByteSize,
     pieces: usize,
     reserved: ByteSize,
 }
@@ -31,17 +31,17 @@
     /// The call has the largest number of pieces that the table allows.
     CallFull,
     /// The endpoint lacks the capacity for the result.
-    NoRoom,
+    NoCapacity,
 }
 
 impl CallFill {
-    /// Starts an empty call that should take `share` pieces and may take `most`, at an endpoint with result capacity
-    /// `room`.
-    pub fn new(share: usize, most: usize, room: ByteSize) -> Self {
+    /// Starts an empty call that should take `share` pieces and may take `max_pieces`, at an endpoint with `capacity`
+    /// left for results.
+    pub fn new(share: usize, max_pieces: usize, capacity: ByteSize) -> Self {
         Self {
             share,
-            most,
-            room,
+            max_pieces,
+            capacity,
             pieces: 0,
             reserved: ByteSize(0),
         }
@@ -54,10 +54,10 @@
 
     /// Returns whether a piece with a result of `size` fits into the call.
     pub fn fit(&self, size: ByteSize) -> Fit {
-        if self.pieces >= self.most {
+        if self.pieces >= self.max_pieces {
             Fit::CallFull
-        } else if size.0 > self.room.0 - self.reserved.0 {
-            Fit::NoRoom
+        } else if size.0 > self.capacity.0 - self.reserved.0 {
+            Fit::NoCapacity
         } else {
             Fit::Fits
         }
--- a/lib/src/gateway/rules/call_spacing.rs
+++ b/lib/src/gateway/rules/call_spacing.rs
@@ -4,8 +4,8 @@
 //! (milliseconds), and how many endpoints there may be called and are free.
 //!
 //! Rule: at once if at least `FREE_FRACTION` of the endpoints are free, or if the call would be full. Otherwise once
-//! `SPACING_FRACTION` of an even interval has passed since the last call. The even interval is the average time of a call
-//! divided by the number of endpoints.
+//! `SPACING_FRACTION` of an even interval has passed since the last call. The even interval is the average time of a
+//! call divided by the number of endpoints.
 //!
 //! Reason: a call costs a fixed time before its first piece. Without spacing, the first free endpoint takes nearly all
 //! waiting pieces, and the next one takes a few and is busy for almost as long. Full calls last longer than small ones,
@@ -30,16 +30,16 @@
 /// Last call and average time of calls in one data centre.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct CallSpacing {
-    last: Time,
-    usual: WorkMillis,
+    last_call: Time,
+    call_time: WorkMillis,
 }
 
 impl CallSpacing {
     /// Starts with a first call, which should take `expected`.
     pub fn new(now: Time, expected: WorkMillis) -> Self {
         Self {
-            last: now,
-            usual: expected,
+            last_call: now,
+            call_time: expected,
         }
     }
 
@@ -47,17 +47,19 @@
     #[must_use]
     pub fn after_call(self, now: Time, expected: WorkMillis) -> Self {
         Self {
-            last: now,
-            usual: WorkMillis(self.usual.0 + CALL_TIME_GAIN * (expected.0 - self.usual.0)),
+            last_call: now,
+            call_time: WorkMillis(
+                self.call_time.0 + CALL_TIME_GAIN * (expected.0 - self.call_time.0),
+            ),
         }
     }
 
     /// Returns when a call that isn't full may start, where `endpoints` may be called and `free` of them are free.
-    pub fn due(self, endpoints: usize, free: usize) -> Time {
+    pub fn earliest_start(self, endpoints: usize, free: usize) -> Time {
         if free as f64 >= endpoints as f64 * FREE_FRACTION {
-            return self.last;
+            return self.last_call;
         }
-        let space = self.usual.0 / endpoints as f64 * SPACING_FRACTION;
-        self.last + WorkMillis(space)
+        let space = self.call_time.0 / endpoints as f64 * SPACING_FRACTION;
+        self.last_call + WorkMillis(space)
     }
 }
--- a/lib/src/gateway/rules/call_timing.rs
+++ b/lib/src/gateway/rules/call_timing.rs
@@ -4,9 +4,9 @@
 //! which it has run (milliseconds).
 //!
 //! Rule: a call costs a fixed time and a time for each piece. It is overdue once it has run for `OVERDUE_FACTOR` times
-//! its expected time plus `OVERDUE_FIXED_MS`. Its pieces are then also sent to another endpoint, and the first result counts.
-//! The answer is awaited for much longer, `ANSWER_FACTOR` times the expected time plus `ANSWER_FIXED`, since a late result
-//! still counts if the other endpoint is even later.
+//! its expected time plus `OVERDUE_FIXED_MS`. Its pieces are then also sent to another endpoint, and the first result
+//! counts. The answer is awaited for much longer, `ANSWER_FACTOR` times the expected time plus `ANSWER_FIXED`, since a
+//! late result still counts if the other endpoint is even later.
 //!
 //! Reason: a slow or unreachable endpoint would otherwise delay all requests with a piece in its call. The factors are
 //! those of `docs/design/stages.md`. Tests: `overdue_call_retried` and `test_stage_rules`.
--- a/lib/src/gateway/rules/catch_up.rs
+++ b/lib/src/gateway/rules/catch_up.rs
@@ -5,12 +5,12 @@
 //! directory holds a call for changes; a random fraction.
 //!
 //! Rule: a newer table is fetched at once, except that a daemon that reads the directory itself waits for
-//! [`DIRECTORY_HEAD_START`]. The source is drawn at random among the daemons that report the newest table; after one that was
-//! busy or failed, another one is drawn. A newer list is fetched only by a daemon that has no list yet, that leaves
-//! reading the directory to others, or that the directory hasn't answered for [`DIRECTORY_TIMEOUT`] longer than it holds a call.
-//! Its source is drawn from the newer half of the daemons with a newer list; a daemon that has a list asks only for the
-//! changes. The rule [`fetch_turn`] decides when it asks. A daemon that has known of something newer for more than
-//! [`BEHIND_LIMIT`] (longer in a large fleet) without receiving any of it reads the directory itself.
+//! [`DIRECTORY_HEAD_START`]. The source is drawn at random among the daemons that report the newest table; after one
+//! that was busy or failed, another one is drawn. A newer list is fetched only by a daemon that has no list yet, that
+//! leaves reading the directory to others, or that the directory hasn't answered for [`DIRECTORY_TIMEOUT`] longer than
+//! it holds a call. Its source is drawn from the newer half of the daemons with a newer list; a daemon that has a list
+//! asks only for the changes. The rule [`fetch_turn`] decides when it asks. A daemon that has known of something newer
+//! for more than [`BEHIND_LIMIT`] (longer in a large fleet) without receiving any of it reads the directory itself.
 //!
 //! Reason: tables are rare and may be large, so each daemon that has one passes it on. Lists change all the time, and
 //! the directory delivers them first to daemons that read it. As long as chunks of a table arrive, a second copy of it
@@ -59,7 +59,7 @@
     /// Fingerprint of the daemon's table.
     pub fingerprint: u64,
     /// Whether the daemon sends its table in chunks.
-    pub in_parts: bool,
+    pub in_chunks: bool,
 }
 
 /// Since when other daemons are known to have something newer than this one.
@@ -128,9 +128,9 @@
         return None;
     }
     let newest = offers.iter().filter(|offer| offer.version == newest);
-    let in_parts = newest.clone().any(|offer| offer.in_parts);
+    let in_chunks = newest.clone().any(|offer| offer.in_chunks);
     let sources: Vec<TableOffer> = newest
-        .filter(|offer| offer.in_parts == in_parts)
+        .filter(|offer| offer.in_chunks == in_chunks)
         .copied()
         .collect();
     let others: Vec<TableOffer> = sources
@@ -194,7 +194,7 @@
 
     /// Returns the state with each time converted by `to`.
     #[must_use]
-    pub fn moved(self, to: impl Fn(Time) -> Time) -> Self {
+    pub fn map_times(self, to: impl Fn(Time) -> Time) -> Self {
         Self {
             table: self.table.map(&to),
             list: self.list.map(&to),
@@ -218,7 +218,7 @@
 
     /// Returns the state after a chunk of a newer table has arrived.
     #[must_use]
-    pub fn after_part(self, now: Time) -> Self {
+    pub fn after_chunk(self, now: Time) -> Self {
         Self {
             table: self.table.map(|_| now),
             ..self
--- a/lib/src/gateway/rules/coordinator.rs
+++ b/lib/src/gateway/rules/coordinator.rs
@@ -7,8 +7,8 @@
 //! Rule: rendezvous hashing among the daemons with the most capacity. Each candidate ranks by its capacity first, and
 //! then by a hash of service and address; the one with the highest rank coordinates. A daemon is a candidate if it is
 //! alive and ready, didn't fail for this job, and wasn't excluded in the last [`FAILURE_EXCLUSION`]. This daemon is a
-//! candidate once it is ready and [`SETTLE_TIME`] has passed since its start, or [`YIELD_TIME`] if it knows a living daemon with
-//! more capacity. Without any candidate, it coordinates for itself.
+//! candidate once it is ready and [`SETTLE_TIME`] has passed since its start, or [`YIELD_TIME`] if it knows a living
+//! daemon with more capacity. Without any candidate, it coordinates for itself.
 //!
 //! Reason: all daemons that know the same others agree without a message, a lost coordinator moves only its own
 //! services, and the load of coordinating goes to hosts with enough processor capacity.
@@ -66,7 +66,7 @@
     /// Whether the daemon reports that it serves requests.
     pub ready: bool,
     /// End of the time for which the daemon is excluded.
-    pub avoid_until: Time,
+    pub excluded_until: Time,
 }
 
 /// Rank of a candidate for one service; the highest coordinates.
@@ -76,7 +76,7 @@
     hash: u64,
 }
 
-/// Returns the coordinator of a service. `ready` is set if this daemon, `me`, may coordinate; daemons in `except`
+/// Returns the coordinator of a service. `ready` is set if this daemon, `me`, may coordinate; daemons in `failed`
 /// already failed for the job at hand.
 pub fn coordinator(
     now: Time,
@@ -84,11 +84,11 @@
     me: DaemonCandidate,
     ready: bool,
     peers: impl Iterator<Item = PeerState>,
-    except: &[SocketAddr],
+    failed: &[SocketAddr],
 ) -> Coordinator {
     let seed = xxh3_64_with_seed(service.as_str().as_bytes(), 0);
     let best = peers
-        .filter(|peer| peer.is_eligible(now) && !except.contains(&peer.candidate.address))
+        .filter(|peer| peer.is_eligible(now) && !failed.contains(&peer.candidate.address))
         .map(|peer| (rank(seed, peer.candidate), peer.candidate.address))
         .max();
     match best {
@@ -112,7 +112,7 @@
 /// Returns whether a daemon that has coordinated since `since` reads the directory as the coordinator of a service.
 /// `others` are the living daemons that aren't stopping, ready or not: daemons that start together become ready one
 /// after the other, and each would otherwise read for a moment until the proper coordinator is ready.
-pub fn reads_first(
+pub fn reads_directory(
     now: Time,
     since: Time,
     service: &ServiceId,
@@ -123,20 +123,20 @@
         candidate,
         alive: true,
         ready: true,
-        avoid_until: Time::default(),
+        excluded_until: Time::default(),
     });
     let has_waited = now >= since + YIELD_TIME;
     has_waited || coordinator(now, service, me, true, ready, &[]) == Coordinator::Me
 }
 
 /// Returns until when a daemon that failed to accept a job at `now` is excluded.
-pub fn passed_over_until(now: Time) -> Time {
+pub fn excluded_until(now: Time) -> Time {
     now + FAILURE_EXCLUSION
 }
 
 impl PeerState {
     fn is_eligible(&self, now: Time) -> bool {
-        self.alive && self.ready && self.avoid_until <= now
+        self.alive && self.ready && self.excluded_until <= now
     }
 }
 
--- a/lib/src/gateway/rules/directory_reads.rs
+++ b/lib/src/gateway/rules/directory_reads.rs
@@ -97,7 +97,7 @@
 
 impl ReportedRead {
     /// Returns a report of the reporting daemon's own read.
-    pub fn own(age: Millis) -> Self {
+    pub fn local(age: Millis) -> Self {
         Self {
             age,
             substitute: None,
@@ -175,7 +175,7 @@
 /// Returns whether a gap of this length between two checks ([`COVER_CHECK`]) means that this daemon stalled. What it
 /// knows of the others' reads is then as old, so its turn is drawn anew. Without this, daemons that are busy with a
 /// large table read it once more.
-pub fn stood_still(gap: Duration) -> bool {
+pub fn is_stall(gap: Duration) -> bool {
     gap > COVER_CHECK.to_duration() * 2
 }
 
@@ -192,7 +192,7 @@
     substitutes: impl Iterator<Item = (SocketAddr, Millis)>,
     wait: Duration,
 ) -> Option<ReportedRead> {
-    let own = own.map(ReportedRead::own);
+    let own = own.map(ReportedRead::local);
     if own.is_some_and(|own| is_fresh(own.age, wait)) {
         return own;
     }
--- a/lib/src/gateway/rules/fetch_turn.rs
+++ b/lib/src/gateway/rules/fetch_turn.rs
@@ -4,14 +4,14 @@
 //! there are and how many have the newer state, counted separately for those that send their heartbeats to everybody; a
 //! random fraction.
 //!
-//! Rule: a daemon asks with a probability of [`ASKERS_PER_HOLDER`] times the fraction of the fleet that has the newer state, drawn
-//! anew with each heartbeat. That fraction is estimated from the heartbeats that arrived here. A daemon that sends to
-//! everybody is received by all, so it counts as one daemon of the whole fleet.
+//! Rule: a daemon asks with a probability of [`ASKERS_PER_HOLDER`] times the fraction of the fleet that has the newer
+//! state, drawn anew with each heartbeat. That fraction is estimated from the heartbeats that arrived here. A daemon
+//! that sends to everybody is received by all, so it counts as one daemon of the whole fleet.
 //!
 //! Reason: when one daemon announces something to everybody, all want it at the same moment from the only daemon that
-//! has it. If only [`ASKERS_PER_HOLDER`] ask each daemon that has it, those can be answered, and each that has received it is
-//! asked next. The time until everybody has it grows with the logarithm of the fleet, and no daemon is asked by more
-//! others in a larger fleet.
+//! has it. If only [`ASKERS_PER_HOLDER`] ask each daemon that has it, those can be answered, and each that has received
+//! it is asked next. The time until everybody has it grows with the logarithm of the fleet, and no daemon is asked by
+//! more others in a larger fleet.
 //!
 //! Tests: `lib/tests/test_fetch_turn.rs`.
 
@@ -24,7 +24,8 @@
 /// coordinators of five services do.
 const MAX_UNLIMITED_FLEET: usize = ASKERS_PER_HOLDER * 5;
 
-/// Time in which the number of daemons that have something newer grows by a factor of [`ASKERS_PER_HOLDER`]. One heartbeat.
+/// Time in which the number of daemons that have something newer grows by a factor of [`ASKERS_PER_HOLDER`]. One
+/// heartbeat.
 const SPREAD_STEP: Millis = Millis(200);
 
 /// Age up to which a heartbeat shows what its sender has now. Five heartbeats.
@@ -34,7 +35,7 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Holders {
     /// Number of daemons whose heartbeats were received and that don't send to everybody.
-    pub heard: usize,
+    pub received: usize,
     /// Number of those that have it.
     pub holding: usize,
     /// Number of daemons that send to everybody and have it.
@@ -47,21 +48,21 @@
         if broadcasts {
             self.broadcasting += usize::from(has);
         } else {
-            self.heard += 1;
+            self.received += 1;
             self.holding += usize::from(has);
         }
     }
 
     /// Estimates the fraction of a fleet that has it.
-    fn part(self, daemons: usize) -> f64 {
-        self.others_part() + self.broadcasting_part(daemons)
+    fn fraction(self, daemons: usize) -> f64 {
+        self.others_fraction() + self.broadcasting_fraction(daemons)
     }
 
-    fn others_part(self) -> f64 {
-        self.holding as f64 / self.heard.max(1) as f64
+    fn others_fraction(self) -> f64 {
+        self.holding as f64 / self.received.max(1) as f64
     }
 
-    fn broadcasting_part(self, daemons: usize) -> f64 {
+    fn broadcasting_fraction(self, daemons: usize) -> f64 {
         self.broadcasting as f64 / daemons.max(1) as f64
     }
 }
@@ -95,7 +96,7 @@
     if !is_spread(daemons) {
         return Sources::Any;
     }
-    let broadcasting = holders.broadcasting_part(daemons) / holders.part(daemons);
+    let broadcasting = holders.broadcasting_fraction(daemons) / holders.fraction(daemons);
     if fraction < broadcasting {
         Sources::Broadcasting
     } else {
@@ -114,7 +115,7 @@
 }
 
 fn chance(holders: Holders, daemons: usize) -> f64 {
-    holders.part(daemons) * ASKERS_PER_HOLDER as f64
+    holders.fraction(daemons) * ASKERS_PER_HOLDER as f64
 }
 
 /// Returns whether something newer takes several steps to reach a fleet of `daemons`.
--- a/lib/src/gateway/rules/gossip.rs
+++ b/lib/src/gateway/rules/gossip.rs
@@ -6,9 +6,9 @@
 //!
 //! Rule: in a fleet of at most [`MAX_SMALL_FLEET`] other daemons, each heartbeat goes to everybody. In a larger one, a
 //! daemon that coordinates, or did so within its last [`LAST_BROADCASTS`] heartbeats, sends to everybody. Any other
-//! daemon sends to the [`WATCHERS`] living daemons that come next in an order by hash, to [`RANDOM_TARGETS`] daemons drawn at
-//! random for each heartbeat, to the coordinators, to daemons that asked it for a heartbeat or reported it as suspect,
-//! to daemons that it asks itself, and to seeds that aren't alive.
+//! daemon sends to the [`WATCHERS`] living daemons that come next in an order by hash, to [`RANDOM_TARGETS`] daemons
+//! drawn at random for each heartbeat, to the coordinators, to daemons that asked it for a heartbeat or reported it as
+//! suspect, to daemons that it asks itself, and to seeds that aren't alive.
 //!
 //! Watchers and drawn daemons are in the sender's own region, and "everybody" means all daemons of this region. In
 //! other regions, only coordinators get the heartbeats of a coordinator, and with one heartbeat in `REMOTE_EVERY` it
@@ -98,8 +98,8 @@
 
 /// Largest number of daemons in a roster. In a fleet that starts at once, each daemon asks others for rosters, mostly
 /// the seeds. With 295 daemons, one seed would send 11,800 datagrams a second without a bound, and sends 1,180 with
-/// this one and [`ROSTER_INTERVAL`]. A daemon that has just started asks about ten others in each heartbeat, and knows 295
-/// others after two heartbeats.
+/// this one and [`ROSTER_INTERVAL`]. A daemon that has just started asks about ten others in each heartbeat, and knows
+/// 295 others after two heartbeats.
 pub const MAX_ROSTER: usize = 80;
 
 /// Number of daemons in a roster that are chosen for their capacity.
@@ -228,8 +228,8 @@
 }
 
 /// Returns whether a heartbeat names this number of evacuated data centres. It names either all that are known or none,
-/// since a report without some of them would end their evacuation. A fleet with more than [`MAX_EVACUATED`] of them learns
-/// of them only from the directory.
+/// since a report without some of them would end their evacuation. A fleet with more than [`MAX_EVACUATED`] of them
+/// learns of them only from the directory.
 pub fn reports_evacuations(evacuated: usize) -> bool {
     evacuated <= MAX_EVACUATED
 }
@@ -260,16 +260,16 @@
 
 /// Returns the loads that a heartbeat carries: those with the most prompt tokens, and of equal ones those with the most
 /// requests. There are fewer if it has other content.
-pub fn largest_loads(mut loads: Vec<LoadNote>, beside: HeartbeatExtras) -> Vec<LoadNote> {
-    let regions = if beside.regions { LOADS_FOR_REGIONS } else { 0 };
-    let eras = if beside.eras { LOADS_FOR_ERAS } else { 0 };
-    let others = beside.evacuated * LOADS_PER_EVACUATED + regions + eras;
+pub fn largest_loads(mut loads: Vec<LoadNote>, extras: HeartbeatExtras) -> Vec<LoadNote> {
+    let regions = if extras.regions { LOADS_FOR_REGIONS } else { 0 };
+    let eras = if extras.eras { LOADS_FOR_ERAS } else { 0 };
+    let others = extras.evacuated * LOADS_PER_EVACUATED + regions + eras;
     loads.sort_unstable_by_key(|load| Reverse((load.prefill, load.running)));
     loads.truncate(MAX_LOADS.saturating_sub(others));
     loads
 }
 
 /// Returns whether the heartbeat with this number is followed by reports on other regions.
-pub fn is_far_due(sequence: u64) -> bool {
+pub fn is_remote_due(sequence: u64) -> bool {
     sequence.is_multiple_of(REMOTE_EVERY)
 }
--- a/lib/src/gateway/rules/liveness.rs
+++ b/lib/src/gateway/rules/liveness.rs
@@ -6,16 +6,16 @@
 //! resumed after a pause.
 //!
 //! Rule: a daemon whose every heartbeat should arrive here, because the fleet is small or because it broadcasts, is
-//! alive while its last heartbeat is at most [`HEARTBEAT_TIMEOUT`] old. Any other daemon is alive until it is suspect. Each
-//! daemon that should receive all of its heartbeats (the coordinators, and the next
+//! alive while its last heartbeat is at most [`HEARTBEAT_TIMEOUT`] old. Any other daemon is alive until it is suspect.
+//! Each daemon that should receive all of its heartbeats (the coordinators, and the next
 //! [`WATCHERS`](crate::gateway::rules::gossip::WATCHERS) daemons in an order by hash) asks it for a heartbeat after
-//! [`PROBE_TIMEOUT`] of silence, suspects it if none comes within the same time again, and reports this to the others. A daemon
-//! with a sign of life that is not older than that rejects the suspicion and reports so, as does the suspect itself. A
-//! suspect is lost once it has been suspect for [`SUSPICION_TIME`] and its last sign of life is more than [`GOSSIP_TIMEOUT`]
-//! old. A daemon that nobody suspects is lost after the time of [`quiet_limit`], and a daemon that receives nothing at
-//! all suspects all others. Time before the end of a pause of this process doesn't count as silence of a daemon that
-//! was alive when the pause began. A lost daemon is forgotten [`FORGET_TIME`] after its last sign of life, and gossip older
-//! than half of that is ignored.
+//! [`PROBE_TIMEOUT`] of silence, suspects it if none comes within the same time again, and reports this to the others.
+//! A daemon with a sign of life that is not older than that rejects the suspicion and reports so, as does the suspect
+//! itself. A suspect is lost once it has been suspect for [`SUSPICION_TIME`] and its last sign of life is more than
+//! [`GOSSIP_TIMEOUT`] old. A daemon that nobody suspects is lost after the time of [`unsuspected_limit`], and a daemon
+//! that receives nothing at all suspects all others. Time before the end of a pause of this process doesn't count as
+//! silence of a daemon that was alive when the pause began. A lost daemon is forgotten [`FORGET_TIME`] after its last
+//! sign of life, and gossip older than half of that is ignored.
 //!
 //! Reason: a daemon of a large fleet receives few signs of life of each other one, and fewer the larger the fleet is:
 //! with 295 daemons about one a second. A limit of 2.5 s alone then proves nothing; a calm fleet counted 6,000 losses a
@@ -84,11 +84,11 @@
     /// Whether the fleet is so small that every heartbeat goes to everybody.
     pub small_fleet: bool,
     /// When this process last resumed after a pause; zero if there was none.
-    pub awake: Time,
+    pub resumed: Time,
     /// Number of other daemons known.
     pub others: usize,
     /// When anything was last received from any daemon.
-    pub heard: Time,
+    pub received: Time,
 }
 
 /// Returns whether a daemon counts as alive.
@@ -96,12 +96,12 @@
     let direct = listening.small_fleet || signs.broadcasts;
     let last = if direct { signs.heartbeat } else { signs.sign };
     // Time missed in a pause is excluded only for a daemon that was alive before it.
-    let awake = if signs.alive {
-        listening.awake
+    let resumed = if signs.alive {
+        listening.resumed
     } else {
         Time::default()
     };
-    let Some(last) = last.map(|last| last.max(awake)) else {
+    let Some(last) = last.map(|last| last.max(resumed)) else {
         return false;
     };
     let silence = now.since(last);
@@ -112,26 +112,26 @@
         return true;
     }
     let suspect = earliest(signs.suspect, isolated_since(now, listening));
-    let refuted =
-        suspect.is_none_or(|suspect| now.since(suspect.max(awake)) <= SUSPICION_TIME.to_duration());
-    signs.alive && refuted && silence <= quiet_limit(listening.others).to_duration()
+    let refuted = suspect
+        .is_none_or(|suspect| now.since(suspect.max(resumed)) <= SUSPICION_TIME.to_duration());
+    signs.alive && refuted && silence <= unsuspected_limit(listening.others).to_duration()
 }
 
 /// Returns the time without a sign of life after which a daemon is lost that nobody suspects.
-pub fn quiet_limit(others: usize) -> Millis {
+pub fn unsuspected_limit(others: usize) -> Millis {
     UNSUSPECTED_TIMEOUT.max(Millis(UNSUSPECTED_TIMEOUT_EACH.0 * others as u64))
 }
 
 /// Returns whether a daemon is asked for a heartbeat, by the time of its last one. All of its heartbeats should arrive
 /// here.
-pub fn is_unheard(now: Time, heartbeat: Option<Time>, awake: Time) -> bool {
-    let heard = heartbeat.unwrap_or_default().max(awake);
-    now.since(heard) > PROBE_TIMEOUT.to_duration()
+pub fn is_probe_due(now: Time, heartbeat: Option<Time>, resumed: Time) -> bool {
+    let received = heartbeat.unwrap_or_default().max(resumed);
+    now.since(received) > PROBE_TIMEOUT.to_duration()
 }
 
 /// Returns whether a daemon that was asked for a heartbeat at `asked` and hasn't sent one is suspect.
-pub fn is_silent(now: Time, asked: Time, awake: Time) -> bool {
-    now.since(asked.max(awake)) > PROBE_TIMEOUT.to_duration()
+pub fn is_probe_unanswered(now: Time, asked: Time, resumed: Time) -> bool {
+    now.since(asked.max(resumed)) > PROBE_TIMEOUT.to_duration()
 }
 
 /// Returns whether a sign of life known here refutes a suspicion reported by gossip.
@@ -141,13 +141,13 @@
 
 /// Returns whether a suspect with this last sign of life is still reported to others. Lost daemons are reported too, so
 /// that all daemons learn of the loss.
-pub fn is_news(now: Time, sign: Time) -> bool {
+pub fn is_reported(now: Time, sign: Time) -> bool {
     now.since(sign) <= SUSPECT_REPORT_AGE.to_duration()
 }
 
 /// Returns since when this daemon has received nothing although it should have; `None` while it receives something.
 fn isolated_since(now: Time, listening: ReceiveConditions) -> Option<Time> {
-    let since = listening.heard.max(listening.awake) + HEARTBEAT_TIMEOUT;
+    let since = listening.received.max(listening.resumed) + HEARTBEAT_TIMEOUT;
     (now > since).then_some(since)
 }
 
--- a/lib/src/gateway/rules/piece_group.rs
+++ b/lib/src/gateway/rules/piece_group.rs
@@ -17,6 +17,6 @@
 
 /// Returns the largest number of pieces of a call that contains any piece of a call of `pieces` during which an
 /// endpoint terminated.
-pub fn after_end(pieces: usize) -> usize {
+pub fn max_pieces_after_termination(pieces: usize) -> usize {
     (pieces / GROUP_DIVISOR).max(1)
 }
--- a/lib/src/gateway/rules/piece_order.rs
+++ b/lib/src/gateway/rules/piece_order.rs
@@ -5,11 +5,11 @@
 //! be called in each data centre.
 //!
 //! Rule: the preferred data centre of a job is the one where its request will probably run. Endpoints there may take
-//! its pieces at once. Endpoints in other data centres may take them once they have waited for `PREFERRED_WAIT_MS_PER_MB` for
-//! each megabyte that would cross, at most `LONGEST_PREFERRED_WAIT`. This wait is shorter where the preferred data centre has few
-//! endpoints, and ends when the objective has passed. Jobs are ordered by their objective; each rank adds `RANK_STEP`,
-//! a missed objective adds `LATE_STEP`, and an endpoint outside the preferred data centre adds `NOT_PREFERRED_STEP`. The free
-//! endpoints divide the waiting pieces among themselves.
+//! its pieces at once. Endpoints in other data centres may take them once they have waited for
+//! `PREFERRED_WAIT_MS_PER_MB` for each megabyte that would cross, at most `LONGEST_PREFERRED_WAIT`. This wait is
+//! shorter where the preferred data centre has few endpoints, and ends when the objective has passed. Jobs are ordered
+//! by their objective; each rank adds `RANK_STEP`, a missed objective adds `LATE_STEP`, and an endpoint outside the
+//! preferred data centre adds `NOT_PREFERRED_STEP`. The free endpoints divide the waiting pieces among themselves.
 //!
 //! Reason: a result that crosses between data centres costs money and time, an idle endpoint only time. A late job has
 //! lost most of its worth, so it goes last. Tests: `large_result_home` and its neighbours in `test_batch_queue`, and
@@ -84,9 +84,9 @@
     /// Rank of the job's route; 0 goes first.
     pub rank: u32,
     /// Preferred data centre: the one where the results will probably be used.
-    pub home: Option<&'a DataCentreId>,
+    pub preferred: Option<&'a DataCentreId>,
     /// Data centres where the pieces are allowed to run.
-    pub places: &'a Places,
+    pub allowed: &'a Places,
     /// Bytes that cross between data centres for each piece that runs outside the preferred data centre.
     pub moved: ByteSize,
 }
@@ -95,12 +95,12 @@
     /// Returns the time by which the job is ordered, before the addition for endpoints outside its preferred data
     /// centre.
     fn urgency(&self, now: Time) -> Time {
-        due(now, self.objective, self.rank)
+        due_time(now, self.objective, self.rank)
     }
 
     /// Returns whether the pieces may run outside the preferred data centre, which has `endpoints` endpoints.
-    fn may_leave(&self, now: Time, endpoints: usize) -> bool {
-        now.since(self.added) >= home_wait(self.moved, endpoints).to_duration()
+    fn may_run_elsewhere(&self, now: Time, endpoints: usize) -> bool {
+        now.since(self.added) >= preferred_wait(self.moved, endpoints).to_duration()
             || now > self.objective
     }
 }
@@ -111,18 +111,18 @@
     /// Jobs, the most urgent first.
     pub jobs: Vec<JobId>,
     /// Number of pieces that only endpoints in this endpoint's data centre may take at present.
-    pub own: usize,
+    pub local: usize,
     /// Number of pieces that endpoints in any allowed data centre may take.
     pub shared: usize,
     /// Which endpoints may take the pieces of each job.
-    pub takers: HashMap<JobId, EligibleEndpoints>,
+    pub eligible: HashMap<JobId, EligibleEndpoints>,
 }
 
 /// Which endpoints may take the pieces of a job at present.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EligibleEndpoints {
     /// Only endpoints in the preferred data centre.
-    Home,
+    Preferred,
     /// Endpoints in any allowed data centre.
     Anywhere,
 }
@@ -137,22 +137,24 @@
     ) -> Self {
         let mut order = Self::default();
         let mut keys: Vec<(Time, JobId)> = Vec::new();
-        for job in jobs.filter(|job| job.places.allow(data_centre)) {
+        for job in jobs.filter(|job| job.allowed.allow(data_centre)) {
             // A preferred data centre without endpoints is ignored.
-            let home = job.home.and_then(|home| Some((home, endpoints.get(home)?)));
-            let is_shared = home.is_none_or(|(_, count)| job.may_leave(now, count));
-            let is_own = home.is_some_and(|(home, _)| home == data_centre);
-            if !is_own && !is_shared {
+            let preferred = job
+                .preferred
+                .and_then(|preferred| Some((preferred, endpoints.get(preferred)?)));
+            let is_shared = preferred.is_none_or(|(_, count)| job.may_run_elsewhere(now, count));
+            let is_local = preferred.is_some_and(|(preferred, _)| preferred == data_centre);
+            if !is_local && !is_shared {
                 continue;
             }
-            let takers = if is_shared {
+            let eligible = if is_shared {
                 EligibleEndpoints::Anywhere
             } else {
-                EligibleEndpoints::Home
+                EligibleEndpoints::Preferred
             };
-            *order.count(takers) += job.waiting;
-            order.takers.insert(job.id, takers);
-            let is_away = home.is_some() && !is_own;
+            *order.count(eligible) += job.waiting;
+            order.eligible.insert(job.id, eligible);
+            let is_away = preferred.is_some() && !is_local;
             let handicap = if is_away {
                 NOT_PREFERRED_STEP
             } else {
@@ -170,14 +172,14 @@
     /// multiply the comparisons by 100 (test `planning_cost`).
     pub fn take(&mut self, job: JobId, pieces: usize) {
         // A job that isn't in this order waits for endpoints in another data centre.
-        if let Some(takers) = self.takers.get(&job).copied() {
-            *self.count(takers) -= pieces;
+        if let Some(eligible) = self.eligible.get(&job).copied() {
+            *self.count(eligible) -= pieces;
         }
     }
 
-    fn count(&mut self, takers: EligibleEndpoints) -> &mut usize {
-        match takers {
-            EligibleEndpoints::Home => &mut self.own,
+    fn count(&mut self, eligible: EligibleEndpoints) -> &mut usize {
+        match eligible {
+            EligibleEndpoints::Preferred => &mut self.local,
             EligibleEndpoints::Anywhere => &mut self.shared,
         }
     }
@@ -185,13 +187,13 @@
     /// Returns the number of pieces that one call should take, with `free_here` free endpoints in its data centre and
     /// `free` in all.
     pub fn share(&self, free_here: usize, free: usize) -> usize {
-        self.own.div_ceil(free_here.max(1)) + self.shared.div_ceil(free.max(1))
+        self.local.div_ceil(free_here.max(1)) + self.shared.div_ceil(free.max(1))
     }
 }
 
 /// Returns the time by which the pieces of a job with this objective and rank are ordered, before the addition for
 /// endpoints outside its preferred data centre.
-pub fn due(now: Time, objective: Time, rank: u32) -> Time {
+pub fn due_time(now: Time, objective: Time, rank: u32) -> Time {
     let late = if now > objective {
         LATE_STEP
     } else {
@@ -202,7 +204,7 @@
 
 /// Returns the time for which pieces wait for one of `endpoints` endpoints in the preferred data centre. With fewer
 /// endpoints, it takes longer until one is free, and the wait is worth less.
-pub fn home_wait(moved: ByteSize, endpoints: usize) -> Millis {
+pub fn preferred_wait(moved: ByteSize, endpoints: usize) -> Millis {
     let chance = (endpoints as f64 / FULL_WAIT_ENDPOINTS).min(1.0);
     let wait = moved.0 as f64 / BYTES_PER_MB * PREFERRED_WAIT_MS_PER_MB;
     let wait = wait.min(LONGEST_PREFERRED_WAIT.0 as f64) * chance;
--- a/lib/src/gateway/rules/piece_retry.rs
+++ b/lib/src/gateway/rules/piece_retry.rs
@@ -62,6 +62,6 @@
 }
 
 /// Returns whether a call that begins now can't end before `deadline`; `call` is the time of a call without its pieces.
-pub fn is_hopeless(now: Time, deadline: Time, call: WorkMillis) -> bool {
+pub fn misses_deadline(now: Time, deadline: Time, call: WorkMillis) -> bool {
     now + Millis(call.0 as u64) > deadline
 }
--- a/lib/src/gateway/rules/result_capacity.rs
+++ b/lib/src/gateway/rules/result_capacity.rs
@@ -3,12 +3,12 @@
 //! Inputs: the result capacity that the table states for an endpoint, the estimated size of the results kept there and
 //! the size reserved for calls in flight (bytes), and when the last pieces of a job, or a request, were sent.
 //!
-//! Rule: `USABLE_FRACTION` of the stated capacity is filled. An endpoint counts as short of capacity for `SHORTAGE_VALIDITY` after a
-//! call was kept small for lack of it. The inputs of a job may be released `CALL_FETCH_TIME` after its last piece was sent, since
-//! endpoints fetch inputs when they begin a call. This is done only where the endpoints that keep the inputs are short
-//! of capacity, because a piece that has to run again then finds its inputs gone, and the stages of its request start
-//! over. The inputs of a request itself are released in the same way, `REQUEST_FETCH_TIME` after it was sent to an endpoint
-//! with a free slot.
+//! Rule: `USABLE_FRACTION` of the stated capacity is filled. An endpoint counts as short of capacity for
+//! `SHORTAGE_VALIDITY` after a call was kept small for lack of it. The inputs of a job may be released
+//! `CALL_FETCH_TIME` after its last piece was sent, since endpoints fetch inputs when they begin a call. This is done
+//! only where the endpoints that keep the inputs are short of capacity, because a piece that has to run again then
+//! finds its inputs gone, and the stages of its request start over. The inputs of a request itself are released in the
+//! same way, `REQUEST_FETCH_TIME` after it was sent to an endpoint with a free slot.
 //!
 //! Reason: where results are large, capacity limits the calls of a stage. With 11 results to an endpoint and the
 //! request's inputs kept until its first event, calls held 6.3 of 8 pieces on average while 35 waited. Sizes of results
@@ -32,7 +32,7 @@
 pub const REQUEST_FETCH_TIME: Millis = Millis(50);
 
 /// Returns the capacity that is left of `stated`, where `taken` is kept at the endpoint or reserved.
-pub fn free_room(stated: ByteSize, taken: ByteSize) -> ByteSize {
+pub fn free_capacity(stated: ByteSize, taken: ByteSize) -> ByteSize {
     let usable = (stated.0 as f64 * USABLE_FRACTION) as u64;
     ByteSize(usable.saturating_sub(taken.0))
 }
--- a/lib/src/gateway/rules/stage_objective.rs
+++ b/lib/src/gateway/rules/stage_objective.rs
@@ -14,7 +14,7 @@
 const LATER_STAGE_TIME: Millis = Millis(350);
 
 /// Returns when a stage should have ended; `request` is the objective of the request.
-pub fn stage_objective(request: Time, later_stages: u64, own_time: Millis) -> Time {
-    let kept = Millis(LATER_STAGE_TIME.0 * later_stages + own_time.0);
+pub fn stage_objective(request: Time, later_stages: u64, request_time: Millis) -> Time {
+    let kept = Millis(LATER_STAGE_TIME.0 * later_stages + request_time.0);
     request - kept
 }
--- a/lib/src/gateway/rules/stage_placement.rs
+++ b/lib/src/gateway/rules/stage_placement.rs
@@ -24,31 +24,31 @@
     /// Number of pieces of the stage.
     pub pieces: u32,
     /// Size of one result.
-    pub result: ByteSize,
+    pub result_size: ByteSize,
     /// Data centre where the request will probably run, if known.
     pub request: Option<&'a DataCentreId>,
 }
 
 impl<'a> StagePlacement<'a> {
     /// Returns the preferred data centre of the pieces, or `None` if no data centre is better than another.
-    pub fn home(&self) -> Option<&'a DataCentreId> {
+    pub fn preferred(&self) -> Option<&'a DataCentreId> {
         let by_inputs = self.inputs.iter().map(|input| &input.data_centre);
         let candidates = self.request.into_iter().chain(by_inputs);
         candidates.min_by_key(|candidate| self.crossing(candidate))
     }
 
-    /// Returns the bytes that cross between data centres if the pieces run in `place`.
-    fn crossing(&self, place: &DataCentreId) -> u64 {
+    /// Returns the bytes that cross between data centres if the pieces run in `data_centre`.
+    fn crossing(&self, data_centre: &DataCentreId) -> u64 {
         let pieces = u64::from(self.pieces);
         let fetched: u64 = self
             .inputs
             .iter()
-            .filter(|input| input.data_centre != *place)
+            .filter(|input| input.data_centre != *data_centre)
             .map(|input| input.size.0.saturating_mul(pieces))
             .sum();
-        let is_away = self.request.is_some_and(|request| request != place);
+        let is_away = self.request.is_some_and(|request| request != data_centre);
         let sent = if is_away {
-            self.result.0.saturating_mul(pieces)
+            self.result_size.0.saturating_mul(pieces)
         } else {
             0
         };
--- a/lib/src/gateway/rules/stall.rs
+++ b/lib/src/gateway/rules/stall.rs
@@ -4,8 +4,8 @@
 //! sends, and every [`CLOCK_CHECK`].
 //!
 //! Rule: a gap of `PAUSE_GAP` or more between two heartbeats is a pause, after which membership recovers. A gap of more
-//! than `STALL_GAP` between two checks of the clock is a stall. Neither the stall nor the `STALL_GRACE` after it counts as
-//! time in which others were late.
+//! than `STALL_GAP` between two checks of the clock is a stall. Neither the stall nor the `STALL_GRACE` after it counts
+//! as time in which others were late.
 //!
 //! Reason: a daemon on a suspended or busy host, or one that had much to do at once, received nothing meanwhile, and
 //! must not consider others lost or late. What waits in its sockets is received in the grace period. The effect on
@@ -44,7 +44,7 @@
 
 impl PauseDetector {
     /// Records a heartbeat. Returns the length of the gap before it, if that was a pause.
-    pub fn look(&mut self, now: Time) -> Option<Duration> {
+    pub fn check(&mut self, now: Time) -> Option<Duration> {
         let last = self.last.replace(now)?;
         let gap = now.since(last);
         (gap >= PAUSE_GAP.to_duration()).then_some(gap)
@@ -68,51 +68,51 @@
 /// Recent stalls of this process.
 #[derive(Debug, Default)]
 pub struct StallLog {
-    looked: Time,
+    checked: Time,
     /// In chronological order, without overlap.
     recent: VecDeque<Stall>,
 }
 
 impl StallLog {
     /// Records a check of the clock.
-    pub fn look(&mut self, now: Time) {
+    pub fn check(&mut self, now: Time) {
         if let Some(last) = self.current(now) {
             self.record(last);
         }
-        self.looked = now;
+        self.checked = now;
         self.recent.retain(|one| now < one.until + STALL_MEMORY);
     }
 
     /// Returns for how long this process has run since `since`, without stalls.
     pub fn ran_since(&self, since: Time, now: Time) -> Duration {
-        let stood = self.stood_since(since, now);
-        now.since(since).saturating_sub(stood)
+        let stalled = self.stalled_since(since, now);
+        now.since(since).saturating_sub(stalled)
     }
 
     /// Returns for how long this process has stalled since `since`, including the grace period after each stall.
-    pub fn stood_since(&self, since: Time, now: Time) -> Duration {
+    pub fn stalled_since(&self, since: Time, now: Time) -> Duration {
         // A stall that has just ended may begin in the grace period of the one before.
         let counted = self.recent.back().map_or(Time::default(), |one| one.until);
         let current = self.current(now).map(|one| Stall {
             from: one.from.max(counted),
             ..one
         });
-        let stood = self.recent.iter().copied().chain(current);
-        stood.map(|one| one.within(since, now)).sum()
+        let stalled = self.recent.iter().copied().chain(current);
+        stalled.map(|one| one.within(since, now)).sum()
     }
 
     /// Returns the time that is as long ago as this process has run since `since`, that is, `since` moved later by the
     /// stalls.
-    pub fn excused(&self, since: Time, now: Time) -> Time {
+    pub fn exclude_stalls(&self, since: Time, now: Time) -> Time {
         let ran = self.ran_since(since, now);
         now - ran
     }
 
     /// Returns the stall that ends at `now`, if there is one.
     fn current(&self, now: Time) -> Option<Stall> {
-        let stood = now.since(self.looked) > STALL_GAP.to_duration();
-        stood.then_some(Stall {
-            from: self.looked,
+        let stalled = now.since(self.checked) > STALL_GAP.to_duration();
+        stalled.then_some(Stall {
+            from: self.checked,
             until: now + STALL_GRACE,
         })
     }
--- a/lib/src/gateway/rules/table_upload.rs
+++ b/lib/src/gateway/rules/table_upload.rs
@@ -3,9 +3,9 @@
 //! Inputs: the bandwidth of the host's link (bits per second), the size of the batch (bytes), and when the batches sent
 //! so far will have been transmitted (microseconds of this daemon's clock).
 //!
-//! Rule: batches count as transmitted one after the other, over [`LINK_SHARE`] of the link. While those before would take
-//! longer than [`MAX_BACKLOG`], another daemon's request is refused as busy, and that daemon asks another one with the
-//! table.
+//! Rule: batches count as transmitted one after the other, over [`LINK_SHARE`] of the link. While those before would
+//! take longer than [`MAX_BACKLOG`], another daemon's request is refused as busy, and that daemon asks another one with
+//! the table.
 //!
 //! Reason: a whole fleet asks the first daemons that have a newer table. If all were served at once, all transfers
 //! would share the link, and the first would end hardly sooner than the last. One after the other, each daemon that has
@@ -26,13 +26,13 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Uploads {
     /// When the last batch will have been transmitted.
-    free: Time,
+    idle_from: Time,
 }
 
 impl Uploads {
     /// Returns whether another batch may be sent.
-    pub fn has_room(self, now: Time) -> bool {
-        self.free <= now + MAX_BACKLOG
+    pub fn may_send(self, now: Time) -> bool {
+        self.idle_from <= now + MAX_BACKLOG
     }
 
     /// Returns the state after another batch of `size` is sent over a link. Over a link of unknown bandwidth it counts
@@ -44,7 +44,7 @@
         };
         let took = BitRate(rate * LINK_SHARE.0).time(size);
         Self {
-            free: self.free.max(now) + Millis(took.as_millis() as u64),
+            idle_from: self.idle_from.max(now) + Millis(took.as_millis() as u64),
         }
     }
 }
--- a/lib/src/gateway/rules/unconfirmed_entry.rs
+++ b/lib/src/gateway/rules/unconfirmed_entry.rs
@@ -87,7 +87,7 @@
 }
 
 /// Returns whether an endpoint whose entry vanished is unconfirmed; otherwise it is gone.
-pub fn is_suspect(is_outage: bool, was_draining: bool) -> bool {
+pub fn is_unconfirmed(is_outage: bool, was_draining: bool) -> bool {
     is_outage && !was_draining
 }
 
@@ -102,7 +102,7 @@
 ///
 /// `write_interval` is the time between two writes of an endpoint's entry, `drain` the time within which a leaving
 /// endpoint must get nothing new.
-pub fn suspect_time(write_interval: Millis, drain: Millis) -> Millis {
+pub fn unconfirmed_time(write_interval: Millis, drain: Millis) -> Millis {
     let rewritten = write_interval.0 * UNCONFIRMED_INTERVALS / UNCONFIRMED_DIVISOR;
     let allowed = drain.0.saturating_sub(DRAIN_MARGIN.0);
     Millis(rewritten.min(allowed).max(SHORTEST_UNCONFIRMED.0))
--- a/lib/src/gateway/rules/worker_slowdown.rs
+++ b/lib/src/gateway/rules/worker_slowdown.rs
@@ -1,13 +1,13 @@
 //! How slow is an endpoint of a stage at present, and for how long does it get no call?
 //!
-//! Inputs: how long its calls took as a multiple of the expected time (`Slowdown`, a ratio), the clock, and why it gets no
-//! call.
+//! Inputs: how long its calls took as a multiple of the expected time (`Slowdown`, a ratio), the clock, and why it gets
+//! no call.
 //!
 //! Rule: the slowdown of an endpoint is a moving average over its answered calls, with weight `SLOWDOWN_GAIN` for the
-//! newest. An overdue call raises it at once. It is valid for `SLOWDOWN_VALIDITY`; after that the endpoint counts as running at
-//! the expected speed, so that a slow endpoint is tried again. An endpoint with a slowdown of at least `SLOW_THRESHOLD` gets
-//! no call while another may take it. One that refused or broke off a call is excluded for `NO_ANSWER_EXCLUSION`, one without
-//! capacity for a result for `NO_CAPACITY_EXCLUSION`.
+//! newest. An overdue call raises it at once. It is valid for `SLOWDOWN_VALIDITY`; after that the endpoint counts as
+//! running at the expected speed, so that a slow endpoint is tried again. An endpoint with a slowdown of at least
+//! `SLOW_THRESHOLD` gets no call while another may take it. One that refused or broke off a call is excluded for
+//! `NO_ANSWER_EXCLUSION`, one without capacity for a result for `NO_CAPACITY_EXCLUSION`.
 //!
 //! Reason: a call to a slow endpoint delays each request with a piece in it, and an endpoint without capacity refuses
 //! the next call as well. Test: `test_stage_rules`.
@@ -43,7 +43,7 @@
 
 impl Slowdown {
     /// Slowdown of an endpoint without recent calls.
-    pub const USUAL: Slowdown = Slowdown(1.0);
+    pub const EXPECTED: Slowdown = Slowdown(1.0);
 
     /// Returns the slowdown of a call that took `elapsed`, or has run for that long so far.
     pub fn of_call(elapsed: WorkMillis, expected: WorkMillis) -> Self {
@@ -60,14 +60,14 @@
 /// Slowdown of one endpoint, learnt from its calls.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct LearntSlowdown {
-    pace: Slowdown,
+    slowdown: Slowdown,
     observed: Time,
 }
 
 impl Default for LearntSlowdown {
     fn default() -> Self {
         Self {
-            pace: Slowdown::USUAL,
+            slowdown: Slowdown::EXPECTED,
             observed: Time::default(),
         }
     }
@@ -77,9 +77,9 @@
     /// Returns the slowdown that is valid at `now`.
     pub fn at(&self, now: Time) -> Slowdown {
         if now.since(self.observed) > SLOWDOWN_VALIDITY.to_duration() {
-            Slowdown::USUAL
+            Slowdown::EXPECTED
         } else {
-            self.pace
+            self.slowdown
         }
     }
 
@@ -89,7 +89,7 @@
         let before = self.at(now).0;
         let learnt = before + SLOWDOWN_GAIN * (observed.0 - before);
         Self {
-            pace: Slowdown(learnt.clamp(MIN_SLOWDOWN, MAX_SLOWDOWN)),
+            slowdown: Slowdown(learnt.clamp(MIN_SLOWDOWN, MAX_SLOWDOWN)),
             observed: now,
         }
     }
@@ -98,7 +98,7 @@
     #[must_use]
     pub fn after_overdue(&self, now: Time, so_far: Slowdown) -> Self {
         Self {
-            pace: Slowdown(self.pace.0.max(so_far.0)),
+            slowdown: Slowdown(self.slowdown.0.max(so_far.0)),
             observed: now,
         }
     }
@@ -110,7 +110,7 @@
     /// The endpoint refused or broke off a call, or wasn't reached.
     NoAnswer,
     /// The endpoint had no capacity for a result.
-    NoRoom,
+    NoCapacity,
 }
 
 impl WorkerExclusion {
@@ -118,7 +118,7 @@
     pub fn until(self, now: Time) -> Time {
         match self {
             Self::NoAnswer => now + NO_ANSWER_EXCLUSION,
-            Self::NoRoom => now + NO_CAPACITY_EXCLUSION,
+            Self::NoCapacity => now + NO_CAPACITY_EXCLUSION,
         }
     }
 }
--- a/lib/src/gateway/serving/settings.rs
+++ b/lib/src/gateway/serving/settings.rs
@@ -55,8 +55,8 @@
 
     /// Returns the time for which a suspect endpoint is used; see
     /// [`suspect_entry`].
-    pub fn suspect_time(&self) -> Millis {
-        unconfirmed_entry::suspect_time(self.endpoint_heartbeat, self.drain)
+    pub fn unconfirmed_time(&self) -> Millis {
+        unconfirmed_entry::unconfirmed_time(self.endpoint_heartbeat, self.drain)
     }
 
     /// Returns the time after which an entry that nobody writes any more has lapsed for certain; see
--- a/lib/src/gateway/stages/batch_plan.rs
+++ b/lib/src/gateway/stages/batch_plan.rs
@@ -13,7 +13,7 @@
                 call_spacing::CallSpacing,
                 call_timing::is_overdue,
                 piece_order::{DataCentreCounts, WaitingOrder},
-                piece_retry::{is_hopeless, is_retry},
+                piece_retry::{is_retry, misses_deadline},
                 worker_slowdown::Slowdown,
             },
             stages::{
@@ -136,7 +136,7 @@
             return false;
         };
         let endpoints = round.counts.get(data_centre).unwrap_or(1);
-        let due = spacing.due(endpoints, round.idle_in(data_centre));
+        let due = spacing.earliest_start(endpoints, round.idle_in(data_centre));
         if due <= now {
             return false;
         }
@@ -232,7 +232,7 @@
             match chosen.fill.fit(result) {
                 Fit::Fits => {}
                 Fit::CallFull => return,
-                Fit::NoRoom => {
+                Fit::NoCapacity => {
                     self.short_at = Some(now);
                     return;
                 }
@@ -284,7 +284,9 @@
         let hopeless: Vec<JobId> = self
             .jobs
             .iter()
-            .filter(|(_, state)| state.waiting() > 0 && is_hopeless(begin, state.deadline(), call))
+            .filter(|(_, state)| {
+                state.waiting() > 0 && misses_deadline(begin, state.deadline(), call)
+            })
             .map(|(id, _)| *id)
             .collect();
         for id in hopeless {
--- a/lib/src/gateway/stages/batch_results.rs
+++ b/lib/src/gateway/stages/batch_results.rs
@@ -72,7 +72,7 @@
 
     /// Keeps the pieces of a call apart from now on, since one of them may have ended the endpoint.
     fn part(&mut self, call: &RunningCall) {
-        let most = piece_group::after_end(call.pieces.len());
+        let most = piece_group::max_pieces_after_termination(call.pieces.len());
         for sent in &call.pieces {
             if let Some(state) = self.jobs.get_mut(&sent.piece.job) {
                 state.set_group(sent.piece.piece, most);
@@ -113,7 +113,7 @@
         }
         if let Some(worker) = self.workers.get_mut(endpoint) {
             // It has less room than was believed, and gets time to clear.
-            worker.pass_over(now, WorkerExclusion::NoRoom);
+            worker.pass_over(now, WorkerExclusion::NoCapacity);
         }
         self.send_lost(piece, LostSend::NotRun);
     }
--- a/lib/src/gateway/stages/chain.rs
+++ b/lib/src/gateway/stages/chain.rs
@@ -142,10 +142,10 @@
         let stage_place = StagePlacement {
             inputs: &inputs,
             pieces: self.request.count(place),
-            result: stage.result,
+            result_size: stage.result,
             request: self.request.home.as_ref(),
         };
-        stage_place.home().cloned()
+        stage_place.preferred().cloned()
     }
 
     fn are_all_begun(&self) -> bool {
--- a/lib/src/gateway/stages/job_state.rs
+++ b/lib/src/gateway/stages/job_state.rs
@@ -95,8 +95,8 @@
             added: self.added,
             objective: self.job.objective,
             rank: self.job.rank,
-            home: self.job.home.as_ref(),
-            places: &self.job.places,
+            preferred: self.job.home.as_ref(),
+            allowed: &self.job.places,
             moved: self.job.moved,
         }
     }
--- a/lib/src/gateway/stages/worker.rs
+++ b/lib/src/gateway/stages/worker.rs
@@ -85,7 +85,7 @@
     pub(crate) fn free_room(&mut self, now: Time, stated: ByteSize) -> ByteSize {
         self.kept.retain(|_, result| result.until > now);
         let kept: u64 = self.kept.values().map(|result| result.size.0).sum();
-        result_capacity::free_room(stated, ByteSize(kept + self.reserved.0))
+        result_capacity::free_capacity(stated, ByteSize(kept + self.reserved.0))
     }
 
     pub(crate) fn call_sent(&mut self, reserved: ByteSize) {
--- a/lib/src/gateway/stages/workload.rs
+++ b/lib/src/gateway/stages/workload.rs
@@ -11,7 +11,7 @@
             peers::message::WorkNote,
             rules::{
                 backlog::{Backlog, DeadlineBucket},
-                piece_order::due,
+                piece_order::due_time,
             },
         },
         shared::{ids::ServiceId, units::Time},
@@ -57,7 +57,7 @@
     pub fn backlog(&self, now: Time, service: &ServiceId) -> Backlog {
         let mut backlog = Backlog::default();
         for (rank, pieces) in self.pieces(service) {
-            let due = due(now, rank.objective, rank.rank);
+            let due = due_time(now, rank.objective, rank.rank);
             backlog.add(DeadlineBucket::of(now, due), pieces);
         }
         backlog
--- a/lib/src/gateway/state.rs
+++ b/lib/src/gateway/state.rs
@@ -152,8 +152,8 @@
 
     /// Returns whether peers have had something newer than this daemon for too long, while it ran.
     pub(crate) fn lags(&self, now: Time) -> bool {
-        let excused = |since| self.peers.standstills.excused(since, now);
-        let behind = self.behind_since.moved(excused);
+        let excused = |since| self.peers.standstills.exclude_stalls(since, now);
+        let behind = self.behind_since.map_times(excused);
         behind.is_behind(now, self.peers.daemons())
     }
 
@@ -242,7 +242,7 @@
             capacity: settings.capacity,
         };
         let peers = Peers::new(me, &settings.seeds);
-        let mut catalogue = Catalogue::new(settings.bounds.suspect_time());
+        let mut catalogue = Catalogue::new(settings.bounds.unconfirmed_time());
         catalogue.set_lapse_time(settings.bounds.lapse_time());
         let mut state = GatewayState::new(peers, catalogue);
         let here = &settings.data_centre;
@@ -288,7 +288,7 @@
             state.peers.set_seeds(&settings.seeds);
             state
                 .catalogue
-                .set_suspect_time(settings.bounds.suspect_time());
+                .set_unconfirmed_time(settings.bounds.unconfirmed_time());
             state.catalogue.set_lapse_time(settings.bounds.lapse_time());
             let here = &settings.data_centre;
             state.endpoints.set_regions(here, &settings.regions);
--- a/lib/tests/test_backlog.rs
+++ b/lib/tests/test_backlog.rs
@@ -5,7 +5,7 @@
     hazelyoke_lib::{
         gateway::rules::{
             backlog::{Backlog, DeadlineBucket},
-            piece_order::due,
+            piece_order::due_time,
         },
         shared::units::{Millis, Time},
     },
@@ -46,8 +46,8 @@
 /// A job past its objective is ordered behind all others.
 #[test]
 fn late_jobs() {
-    let late = due(NOW, NOW - Millis(1), 0);
-    let patient = due(NOW, NOW + Millis(6_000), 2);
+    let late = due_time(NOW, NOW - Millis(1), 0);
+    let patient = due_time(NOW, NOW + Millis(6_000), 2);
     assert!(DeadlineBucket::of(NOW, late) >= DeadlineBucket::of(NOW, patient));
 }
 
--- a/lib/tests/test_catch_up_rule.rs
+++ b/lib/tests/test_catch_up_rule.rs
@@ -42,11 +42,11 @@
 fn tables(offers: &[(u64, bool)]) -> Vec<TableOffer> {
     (1..)
         .zip(offers)
-        .map(|(number, (version, in_parts))| TableOffer {
+        .map(|(number, (version, in_chunks))| TableOffer {
             address: address(number),
             version: *version,
             fingerprint: *version,
-            in_parts: *in_parts,
+            in_chunks: *in_chunks,
         })
         .collect()
 }
@@ -143,16 +143,19 @@
     assert!(behind.is_behind(later, SMALL));
     assert!(
         !behind
-            .after_part(start + Millis(300))
+            .after_chunk(start + Millis(300))
             .is_behind(later, SMALL)
     );
     let both = BehindSince {
         list: Some(start),
         ..behind
     };
-    assert!(both.after_part(start + Millis(300)).is_behind(later, SMALL));
+    assert!(
+        both.after_chunk(start + Millis(300))
+            .is_behind(later, SMALL)
+    );
     assert_eq!(
-        BehindSince::default().after_part(later),
+        BehindSince::default().after_chunk(later),
         BehindSince::default()
     );
 }
--- a/lib/tests/test_coordinator_rule.rs
+++ b/lib/tests/test_coordinator_rule.rs
@@ -10,7 +10,7 @@
                 message::{Heartbeat, PROTOCOL, Phase},
             },
             rules::coordinator::{
-                Coordinator, DaemonCandidate, is_settled, may_coordinate, reads_first,
+                Coordinator, DaemonCandidate, is_settled, may_coordinate, reads_directory,
             },
         },
         shared::{
@@ -231,7 +231,7 @@
     let readers = |now: Time| {
         let reads = |me: &&DaemonCandidate| {
             let others = candidates.iter().filter(|other| other != me).copied();
-            reads_first(now, since, &service, **me, others)
+            reads_directory(now, since, &service, **me, others)
         };
         candidates.iter().filter(reads).count()
     };
--- a/lib/tests/test_decision_pins.rs
+++ b/lib/tests/test_decision_pins.rs
@@ -61,7 +61,7 @@
                     },
                 };
                 let wait = bounds.directory_wait();
-                let kept = bounds.suspect_time();
+                let kept = bounds.unconfirmed_time();
                 writeln!(lines, "{apply} {drain} {heartbeat}: {wait:?}, {kept}").unwrap();
             }
         }
--- a/lib/tests/test_directory_reads.rs
+++ b/lib/tests/test_directory_reads.rs
@@ -6,8 +6,8 @@
             directory::source::Topic,
             rules::directory_reads::{
                 AnswerTimeout, Backoff, COVER_CHECK, LastCall, PAUSE_FRACTIONS, PeerReads,
-                ReadDuty, Reader, ReportedRead, call_wait, next_turn, pause_after_answer,
-                read_duty, reported_read, stood_still, topic_wait,
+                ReadDuty, Reader, ReportedRead, call_wait, is_stall, next_turn, pause_after_answer,
+                read_duty, reported_read, topic_wait,
             },
         },
         shared::units::Millis,
@@ -146,7 +146,7 @@
         age: Millis(age),
         substitute: Some(address(number)),
     };
-    let own = |age| ReportedRead::own(Millis(age));
+    let own = |age| ReportedRead::local(Millis(age));
     for (read, known, expected) in [
         (Some(0), &all[..], Some(own(0))),
         (Some(1_400), &all[..], Some(own(1_400))),
@@ -240,7 +240,7 @@
 #[test]
 fn standstill() {
     let check = COVER_CHECK.to_duration();
-    assert!(!stood_still(check));
-    assert!(!stood_still(check * 2));
-    assert!(stood_still(check * 2 + Duration::from_millis(1)));
+    assert!(!is_stall(check));
+    assert!(!is_stall(check * 2));
+    assert!(is_stall(check * 2 + Duration::from_millis(1)));
 }
--- a/lib/tests/test_fetch_turn.rs
+++ b/lib/tests/test_fetch_turn.rs
@@ -101,8 +101,8 @@
 /// In a small fleet, and in one of sixty with five readers, everybody asks at once.
 #[test]
 fn small_fleets_ask() {
-    let holders = |heard, holding, broadcasting| Holders {
-        heard,
+    let holders = |received, holding, broadcasting| Holders {
+        received,
         holding,
         broadcasting,
     };
--- a/lib/tests/test_gateway_bounds.rs
+++ b/lib/tests/test_gateway_bounds.rs
@@ -38,8 +38,14 @@
 /// The suspicion time outlasts an endpoint's heartbeat, is cut to the drain time, and has a floor.
 #[test]
 fn suspicion_time() {
-    assert_eq!(bounds(2_000, 2_000, 1_200).suspect_time(), Millis(1_400));
-    assert_eq!(bounds(2_000, 5_000, 1_200).suspect_time(), Millis(1_400));
-    assert_eq!(bounds(2_000, 1_000, 1_200).suspect_time(), Millis(400));
-    assert_eq!(bounds(2_000, 100, 1_200).suspect_time(), Millis(200));
+    assert_eq!(
+        bounds(2_000, 2_000, 1_200).unconfirmed_time(),
+        Millis(1_400)
+    );
+    assert_eq!(
+        bounds(2_000, 5_000, 1_200).unconfirmed_time(),
+        Millis(1_400)
+    );
+    assert_eq!(bounds(2_000, 1_000, 1_200).unconfirmed_time(), Millis(400));
+    assert_eq!(bounds(2_000, 100, 1_200).unconfirmed_time(), Millis(200));
 }
--- a/lib/tests/test_harmful_pieces.rs
+++ b/lib/tests/test_harmful_pieces.rs
@@ -8,7 +8,7 @@
             directory::endpoint_entry::EndpointEntry,
             rules::{
                 eligibility::Places,
-                piece_group::after_end,
+                piece_group::max_pieces_after_termination,
                 retry_budget::{BudgetLimits, WindowBudget},
             },
             stages::{
@@ -242,7 +242,12 @@
 /// A piece is alone in its call after two ends, however large the first call was.
 #[test]
 fn group_sizes() {
-    let sizes: Vec<usize> = [1, 2, 8, 15, 16, 50, 64].map(after_end).to_vec();
+    let sizes: Vec<usize> = [1, 2, 8, 15, 16, 50, 64]
+        .map(max_pieces_after_termination)
+        .to_vec();
     assert_eq!(sizes, [1, 1, 1, 1, 2, 6, 8]);
-    assert!((1..=64).all(|pieces| after_end(after_end(pieces)) == 1));
+    assert!(
+        (1..=64)
+            .all(|pieces| max_pieces_after_termination(max_pieces_after_termination(pieces)) == 1)
+    );
 }
--- a/lib/tests/test_homes.rs
+++ b/lib/tests/test_homes.rs
@@ -65,8 +65,8 @@
         added,
         objective: Time(1_000_000),
         rank: 0,
-        home: Some(&home),
-        places: &places,
+        preferred: Some(&home),
+        allowed: &places,
         moved: ByteSize(100),
     };
     let centres = ["a1", "a2", "b1"].map(|name| name.parse().unwrap());
@@ -75,6 +75,6 @@
     for (centre, jobs) in centres.iter().zip([1, 1, 0]) {
         let order = WaitingOrder::new(late, [job(Time(0))].into_iter(), centre, &counts);
         assert_eq!(order.jobs.len(), jobs, "{centre}");
-        assert_eq!(order.own + order.shared, jobs * 3);
+        assert_eq!(order.local + order.shared, jobs * 3);
     }
 }
--- a/lib/tests/test_liveness_rule.rs
+++ b/lib/tests/test_liveness_rule.rs
@@ -203,9 +203,9 @@
 #[test]
 fn pause_length() {
     let mut pauses = PauseDetector::default();
-    assert_eq!(pauses.look(Time(5)), None);
-    assert_eq!(pauses.look(Time(5 + 599_999)), None);
-    let gap = pauses.look(Time(5 + 599_999 + 600_000));
+    assert_eq!(pauses.check(Time(5)), None);
+    assert_eq!(pauses.check(Time(5 + 599_999)), None);
+    let gap = pauses.check(Time(5 + 599_999 + 600_000));
     assert_eq!(gap, Some(Duration::from_millis(600)));
-    assert_eq!(pauses.look(Time(5 + 599_999 + 600_000)), None);
+    assert_eq!(pauses.check(Time(5 + 599_999 + 600_000)), None);
 }
--- a/lib/tests/test_load_patterns.rs
+++ b/lib/tests/test_load_patterns.rs
@@ -88,9 +88,12 @@
 fn due_times() {
     let start = Time(1_000_000);
     let spacing = CallSpacing::new(start, WorkMillis(300.0));
-    assert_eq!(spacing.due(4, 1), start + Millis(60));
-    assert_eq!(spacing.due(4, 2), start);
-    assert_eq!(spacing.due(1, 1), start);
+    assert_eq!(spacing.earliest_start(4, 1), start + Millis(60));
+    assert_eq!(spacing.earliest_start(4, 2), start);
+    assert_eq!(spacing.earliest_start(1, 1), start);
     let later = spacing.after_call(start + Millis(75), WorkMillis(400.0));
-    assert_eq!(later.due(10, 1), Time((start + Millis(75)).0 + 24_800));
+    assert_eq!(
+        later.earliest_start(10, 1),
+        Time((start + Millis(75)).0 + 24_800)
+    );
 }
--- a/lib/tests/test_stage_home.rs
+++ b/lib/tests/test_stage_home.rs
@@ -33,10 +33,10 @@
     let place = StagePlacement {
         inputs: &inputs(located),
         pieces,
-        result: ByteSize(result),
+        result_size: ByteSize(result),
         request: request.as_ref(),
     };
-    place.home().map(ToString::to_string)
+    place.preferred().map(ToString::to_string)
 }
 
 #[test]
--- a/lib/tests/test_stage_rules.rs
+++ b/lib/tests/test_stage_rules.rs
@@ -10,11 +10,11 @@
                 call_fill::{CallFill, Fit},
                 call_timing::{CallCost, answer_limit, is_overdue},
                 eligibility::Places,
-                piece_order::{DataCentreCounts, WaitingJob, WaitingOrder, home_wait},
+                piece_order::{DataCentreCounts, WaitingJob, WaitingOrder, preferred_wait},
                 piece_retry::{
-                    LostSend, PieceRetry, after_loss, is_hopeless, is_retry, may_resend,
+                    LostSend, PieceRetry, after_loss, is_retry, may_resend, misses_deadline,
                 },
-                result_capacity::{are_inputs_fetched, free_room, is_shortage},
+                result_capacity::{are_inputs_fetched, free_capacity, is_shortage},
                 stage_objective::stage_objective,
                 worker_slowdown::{LearntSlowdown, Slowdown, WorkerExclusion},
             },
@@ -72,8 +72,8 @@
 #[test]
 fn hopeless_jobs() {
     let call = WorkMillis(200.9);
-    assert!(!is_hopeless(NOW, after(200), call));
-    assert!(is_hopeless(NOW, after(199), call));
+    assert!(!misses_deadline(NOW, after(200), call));
+    assert!(misses_deadline(NOW, after(199), call));
 }
 
 #[test]
@@ -96,7 +96,7 @@
 fn pace_memory() {
     let known = LearntSlowdown::default().after_overdue(NOW, Slowdown(3.0));
     assert_eq!(known.at(after(3_000)), Slowdown(3.0));
-    assert_eq!(known.at(Time(after(3_000).0 + 1)), Slowdown::USUAL);
+    assert_eq!(known.at(Time(after(3_000).0 + 1)), Slowdown::EXPECTED);
     // An overdue call never makes an endpoint look faster than it was.
     let known = known.after_overdue(NOW, Slowdown(2.0));
     assert_eq!(known.at(NOW), Slowdown(3.0));
@@ -105,12 +105,12 @@
 #[test]
 fn passed_over() {
     assert_eq!(WorkerExclusion::NoAnswer.until(NOW), after(300));
-    assert_eq!(WorkerExclusion::NoRoom.until(NOW), after(60));
+    assert_eq!(WorkerExclusion::NoCapacity.until(NOW), after(60));
 }
 
 #[test]
 fn result_room() {
-    let room = |stated, taken| free_room(ByteSize(stated), ByteSize(taken)).0;
+    let room = |stated, taken| free_capacity(ByteSize(stated), ByteSize(taken)).0;
     assert_eq!(room(10_000, 0), 9_200);
     assert_eq!(room(10_000, 9_000), 200);
     assert_eq!(room(10_000, 9_300), 0);
@@ -137,14 +137,14 @@
     assert_eq!(seen, expected);
     let mut small = CallFill::new(9, 9, ByteSize(1_999));
     small.add(size);
-    assert_eq!(small.fit(size), Fit::NoRoom);
+    assert_eq!(small.fit(size), Fit::NoCapacity);
     assert_eq!(small.fit(ByteSize(999)), Fit::Fits);
     assert_eq!((small.pieces(), small.reserved()), (1, size));
 }
 
 #[test]
 fn home_waits() {
-    let wait = |moved, endpoints| home_wait(ByteSize(moved), endpoints).0;
+    let wait = |moved, endpoints| preferred_wait(ByteSize(moved), endpoints).0;
     // 1.2 s per MB and at most 0.6 s; a quarter of it with one endpoint, all of it from four on.
     assert_eq!(wait(100_000, 4), 120);
     assert_eq!(wait(100_000, 9), 120);
@@ -154,15 +154,15 @@
     assert_eq!(wait(100, 4), 0);
 }
 
-fn job(id: u64, home: Option<&DataCentreId>) -> WaitingJob<'_> {
+fn job(id: u64, preferred: Option<&DataCentreId>) -> WaitingJob<'_> {
     WaitingJob {
         id: JobId(id),
         waiting: 2,
         added: NOW,
         objective: after(1_000),
         rank: 0,
-        home,
-        places: &Places::Anywhere,
+        preferred,
+        allowed: &Places::Anywhere,
         moved: ByteSize(100_000),
     }
 }
@@ -175,7 +175,7 @@
     let counts = DataCentreCounts::new(endpoints.iter());
     let order = WaitingOrder::new(now, jobs.into_iter(), &centre("z"), &counts);
     let jobs = order.jobs.iter().map(|id| id.0).collect();
-    (jobs, order.own, order.shared)
+    (jobs, order.local, order.shared)
 }
 
 #[test]
@@ -224,7 +224,7 @@
 fn call_shares() {
     let order = WaitingOrder {
         jobs: Vec::new(),
-        own: 5,
+        local: 5,
         shared: 7,
         ..WaitingOrder::default()
     };
--- a/lib/tests/test_suspect_entry.rs
+++ b/lib/tests/test_suspect_entry.rs
@@ -1,7 +1,7 @@
 //! Entries that vanish from the directory: when they are unconfirmed, and for how long.
 
 use hazelyoke_lib::{
-    gateway::rules::unconfirmed_entry::{ReadHistory, is_outage, is_suspect, suspect_time},
+    gateway::rules::unconfirmed_entry::{ReadHistory, is_outage, is_unconfirmed, unconfirmed_time},
     shared::units::{Millis, Time},
 };
 
@@ -85,10 +85,10 @@
 
 #[test]
 fn draining_endpoints() {
-    assert!(is_suspect(true, false));
-    assert!(!is_suspect(true, true));
-    assert!(!is_suspect(false, false));
-    assert!(!is_suspect(false, true));
+    assert!(is_unconfirmed(true, false));
+    assert!(!is_unconfirmed(true, true));
+    assert!(!is_unconfirmed(false, false));
+    assert!(!is_unconfirmed(false, true));
 }
 
 #[test]
@@ -110,7 +110,7 @@
         (801, 1_200, 201),
         (60_000, 30_000, 35_000),
     ] {
-        let time = suspect_time(Millis(heartbeat), Millis(drain));
+        let time = unconfirmed_time(Millis(heartbeat), Millis(drain));
         assert_eq!(time, Millis(expected), "{drain} {heartbeat}");
     }
 }
--- a/lib/tests/test_table_upload.rs
+++ b/lib/tests/test_table_upload.rs
@@ -13,11 +13,11 @@
 fn full_link() {
     let now = Time(5_000_000);
     let one = Uploads::default().with(now, BATCH, THIN);
-    assert!(one.has_room(now));
+    assert!(one.may_send(now));
     let two = one.with(now, BATCH, THIN);
-    assert!(!two.has_room(now));
-    assert!(!two.has_room(now + Millis(49)));
-    assert!(two.has_room(now + Millis(50)));
+    assert!(!two.may_send(now));
+    assert!(!two.may_send(now + Millis(49)));
+    assert!(two.may_send(now + Millis(50)));
 }
 
 /// Idle time of the link isn't credited to later batches.
@@ -26,7 +26,7 @@
     let one = Uploads::default().with(Time(0), BATCH, THIN);
     let later = Time(60_000_000);
     let two = one.with(later, BATCH, THIN).with(later, BATCH, THIN);
-    assert!(!two.has_room(later));
+    assert!(!two.may_send(later));
 }
 
 #[test]
@@ -35,5 +35,5 @@
     let many = (0..1_000).fold(Uploads::default(), |uploads, _| {
         uploads.with(now, BATCH, None)
     });
-    assert!(many.has_room(now));
+    assert!(many.may_send(now));
 }
