--- a/lib/src/gateway/serving/settings.rs
+++ b/lib/src/gateway/serving/settings.rs
@@ -54,13 +54,13 @@
     }
 
     /// Returns the time for which a suspect endpoint is used; see
-    /// [`suspect_entry`].
+    /// [`unconfirmed_entry`].
     pub fn unconfirmed_time(&self) -> Millis {
         unconfirmed_entry::unconfirmed_time(self.endpoint_heartbeat, self.drain)
     }
 
     /// Returns the time after which an entry that nobody writes any more has lapsed for certain; see
-    /// [`suspect_entry`].
+    /// [`unconfirmed_entry`].
     pub fn lapse_time(&self) -> Millis {
         unconfirmed_entry::lapse_time(self.endpoint_heartbeat)
     }
