--- a/lib/src/gateway/directory/apply.rs
+++ b/lib/src/gateway/directory/apply.rs
@@ -1,7 +1,7 @@
 //! Applies changes of the list of endpoints to the daemon's state, and logs each.
 //!
 //! Changes come from the directory and from peers. The catalogue decides which of them count, with
-//! the rule [`suspect_entry`](crate::gateway::rules::unconfirmed_entry); this module passes them on to
+//! the rule [`unconfirmed_entry`](crate::gateway::rules::unconfirmed_entry); this module passes them on to
 //! the endpoints that requests are sent to and to the queues of stages.
 
 use {
--- a/lib/src/gateway/directory/catalogue.rs
+++ b/lib/src/gateway/directory/catalogue.rs
@@ -2,7 +2,7 @@
 //!
 //! Owns the entries, the suspects among them with the time until which they are used, and the log of
 //! changes. Whether an entry that vanished is suspect is the rule
-//! [`suspect_entry`](crate::gateway::rules::unconfirmed_entry). It has no clock: callers pass the time.
+//! [`unconfirmed_entry`](crate::gateway::rules::unconfirmed_entry). It has no clock: callers pass the time.
 
 use {
     crate::{
--- a/lib/src/gateway/directory/contact.rs
+++ b/lib/src/gateway/directory/contact.rs
@@ -1,7 +1,7 @@
 //! Times of this daemon's own reads of the directory.
 //!
 //! Owns the last answer for each topic and the last failure. How these are judged is the rule
-//! [`suspect_entry`](crate::gateway::rules::unconfirmed_entry).
+//! [`unconfirmed_entry`](crate::gateway::rules::unconfirmed_entry).
 
 use crate::{
     gateway::{
