--- a/lib/src/gateway/rules/catch_up.rs
+++ b/lib/src/gateway/rules/catch_up.rs
@@ -43,7 +43,7 @@
 /// A list of endpoints that another daemon reports.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ListOffer {
-    /// The daemon.
+    /// Address of the daemon.
     pub address: SocketAddr,
     /// Revision of the daemon's list.
     pub revision: Revision,
@@ -52,7 +52,7 @@
 /// A table that another daemon reports.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct TableOffer {
-    /// The daemon.
+    /// Address of the daemon.
     pub address: SocketAddr,
     /// Version of the daemon's table.
     pub version: Version,
--- a/lib/src/gateway/rules/fetch_turn.rs
+++ b/lib/src/gateway/rules/fetch_turn.rs
@@ -118,7 +118,7 @@
     holders.fraction(daemons) * ASKERS_PER_HOLDER as f64
 }
 
-/// Returns whether something newer takes several steps to reach a fleet of `daemons`.
+/// Returns whether something newer takes several steps to reach a fleet of this number of daemons.
 pub fn is_spread(daemons: usize) -> bool {
     daemons > MAX_UNLIMITED_FLEET
 }
--- a/lib/src/gateway/rules/liveness.rs
+++ b/lib/src/gateway/rules/liveness.rs
@@ -7,21 +7,24 @@
 //!
 //! Rule: a daemon whose every heartbeat should arrive here, because the fleet is small or because it broadcasts, is
 //! alive while its last heartbeat is at most [`HEARTBEAT_TIMEOUT`] old. Any other daemon is alive until it is suspect.
-//! Each daemon that should receive all of its heartbeats (the coordinators, and the next
+//!
+//! Each daemon that should receive all heartbeats of another (the coordinators, and the next
 //! [`WATCHERS`](crate::gateway::rules::gossip::WATCHERS) daemons in an order by hash) asks it for a heartbeat after
 //! [`PROBE_TIMEOUT`] of silence, suspects it if none comes within the same time again, and reports this to the others.
-//! A daemon with a sign of life that is not older than that rejects the suspicion and reports so, as does the suspect
-//! itself. A suspect is lost once it has been suspect for [`SUSPICION_TIME`] and its last sign of life is more than
-//! [`GOSSIP_TIMEOUT`] old. A daemon that nobody suspects is lost after the time of [`unsuspected_limit`], and a daemon
-//! that receives nothing at all suspects all others. Time before the end of a pause of this process doesn't count as
-//! silence of a daemon that was alive when the pause began. A lost daemon is forgotten [`FORGET_TIME`] after its last
-//! sign of life, and gossip older than half of that is ignored.
+//! A daemon with a sign of life at most [`HEARTBEAT_TIMEOUT`] old rejects the suspicion and reports so, as does the
+//! suspect itself. A suspect is lost once it has been suspect for [`SUSPICION_TIME`] and its last sign of life is more
+//! than [`GOSSIP_TIMEOUT`] old.
+//!
+//! A daemon that nobody suspects is lost after the time of [`unsuspected_limit`], and a daemon that receives nothing at
+//! all suspects all others. Time before the end of a pause of this process doesn't count as silence of a daemon that
+//! was alive when the pause began. A lost daemon is forgotten [`FORGET_TIME`] after its last sign of life, and gossip
+//! older than half of that is ignored.
 //!
 //! Reason: a daemon of a large fleet receives few signs of life of each other one, and fewer the larger the fleet is:
 //! with 295 daemons about one a second. A limit of 2.5 s alone then proves nothing; a calm fleet counted 6,000 losses a
 //! second. A suspicion comes only from daemons that should have received the heartbeats, at a cost that doesn't grow
-//! with the fleet. Each daemon decides by itself, so in a partition nobody is lost for those that still receive its
-//! heartbeats.
+//! with the fleet. Each daemon decides by itself, so in a partition a daemon isn't lost for those that still receive
+//! its heartbeats.
 //!
 //! Tests: `calm_fleet`, `coordinator_replacement`.
 
--- a/lib/src/gateway/rules/piece_order.rs
+++ b/lib/src/gateway/rules/piece_order.rs
@@ -4,8 +4,8 @@
 //! bytes that would cross between data centres), the data centre of the endpoint, and the number of endpoints that may
 //! be called in each data centre.
 //!
-//! Rule: the preferred data centre of a job is the one where its request will probably run. Endpoints there may take
-//! its pieces at once. Endpoints in other data centres may take them once they have waited for
+//! Rule: each job has a preferred data centre, usually the one where its request will run (`rules::stage_placement`).
+//! Endpoints there may take its pieces at once. Endpoints in other data centres may take them once they have waited for
 //! `PREFERRED_WAIT_MS_PER_MB` for each megabyte that would cross, at most `LONGEST_PREFERRED_WAIT`. This wait is
 //! shorter where the preferred data centre has few endpoints, and ends when the objective has passed. Jobs are ordered
 //! by their objective; each rank adds `RANK_STEP`, a missed objective adds `LATE_STEP`, and an endpoint outside the
