--- a/lib/src/gateway/rules/piece_order.rs
+++ b/lib/src/gateway/rules/piece_order.rs
@@ -155,12 +155,12 @@
             *order.count(eligible) += job.waiting;
             order.eligible.insert(job.id, eligible);
             let is_away = preferred.is_some() && !is_local;
-            let handicap = if is_away {
+            let penalty = if is_away {
                 NOT_PREFERRED_STEP
             } else {
                 Millis(0)
             };
-            keys.push((job.urgency(now) + handicap, job.id));
+            keys.push((job.urgency(now) + penalty, job.id));
         }
         // Of equally urgent jobs, the one that was queued first goes first.
         keys.sort_unstable();
--- a/lib/tests/load/mod.rs
+++ b/lib/tests/load/mod.rs
@@ -76,7 +76,7 @@
     Arrival,
     CallEnd(u64),
     /// The coordinator schedules without another event, unless it has scheduled since this was set.
-    Look(u64),
+    Reschedule(u64),
 }
 
 /// A simulation of a pattern.
@@ -87,7 +87,7 @@
     events: BTreeSet<(Time, Event)>,
     calls: BTreeMap<u64, BatchCall>,
     arrived: BTreeMap<JobId, Time>,
-    plannings: u64,
+    schedulings: u64,
     outcome: Outcome,
 }
 
@@ -95,7 +95,7 @@
 const START: Time = Time(20_000_000);
 
 /// Time between two schedulings without another event.
-const LOOK: Millis = Millis(25);
+const RESCHEDULE_INTERVAL: Millis = Millis(25);
 
 fn entry(centre: usize, number: usize) -> Arc<EndpointEntry> {
     Arc::new(EndpointEntry {
@@ -131,7 +131,7 @@
         events: BTreeSet::from([(START, Event::Arrival)]),
         calls: BTreeMap::new(),
         arrived: BTreeMap::new(),
-        plannings: 0,
+        schedulings: 0,
         outcome: Outcome {
             times: Vec::new(),
             fills: Vec::new(),
@@ -151,8 +151,8 @@
         match event {
             Event::Arrival => self.arrive(now),
             Event::CallEnd(id) => self.end_call(now, id),
-            Event::Look(planning) if planning != self.plannings => return,
-            Event::Look(_) => {}
+            Event::Reschedule(scheduling) if scheduling != self.schedulings => return,
+            Event::Reschedule(_) => {}
         }
         self.plan(now);
     }
@@ -209,7 +209,7 @@
     }
 
     fn plan(&mut self, now: Time) {
-        self.plannings += 1;
+        self.schedulings += 1;
         for call in self.queue.plan(now) {
             self.outcome.fills.push(call.pieces.len());
             let spread = (self.fraction() * 2.0 - 1.0) * self.pattern.jitter;
@@ -219,9 +219,13 @@
         }
         if self.queue.waiting() > 0 {
             let held = self.queue.held_until();
-            let look = held.map_or(now + LOOK, |held| held.min(now + LOOK));
-            self.events
-                .insert((look.max(Time(now.0 + 1)), Event::Look(self.plannings)));
+            let next = held.map_or(now + RESCHEDULE_INTERVAL, |held| {
+                held.min(now + RESCHEDULE_INTERVAL)
+            });
+            self.events.insert((
+                next.max(Time(now.0 + 1)),
+                Event::Reschedule(self.schedulings),
+            ));
         }
     }
 }
--- a/lib/tests/test_fetch_turn.rs
+++ b/lib/tests/test_fetch_turn.rs
@@ -15,7 +15,7 @@
 const RECEIVERS: usize = 6;
 
 /// Number of heartbeats for which a received one counts as fresh.
-const FRESH: usize = 5;
+const FRESH_HEARTBEATS: usize = 5;
 
 /// Result of a simulated spread.
 #[derive(Debug)]
@@ -32,21 +32,21 @@
     let mut has = vec![false; daemons];
     has[..readers].fill(true);
     // Senders received by each daemon, by heartbeat.
-    let mut heard: Vec<Vec<Vec<usize>>> = Vec::new();
+    let mut received: Vec<Vec<Vec<usize>>> = Vec::new();
     let mut most_asked = 0;
     for round in 1..100 {
         let mut now = vec![Vec::new(); daemons];
         for sender in 0..daemons {
             if sender < readers {
-                now.iter_mut().for_each(|heard| heard.push(sender));
+                now.iter_mut().for_each(|received| received.push(sender));
                 continue;
             }
             for receiver in sample(rng, daemons, RECEIVERS.min(daemons)) {
                 now[receiver].push(sender);
             }
         }
-        heard.push(now);
-        let recent = &heard[heard.len().saturating_sub(FRESH)..];
+        received.push(now);
+        let recent = &received[received.len().saturating_sub(FRESH_HEARTBEATS)..];
         let mut asked = vec![0; daemons];
         let mut next = has.clone();
         for daemon in (0..daemons).filter(|daemon| !has[*daemon]) {
--- a/lib/tests/test_liveness_rule.rs
+++ b/lib/tests/test_liveness_rule.rs
@@ -85,7 +85,7 @@
 }
 
 /// Returns whether a daemon whose heartbeat was received at time 0 is alive at a time, in a fleet of either size.
-fn heard_then(large: bool, broadcasts: bool, now: Time) -> bool {
+fn is_alive_at(large: bool, broadcasts: bool, now: Time) -> bool {
     let mut me = peers();
     me.receive_heartbeat(Time(0), heartbeat(1, 1, broadcasts));
     if large {
@@ -106,9 +106,9 @@
         (true, false, Millis(2_500)),
     ] {
         let last = Time(0) + limit;
-        assert!(heard_then(large, broadcasts, Time(0)));
-        assert!(heard_then(large, broadcasts, last));
-        assert!(!heard_then(large, broadcasts, Time(last.0 + 1)));
+        assert!(is_alive_at(large, broadcasts, Time(0)));
+        assert!(is_alive_at(large, broadcasts, last));
+        assert!(!is_alive_at(large, broadcasts, Time(last.0 + 1)));
     }
 }
 
--- a/lib/tests/test_membership.rs
+++ b/lib/tests/test_membership.rs
@@ -25,14 +25,14 @@
 const DAEMONS: usize = 295;
 
 /// Number of rounds of heartbeats, five a second, until all daemons know each other.
-const START: usize = 25;
+const START_ROUNDS: usize = 25;
 
 /// Fraction of the datagrams that are lost.
-const LOSS: f64 = 0.02;
+const LOSS_FRACTION: f64 = 0.02;
 
 /// Number of rounds within which all have to notice that one daemon died (4 s), and that a third of them died,
 /// coordinators included (6.4 s).
-const NOTICED: [usize; 2] = [20, 32];
+const NOTICE_ROUNDS: [usize; 2] = [20, 32];
 
 fn daemons() -> usize {
     let named = env::var("HAZELYOKE_MEMBERSHIP").ok();
@@ -41,7 +41,7 @@
 
 fn started(seed: u64) -> Fleet {
     let mut fleet = Fleet::new(seed, daemons(), plain_report(Some(40)));
-    fleet.rounds(START);
+    fleet.rounds(START_ROUNDS);
     fleet.false_losses = 0;
     fleet
 }
@@ -53,7 +53,7 @@
     let mut rng = SmallRng::seed_from_u64(1);
     let rounds = 50;
     for _ in 0..rounds {
-        fleet.round(|_, _| rng.random_bool(LOSS));
+        fleet.round(|_, _| rng.random_bool(LOSS_FRACTION));
     }
     println!("{} false losses in {rounds} rounds", fleet.false_losses);
     assert_eq!(fleet.false_losses, 0);
@@ -66,7 +66,7 @@
 /// Every daemon notices the loss of one daemon, and of every third at once, and loses no other.
 #[test]
 fn noticed_losses() {
-    for (lost, limit) in [1, daemons() / 3].into_iter().zip(NOTICED) {
+    for (lost, limit) in [1, daemons() / 3].into_iter().zip(NOTICE_ROUNDS) {
         let mut fleet = started(2);
         let every = daemons() / lost;
         for number in 0..lost {
@@ -89,14 +89,14 @@
 }
 
 /// Number of rounds by which the strong daemons start later than the others: 0.2 s.
-const LATER: usize = 1;
+const DELAY_ROUNDS: usize = 1;
 
 /// In a fleet whose strong daemons start last, none of the others coordinates meanwhile.
 #[test]
 fn start_without_strong() {
     let mut fleet = Fleet::new(3, daemons(), plain_report(Some(40)));
     let is_strong = |number| capacity(number) == STRONG;
-    let started = |number| if is_strong(number) { LATER } else { 0 };
+    let started = |number| if is_strong(number) { DELAY_ROUNDS } else { 0 };
     for round in 0..20 {
         for number in 0..daemons() {
             fleet.down[number] = round < started(number);
