--- a/lib/src/gateway/rules/admission.rs
+++ b/lib/src/gateway/rules/admission.rs
@@ -1,72 +1,69 @@
-//! Is a request whose stages have to run first admitted, or refused at once?
+//! Decides whether a request whose stages have to run first is admitted or refused at once.
 //!
-//! Inputs: for each stage its pieces and how its service stands (`StageService`: endpoints, cost of
-//! a call in milliseconds, room in results, outstanding pieces of all daemons), how many of those go
-//! ahead of the stage's own, the request's objective (milliseconds), its route's rank, the tokens of
-//! its prompt, and the way to the region where it would run (milliseconds).
+//! Inputs: for each stage its pieces and the state of its service (`StageService`: endpoints, cost of a call in
+//! milliseconds, result capacity, outstanding pieces of all daemons), the number of outstanding pieces that go ahead of
+//! the stage's own, the request's objective (milliseconds), the rank of its route, the tokens of its prompt, and the
+//! round-trip time to the region where it would run (milliseconds).
 //!
-//! The outstanding pieces of a service that go ahead (`rules::backlog`), over its throughput, and the wait
-//! for the first call that ends say when a new piece would begin; with the time of a call at the present
-//! load, and of the stages before, that gives the time to the end of all stages. The request is admitted if
-//! that time and its own fit into its objective, less `RANK_MARGIN` for each rank.
+//! Rule: the outstanding pieces of a service that go ahead (`rules::backlog`), divided by the service's throughput,
+//! plus the wait for the first endpoint to become free, give the time at which a new piece starts. Adding the time of a
+//! call at the present load, and of the stages before, gives the time until all stages have ended. The request is
+//! admitted if that time and its own fit into its objective, less `RANK_MARGIN` of the objective for each rank.
 //!
-//! Work that was begun and isn't finished in time takes the place of work that could have been.
-//! `test_stage_admission` pins the rule.
+//! Reason: work that starts and doesn't finish in time displaces work that could have finished. `test_stage_admission`
+//! checks the rule.
 
 use crate::{
     gateway::rules::{call_timing::CallCost, engine_pace::TOKENS_PER_MS, retry_after},
     shared::units::{Millis, WorkMillis},
 };
 
-/// Time that a request needs beside its stages and its prompt.
+/// Time that a request needs besides its stages and its prompt.
 const OWN: WorkMillis = WorkMillis(80.0);
 
-/// Most of a request's own time that counts against its admission ("a long prompt counts for 200 ms
-/// at most": 0.919 -> 0.979). A long prompt costs the stages no more than a short one, and refusing
-/// it for its length alone would starve its kind.
+/// Upper bound on the time of a request itself that counts against its admission. A long prompt costs the stages no
+/// more than a short one; without the bound, long prompts would be refused for their length alone and never be served.
 const MOST_OWN: WorkMillis = WorkMillis(200.0);
 
-/// Part of a service's full throughput that is reached (a share).
+/// Fraction of the theoretical throughput of a service that it reaches in practice.
 const EFFICIENCY: f64 = 0.85;
 
-/// Time for which results are kept beyond the call that computed them.
+/// Time for which an endpoint keeps results after the call that computed them.
 const KEPT: WorkMillis = WorkMillis(350.0);
 
-/// Part of the objective that the expected time may take at rank 0 (a share; "nine tenths of the
-/// objective": 0.318 -> 0.234, so that it stayed whole).
+/// Fraction of the objective that the expected time may take at rank 0.
 const MARGIN: f64 = 1.0;
 
-/// Part of the objective that each rank leaves free (a share; "0.12 for each rank instead of 0.05":
-/// 0.318 -> 0.237, so that it stayed at 0.05).
+/// Fraction of the objective that has to stay free for each rank.
 const RANK_MARGIN: f64 = 0.05;
 
-/// A number of pieces, or of their results; an average is no whole number.
+/// A number of pieces or of their results. It may be fractional, since averages are.
 #[derive(Debug, Clone, Copy, PartialEq, PartialOrd)]
 pub struct PieceCount(pub f64);
 
 /// The load and the size of the service of one stage.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct StageService {
-    /// Endpoints that get calls.
+    /// Number of endpoints that get calls.
     pub endpoints: usize,
-    /// Most pieces in a call.
+    /// Maximum number of pieces in a call.
     pub batch: usize,
-    /// Cost of a call.
+    /// Cost of a call, as a function of its pieces.
     pub cost: CallCost,
-    /// Results that an endpoint has room for.
+    /// Number of results that one endpoint can hold.
     pub room: PieceCount,
     /// Pieces that any daemon has admitted and that aren't completed yet.
     pub outstanding: PieceCount,
 }
 
 impl StageService {
-    /// Returns the endpoints that share the load; one at least, since a service that has none at the
-    /// moment gets one back sooner or later.
+    /// Returns the number of endpoints that share the load. At least 1: a service without endpoints is expected to get
+    /// one back.
     fn sharing(&self) -> f64 {
         self.endpoints.max(1) as f64
     }
 
-    /// Returns the pieces that a call can hold at full load, for which the room for results counts.
+    /// Returns the number of pieces in a call at full load, which the batch size and the result capacity limit.
     fn fill(&self) -> f64 {
         let batch = self.batch as f64;
         let call = self.cost.expected(batch).0;
@@ -74,17 +71,16 @@
         batch.min(by_room).max(1.0)
     }
 
-    /// Returns the pieces that the service completes in a millisecond at full load.
+    /// Returns the number of pieces that the service completes in a millisecond at full load.
     fn pieces_per_ms(&self) -> f64 {
         let fill = self.fill();
         let call = self.cost.expected(fill).0;
         self.sharing() * fill / call * EFFICIENCY
     }
 
-    /// Returns the time until the first endpoint is free for a piece with nothing ahead of it: calls that
-    /// run are not broken off. Endpoints whose calls began at random times become free one after the
-    /// other within the time of one call. Without this wait the mean worth of days with trouble fell from
-    /// 0.605 to 0.597 (five days, two scores each).
+    /// Returns the time until the first endpoint is free for a piece with nothing ahead of it. Running calls are not
+    /// interrupted. Endpoints whose calls began at random times become free one after the other within the time of one
+    /// call. Without this wait the estimate is too low, and the value of the answers on days with failures falls.
     fn busy_wait(&self) -> WorkMillis {
         let call = self.cost.expected(self.fill()).0;
         let backlog = self.outstanding.0 / self.pieces_per_ms();
@@ -92,7 +88,7 @@
         WorkMillis(busy * call / (self.sharing() + 1.0))
     }
 
-    /// Returns the time of a call that has so many pieces of one request, at the present load.
+    /// Returns the time of a call with `pieces` pieces of one request, at the present load.
     fn usual_call(&self, pieces: f64) -> WorkMillis {
         let share = self.outstanding.0 / self.sharing();
         let fill = share.clamp(pieces, self.fill().max(pieces));
@@ -100,83 +96,83 @@
     }
 }
 
-/// How many endpoints of a service get calls, by each of those who know something of it.
+/// The number of endpoints of a service that get calls, by each source that has a count.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CountSources {
-    /// By this daemon's own queue of the service, if it has jobs for it.
+    /// Count of this daemon's own queue of the service; `None` if it has no jobs for the service.
     pub own_queue: Option<usize>,
-    /// By the reports of other daemons, if any has a queue of the service.
+    /// Count that other daemons reported; `None` if none of them has a queue of the service.
     pub peers: Option<usize>,
-    /// By the list of endpoints: those that aren't draining.
+    /// Endpoints in the endpoint list that aren't draining.
     pub listed: usize,
 }
 
 impl CountSources {
-    /// Returns the count that is believed. A queue with jobs sees which endpoints are slow or passed
-    /// over, and this daemon's own is the freshest; next come other daemons' reports of theirs.
-    /// Neither may know yet that an endpoint has left, so that the list bounds them.
+    /// Returns the count to use. A queue with jobs sees which endpoints are slow or excluded for a time; this daemon's
+    /// own queue is the most recent, then the queues that other daemons report. Neither may know yet that an endpoint
+    /// has left, so the listed count is an upper bound.
     pub fn believed(&self) -> usize {
         let reported = self.own_queue.or(self.peers);
         reported.unwrap_or(self.listed).min(self.listed)
     }
 }
 
-/// One stage of a request that is to be admitted.
+/// One stage of a request that waits for admission.
 #[derive(Debug, Clone, PartialEq)]
 pub struct PlannedStage {
-    /// Its service.
+    /// Load and size of the stage's service.
     pub service: StageService,
-    /// Those of the service's outstanding pieces that go ahead of its own.
+    /// Outstanding pieces of the service that go ahead of this stage's pieces.
     pub ahead: PieceCount,
-    /// Its pieces; none if it is left out.
+    /// Number of pieces of the stage; 0 if the stage is skipped.
     pub pieces: u32,
-    /// Stages before it, by their places.
+    /// Stages that have to end first, as indices into the request's stages.
     pub after: Vec<usize>,
 }
 
-/// A request that is to be admitted.
+/// A request that waits for admission.
 #[derive(Debug, Clone, PartialEq)]
 pub struct AdmissionRequest {
-    /// Its stages, in order.
+    /// Stages of the request, in order.
     pub stages: Vec<PlannedStage>,
-    /// Time within which its answer is worth most.
+    /// Target time of the route: an answer within it has the full value.
     pub objective: Millis,
-    /// Rank of its route; 0 goes first.
+    /// Rank of the route; 0 goes first.
     pub rank: u32,
-    /// Tokens of its prompt.
+    /// Tokens of the prompt.
     pub tokens: u32,
-    /// Way there and back to the region where it would run, for each stage and for the request itself; none for the
-    /// own region.
+    /// Round-trip time to the region where the request would run, which each stage and the request itself takes once; 0
+    /// for the local region.
     pub way: WorkMillis,
 }
 
-/// The decision about a request.
+/// Result of the admission of a request.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum AdmissionDecision {
-    /// Its stages may begin.
+    /// The stages of the request may start.
     Admit {
-        /// Time that it should take.
+        /// Time that the request should take.
         expected: WorkMillis,
     },
-    /// It is refused.
+    /// The request is refused.
     Refuse {
-        /// Time that it would have taken.
+        /// Time that the request would have taken.
         expected: WorkMillis,
-        /// Time after which the caller may come back.
+        /// Time after which the caller may retry.
         retry_after: Millis,
     },
 }
 
-/// Estimates the time that a request itself takes to its first event.
+/// Estimates the time from the end of a request's stages to its first event, with a prompt of `tokens` tokens.
 pub fn own_time(tokens: u32) -> WorkMillis {
     WorkMillis(OWN.0 + f64::from(tokens) / TOKENS_PER_MS)
 }
 
-/// Estimates the time to the end of all stages, each of which waits for a way there and back.
+/// Estimates the time until all stages have ended, where each stage takes one round trip of `way`.
 pub fn stages_time(stages: &[PlannedStage], way: WorkMillis) -> WorkMillis {
     let mut ends = Vec::with_capacity(stages.len());
     for stage in stages {
-        // A checked table names earlier stages only, so that each of them has an end here.
+        // A validated table refers to earlier stages only, so each of them has an end time here.
         let before = stage
             .after
             .iter()
--- a/lib/src/gateway/rules/backend_choice.rs
+++ b/lib/src/gateway/rules/backend_choice.rs
@@ -1,15 +1,15 @@
-//! Which of a route's services gets a request?
+//! Chooses which of a route's services gets a request.
 //!
 //! **Inputs.** The request's id and the weights of the route's services.
 //!
-//! **Rule.** A hash of the id picks a point on the line of weights. The same id gives the same service on
-//! every daemon.
+//! **Rule.** A hash of the id selects a service, with a probability proportional to its weight. The same id selects the
+//! same service on every daemon.
 //!
 //! **Reason.** A request that its caller sends again through another host must not change its service.
 
 use std::hash::{BuildHasher, Hash};
 
-/// Picks one of several weighted choices by a hash of `seed`; `None` only without choices.
+/// Picks one of several weighted choices by a hash of `seed`; `None` only if there are no choices.
 pub fn weighted<T>(seed: impl Hash, choices: &[T], weight: impl Fn(&T) -> f64) -> Option<&T> {
     let total: f64 = choices.iter().map(&weight).sum();
     let hash = foldhash::fast::FixedState::default().hash_one(seed);
--- a/lib/src/gateway/rules/cold_share.rs
+++ b/lib/src/gateway/rules/cold_share.rs
@@ -1,21 +1,20 @@
-//! May this daemon send a request to a cold endpoint now?
+//! Decides whether this daemon may send a request to a cold endpoint now.
 //!
-//! Inputs: the requests that a cold endpoint bears within one second from all daemons together (a
-//! count), the daemons known, alive or not, the time since this daemon last sent it one, and a random
-//! phase (a fraction) that this daemon drew for the endpoint.
+//! Inputs: the number of requests per second that a cold endpoint can take from all daemons together, the number of
+//! known daemons (alive or not), the time since this daemon last sent it a request, and a random phase (from 0 up to 1)
+//! that this daemon drew for the endpoint.
 //!
-//! Rule: daemons that are no more than the endpoint bears requests in a second each send it a whole
-//! share of them, evenly spaced. Daemons that are more have turns: each may send one request within the
-//! `TURN` that comes round with its own phase, so often that all of them together send `MEAN_PART` of
-//! what the endpoint bears on average. A turn that isn't used is over. A daemon that doesn't know its
-//! fleet yet sends nothing.
+//! Rule: if the endpoint can take at least one request per second from each daemon, each daemon sends its whole share,
+//! evenly spaced. Otherwise daemons take turns: each may send one request within a time slot of length `TURN`. The slot
+//! recurs at the daemon's phase, at an interval with which all daemons together send `MEAN_PART` of what the endpoint
+//! can take on average. An unused turn is lost. A daemon that doesn't know the other daemons yet sends nothing.
 //!
-//! Reason: an endpoint that has just started falls over at more, and daemons agree on nothing. Shares
-//! that are saved up would all be spent in the same second once a key becomes hot; turns with phases of
-//! their own never meet by more than chance. 295 daemons that each want to send at any moment exceeded
-//! 20 requests in a second in none of 120 seconds (test `large_fleet_turns`).
+//! Reason: an endpoint that has just started fails under more load, and daemons don't coordinate. Shares that
+//! accumulate would all be used in the same second once a key becomes hot; turns with random phases coincide only by
+//! chance. With 295 daemons that want to send at any moment, the endpoint got more than 20 requests in none of 120
+//! seconds (test `large_fleet_turns`).
 //!
-//! What the fleet sends doesn't depend on who is alive: a daemon that is cut off counts those that it
+//! The rate of the fleet doesn't depend on which daemons are alive: a daemon that loses contact counts those that it
 //! knew.
 
 use {
@@ -23,33 +22,33 @@
     std::time::Duration,
 };
 
-/// Longest turn of one daemon. Long enough that some request comes in it.
+/// Maximum length of a daemon's turn, long enough that a request usually arrives in it.
 const TURN: Millis = Millis(1_000);
 
-/// Part of what an endpoint bears that daemons send on average where they have turns. Worked out: at a
-/// mean of 6 a second, 21 or more come together in 1 of 690,000 seconds.
+/// Fraction of an endpoint's capacity that daemons use on average when they take turns. By calculation, at a mean of 6
+/// requests per second, 21 or more coincide in 1 of 690,000 seconds.
 const MEAN_PART: f64 = 0.3;
 
-/// Time over which daemons with whole shares spread them, in seconds: the tenth beyond one second is for requests that
-/// take unlike times on their way.
+/// Time over which a daemon spreads its whole share, in seconds. The tenth beyond one second covers requests that take
+/// different times on the network.
 const SPREAD_S: f64 = 1.1;
 
-/// What this daemon may send to each cold endpoint of a service.
+/// Share of the requests to each cold endpoint of a service that this daemon may send.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum ColdShare {
-    /// The service's cold endpoints bear as much as others.
+    /// No limit: cold endpoints of the service can take as much as others.
     Unlimited,
-    /// Nothing.
+    /// No requests.
     Nothing,
-    /// A request at least so long after the one before.
+    /// One request at most in each interval of this length.
     Spaced(Duration),
-    /// A request in each turn; turns come round after this time.
+    /// One request in each turn; turns recur after this time.
     Turns(Duration),
 }
 
 impl ColdShare {
-    /// Returns the share of one of so many daemons, where an endpoint bears `bearable` requests in a second;
-    /// nothing if it bears any number.
+    /// Returns the share of one of `daemons` daemons if an endpoint can take `bearable` requests per second; `None`
+    /// means any number.
     pub fn new(bearable: Option<f64>, daemons: usize) -> Self {
         let Some(bearable) = bearable else {
             return Self::Unlimited;
@@ -63,15 +62,15 @@
         Self::Turns(Duration::from_secs_f64(daemons / mean))
     }
 
-    /// Returns whether a request may be sent now; `last` is when this daemon last sent the endpoint one,
-    /// `phase` its phase there, from 0 up to 1.
+    /// Returns whether a request may be sent now. `last` is the time when this daemon last sent one to the endpoint,
+    /// and `phase` its phase there, from 0 up to 1.
     pub fn may_send(&self, now: Time, last: Option<Time>, phase: f64) -> bool {
         let waited = |least: Duration| last.is_none_or(|last| now.since(last) >= least);
         match *self {
             Self::Unlimited => true,
             Self::Nothing => false,
             Self::Spaced(interval) => waited(interval),
-            // Half a round before, the last turn was over, or this one hadn't begun.
+            // A turn lasts at most half a round, so a request half a round ago belongs to an earlier turn.
             Self::Turns(round) => is_turn(now, round, phase) && waited(round / 2),
         }
     }
--- a/lib/src/gateway/rules/connections.rs
+++ b/lib/src/gateway/rules/connections.rs
@@ -1,21 +1,21 @@
-//! How many requests may this daemon have in flight at one endpoint?
+//! Decides how many requests this daemon may have in flight at one endpoint.
 //!
-//! Inputs: the connections that one endpoint accepts from all callers together (a count, from the
-//! table; nothing where the table doesn't say) and the number of daemons alive, this one included.
+//! Inputs: the number of connections that one endpoint accepts from all callers together (from the table; `None` if it
+//! isn't limited), and the number of daemons alive, including this one.
 //!
-//! Rule: the daemons share an endpoint's connections evenly, and each has at least one. A request
-//! takes a connection of its own, so that connections and requests are the same count.
+//! Rule: the daemons share an endpoint's connections evenly, and each has at least one. Each request uses a connection
+//! of its own, so the number of connections and the number of requests are the same.
 //!
-//! Reason: daemons needn't agree on anything to stay within the endpoint's limit, and a daemon that
-//! had none could serve nobody.
+//! Reason: the daemons stay within the endpoint's limit without coordination. A daemon without a connection couldn't
+//! serve any request.
 //!
-//! There is no constant to measure; tests: `lib/tests/test_connections.rs`.
+//! Tests: `lib/tests/test_connections.rs`.
 
-/// Fewest requests that a daemon may have in flight at an endpoint, however many daemons there are.
+/// Minimum number of requests that a daemon may have in flight at an endpoint, whatever the number of daemons.
 const LEAST_SHARE: usize = 1;
 
-/// Returns the requests that one daemon may have in flight at an endpoint that accepts `accepted`
-/// connections; without a limit, as many as a count holds.
+/// Returns the number of requests that one daemon may have in flight at an endpoint that accepts `accepted`
+/// connections; `u32::MAX` if it has no limit.
 pub fn in_flight_limit(accepted: Option<usize>, daemons: usize) -> u32 {
     let accepted = accepted.unwrap_or(usize::MAX);
     let share = (accepted / daemons.max(1)).max(LEAST_SHARE);
--- a/lib/src/gateway/rules/distance.rs
+++ b/lib/src/gateway/rules/distance.rs
@@ -1,15 +1,15 @@
-//! How far is the way to another region?
+//! Measures the round-trip time to another region.
 //!
-//! Inputs: the regions of two places, nothing where the installation has one region or a place isn't known; the
-//! times that connections to a region took to come up, in milliseconds.
+//! Inputs: the regions of two data centres (`None` if the installation has one region only, or the region isn't known),
+//! and the times that connections to a region took to be established, in milliseconds.
 //!
-//! Rule: two places are apart if both regions are known and differ. The way to another region and back takes the
-//! least time in which a connection there came up within the last one or two spans of `WINDOW`, and
-//! `UNKNOWN_WAY` where none did.
+//! Rule: two data centres are in different regions if both regions are known and differ. The round-trip time to another
+//! region is the shortest time in which a connection there was established within the last one to two windows of length
+//! `WINDOW`, or `UNKNOWN_WAY` if there was none.
 //!
-//! Reason: a connection comes up after one way there and back, and after whatever its peer and the network add; the
-//! least time is the way alone. Between data centres of one region the way is short against all that is decided by
-//! it.
+//! Reason: establishing a connection takes one round trip plus delays of the peer and the network; the shortest time is
+//! closest to the round trip alone. Between data centres of one region the round trip is negligible for the decisions
+//! that use it.
 //!
 //! Tests: `lib/tests/test_distance.rs`.
 
@@ -18,30 +18,30 @@
     shared::units::{Millis, Time, WorkMillis},
 };
 
-/// Time over which the least time is taken: it forgets a way that has become longer.
+/// Length of a window over which the shortest time is taken, so that a route that became longer is noticed.
 const WINDOW: Millis = Millis(15_000);
 
-/// Way there and back to a region to which no connection came up lately. A continent's width.
+/// Round-trip time to a region to which no connection was established recently: about that across a continent.
 const UNKNOWN_WAY: WorkMillis = WorkMillis(50.0);
 
-/// Returns whether two places are in different regions.
+/// Returns whether two regions are known and differ.
 pub fn are_apart(one: Option<RegionHash>, other: Option<RegionHash>) -> bool {
     matches!((one, other), (Some(one), Some(other)) if one != other)
 }
 
-/// The way to one region and back, as connections there show it.
+/// Estimate of the round-trip time to one region, from connections established there.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct RegionWay {
-    /// Start of the present window.
+    /// Start of the current window.
     since: Time,
-    /// Least time of the present window.
+    /// Shortest time in the current window; `None` if no connection was established in it.
     least: Option<WorkMillis>,
-    /// Least time of the window before it.
+    /// Shortest time in the previous window; `None` if no connection was established in it.
     before: Option<WorkMillis>,
 }
 
 impl RegionWay {
-    /// Records that a connection came up after a time.
+    /// Records that establishing a connection took the time `took`.
     pub fn record(&mut self, now: Time, took: WorkMillis) {
         self.advance(now);
         self.least = Some(
@@ -50,7 +50,7 @@
         );
     }
 
-    /// Returns the time of the way there and back.
+    /// Returns the estimated round-trip time.
     pub fn time(mut self, now: Time) -> WorkMillis {
         self.advance(now);
         let times = self.least.into_iter().chain(self.before);
@@ -58,7 +58,7 @@
         least.map_or(UNKNOWN_WAY, WorkMillis)
     }
 
-    /// Begins a new window once the present one is over.
+    /// Starts a new window if the current one is over.
     fn advance(&mut self, now: Time) {
         let window = WINDOW.to_duration();
         let passed = now.since(self.since);
--- a/lib/src/gateway/rules/eligibility.rs
+++ b/lib/src/gateway/rules/eligibility.rs
@@ -1,17 +1,18 @@
-//! May an endpoint get this request or piece now, and if not, why?
+//! Decides whether an endpoint may get a request or piece now, and returns the reason if not.
 //!
-//! Inputs: what the directory and operators say of the endpoint (leaving, evacuated), what it said itself (it leaves, it
-//! answered as another one, it wants rest), where it stands and where the request may run, and how much of what it bears
-//! this daemon has used (connections, its share of a cold endpoint, its permits for one that names a rate).
+//! Inputs: what the directory and operators say about the endpoint (draining, evacuated), what its replies said (it is
+//! leaving, it answered as another endpoint, it asked for a cooldown), its data centre and the data centres where the
+//! request may run, and how much of the endpoint's limits this daemon has used (connections, its share of a cold
+//! endpoint, its permits for an endpoint that advertises a rate limit).
 //!
-//! Rule: one reason against it is enough; the one that lasts longest is named. Health isn't among them:
-//! an endpoint that failed gets nothing as long as another one is available, which is a matter of
+//! Rule: one reason is enough to exclude the endpoint; if several hold, the one that lasts longest is returned. Health
+//! is not a reason: an endpoint that failed gets nothing while another one is available, which is decided by
 //! [`endpoint_choice`](crate::gateway::rules::endpoint_choice).
 //!
-//! Reason: whole requests, retries, resumed streams, pieces and admission all ask this one rule, so that
-//! an order of an operator holds for all of them from the same moment.
+//! Reason: whole requests, retries, resumed streams, pieces and admission all use this one rule, so an operator's order
+//! takes effect for all of them at the same moment.
 //!
-//! It has no constants. Tests: `lib/tests/test_eligibility.rs`.
+//! Tests: `lib/tests/test_eligibility.rs`.
 
 use {
     crate::shared::ids::DataCentreId,
@@ -21,15 +22,15 @@
 /// The data centres where a request may run.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub enum Places {
-    /// Any.
+    /// All data centres.
     #[default]
     Anywhere,
-    /// These.
+    /// Only these data centres; the set may be empty.
     Only(Arc<BTreeSet<DataCentreId>>),
 }
 
 impl Places {
-    /// Returns whether a request may run in a data centre.
+    /// Returns whether the request may run in a data centre.
     pub fn allow(&self, data_centre: &DataCentreId) -> bool {
         match self {
             Self::Anywhere => true,
@@ -37,12 +38,12 @@
         }
     }
 
-    /// Returns whether there is no data centre where a request may run.
+    /// Returns whether there is no data centre where the request may run.
     pub fn is_nowhere(&self) -> bool {
         matches!(self, Self::Only(places) if places.is_empty())
     }
 
-    /// Returns the data centres by name; nothing where a request may run anywhere.
+    /// Returns the names of the data centres; empty if the request may run anywhere.
     pub fn names(&self) -> Vec<DataCentreId> {
         match self {
             Self::Anywhere => Vec::new(),
@@ -50,8 +51,8 @@
         }
     }
 
-    /// Returns the places of some data centres by name; any if there is none, as [`names`](Self::names) writes
-    /// it.
+    /// Returns the inverse of [`names`](Self::names): only the named data centres, or all data centres if `names` is
+    /// empty.
     pub fn of_names(names: Vec<DataCentreId>) -> Self {
         if names.is_empty() {
             return Self::Anywhere;
@@ -60,29 +61,29 @@
     }
 }
 
-/// Reason for which an endpoint gets nothing new.
+/// Reason for which an endpoint gets nothing new. The order of the variants is the order in which they are reported.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Exclusion {
-    /// It announced that it is leaving, in its entry or in a reply.
+    /// The endpoint announced in its entry or in a reply that it is leaving.
     Draining,
-    /// Its data centre is evacuated.
+    /// Its data centre is being evacuated.
     Evacuated,
     /// The request may not run in its data centre.
     Away,
     /// It answered as another endpoint, or as leaving.
     Replaced,
-    /// It turned a request away, and wants nothing from this daemon for a while.
+    /// It refused a request and asked this daemon to send nothing for a time.
     Resting,
-    /// It is cold, and this daemon has sent it its share.
+    /// It is cold, and this daemon has used its share of the requests to it.
     Cold,
-    /// It names the rate that it takes, and this daemon has no permit to send it one more.
+    /// It advertises a rate limit, and this daemon has no permit for another request.
     Limited,
-    /// This daemon has as many requests in flight there as it may.
+    /// This daemon already has the maximum number of requests in flight there.
     Full,
 }
 
 impl Exclusion {
-    /// All reasons, in the order in which they are named.
+    /// All reasons, in the order in which they are reported.
     pub const ALL: [Self; 8] = [
         Self::Draining,
         Self::Evacuated,
@@ -109,21 +110,21 @@
     }
 }
 
-/// What speaks against an endpoint whatever the request.
+/// The reasons against an endpoint that hold for every request.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Standing {
-    /// It announced that it is leaving, in its entry or in a reply.
+    /// Set if the endpoint announced in its entry or in a reply that it is leaving.
     pub draining: bool,
-    /// Its data centre is evacuated.
+    /// Set if its data centre is being evacuated.
     pub evacuated: bool,
-    /// It answered as another endpoint, or as leaving.
+    /// Set if it answered as another endpoint, or as leaving.
     pub replaced: bool,
-    /// It turned a request away, and wants nothing from this daemon for a while.
+    /// Set if it refused a request and asked this daemon to send nothing for a time.
     pub resting: bool,
 }
 
 impl Standing {
-    /// Returns why the endpoint gets nothing new at all, if there is a reason.
+    /// Returns the reason for which the endpoint gets nothing new at all, if there is one.
     pub fn exclusion(self) -> Option<Exclusion> {
         let reasons = [
             (self.draining, Exclusion::Draining),
@@ -135,23 +136,23 @@
     }
 }
 
-/// What speaks against an endpoint for one request.
+/// The reasons against an endpoint for one request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RequestStanding {
-    /// What speaks against it in any case.
+    /// Reasons that hold for every request.
     pub standing: Standing,
-    /// The request may not run where it stands.
+    /// Set if the request may not run in the endpoint's data centre.
     pub away: bool,
-    /// It is cold, and this daemon has sent it its share.
+    /// Set if the endpoint is cold and this daemon has used its share of the requests to it.
     pub cold: bool,
-    /// It names the rate that it takes, and this daemon has no permit to send it one more.
+    /// Set if the endpoint advertises a rate limit and this daemon has no permit for another request.
     pub limited: bool,
-    /// This daemon has as many requests in flight there as it may.
+    /// Set if this daemon already has the maximum number of requests in flight there.
     pub full: bool,
 }
 
 impl RequestStanding {
-    /// Returns why the endpoint doesn't get the request, if there is a reason.
+    /// Returns the reason for which the endpoint doesn't get the request, if there is one.
     pub fn exclusion(self) -> Option<Exclusion> {
         let reasons = [
             (self.away, Exclusion::Away),
@@ -163,28 +164,29 @@
     }
 }
 
+/// Returns the first reason that holds.
 fn first(reasons: &[(bool, Exclusion)]) -> Option<Exclusion> {
     let mut holding = reasons.iter().filter(|(holds, _)| *holds);
     holding.next().map(|(_, reason)| *reason)
 }
 
-/// How many endpoints of a service were left out, by the reason.
+/// The number of excluded endpoints of a service, by reason.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct LeftOut([usize; Exclusion::ALL.len()]);
 
 impl LeftOut {
-    /// Counts an endpoint.
+    /// Counts an excluded endpoint.
     pub fn count(&mut self, reason: Exclusion) {
         self.0[reason as usize] += 1;
     }
 
-    /// Returns the endpoints left out for a reason.
+    /// Returns the number of endpoints that were excluded for a reason.
     pub fn of(&self, reason: Exclusion) -> usize {
         self.0[reason as usize]
     }
 }
 
-/// Writes `none`, or the counts above 0 with commas between them, such as `draining=1,evacuated=9`.
+/// Writes the counts above 0, separated by commas, such as `draining=1,evacuated=9`; `none` if all are 0.
 impl fmt::Display for LeftOut {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let mut comma = "";
--- a/lib/src/gateway/rules/endpoint_choice.rs
+++ b/lib/src/gateway/rules/endpoint_choice.rs
@@ -1,20 +1,21 @@
-//! Which endpoint gets a request?
+//! Chooses the endpoint that gets a request.
 //!
 //! **Inputs.** The candidates: endpoints of the service that may get the request
-//! ([`eligibility`](crate::gateway::rules::eligibility)) and haven't been tried for it. Of each: requests in flight, slots, the usual time of
-//! a call (ms), prompt tokens waiting to be read, pace and cached tokens. Of the request: its prompt
-//! (tokens), and the size of its inputs by data centre (bytes). The region of each place, and the way there and back to
-//! another one (ms).
+//! ([`eligibility`](crate::gateway::rules::eligibility)) and haven't been tried for it. Of each candidate: requests in
+//! flight, slots, the usual time of a call (ms), prompt tokens waiting to be read, slowdown, cached tokens, region, and
+//! the round-trip time to it if it is in another region (ms). Of the request: its prompt (tokens) and the size of its
+//! inputs by data centre (bytes).
 //!
-//! **Rule.** Available candidates go first; the others are considered only where none is available. The
-//! candidate with the least expected time wins, but for one that is to be asked whether it still names a rate. For a plain call that is its usual time, more where
-//! calls have to queue. For a prompt it is the time to read what waits there and isn't cached, more for
-//! requests in flight, times the endpoint's pace. Both add the cost of the way, and of inputs in another data centre
-//! or region.
+//! **Rule.** Available candidates go first; the others are considered only if none is available. A candidate whose
+//! advertised rate limit has to be probed goes first of all; otherwise the candidate with the least expected time wins.
+//! For a plain call that is its usual time, and more where calls have to queue. For a prompt it is the time to read the
+//! waiting and the uncached tokens, plus a cost for requests in flight, multiplied by the endpoint's slowdown. Both add
+//! the cost of the round trip, and of inputs in another data centre or region.
 //!
-//! **Reason.** A request should begin where it begins soonest. Daemons share no state, so all prefer the
-//! same endpoint for a shared part of a prompt, chosen by rendezvous hashing: it is then read once in each region. Of
-//! endpoints that are equal otherwise, each daemon has an order of its own, so that a fleet doesn't choose the same one.
+//! **Reason.** A request should start as early as possible. Daemons share no state, so all of them prefer the same
+//! endpoint for a shared part of a prompt, chosen by rendezvous hashing: the part is then read once in each region.
+//! Among endpoints that are equal otherwise, each daemon has a different order, so that a fleet doesn't send everything
+//! to one of them.
 
 use {
     crate::{
@@ -41,64 +42,64 @@
 /// Time to the first event that each generation in flight adds, in milliseconds.
 const GENERATION_MS: f64 = 1.0;
 
-/// Time that each request beyond the slots of an engine adds, in milliseconds: enough to prefer any engine with a free
-/// slot.
+/// Time that each request beyond the slots of an engine adds, in milliseconds. It is high enough to prefer any engine
+/// with a free slot.
 const OVERFULL_MS: f64 = 100.0;
 
-/// Part of a plain call's usual time that a wholly busy endpoint adds before calls queue, so that equal endpoints get
-/// equal load.
+/// Fraction of a plain call's usual time that a fully busy endpoint adds before calls queue, so that equal endpoints
+/// get equal load.
 const CROWDING: f64 = 0.5;
 
-/// Factor on the time at an endpoint for which there is a permit: a permit that isn't used is lost. What is read again
-/// there isn't any cheaper.
+/// Factor on the expected time at an endpoint for which this daemon has a permit, since an unused permit is lost. It
+/// doesn't apply to the cost of shared tokens that are read again.
 const PERMITTED: f64 = 0.5;
 
-/// Cost of each shared token of a prompt that has to be read again, in milliseconds beside the time it takes: reading
-/// it is a price of its own, and it displaces what others may still need.
+/// Cost of each shared token of a prompt that has to be read again, in milliseconds, in addition to the time it takes:
+/// reading it uses the engine and displaces cached tokens that other requests may still need.
 const SHARED_TOKEN_MS: f64 = 0.15;
 
-/// Cost of a call into another data centre, in milliseconds: about the way there and back.
+/// Cost of a call into another data centre of the region, in milliseconds: about the round-trip time.
 const HOP_MS: f64 = 1.0;
 
-/// Cost of each megabyte of inputs from another data centre, in milliseconds.
+/// Cost of each megabyte of inputs from another data centre of the region, in milliseconds.
 const INPUT_MB_MS: f64 = 100.0;
 
-/// Cost of each megabyte of inputs from another region, in milliseconds: the way between regions is narrow, and all
-/// hosts share it.
+/// Cost of each megabyte of inputs from another region, in milliseconds: links between regions have little bandwidth,
+/// and all hosts share it.
 const FAR_INPUT_MB_MS: f64 = 1_000.0;
 
-/// Bytes of a megabyte.
+/// Number of bytes in a megabyte.
 const MB: f64 = 1e6;
 
-/// Inputs of a request that lie in one data centre.
+/// Inputs of a request that are held in one data centre.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct InputLocation {
     /// Data centre of the endpoint that holds them.
     pub data_centre: DataCentreId,
-    /// Its region.
+    /// Region of the data centre; `None` if it isn't known or the installation has one region only.
     pub region: Option<RegionHash>,
-    /// Their size.
+    /// Total size of the inputs.
     pub size: ByteSize,
 }
 
 /// A request that needs an endpoint.
 #[derive(Debug, Clone, Copy)]
 pub struct Placement<'a> {
-    /// Its prompt; empty for a plain call.
+    /// Prompt of the request; empty for a plain call.
     pub prompt: &'a Prompt,
     /// Set if endpoints that cache the beginning of the prompt are preferred.
     pub affinity: bool,
-    /// Endpoints that were tried for it before.
+    /// Endpoints that already got the request; they are not candidates.
     pub tried: &'a [EndpointId],
-    /// Results of earlier stages that it needs.
+    /// Locations of the results of earlier stages that the request needs.
     pub inputs: &'a [InputLocation],
-    /// Most requests that one endpoint may have in flight from this daemon.
+    /// Maximum number of requests that this daemon may have in flight at one endpoint.
     pub connection_limit: u32,
-    /// Data centres where it may run.
+    /// Data centres where the request may run.
     pub places: &'a Places,
-    /// What this daemon may send to each cold endpoint of the service.
+    /// Share of the requests to each cold endpoint of the service that this daemon may send.
     pub cold_share: ColdShare,
-    /// Time for which an endpoint of the service is usually cold after its start.
+    /// Time after its start for which an endpoint of the service is usually cold.
     pub cold_start: Millis,
     /// Urgency of the request; 0 goes first.
     pub urgency: u32,
@@ -107,66 +108,67 @@
 /// An endpoint that may get a request.
 #[derive(Debug, Clone, Copy)]
 pub struct EndpointCandidate<'a> {
-    /// Its entry in the directory.
+    /// Directory entry of the endpoint.
     pub entry: &'a Arc<EndpointEntry>,
-    /// Set if it is healthy and could be reached lately.
+    /// Set if the endpoint is healthy and was reachable recently.
     pub available: bool,
-    /// Set if it is cold, or may be.
+    /// Set if the endpoint is cold, or may be.
     pub cold: bool,
-    /// Requests in flight there, from all daemons.
+    /// Requests in flight at the endpoint, from all daemons.
     pub outstanding: u32,
-    /// Usual time of a plain call.
+    /// Usual time of a plain call at the endpoint.
     pub call_time: WorkMillis,
-    /// Time that work takes at the moment by its own word, as a multiple of the usual one.
+    /// Slowdown that the endpoint reports itself: the present time of work as a multiple of the usual one.
     pub reported_pace: f64,
-    /// Prompt tokens that were sent there and aren't read yet, by all daemons.
+    /// Prompt tokens that all daemons sent to the endpoint and that it hasn't read yet.
     pub waiting_tokens: f64,
-    /// Observed over expected time to the first event.
+    /// Slowdown that this daemon observed: the ratio of observed to expected time to the first event.
     pub pace: f64,
-    /// Tokens of the prompt that it holds, as this daemon sent them; 0 without affinity.
+    /// Tokens of the prompt that the endpoint caches, as far as this daemon sent them; 0 without affinity.
     pub cached_tokens: u32,
-    /// Whether it names the rate that it takes.
+    /// Whether the endpoint advertises a rate limit, and whether it has to be probed.
     pub limit: NamedLimit,
-    /// Its place among equal ones, of this daemon's own; the least goes first.
+    /// Position among equal candidates, different in each daemon; the smallest goes first.
     pub order: u64,
-    /// Its region.
+    /// Region of the endpoint; `None` if it isn't known or the installation has one region only.
     pub region: Option<RegionHash>,
-    /// Way there and back if it is in another region.
+    /// Round-trip time to the endpoint if it is in another region; `None` in the local region.
     pub way: Option<WorkMillis>,
 }
 
-/// Whether an endpoint that may get a request names the rate that it takes.
+/// Whether an endpoint that may get a request advertises a rate limit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum NamedLimit {
-    /// It doesn't.
+    /// The endpoint advertises no limit.
     None,
-    /// There is a permit for it.
+    /// It advertises a limit, and this daemon has a permit to send one request.
     Permitted,
-    /// There is one, and it is to be asked whether it still names a rate.
+    /// This daemon has a permit, and should use it to find out whether the limit still holds.
     LookDue,
 }
 
-/// The endpoint that was chosen, with what decided.
+/// The chosen endpoint, with the values that decided.
 #[derive(Debug, Clone)]
 pub struct EndpointChoice {
-    /// Its entry in the directory.
+    /// Directory entry of the endpoint.
     pub entry: Arc<EndpointEntry>,
-    /// Expected time to the reply or the first event, costs of distance included.
+    /// Expected time to the reply or the first event, including the costs of distance.
     pub expected: WorkMillis,
-    /// Prompt tokens that it probably has to read.
+    /// Prompt tokens that the endpoint probably has to read.
     pub uncached: u32,
-    /// Requests in flight there, from all daemons.
+    /// Requests in flight at the endpoint, from all daemons.
     pub outstanding: u32,
-    /// Endpoints that were compared.
+    /// Number of endpoints that were compared.
     pub candidates: usize,
-    /// Endpoints that weren't, by the reason.
+    /// Number of endpoints that were excluded, by reason.
     pub left_out: LeftOut,
 }
 
 impl EndpointChoice {
-    /// Returns the other endpoints that could take the request if this one doesn't answer in time: those that were
-    /// compared, and those that have only no room just now. One that refuses connections or is ejected isn't among
-    /// them while this one isn't: counted on, it costs a caller the answer of a slow endpoint.
+    /// Returns the number of other endpoints that could take the request if this one doesn't answer in time: those that
+    /// were compared, and those that are only cold or full at the moment. Ejected or unreachable endpoints don't count
+    /// while this one is available: an attempt that is cut short in favour of one of them can lose the answer of an
+    /// endpoint that is only slow.
     pub fn alternatives(&self) -> usize {
         let soon = [Exclusion::Cold, Exclusion::Full].map(|reason| self.left_out.of(reason));
         self.candidates.saturating_sub(1) + soon.iter().sum::<usize>()
@@ -179,8 +181,8 @@
     uncached: u32,
 }
 
-/// Chooses the candidate with the least expected time, seen from the data centre `here`; `None` without
-/// candidates.
+/// Chooses the candidate with the least expected time, as seen from the data centre `here`. Returns `None` if there are
+/// no candidates.
 pub fn choose(
     candidates: &[EndpointCandidate<'_>],
     here: &DataCentreId,
@@ -219,7 +221,7 @@
     candidate.limit == NamedLimit::LookDue
 }
 
-/// Returns the candidates in the region of the request's daemon; all if there is none.
+/// Returns the candidates in the region of the request's daemon, or all candidates if there are none.
 fn in_region<'a, 'c>(candidates: &[&'c EndpointCandidate<'a>]) -> Vec<&'c EndpointCandidate<'a>> {
     let near = candidates
         .iter()
@@ -232,9 +234,9 @@
     }
 }
 
-/// Returns the endpoint that all daemons of a region prefer for the longest shared beginning of a prompt, by
-/// rendezvous hashing; `None` where the prompt has no shared part. A cold endpoint holds nothing, so that
-/// it is preferred only where all are cold.
+/// Returns the endpoint that all daemons of a region prefer for the longest shared beginning of a prompt, by rendezvous
+/// hashing; `None` if the prompt has no shared part. A cold endpoint has nothing cached, so it is preferred only if all
+/// candidates are cold.
 fn preferred_endpoint<'a>(
     candidates: &[&EndpointCandidate<'a>],
     prompt: &Prompt,
@@ -253,8 +255,8 @@
     Some(&best.entry.id)
 }
 
-/// Estimates the time at an endpoint; `holds_shared` where it probably caches the shared beginning of
-/// the prompt, although this daemon may not have sent it.
+/// Estimates the time at an endpoint. `holds_shared` is set if the endpoint probably caches the shared beginning of the
+/// prompt, even if this daemon didn't send it.
 fn estimate(
     candidate: &EndpointCandidate<'_>,
     placement: &Placement<'_>,
@@ -302,7 +304,7 @@
     let waiting = candidate.waiting_tokens + f64::from(uncached);
     let overfull = (outstanding + 1.0 - slots(candidate)).max(0.0) * OVERFULL_MS;
     let ms = waiting / TOKENS_PER_MS + outstanding * GENERATION_MS + overfull;
-    // The observed pace follows what the endpoint says of itself, only later.
+    // The observed slowdown follows the reported one with a delay, so the two must not be multiplied.
     let pace = if candidate.reported_pace > 1.0 {
         candidate.pace.max(candidate.reported_pace)
     } else {
@@ -322,13 +324,13 @@
     f64::from(candidate.entry.slots.max(1))
 }
 
-/// Returns the tokens of a prompt that other requests may share: all but its last part.
+/// Returns the tokens of a prompt that other requests may share: all but those of its last part.
 fn shared_tokens(prompt: &Prompt) -> u32 {
     let parts = prompt.parts.len().saturating_sub(1);
     prompt.parts[..parts].iter().map(|part| part.tokens).sum()
 }
 
-/// Returns the cost of the call's and its inputs' way, as time.
+/// Returns the cost of the call's round trip and of the transfer of its inputs, as time.
 fn distance_cost(
     candidate: &EndpointCandidate<'_>,
     here: &DataCentreId,
--- a/lib/src/gateway/rules/endpoint_rate.rs
+++ b/lib/src/gateway/rules/endpoint_rate.rs
@@ -1,17 +1,17 @@
-//! How many requests may this daemon send to an endpoint that names the rate it takes?
+//! Decides how many requests this daemon may send to an endpoint that advertises a rate limit.
 //!
-//! Inputs: the rate that the endpoint names (requests a second, of all daemons together), the daemons known, alive or
-//! not, the time since this daemon last counted its share, and the daemons that want to send, with the urgency of their
-//! requests.
+//! Inputs: the advertised rate (requests per second, from all daemons together), the number of known daemons (alive or
+//! not), the time since this daemon last counted its share, and the daemons that want to send, with the urgency of
+//! their requests.
 //!
-//! Rule: the rate is divided evenly among the daemons, and each hands its share, as it comes with time, to the
-//! coordinator of the endpoint's service. The coordinator gives permits for whole requests to those that want to send:
-//! the most urgent first, then whoever has waited longest for one. Without a permit nothing is sent there. What isn't
-//! used is lost: a share beyond `SHARE_KEPT`, what is beyond `POOL_KEPT` at the coordinator, a permit after its
-//! [`permit_life`].
+//! Rule: the rate is divided evenly among the daemons. Each daemon hands its share, as it accrues, to the coordinator
+//! of the endpoint's service. The coordinator grants permits for whole requests to the daemons that claim one: the most
+//! urgent claim first, then the daemon whose last permit is the oldest. Without a permit, nothing is sent to the
+//! endpoint. Anything unused is lost: a share beyond `SHARE_KEPT`, the coordinator's tokens beyond `POOL_KEPT`, and a
+//! permit after its [`permit_life`].
 //!
-//! Reason: the sum of all shares is the rate, whatever daemons know of each other, so that two coordinators have what is
-//! handed to each and no more. A daemon that has all the callers gets all the permits.
+//! Reason: the shares add up to the advertised rate whatever daemons know about each other. Two daemons that both act
+//! as coordinator have only the tokens that were handed to each. A daemon that gets all requests gets all permits.
 
 use {
     crate::shared::units::{Millis, Rate, Time},
@@ -19,102 +19,107 @@
     std::{cmp::Reverse, net::SocketAddr, time::Duration},
 };
 
-/// Rate that an endpoint gets whatever it names, so that somebody notices when it takes more again.
+/// Minimum rate at which an endpoint gets requests even if it advertises less, so that the end of its limit is noticed.
 pub const LEAST_RATE: Rate = Rate(0.25);
 
-/// Time for which a daemon's share is kept: twice the time between two reports.
+/// Maximum accrual of a daemon's share, as a time at its rate: twice the interval between two reports.
 const SHARE_KEPT: Millis = Millis(1_000);
 
-/// Time whose rate a coordinator keeps beside one whole request.
+/// Maximum number of tokens that a coordinator holds beyond one whole request, as a time at the rate.
 const POOL_KEPT: Millis = Millis(250);
 
-/// Time whose rate a coordinator takes at once beside one whole request: what was handed on while it stood still arrives
-/// all together, and each part would be given away before the next one comes.
+/// Maximum number of tokens that a coordinator accepts at once beyond one whole request, as a time at the rate. Shares
+/// that were sent while its process was stalled arrive together, and each would be granted before the next one is
+/// counted.
 const TAKEN_AT_ONCE: Millis = Millis(1_000);
 
-/// Shortest and longest life of a permit, and the requests that all permits together may stand for: what a fleet saves
-/// up may all be sent at once.
+/// Bounds on the lifetime of a permit, and the number of requests that all valid permits together may stand for:
+/// permits that a fleet saves up may all be used at once.
 const SHORTEST_PERMIT: Millis = Millis(500);
 const LONGEST_PERMIT: Millis = Millis(2_000);
 const PERMITS_KEPT: f64 = 4.0;
 
-/// Part of its life, as a divisor, for which a permit is kept for requests as urgent as the one for which it was given.
+/// Divisor of a permit's lifetime: for this fraction of it, the permit is reserved for requests at least as urgent as
+/// the claim that it was granted for.
 const PERMIT_RESERVED: u64 = 2;
 
-/// Time for which a claim counts. It outlives its requests by as much, and may get a permit that nobody uses.
+/// Time for which a claim is valid. A claim outlives its requests by up to this time, and may then get a permit that
+/// nobody uses.
 pub const CLAIM_LIFE: Millis = Millis(150);
 
-/// Time after which a claim is renewed while there are requests for it.
+/// Interval after which a claim is renewed while there are requests for it.
 pub const CLAIM_RENEWAL: Millis = Millis(50);
 
-/// Time for which it is remembered when a daemon got its last permit.
+/// Time after its last claim for which the coordinator remembers when a daemon got its last permit.
 const CLAIMANT_KEPT: Millis = Millis(10_000);
 
-/// Part of a request's objective for which it may wait for a permit, and the least such wait: some round trips
-/// to the coordinator.
+/// Divisor of a request's objective that gives the time it may wait for a permit, and the minimum of that time: a few
+/// round trips to the coordinator.
 const WAIT_PART: u64 = 4;
 const SHORTEST_PERMIT_WAIT: Millis = Millis(50);
 
-/// Time by which news that an endpoint names no rate has to be later than what is known: the age of news grows by its
-/// way, and an endpoint in need has to be spared first.
+/// Minimum time by which a report that an endpoint advertises no limit has to be newer than what is known. The age of a
+/// report is overstated by its time on the network, and protecting an overloaded endpoint has priority.
 const END_MARGIN: Millis = Millis(20);
 
-/// Time after the last reply that named a rate after which the endpoint gets the next request for which there is a
-/// permit, so that the end of its need is noticed also where others would be chosen.
+/// Time after the last reply that advertised a limit after which the endpoint gets the next request for which there is
+/// a permit. The end of the limit is then noticed even if other endpoints would be chosen.
 const UNHEARD: Millis = Millis(2_000);
 
-/// A number of requests, parts of one included.
+/// A number of requests, as in a token bucket; it may be fractional.
 #[derive(Debug, Clone, Copy, Default, PartialEq, PartialOrd)]
 pub struct Tokens(pub f64);
 
 impl Tokens {
-    /// One request.
+    /// One whole request.
     pub const ONE: Self = Self(1.0);
 
+    /// Returns the requests that come at a rate in a time.
     fn of(rate: Rate, time: Millis) -> Self {
         Self(rate.0 * time.to_duration().as_secs_f64())
     }
 }
 
-/// Returns the rate that an endpoint gets which names one.
+/// Returns the rate at which an endpoint that advertises the rate `named` gets requests.
 pub fn kept_rate(named: Rate) -> Rate {
     Rate(named.0.max(LEAST_RATE.0))
 }
 
-/// Returns the time in which so many requests come at the rate that an endpoint gets.
+/// Returns the time in which `tokens` accrue for an endpoint that advertises the rate `named`.
 fn time_of(tokens: Tokens, named: Rate) -> Millis {
     let time = Duration::from_secs_f64(tokens.0 / kept_rate(named).0);
     Millis(time.as_millis() as u64)
 }
 
-/// Returns the time for which a permit may be used.
+/// Returns the lifetime of a permit for an endpoint that advertises the rate `named`.
 pub fn permit_life(named: Rate) -> Millis {
     time_of(Tokens(PERMITS_KEPT), named).clamp(SHORTEST_PERMIT, LONGEST_PERMIT)
 }
 
-/// Returns the time for which a request with that objective may wait for a permit.
+/// Returns the maximum time for which a request with this objective may wait for a permit.
 pub fn longest_wait(objective: Millis) -> Millis {
     Millis(objective.0 / WAIT_PART).max(SHORTEST_PERMIT_WAIT)
 }
 
-/// Returns whether a request waits for a permit, as one of so many in this daemon that are no less urgent, it included:
-/// those that can't all get one in `wait` are refused at once.
+/// Returns whether a request may wait for a permit. `waiting` counts the requests of this daemon that are at least as
+/// urgent, including this one; if they can't all get a permit within `wait`, the request is refused at once.
 pub fn may_wait(waiting: usize, named: Rate, wait: Millis) -> bool {
     let expected = Tokens::of(kept_rate(named), wait).0.ceil();
     waiting as f64 <= expected.max(1.0)
 }
 
-/// Returns whether news that an endpoint names no rate any more stands against what is known since `known`.
+/// Returns whether a report of time `news` that an endpoint advertises no limit any more overrides what is known since
+/// `known`.
 pub fn may_end(known: Time, news: Time) -> bool {
     news >= known + END_MARGIN
 }
 
-/// Returns whether an endpoint that last named a rate at `named` is to be asked again.
+/// Returns whether an endpoint that last advertised a limit at `named` has to be probed.
 pub fn is_look_due(now: Time, named: Time) -> bool {
     now.since(named) >= UNHEARD.to_duration()
 }
 
-/// A daemon's share of a rate, as far as it wasn't handed on.
+/// A daemon's share of an advertised rate that it hasn't handed to the coordinator yet.
 #[derive(Debug, Clone, Copy)]
 pub struct RateShare {
     tokens: Tokens,
@@ -122,7 +127,7 @@
 }
 
 impl RateShare {
-    /// Starts with nothing.
+    /// Starts with an empty share.
     pub fn new(now: Time) -> Self {
         Self {
             tokens: Tokens::default(),
@@ -130,7 +135,7 @@
         }
     }
 
-    /// Adds what has come since it was last counted, as one of so many daemons.
+    /// Adds what has accrued since the last count, where `daemons` daemons share the rate.
     pub fn count(&mut self, now: Time, named: Rate, daemons: usize) {
         let part = Rate(kept_rate(named).0 / daemons.max(1) as f64);
         let come = part.0 * now.since(self.counted).as_secs_f64();
@@ -139,23 +144,23 @@
         self.counted = now;
     }
 
-    /// Leaves out the time until now: this daemon doesn't know the others yet.
+    /// Skips the time until now without accruing, because this daemon doesn't know the other daemons yet.
     pub fn skip(&mut self, now: Time) {
         self.counted = now;
     }
 
-    /// Hands on all of it.
+    /// Takes the whole share, to hand it to the coordinator.
     pub fn take(&mut self) -> Tokens {
         std::mem::take(&mut self.tokens)
     }
 }
 
-/// A daemon's wish for one permit: the urgency of its most urgent request; 0 goes first.
+/// A daemon's claim to one permit: the urgency of its most urgent request; 0 goes first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Claim(pub u32);
 
-/// A permit to send one request.
+/// A permit to send one request to an endpoint.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Permit {
     until: Time,
@@ -164,7 +169,7 @@
 }
 
 impl Permit {
-    /// Gives a permit for a claim.
+    /// Grants a permit for a claim.
     pub fn new(now: Time, named: Rate, claim: Claim) -> Self {
         let life = permit_life(named);
         Self {
@@ -174,24 +179,24 @@
         }
     }
 
-    /// Returns whether it may be used at all.
+    /// Returns whether the permit hasn't expired.
     pub fn is_valid(&self, now: Time) -> bool {
         now < self.until
     }
 
-    /// Returns whether a request of some urgency may use it.
+    /// Returns whether a request of an urgency may use the permit.
     pub fn serves(&self, now: Time, urgency: u32) -> bool {
         self.is_valid(now) && (Claim(urgency) <= self.claim || now >= self.reserved_until)
     }
 }
 
-/// A claim that a coordinator knows.
+/// A daemon that claimed permits, as its coordinator knows it.
 #[derive(Debug, Clone, Copy)]
 struct Claimant {
     address: SocketAddr,
     claim: Option<Claim>,
     claimed: Time,
-    /// When it last got a permit.
+    /// When the daemon last got a permit; `None` if it never did.
     served: Option<Time>,
 }
 
@@ -202,18 +207,18 @@
     }
 }
 
-/// What the daemons handed to a coordinator, and who wants to send.
+/// The tokens that daemons handed to a coordinator for one endpoint, and the daemons that claim permits.
 #[derive(Debug, Clone, Default)]
 pub struct PermitPool {
     tokens: Tokens,
-    /// What may still be taken, and when that was last counted.
+    /// Tokens that may still be accepted, and when that was last counted.
     room: Tokens,
     counted: Option<Time>,
     claimants: Vec<Claimant>,
 }
 
 impl PermitPool {
-    /// Adds what a daemon hands on.
+    /// Adds the tokens that a daemon hands over.
     pub fn deposit(&mut self, now: Time, named: Rate, tokens: Tokens) {
         self.count_room(now, named);
         let taken = tokens.0.min(self.room.0);
@@ -222,7 +227,7 @@
         self.tokens = Tokens((self.tokens.0 + taken).min(most));
     }
 
-    /// Counts what may be taken: the rate as it comes with time.
+    /// Updates the number of tokens that may be accepted: it accrues at the rate.
     fn count_room(&mut self, now: Time, named: Rate) {
         let rate = kept_rate(named);
         let most = Tokens::ONE.0 + Tokens::of(rate, TAKEN_AT_ONCE).0;
@@ -233,7 +238,7 @@
         self.counted = Some(now);
     }
 
-    /// Records what a daemon wants to send; it stands in place of what it wanted before.
+    /// Records the claim of a daemon; it replaces the daemon's previous claim.
     pub fn claim(&mut self, now: Time, address: SocketAddr, claim: Claim) {
         let mut known = self.claimants.iter_mut();
         match known.find(|known| known.address == address) {
@@ -247,14 +252,14 @@
         }
     }
 
-    /// Gives one permit to the daemon that goes first; nothing without a whole token or a claim.
+    /// Grants one permit and returns the daemon that gets it; `None` without a whole token or a valid claim.
     pub fn grant(&mut self, now: Time) -> Option<SocketAddr> {
         if self.tokens < Tokens::ONE {
             return None;
         }
         let claimants = self.claimants.iter_mut();
         let open = claimants.filter_map(|one| Some((one.open_claim(now)?, one)));
-        // Of equal ones, the latest claim is the one that surely still stands.
+        // Of equal claims, the most recent one is the most likely to be still wanted.
         let (_, first) =
             open.min_by_key(|(claim, one)| (*claim, one.served, Reverse(one.claimed)))?;
         first.claim = None;
@@ -264,7 +269,7 @@
         Some(address)
     }
 
-    /// Returns the time after which a daemon without a permit may expect the first one of its claim.
+    /// Returns the time after which the daemon at `address`, which has no permit, may expect one for its claim.
     pub fn wait(&self, now: Time, named: Rate, address: SocketAddr) -> Millis {
         let claimants = self.claimants.iter();
         let mine = claimants.clone().find(|one| one.address == address);
@@ -277,7 +282,7 @@
         time_of(Tokens(missing.max(0.0)), named)
     }
 
-    /// Forgets who hasn't wanted anything for a while.
+    /// Forgets daemons that haven't claimed a permit for `CLAIMANT_KEPT`.
     pub fn expire(&mut self, now: Time) {
         let kept = |one: &Claimant| now.since(one.claimed) < CLAIMANT_KEPT.to_duration();
         self.claimants.retain(kept);
--- a/lib/src/gateway/rules/endpoint_rest.rs
+++ b/lib/src/gateway/rules/endpoint_rest.rs
@@ -1,12 +1,12 @@
-//! For how long does an endpoint that turned a request away want nothing more from this daemon?
+//! Decides for how long this daemon sends nothing to an endpoint that refused a request.
 //!
-//! Inputs: the status of its reply, and the time after which the reply asks to come back.
+//! Inputs: the status of the endpoint's reply, and the time after which the reply asks to retry.
 //!
-//! Rule: a refusal for lack of room or for too many requests that names a time asks for so much rest, up to
-//! ten minutes; one whose time can't be read for one second. Any other reply asks for none.
+//! Rule: a reply with status 503 or 429 that states a time asks for a cooldown of that length, limited to ten minutes;
+//! if the time can't be parsed, for one second. Any other reply asks for no cooldown.
 //!
-//! Reason: what is sent there meanwhile is turned away again, and costs a retry that another request lacks. An endpoint
-//! that names a day by mistake must not stay unused for it.
+//! Reason: requests that are sent there during the cooldown are refused again, and each costs a retry that another
+//! request may need. An endpoint that states a day by mistake must not stay unused for that long.
 //!
 //! Tests: `lib/tests/test_endpoint_rest.rs`.
 
@@ -15,13 +15,13 @@
     http::StatusCode,
 };
 
-/// Rest of an endpoint that names a time which can't be read.
+/// Cooldown of an endpoint whose stated time can't be parsed.
 const UNCLEAR_REST: Millis = Millis(1_000);
 
-/// Longest rest that is kept.
+/// Upper bound on a cooldown.
 const LONGEST_REST: Millis = Millis(600_000);
 
-/// Returns the rest that a reply asks for; nothing if it asks for none.
+/// Returns the cooldown that a reply asks for; `None` if it asks for none.
 pub fn asked_rest(status: StatusCode, wait: ReplyWait) -> Option<Millis> {
     let refuses = [
         StatusCode::SERVICE_UNAVAILABLE,
--- a/lib/src/gateway/rules/engine_pace.rs
+++ b/lib/src/gateway/rules/engine_pace.rs
@@ -1,8 +1,8 @@
-//! How fast does an engine read a prompt?
+//! The assumed rate at which an engine reads a prompt.
 //!
-//! One figure for admission, for the choice of an endpoint, and for the time that a request keeps for
-//! itself after its stages.
+//! Admission, the choice of an endpoint, and the time that a request reserves for itself after its stages use the same
+//! rate.
 
-/// Prompt tokens that an engine reads in a millisecond. Chosen a little below the pace that the users
-/// state for their engines; each endpoint's own pace is learned on top of it (`endpoint_pace`).
+/// Prompt tokens that an engine reads in a millisecond: slightly below the rate that users state for their engines. The
+/// slowdown of each endpoint (`endpoint_pace`) is applied on top.
 pub const TOKENS_PER_MS: f64 = 50.0;
--- a/lib/src/gateway/rules/homes.rs
+++ b/lib/src/gateway/rules/homes.rs
@@ -1,16 +1,16 @@
-//! In which data centres may a request run?
+//! Decides in which data centres a request may run.
 //!
-//! Inputs: the regions of its route and of its customer (nothing where either may run anywhere), and the
-//! region of each data centre.
+//! Inputs: the allowed regions of its route and of its customer (`None` if they are not restricted), and the region of
+//! each data centre.
 //!
-//! Rule: where the route or the customer names regions, only in data centres of these, and where both do,
-//! of regions that both name. A data centre whose region isn't known is in none of them.
+//! Rule: if the route or the customer is restricted to regions, the request runs only in data centres of these regions;
+//! if both are, only in regions that both allow. A data centre whose region isn't known belongs to no region.
 //!
-//! Reason: regions are named where data may not leave them by law, so that no load and no failure is a
-//! reason to go elsewhere. It holds for the request, its stages, their results, retries and resumed
-//! streams; a body goes to the endpoint only, never to another daemon.
+//! Reason: allowed regions are set where the law forbids data to leave them, so neither load nor failures justify
+//! another region. The rule covers the request, its stages, their results, retries and resumed streams; a body is sent
+//! to the endpoint only, never to another daemon.
 //!
-//! It has no constants. Tests: `lib/tests/test_homes.rs`.
+//! Tests: `lib/tests/test_homes.rs`.
 
 use {
     crate::{
@@ -25,8 +25,8 @@
     xxhash_rust::xxh3::xxh3_64,
 };
 
-/// Hash of a region's name, for messages between daemons that have to fit into a datagram. Two regions that share one
-/// count as one, which costs a worse choice and breaks nothing.
+/// Hash of a region's name, for messages between daemons that have to fit into a datagram. Two regions with the same
+/// hash are treated as one, which leads to worse choices but not to errors.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct RegionHash(pub u32);
@@ -36,19 +36,19 @@
     RegionHash(xxh3_64(region.as_str().as_bytes()) as u32)
 }
 
-/// The regions of data centres.
+/// The region of each data centre.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Regions(pub BTreeMap<DataCentreId, RegionId>);
 
 impl Regions {
-    /// Returns the region of a data centre; nothing if it isn't known, or if the installation has no other one.
+    /// Returns the region of a data centre; `None` if it isn't known or the installation has one region only.
     pub fn region(&self, data_centre: &DataCentreId) -> Option<RegionHash> {
         let region = self.0.get(data_centre)?;
         let has_others = self.0.values().any(|other| other != region);
         has_others.then(|| region_hash(region))
     }
 
-    /// Returns the regions other than one, each once; none if the installation has one region alone.
+    /// Returns all regions other than `region`, each once; none if the installation has one region only.
     pub fn others(&self, region: Option<RegionHash>) -> BTreeSet<RegionHash> {
         let regions = self.0.values().map(region_hash);
         let mut others: BTreeSet<RegionHash> = regions.collect();
@@ -58,7 +58,7 @@
         others
     }
 
-    /// Returns those of some places that are in a region; all of them without one.
+    /// Returns those of `places` that are in `region`, or all of them if `region` is `None`.
     pub fn within(&self, places: &Places, region: Option<RegionHash>) -> Places {
         if region.is_none() {
             return places.clone();
@@ -68,7 +68,7 @@
         Places::Only(Arc::new(inside.cloned().collect()))
     }
 
-    /// Returns the data centres where requests of a route and a customer may run; they may be none.
+    /// Returns the data centres where requests of a route and a customer may run; there may be none.
     pub fn places(&self, route: &HomeRegions, customer: &HomeRegions) -> Places {
         if route.is_none() && customer.is_none() {
             return Places::Anywhere;
--- a/lib/src/gateway/rules/mod.rs
+++ b/lib/src/gateway/rules/mod.rs
@@ -1,8 +1,8 @@
-//! The rules of the forwarding daemon, one module each: pure functions and values.
+//! The decision rules of the forwarding daemon, one module each: pure functions and values.
 //!
-//! A rule has no clock, socket, log or shared state; times and loads are passed in as arguments. Rules import each
-//! other and plain values (the table, prompts, entries of the directory), but nothing that acts on them.
-//! `docs/DECISIONS.md` leads from an event in the log to the rule behind it.
+//! A rule has no clock, socket, log or shared state; it takes times and loads as arguments. Rules import each other and
+//! plain values (the table, prompts, directory entries), never the code that carries out their decisions.
+//! `docs/DECISIONS.md` maps events in the log to the rules behind them.
 
 pub mod admission;
 pub mod attempt_timeout;
--- a/lib/src/gateway/rules/outcome.rs
+++ b/lib/src/gateway/rules/outcome.rs
@@ -1,18 +1,18 @@
-//! Can a request have run, and which outcome may its caller be promised?
+//! Tracks whether a request can have run, and decides which outcome its caller is told.
 //!
-//! Inputs: the events of one request's attempts, in order: no connection came up, the request is
-//! about to be sent, a reply proves that it did not run. Results: counts of attempts, and the
-//! problem that ends a request without an answer.
+//! Inputs: the events of one request's attempts, in order: no connection was established, the request is about to be
+//! sent, a reply proves that it did not run. Results: counts of attempts, and the problem response that ends a request
+//! without an answer.
 //!
-//! Rule: an attempt has possibly run from the moment before its first byte leaves, until a reply
-//! proves the opposite. While any attempt has possibly run, the caller gets the outcome `unknown`
-//! and no time to come back; otherwise `not_run` and a time to come back.
+//! Rule: an attempt has possibly run from the moment before its first byte is sent until a reply proves the opposite.
+//! While any attempt has possibly run, the caller gets the outcome `unknown` and no `retry_after`; otherwise it gets
+//! `not_run` and a `retry_after`.
 //!
-//! Reason: a request that must not run twice runs at most once, and a caller may send again itself
-//! only what is proven not to have run. Both rest on these counts alone, since each request has an id
-//! of its own and meets one daemon.
+//! Reason: a request that must not run twice runs at most once, and its caller may send it again only if it is proven
+//! not to have run. Both follow from these counts alone, since each request has a unique id and is handled by one
+//! daemon.
 //!
-//! It has no constants. `test_attempt_outcome` holds it against an observer at the endpoints.
+//! `test_attempt_outcome` compares the outcome with what an observer at the endpoints sees.
 
 use crate::shared::{
     problem::{Code, Outcome, Problem},
@@ -36,7 +36,7 @@
     pub last_result: &'a str,
     /// True if the deadline has passed.
     pub is_late: bool,
-    /// Time after which the caller may come back if nothing has run.
+    /// Time after which the caller may retry if nothing has run.
     pub retry_after: Millis,
 }
 
@@ -60,7 +60,7 @@
         self.possibly_run -= 1;
     }
 
-    /// Records that no connection to an endpoint came up; no byte was sent.
+    /// Records that no connection to an endpoint was established; no byte was sent.
     pub fn record_unreachable(&mut self) {
         self.unreachable += 1;
     }
@@ -75,12 +75,12 @@
         self.possibly_run
     }
 
-    /// Returns the number of endpoints to which no connection came up.
+    /// Returns the number of endpoints to which no connection was established.
     pub fn unreachable(&self) -> usize {
         self.unreachable
     }
 
-    /// Builds the problem that ends the request, with what can be promised of it.
+    /// Builds the problem response that ends the request, with the outcome that is certain.
     pub fn problem(&self, end: &UnansweredEnd<'_>) -> Problem {
         let detail = format!("{}; {} sent, last: {}", end.why, self.sent, end.last_result);
         if self.possibly_run == 0 {
--- a/lib/src/gateway/rules/reply_proof.rs
+++ b/lib/src/gateway/rules/reply_proof.rs
@@ -1,20 +1,15 @@
-//! Does the head of a reply prove that the request ran, or that it did not, and does it speak against
-//! the endpoint?
+//! Decides from the head of a reply whether the request ran, and what the reply says about the endpoint's health.
 //!
-//! Inputs: the request's id, the kind of its route, the reply's status and the facts that the
-//! dialect reads from its head. Result: whether the request ran, whether the reply may be passed on,
-//! and the outcome that the endpoint's health is judged by.
+//! Inputs: the request's id, the kind of its route, the reply's status, and the facts that the dialect reads from its
+//! head. Result: whether the request ran, whether the reply may be passed on, and the outcome for the endpoint's
+//! health.
 //!
-//! Rule: a reply with status 421, or one whose endpoint says so, proves that the request did not
-//! run. Any other reply counts only if it names this request and is signed; otherwise the request
-//! has possibly run. A reply that counts is passed on; one with a server error speaks against the
-//! endpoint.
+//! Rule: a reply with status 421, or one whose endpoint says so, proves that the request did not run. Any other reply
+//! counts only if it names this request and is signed; otherwise the request has possibly run. A reply that counts is
+//! passed on; a server error counts as a failure of the endpoint.
 //!
-//! Reason: what stands between daemon and endpoint may answer itself, late, or for another request.
-//! A status alone therefore proves nothing, except for 421: no endpoint runs a request that names
-//! another endpoint.
-//!
-//! It has no constants.
+//! Reason: intermediaries between daemon and endpoint may answer themselves, late, or for another request. A status
+//! alone therefore proves nothing, except for 421: no endpoint runs a request that is addressed to another endpoint.
 
 use {
     crate::{
@@ -25,38 +20,38 @@
     thiserror::Error,
 };
 
-/// How a request at an endpoint ended, as far as it says something about the endpoint. The names of
-/// the variants appear in the log (`endpoint.set_aside`).
+/// How a request at an endpoint ended, as far as it says something about the endpoint. The names of the variants appear
+/// in the log (`endpoint.set_aside`).
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum EndpointOutcome {
-    /// It was served; for a plain call, within this time.
+    /// The request was served; for a plain call, within this time.
     Served(Option<WorkMillis>),
     /// The endpoint failed.
     Failed,
-    /// The endpoint refused for lack of room.
+    /// The endpoint refused the request for lack of capacity.
     Full,
     /// The endpoint answered as another one, or as leaving.
     Replaced,
-    /// No connection came up.
+    /// The connection could not be established.
     Unreachable,
-    /// It refused the connection: nobody listens there any more.
+    /// The connection was refused: no process listens on the address any more.
     Ended,
-    /// It says nothing about the endpoint.
+    /// The end of the request says nothing about the endpoint.
     Neutral,
 }
 
 /// Reason for which an attempt certainly did not run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum NotRunReason {
-    /// No connection to the endpoint came up.
+    /// No connection to the endpoint was established.
     Unreachable,
-    /// The endpoint refused the connection: nobody listens there any more.
+    /// The endpoint refused the connection: no process listens on the address any more.
     Ended,
-    /// The endpoint refused the request, usually for lack of room.
+    /// The endpoint refused the request, usually for lack of capacity.
     Refused,
-    /// The endpoint at this address is another one than was asked for, or it is leaving.
+    /// The endpoint at this address is another one than the request was addressed to, or it is leaving.
     Replaced,
-    /// Results of earlier stages that the request needs are gone.
+    /// Results of earlier stages that the request needs no longer exist.
     InputsGone,
 }
 
@@ -72,46 +67,46 @@
         }
     }
 
-    /// Returns the outcome for the endpoint.
+    /// Returns what the reason says about the endpoint.
     pub fn endpoint_outcome(self) -> EndpointOutcome {
         match self {
             NotRunReason::Unreachable => EndpointOutcome::Unreachable,
             NotRunReason::Ended => EndpointOutcome::Ended,
             NotRunReason::Refused => EndpointOutcome::Full,
             NotRunReason::Replaced => EndpointOutcome::Replaced,
-            // The results were at other endpoints, so this one is not at fault.
+            // Other endpoints held the results, so this one is not at fault.
             NotRunReason::InputsGone => EndpointOutcome::Neutral,
         }
     }
 }
 
-/// Reports a reply that proves nothing about the request.
+/// Error of a reply that proves nothing about the request.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum ReplyOriginError {
     /// The reply names another request, or none.
     #[error("a reply to request {0:?}")]
     OtherRequest(Option<String>),
-    /// The reply lacks the mark of an endpoint's own work.
+    /// The reply lacks the signature that endpoints add to their replies.
     #[error("an unsigned reply with status {}", .0.as_u16())]
     Unsigned(StatusCode),
 }
 
-/// The meaning of a reply's head.
+/// What the head of a reply means for the request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum HeadVerdict {
     /// The request certainly did not run.
     NotRun(NotRunReason),
-    /// The reply is a stream of events to be passed on as it comes.
+    /// The reply is a stream of events, which is passed on as it arrives.
     Stream,
-    /// The reply is to be read whole before it is passed on.
+    /// The reply has to be read to its end before it is passed on.
     Whole,
 }
 
-/// Judges the head of the reply to an attempt.
+/// Classifies the head of the reply to an attempt.
 ///
 /// # Errors
 ///
-/// Returns the reason if the reply proves nothing: the request has possibly run.
+/// Returns an error if the reply proves nothing: the request has possibly run.
 pub fn judge_head(
     request: &str,
     kind: RouteKind,
@@ -134,8 +129,8 @@
     Ok(HeadVerdict::Whole)
 }
 
-/// Judges the head of the reply to an attempt that resumes a stream. Only a signed reply with status
-/// 200 continues it; any other one says of its endpoint what it says as the reply to a first attempt.
+/// Classifies the head of the reply to an attempt that resumes a stream. Only a signed reply with status 200 continues
+/// the stream; any other reply says the same about its endpoint as a reply to a first attempt.
 ///
 /// # Errors
 ///
@@ -153,8 +148,7 @@
     }
 }
 
-/// Returns whether a reply with this status, although it may be passed on, is a failure of the
-/// endpoint.
+/// Returns whether a reply with this status counts as a failure of the endpoint, although it may be passed on.
 pub fn is_endpoint_failure(status: StatusCode) -> bool {
     status.is_server_error()
 }
--- a/lib/src/gateway/rules/reported_pace.rs
+++ b/lib/src/gateway/rules/reported_pace.rs
@@ -1,11 +1,12 @@
-//! How long does work take at an endpoint that says so itself?
+//! Estimates how slow an endpoint is from what it reports itself.
 //!
-//! Inputs: the pace that an endpoint reported with its last reply, in hundredths of the usual time, and when.
+//! Inputs: the slowdown that an endpoint reported with its last reply (in hundredths of the usual time), and when it
+//! did.
 //!
-//! Rule: what it reported counts for `BELIEVED`, then work takes the usual time again.
+//! Rule: a report is used for `BELIEVED`; after that, work is assumed to take the usual time again.
 //!
-//! Reason: such an endpoint shares its host with others, whose load changes many times a second. A report that is
-//! older says as little as none, and an endpoint that was slow would never be tried again.
+//! Reason: such an endpoint shares its host with others whose load changes many times a second. An older report says
+//! nothing about the present, and an endpoint that was slow would never be used again.
 //!
 //! Tests: `lib/tests/test_reported_pace.rs`.
 
@@ -14,10 +15,10 @@
     shared::units::{Millis, Time},
 };
 
-/// Time for which a reported pace is believed.
+/// Time for which a reported slowdown is used.
 const BELIEVED: Millis = Millis(400);
 
-/// Returns the time that work takes as a multiple of the usual one, by the last load that an endpoint reported.
+/// Returns the time of work as a multiple of the usual one, from the last load that an endpoint reported.
 pub fn factor(now: Time, last: Option<(Time, ReplyLoad)>) -> f64 {
     let recent = last.filter(|(at, _)| now.since(*at) <= BELIEVED.to_duration());
     match recent.map(|(_, load)| load.pace) {
--- a/lib/src/gateway/rules/request_region.rs
+++ b/lib/src/gateway/rules/request_region.rs
@@ -1,30 +1,31 @@
-//! In which region do the stages of a request run?
+//! Chooses the region in which the stages of a request run.
 //!
-//! Inputs: what admission decides for the region of the request's daemon, and for each other one with the way there
-//! and back added to each stage and to the request itself; regions where a service that it needs has no endpoint are
-//! left out.
+//! Inputs: the admission decision for the local region (that of the request's daemon), and for each remote region the
+//! decision with the round-trip time added to each stage and to the request itself. Regions where a service that the
+//! request needs has no endpoint are left out.
 //!
-//! Rule: in the own region if the request is admitted there; else in the one where it is admitted and should end
-//! first; else it is refused as by the first of them, the own one if it has endpoints.
+//! Rule: the local region if the request is admitted there; otherwise the region that admits it with the shortest
+//! expected time; otherwise the request is refused with the decision of the first region, the local one if it has
+//! endpoints.
 //!
-//! Reason: all stages of a request run in one region, so that no results cross between regions. The way there costs
-//! each stage its time, so that another region is worth it only where the own one is too late.
+//! Reason: all stages of a request run in one region, so that no results are sent between regions. A remote region
+//! costs each stage a round trip, so it is worth it only if the local region is too slow.
 //!
-//! It has no constants. Tests: `lib/tests/test_request_region.rs`.
+//! Tests: `lib/tests/test_request_region.rs`.
 
 use crate::gateway::rules::{admission::AdmissionDecision, homes::RegionHash};
 
-/// What admission decides for one region; the region is nothing in an installation with one region alone.
+/// The admission decision for one region.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RegionDecision {
-    /// The region.
+    /// The region; `None` in an installation with one region only.
     pub region: Option<RegionHash>,
-    /// The decision.
+    /// The decision if the request ran in this region.
     pub decision: AdmissionDecision,
 }
 
 impl RegionDecision {
-    /// Returns the time that an admitted request should take, in milliseconds.
+    /// Returns the expected time of an admitted request, in milliseconds; `None` if it is refused.
     fn admitted_ms(&self) -> Option<f64> {
         match self.decision {
             AdmissionDecision::Admit { expected } => Some(expected.0),
@@ -33,8 +34,8 @@
     }
 }
 
-/// Returns the region where a request runs, with the decision there; `own` is that of its daemon. Nothing if no region
-/// has all endpoints that it needs.
+/// Returns the region where a request runs, with the decision there. `own` is the decision for the local region.
+/// Returns `None` if no region has all endpoints that the request needs.
 pub fn choose(
     own: Option<RegionDecision>,
     others: impl Iterator<Item = RegionDecision>,
--- a/lib/src/gateway/rules/retry_after.rs
+++ b/lib/src/gateway/rules/retry_after.rs
@@ -1,15 +1,14 @@
-//! When may a refused caller come back?
+//! Decides when a refused caller may retry.
 //!
-//! Inputs: the loads that endpoints reported with their replies, or the time that the request was
-//! expected to take and the time that was allowed, in milliseconds. Result: a wait in milliseconds.
+//! Inputs: the loads that endpoints reported with their replies, or the time that the request was expected to take and
+//! the time that was allowed, in milliseconds. Result: a wait in milliseconds.
 //!
-//! Rule: after failed attempts the wait grows with the longest queue among the service's endpoints. Where all of them
-//! rest it is the time until the first one takes requests again.
-//! After a refused admission it is the time by which the expected time exceeds most of the allowed
-//! time. Both are bounded. The other refusals have a fixed wait.
+//! Rule: after failed attempts the wait grows with the longest queue among the service's endpoints. If all of them are
+//! in a cooldown, the wait lasts until the first cooldown ends. After a refused admission it is the time by which the
+//! expected time exceeds `FREE_SHARE` of the allowed time. The waits after attempts and admission are bounded. Other refusals have a fixed wait.
 //!
-//! Reason: a caller that comes back too early is refused again and costs both sides a request; one
-//! that comes back too late could have been served before.
+//! Reason: a caller that retries too early is refused again, which costs both sides a request; one that retries too
+//! late could have been served earlier.
 
 use crate::{
     gateway::dialect::ReplyLoad,
@@ -22,32 +21,31 @@
 /// Wait after a stage of the request was late or failed.
 pub const STAGE_FAILED: Millis = Millis(100);
 
-/// Wait while a service has no endpoint that may get work: all leave, or their data centres are evacuated. Operators
-/// take seconds to change that, and callers that come back sooner are refused again.
+/// Wait while a service has no endpoint that may get work, because all of them are leaving or their data centres are
+/// evacuated. Operators take seconds to change that, and callers that retry sooner are refused again.
 pub const NO_ENDPOINT: Millis = Millis(1_000);
 
-/// Wait for each waiting request per slot of the most loaded endpoint, in milliseconds.
+/// Wait per queued request and slot of the most loaded endpoint, in milliseconds.
 const MS_PER_QUEUE: f64 = 500.0;
 
-/// Shortest and longest wait after failed attempts.
+/// Bounds on the wait after failed attempts.
 const SHORTEST_AFTER_ATTEMPTS: Millis = Millis(100);
 const LONGEST_AFTER_ATTEMPTS: Millis = Millis(3_000);
 
-/// Longest wait for a permit: an endpoint in need may take more again meanwhile.
+/// Longest wait for a permit; an overloaded endpoint may raise its limit in the meantime.
 const LONGEST_AFTER_PERMITS: Millis = Millis(10_000);
 
-/// Share of the allowed time down to which the expected time should fall before the caller comes back.
+/// Fraction of the allowed time to which the expected time should fall before the caller retries.
 const FREE_SHARE: f64 = 0.9;
 
-/// Shortest wait after a refused admission, in milliseconds: an overload outlasts the queue that it shows in, and a
-/// caller that returns into it is refused again.
+/// Shortest wait after a refused admission, in milliseconds. An overload lasts longer than the queue that it causes,
+/// and a caller that retries during it is refused again.
 const SHORTEST_AFTER_ADMISSION_MS: f64 = 1_500.0;
 
-/// Longest such wait, in milliseconds.
+/// Longest wait after a refused admission, in milliseconds.
 const LONGEST_AFTER_ADMISSION_MS: f64 = 3_500.0;
 
-/// Returns the wait after attempts that did not run, from the last reported loads of the service's
-/// endpoints.
+/// Returns the wait after attempts that did not run, from the loads that the service's endpoints last reported.
 pub fn after_attempts(loads: impl Iterator<Item = ReplyLoad>) -> Millis {
     let longest_queue = loads
         .map(|load| f64::from(load.waiting) / f64::from(load.slots.max(1)))
@@ -56,12 +54,13 @@
         .clamp(SHORTEST_AFTER_ATTEMPTS, LONGEST_AFTER_ATTEMPTS)
 }
 
-/// Returns the wait of a caller whose request found no permit, where one is to be expected after `wait`.
+/// Returns the wait after a request that got no permit, where `wait` is the expected time until the next one.
 pub fn after_permits(wait: Millis) -> Millis {
     wait.clamp(SHORTEST_AFTER_ATTEMPTS, LONGEST_AFTER_PERMITS)
 }
 
-/// Returns the wait of a caller whose request finds endpoints that rest alone, the first of them until `rested`.
+/// Returns the wait after a request whose service has only endpoints in a cooldown; the first cooldown ends at
+/// `rested`.
 pub fn after_rest(now: Time, rested: Time) -> Millis {
     let wait = rested.since(now).as_micros().div_ceil(1_000);
     Millis(wait as u64).max(SHORTEST_AFTER_ATTEMPTS)
--- a/lib/src/gateway/rules/retry_budget.rs
+++ b/lib/src/gateway/rules/retry_budget.rs
@@ -1,14 +1,14 @@
-//! May one more retry be sent to a service?
+//! Decides whether one more retry may be sent to a service.
 //!
-//! Inputs: the installation's limits (`BudgetLimits`: a share, a number of retries and a window in
-//! milliseconds), the times of requests and retries so far, and the number of daemons.
+//! Inputs: the limits of the installation (`BudgetLimits`: a ratio, a number of retries, and a window in milliseconds),
+//! the times of requests and retries so far, and the number of daemons.
 //!
-//! The installation bounds the retries at a service over any window: a share of the requests for it,
-//! and a fixed slack. Each daemon spends the share of its own requests, and its part of the slack,
-//! divided among `SPARE_DAEMONS` more than it knows. A daemon that has just started leaves the slack
-//! alone for a window, since the process before it may have spent it.
+//! Rule: the installation limits the retries at a service over any window to a share of the service's requests, plus a
+//! fixed slack. Each daemon may retry that share of its own requests, and has an equal part of the slack, which is
+//! divided among `SPARE_DAEMONS` more daemons than it knows. A daemon that has just started doesn't use the slack for
+//! one window, since its previous process may have used it.
 //!
-//! So the bound holds for all daemons together although none of them asks another one. Test: `fleet_bound`
+//! Reason: the limit holds for all daemons together although they don't coordinate. Test: `fleet_bound`
 //! (`test_window_budget`).
 
 use {
@@ -16,24 +16,24 @@
     std::collections::VecDeque,
 };
 
-/// Part of what is allowed that is spent (a share); the rest covers differences of clocks and of windows.
+/// Fraction of the allowed retries that a daemon uses; the rest covers differences between clocks and between windows.
 const SAFETY: f64 = 0.75;
 
-/// Daemons that may be alive beyond those known (a count).
+/// Number of daemons that may be alive beyond those known.
 const SPARE_DAEMONS: f64 = 2.0;
 
-/// Retries that the installation allows at a service.
+/// Limits on the retries at a service, for all daemons together.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct BudgetLimits {
-    /// Retries for each request.
+    /// Retries per request.
     pub ratio: Share,
-    /// Retries beside those, over all daemons (a count).
+    /// Number of retries per window in addition to the ratio, over all daemons.
     pub slack: f64,
-    /// Length of the window.
+    /// Length of the sliding window.
     pub window: Millis,
 }
 
-/// Counts requests for a service and retries at it, over a sliding window.
+/// Counts the requests for a service and the retries at it over a sliding window.
 #[derive(Debug, Clone)]
 pub struct WindowBudget {
     limits: BudgetLimits,
@@ -43,7 +43,7 @@
 }
 
 impl WindowBudget {
-    /// Starts with nothing spent; `started` is when the daemon started.
+    /// Creates a budget with nothing used; `started` is the start time of the daemon.
     pub fn new(limits: BudgetLimits, started: Time) -> Self {
         Self {
             limits,
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Sets what the installation allows from now on; what was spent stays spent.
+    /// Replaces the limits; retries that were already counted stay counted.
     pub fn set_limits(&mut self, limits: BudgetLimits) {
         self.limits = limits;
     }
@@ -64,8 +64,8 @@
         self.requests.push_back(now);
     }
 
-    /// Counts one retry and returns true if the budget has it; `daemons` is the number of daemons
-    /// believed alive, this one included.
+    /// Counts one retry and returns true if the budget allows it. `daemons` is the number of daemons believed to be
+    /// alive, including this one.
     pub fn withdraw(&mut self, now: Time, daemons: usize) -> bool {
         self.expire(now);
         if self.retries.len() as f64 + 1.0 > self.allowed(now, daemons) {
@@ -75,7 +75,7 @@
         true
     }
 
-    /// Returns the retries that this daemon may send within one window.
+    /// Returns the number of retries that this daemon may send within one window.
     fn allowed(&self, now: Time, daemons: usize) -> f64 {
         let earned = self.requests.len() as f64 * self.limits.ratio.0 * SAFETY;
         let is_fresh = now.since(self.started) < self.limits.window.to_duration();
--- a/lib/src/gateway/rules/set_aside.rs
+++ b/lib/src/gateway/rules/set_aside.rs
@@ -1,32 +1,32 @@
-//! For how long does an endpoint get no work after it couldn't be reached, or answered as another one?
+//! Decides for how long an endpoint gets no work after it was unreachable or answered as another endpoint.
 //!
 //! **Inputs.** The time of the refused connection, or of the reply that named another endpoint.
 //!
-//! **Rule.** An endpoint that refused a connection is passed over for a moment, unless no other one is
-//! left. One that answered as another endpoint, or as leaving, gets nothing for some seconds although
-//! its entry stays. Failures of calls are a matter of `shared::health`.
+//! **Rule.** An endpoint that refused a connection is excluded for a moment, unless no other one is left. An endpoint
+//! that answered as another one, or as leaving, gets nothing for some seconds even if its entry stays. Failed calls are
+//! handled by `shared::health`.
 //!
-//! **Reason.** An address may belong to another endpoint since the last reading of the directory. The
-//! belief must end by itself: kept for the life of the daemon, one odd reply took an endpoint out for
-//! good (soak, seeds 4 and 5).
+//! **Reason.** The address may have been given to another endpoint since the directory was last read. The exclusion has
+//! to expire: if it lasted as long as the daemon runs, a single wrong reply would exclude an endpoint forever (soak
+//! test, seeds 4 and 5).
 //!
 //! Tests: `lib/tests/test_fleet_choice.rs`.
 
 use crate::shared::units::{Millis, Time};
 
-/// Time for which an endpoint that refused a connection is passed over: about one try by each daemon.
+/// Time for which an endpoint that refused a connection is excluded: each daemon makes about one attempt.
 const UNREACHABLE_TIME: Millis = Millis(400);
 
-/// Time for which an endpoint that answered as another one gets nothing: an address that was given to another endpoint
-/// costs one attempt that doesn't run.
+/// Time for which an endpoint that answered as another one gets nothing. An address that was given to another endpoint
+/// then costs one attempt that doesn't run.
 const REPLACED_TIME: Millis = Millis(5_000);
 
-/// Returns when an endpoint is available again that couldn't be reached at `now`.
+/// Returns when an endpoint that couldn't be reached at `now` is available again.
 pub fn reachable_from(now: Time) -> Time {
     now + UNREACHABLE_TIME
 }
 
-/// Returns whether an endpoint may be tried again that answered as another one at `replaced`.
+/// Returns whether an endpoint that answered as another one at `replaced` may be used again.
 pub fn may_reopen(now: Time, replaced: Time) -> bool {
     now.since(replaced) >= REPLACED_TIME.to_duration()
 }
