--- a/lib/src/gateway/rules/resume.rs
+++ b/lib/src/gateway/rules/resume.rs
@@ -8,8 +8,8 @@
 //! be longer before its first event. Each attempt to resume it counts as an attempt of the request and is charged to
 //! the retry budget.
 //!
-//! Reason: resuming other streams would repeat events or run the request twice, so they end with a visible error
-//! instead. Before the first event the endpoint may still have the request in its queue.
+//! Reason: resuming other streams would repeat events or run the request twice, so they are aborted, which the caller
+//! notices. Before the first event the endpoint may still have the request in its queue.
 
 use {crate::gateway::table::RouteKind, std::time::Duration};
 
--- a/lib/src/gateway/rules/retry_after.rs
+++ b/lib/src/gateway/rules/retry_after.rs
@@ -5,7 +5,8 @@
 //!
 //! Rule: after failed attempts the wait grows with the longest queue among the service's endpoints. If all of them are
 //! in a cooldown, the wait lasts until the first cooldown ends. After a refused admission it is the time by which the
-//! expected time exceeds `FREE_SHARE` of the allowed time. The waits after attempts and admission are bounded. Other refusals have a fixed wait.
+//! expected time exceeds `FREE_SHARE` of the allowed time. The waits after attempts and after a refused admission are
+//! bounded. Other refusals have a fixed wait.
 //!
 //! Reason: a caller that retries too early is refused again, which costs both sides a request; one that retries too
 //! late could have been served earlier.
--- a/lib/tests/rates/mod.rs
+++ b/lib/tests/rates/mod.rs
@@ -1,5 +1,5 @@
-//! A fleet before one endpoint that names a rate, in virtual time: what daemons tell each other arrives a moment later, or
-//! doesn't.
+//! Simulates a fleet and one endpoint that advertises a rate limit, in virtual time. Messages between daemons are
+//! delayed or lost.
 
 #![allow(dead_code, reason = "each test file uses a part")]
 #![allow(clippy::unwrap_used, reason = "a failed unwrap fails the test")]
@@ -24,16 +24,17 @@
     std::{collections::VecDeque, net::SocketAddr, ops::Range},
 };
 
-/// Window in which the endpoint counts.
+/// Window in which the endpoint counts requests, in milliseconds.
 const WINDOW_MS: u64 = 4_000;
 
-/// Time from the first reply that names the rate after which the bound holds.
+/// Time after the first reply that advertises the rate from which the bound holds, in milliseconds.
 pub const SETTLED_MS: u64 = 1_500;
 
-/// Way of a message between two daemons.
+/// Delay of a message between two daemons, in milliseconds.
 const HOP_MS: u64 = 1;
 
-/// Time between two rounds of messages of a daemon, and the delay of those that are sent at once.
+/// Interval between two rounds of messages of a daemon, and the delay of messages that are sent out of turn, in
+/// milliseconds.
 const ROUND_MS: u64 = 200;
 const NEWS_MS: u64 = 2;
 
@@ -42,26 +43,26 @@
 /// Urgency of all requests.
 const URGENCY: u32 = 5;
 
-/// How daemons divide what the endpoint takes.
+/// How daemons divide the advertised rate.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Way {
-    /// An even share each, with turns where that is less than one a second.
+    /// Each daemon has an even share, with turns if that is less than one request per second.
     EvenShares,
-    /// Permits of a coordinator, to which each hands its share.
+    /// Daemons hand their shares to a coordinator, which grants permits.
     Permits,
 }
 
-/// Where requests come from.
+/// Which daemons get the requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Demand {
     Even,
-    /// All at one daemon.
+    /// All requests come to one daemon.
     AtOne,
-    /// All at one daemon, another one each second.
+    /// All requests come to one daemon, which changes each second.
     Moving,
 }
 
-/// A time in which a daemon is in trouble, in milliseconds.
+/// A fault of one daemon during a time range, in milliseconds.
 #[derive(Debug, Clone)]
 pub struct Trouble {
     pub daemon: usize,
@@ -71,15 +72,15 @@
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TroubleKind {
-    /// Nothing that it sends arrives.
+    /// Nothing that the daemon sends arrives.
     Mute,
-    /// Nothing arrives there.
+    /// Nothing that is sent to the daemon arrives.
     Deaf,
-    /// It stands still; what arrives waits.
+    /// The daemon's process is stalled; messages to it wait.
     Still,
-    /// It takes itself for the coordinator.
+    /// The daemon wrongly acts as the coordinator.
     Believes,
-    /// It starts anew at the beginning of that time.
+    /// The daemon restarts at the start of the time range.
     Restart,
 }
 
@@ -89,9 +90,9 @@
     pub way: Way,
     pub daemons: usize,
     pub rate: f64,
-    /// Requests a second of all callers.
+    /// Requests per second of all callers.
     pub load: f64,
-    /// Time for which a request waits for a permit, in milliseconds: 0 where others serve in its place.
+    /// Time for which a request waits for a permit, in milliseconds; 0 if other endpoints serve instead.
     pub wait_ms: u64,
     pub demand: Demand,
     pub seconds: u64,
@@ -99,18 +100,18 @@
     pub seed: u64,
 }
 
-/// What was counted.
+/// Results of a simulation.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Counted {
-    /// Most requests in a window.
+    /// Maximum number of requests in a window.
     pub most: usize,
-    /// Share of the rate that was used once the bound held.
+    /// Fraction of the rate that was used from `SETTLED_MS` on.
     pub used: f64,
-    /// Datagrams a second and daemon.
+    /// Datagrams per second and daemon.
     pub datagrams: f64,
 }
 
-/// Most requests that a fleet may send in a window.
+/// Returns the maximum number of requests that a fleet may send in a window.
 pub fn allowed(rate: f64) -> usize {
     (rate * 6.0 + 5.0) as usize
 }
@@ -129,7 +130,7 @@
 
 struct Daemon {
     rates: EndpointRates,
-    /// Next round of messages.
+    /// Time of the next round of messages, in milliseconds.
     round: u64,
     last_sent: Option<Time>,
     phase: f64,
@@ -152,7 +153,7 @@
     daemons: Vec<Daemon>,
     messages: VecDeque<Message>,
     sent: Vec<u64>,
-    /// Requests that wait: their daemons, and until when.
+    /// Waiting requests: the daemon of each, and until when it waits.
     waiting: Vec<(usize, u64)>,
     datagrams: usize,
     draws: Draws,
@@ -172,7 +173,7 @@
     }
 }
 
-/// Time of the daemons' clocks, which don't begin with the model's.
+/// Returns the time of the daemons' clocks, which don't start at 0.
 fn clock(ms: u64) -> Time {
     Time::default() + Millis(100_000 + ms)
 }
@@ -268,7 +269,7 @@
         }
     }
 
-    /// Requests of callers within a millisecond.
+    /// Adds the requests that arrive within a millisecond.
     fn requests(&mut self, now: u64) {
         let expected = self.plan.load / 1_000.0;
         let whole = expected.floor() as usize;
@@ -290,7 +291,7 @@
         }
     }
 
-    /// Sends a request, if the daemon may; returns whether it did.
+    /// Sends a request if the daemon may; returns whether it did.
     fn request(&mut self, now: u64, daemon: usize) -> bool {
         if self.plan.way == Way::EvenShares {
             return self.send_share(now, daemon);
@@ -314,7 +315,7 @@
         if knows {
             self.sent.push(now);
         } else {
-            // One that has just started knows nothing yet, and is excused.
+            // A daemon that has just started doesn't know the rate yet, so this request doesn't count.
             one.round = now + NEWS_MS;
         }
         true
@@ -355,7 +356,8 @@
         }
     }
 
-    /// Whom a daemon tells: all in a small fleet, or as the coordinator; else the coordinator and six drawn ones.
+    /// Returns the daemons that a daemon reports to: all in a small fleet or as the coordinator, otherwise the
+    /// coordinator and six random ones.
     fn told(&mut self, daemon: usize, coordinator: usize) -> Vec<usize> {
         let all = self.plan.daemons;
         if all <= 13 || daemon == coordinator {
--- a/lib/tests/test_attempt_outcome.rs
+++ b/lib/tests/test_attempt_outcome.rs
@@ -1,4 +1,5 @@
-//! At most once, and no promise that isn't proven, whatever happens to a request's attempts.
+//! A request with several attempts runs at most once unless it may be repeated, and its caller is only told what is
+//! proven.
 
 use {
     hazelyoke_lib::{
@@ -62,8 +63,8 @@
     assert_eq!(problem.retry_after, Some(Millis(250)));
 }
 
-/// An observer at the endpoints counts runs; the daemon learns of some attempts that they didn't
-/// run, and of none that they did.
+/// Simulates an observer at the endpoints that counts runs. The daemon learns that some attempts didn't run, but never
+/// that one did.
 #[test]
 fn observed_runs() {
     for_seeds(500, 256, |u| {
--- a/lib/tests/test_cold_share.rs
+++ b/lib/tests/test_cold_share.rs
@@ -1,4 +1,4 @@
-//! What daemons send a cold endpoint together, without agreeing on anything.
+//! Limits on the requests that all daemons together send to a cold endpoint, without coordination.
 
 use {
     hazelyoke_lib::{
@@ -9,14 +9,14 @@
     std::collections::VecDeque,
 };
 
-/// Requests that the endpoints of these tests bear in a second.
+/// Requests per second that the endpoints of these tests can take.
 const BEARABLE: f64 = 20.0;
 
-/// Time between two looks of a daemon that always wants to send.
+/// Interval at which a daemon with pending requests checks whether it may send one.
 const LOOK: Millis = Millis(10);
 
-/// Returns the most requests in any second, and all of them, of daemons that send whenever they may; each
-/// believes in `believed` daemons, and started at a time of its own.
+/// Returns the maximum number of requests in any second, and their total, of daemons that send whenever they may. Each
+/// daemon assumes a fleet of `believed` daemons and has a random start time.
 fn flood(daemons: usize, believed: usize, seconds: u64, seed: u64) -> (usize, usize) {
     let mut draws = Draws::new(seed);
     let share = ColdShare::new(Some(BEARABLE), believed);
@@ -45,18 +45,18 @@
     (most, all)
 }
 
-/// Daemons that are no more than the endpoint bears requests stay within what it bears at all times.
+/// A fleet with no more daemons than requests that the endpoint can take stays within that number in any second.
 #[test]
 fn small_fleet_shares() {
     for daemons in 1..=20 {
         let (most, all) = flood(daemons, daemons, 20, 1);
         assert!(most <= 20, "{daemons} daemons: {most}");
-        // Half of what it bears, or more, is used.
+        // At least nearly half of the endpoint's capacity is used.
         assert!(all >= 180, "{daemons} daemons: {all}");
     }
 }
 
-/// More daemons than that have turns of their own.
+/// A larger fleet takes turns and stays within the same limit.
 #[test]
 fn large_fleet_turns() {
     for (daemons, seed) in [(21, 1), (59, 2), (59, 3), (120, 4), (295, 5)] {
@@ -66,7 +66,7 @@
     }
 }
 
-/// Daemons that believe in a third fewer others than there are stay within it, too.
+/// Daemons that know only two thirds of the fleet stay within the limit, too.
 #[test]
 fn too_few_known() {
     for seed in 1..=3 {
@@ -75,7 +75,7 @@
     }
 }
 
-/// A turn that wasn't used isn't made up for: daemons that all begin to want it at once don't all get it.
+/// Unused turns don't accumulate: daemons that all start to send at the same time can't all do so.
 #[test]
 fn sudden_demand() {
     let share = ColdShare::new(Some(BEARABLE), 295);
--- a/lib/tests/test_decision_pins.rs
+++ b/lib/tests/test_decision_pins.rs
@@ -1,5 +1,4 @@
-//! The numbers of small decisions, as snapshots: a change of the code that means to change none of
-//! them leaves the snapshots as they are.
+//! Snapshots of the results of small decisions, which a change that isn't meant to alter a decision leaves as they are.
 
 #![allow(clippy::unwrap_used, reason = "a failed unwrap fails the test")]
 
@@ -87,7 +86,8 @@
     }
 }
 
-/// A route's stages: one, two in a row, two side by side before a third, and one left out.
+/// Returns the stages of a route: one stage, two in sequence, two in parallel before a third, or one without pieces
+/// before another.
 fn stages(shape: &str, outstanding: f64) -> Vec<PlannedStage> {
     match shape {
         "one" => vec![stage(outstanding, 3, 4, &[])],
@@ -144,8 +144,7 @@
     insta::assert_snapshot!(lines);
 }
 
-/// Each line has the steps of one budget: `.` counts a request, `+` and `-` are repeats granted and
-/// refused.
+/// Each line has the steps of one budget: `.` counts a request, `+` and `-` are retries granted and refused.
 #[test]
 fn budget_grants() {
     let limits = BudgetLimits {
@@ -179,8 +178,8 @@
     insta::assert_snapshot!(lines);
 }
 
-/// Each line has the steps of one endpoint: success or failure, then the state after it; `!` marks
-/// an ejection.
+/// Each line has the steps of one endpoint: `s` for a success, `f` for a failure that may eject it, `k` for one that
+/// may not, then its state; `!` marks an ejection.
 #[test]
 fn health_states() {
     let mut lines = String::new();
@@ -218,7 +217,7 @@
     }
 }
 
-/// The time of each ejection of an endpoint whose probes all fail.
+/// The length of each ejection of an endpoint whose probes all fail.
 #[test]
 fn ejection_times() {
     let mut health = Health::default();
@@ -268,7 +267,7 @@
     }
 }
 
-/// A daemon of one core that hears others: two as strong, two weaker, and a strong one that stops.
+/// A daemon of one core that receives heartbeats: of two daemons as strong, two weaker, and a strong one that stops.
 fn listener() -> Peers {
     let mut me = daemon("10.0.0.1:7000", 1.0);
     for (address, cores, phase) in [
@@ -293,8 +292,8 @@
     }
 }
 
-/// For each service: its coordinators in turn, as each before is left out, where the daemon itself
-/// serves and where it doesn't.
+/// For each service, the sequence of its coordinators when the ones before are excluded, both if the daemon itself is
+/// ready and if it isn't.
 #[test]
 fn service_coordinators() {
     let peers = listener();
@@ -336,7 +335,7 @@
     insta::assert_snapshot!(lines);
 }
 
-/// Attempts of a request: `s` sent, `n` proven not to have run, `u` not reached.
+/// Attempts of a request: `s` is sent, `n` proven not to have run, `u` unreachable.
 fn history(steps: &str) -> AttemptHistory {
     let mut history = AttemptHistory::default();
     for step in steps.chars() {
--- a/lib/tests/test_distance.rs
+++ b/lib/tests/test_distance.rs
@@ -1,4 +1,4 @@
-//! What the way to another region counts for in the choice of an endpoint.
+//! How the round-trip time to another region affects the choice of an endpoint.
 
 #![allow(clippy::unwrap_used, reason = "a failed unwrap fails the test")]
 
@@ -27,7 +27,7 @@
 
 const NOW: Time = Time(60_000_000);
 
-/// Data centres, two in each of two regions.
+/// Data centres with their regions, two in each of two regions.
 const PLACES: [(&str, &str); 4] = [
     ("n1", "north"),
     ("s1", "south"),
@@ -35,7 +35,7 @@
     ("s2", "south"),
 ];
 
-/// Endpoints in each data centre.
+/// Number of endpoints in each data centre.
 const EACH: usize = 5;
 
 fn regions() -> Regions {
@@ -62,7 +62,7 @@
     })
 }
 
-/// The endpoints as a daemon in a data centre knows them.
+/// Returns the endpoints as a daemon in a data centre knows them.
 fn seen_from(place: &str) -> EndpointStates {
     let mut states = EndpointStates::default();
     states.set_regions(&place.parse().unwrap(), &regions());
@@ -97,7 +97,7 @@
     }
 }
 
-/// The data centre of the endpoint that a request gets.
+/// Returns the data centre of the endpoint that a request gets.
 fn chosen(
     states: &EndpointStates,
     here: &str,
@@ -110,8 +110,9 @@
     choice.unwrap().entry.data_centre.to_string()
 }
 
-/// The endpoint that holds a shared part of a prompt was one for all daemons, wherever they were: half of the requests
-/// went to the other region, 40 ms there and back, though their own had as many endpoints. Each region has one now.
+/// Guards against a preferred endpoint for shared parts of a prompt that is the same in all regions: half of the
+/// requests then go to the other region, at a round trip of 40 ms, although their own region has as many endpoints.
+/// Each region has its own preferred endpoint.
 #[test]
 fn own_region_first() {
     for (here, home) in [("n1", "n"), ("s2", "s")] {
@@ -123,7 +124,7 @@
     }
 }
 
-/// Requests go to the other region once their own has no free slot, and come back.
+/// Requests go to the other region once the local one has no free slot, and return when it has.
 #[test]
 fn full_region_spills() {
     let mut states = seen_from("n1");
@@ -142,7 +143,7 @@
     assert!(chosen(&states, "n1", &plain, &[]).starts_with('n'));
 }
 
-/// A request goes where its large inputs are, and isn't drawn over by a few bytes.
+/// A request goes to the region of its large inputs, but small inputs don't matter.
 #[test]
 fn inputs_decide() {
     let states = seen_from("n1");
@@ -158,7 +159,7 @@
     assert!(chosen(&states, "n1", &plain, &inputs(10_000)).starts_with('n'));
 }
 
-/// The least time of a connection is the way; what it was half a minute ago is forgotten.
+/// The estimate is the shortest time of a connection, and half a minute later that time no longer counts.
 #[test]
 fn ways_learnt() {
     let mut way = RegionWay::default();
@@ -176,7 +177,7 @@
     assert_eq!(way.time(last + Millis(60_000)), first);
 }
 
-/// Ways are learnt of other regions alone, by the region.
+/// Only connections to other regions are recorded, by region.
 #[test]
 fn ways_of_regions() {
     let mut states = seen_from("n1");
@@ -188,7 +189,7 @@
     assert_eq!(states.way(NOW, None), None);
 }
 
-/// An installation of one region, and a data centre that isn't known, know no other region.
+/// There are no other regions in an installation with one region, nor for an unknown data centre.
 #[test]
 fn one_region() {
     let places = ["a", "b"].map(|place| (place.parse().unwrap(), "only".parse().unwrap()));
--- a/lib/tests/test_eligibility.rs
+++ b/lib/tests/test_eligibility.rs
@@ -1,4 +1,4 @@
-//! Which endpoints may get a request or a piece, and why not.
+//! Which endpoints may get a request or a piece, and the reason if not.
 
 #![allow(clippy::unwrap_used, reason = "a failed unwrap fails the test")]
 
@@ -26,10 +26,10 @@
 
 const NOW: Time = Time(10_000_000);
 
-/// Usual cold time of the endpoints here.
+/// Time for which the endpoints of these tests are usually cold.
 const COLD: Millis = Millis(3_000);
 
-/// A share of one request a second.
+/// A share of one request per second.
 fn one_a_second() -> ColdShare {
     ColdShare::new(Some(1.0), 1)
 }
@@ -92,7 +92,7 @@
     Places::Only(Arc::new(places))
 }
 
-/// Each reason is enough, and the one that lasts longest is named.
+/// Each reason is enough, and the one that lasts longest is reported.
 #[test]
 fn each_reason() {
     let free = RequestStanding {
@@ -162,7 +162,7 @@
     }
 }
 
-/// The counts name each reason.
+/// The text of the counts names each reason.
 #[test]
 fn left_out_text() {
     let mut draining = entry(1, "near");
@@ -181,7 +181,7 @@
     assert_eq!(choice.left_out.of(Exclusion::Evacuated), 1);
 }
 
-/// An endpoint that comes while its data centre is evacuated gets nothing, nor does it count.
+/// An endpoint that is added while its data centre is evacuated gets nothing and doesn't count as available.
 #[test]
 fn later_endpoint() {
     let mut states = states([entry(1, "near")]);
@@ -195,7 +195,7 @@
     assert_eq!(none.to_string(), "evacuated=2");
 }
 
-/// A cold endpoint gets its share and no more, as long as it is cold.
+/// A cold endpoint gets the daemon's share of requests and no more while it is cold.
 #[test]
 fn cold_spent() {
     let mut cold = entry(1, "near");
@@ -211,8 +211,8 @@
     assert_eq!(chosen(&states, NOW + COLD), "e1");
 }
 
-/// An endpoint that becomes cold again holds none of the prompts that it read, and isn't the one that all
-/// prefer for their shared part.
+/// An endpoint that becomes cold again has lost its cached prompts, and is no longer the preferred endpoint for their
+/// shared part.
 #[test]
 fn cold_again() {
     let prompt = Prompt {
@@ -245,8 +245,8 @@
     );
 }
 
-/// An endpoint whose data centre was taken back, or that couldn't be reached, may have started again before
-/// its entry says so: others go first.
+/// An endpoint whose evacuation was revoked, or that couldn't be reached, may have restarted before its entry says so:
+/// other endpoints go first.
 #[test]
 fn presumed_cold() {
     let (one, two) = (entry(1, "near"), entry(2, "north"));
@@ -258,7 +258,7 @@
     for _ in 0..2 {
         assert_eq!(chosen(&states, NOW + Millis(500)), "e2");
     }
-    // It is better than none.
+    // It is used if there is no other endpoint.
     let tried = ["e2".parse().unwrap()];
     let prompt = Prompt::default();
     let places = Places::Anywhere;
@@ -269,8 +269,8 @@
     assert_eq!(choice.unwrap().entry.id, one.id);
 }
 
-/// Of an endpoint that started again under its id, nothing is kept; what belongs to its former life changes
-/// nothing.
+/// Nothing is kept of an endpoint that restarted under the same id, and late events of its previous incarnation have no
+/// effect.
 #[test]
 fn started_again() {
     let former = entry(1, "near");
--- a/lib/tests/test_endpoint_rate.rs
+++ b/lib/tests/test_endpoint_rate.rs
@@ -1,4 +1,4 @@
-//! What a fleet sends to an endpoint that names the rate it takes, together, whatever daemons know of each other.
+//! Limits on what a fleet sends to an endpoint that advertises a rate limit, whatever daemons know about each other.
 
 #![allow(clippy::unwrap_used, reason = "a failed unwrap fails the test")]
 
@@ -49,8 +49,8 @@
 
 const DEMANDS: [Demand; 3] = [Demand::Even, Demand::AtOne, Demand::Moving];
 
-/// Fleets of any size keep to what the endpoint takes, and use most of it where nobody else can serve, wherever the
-/// callers are.
+/// Fleets of any size stay within the rate. If no other endpoint can serve, they also use most of it, whichever daemons
+/// get the requests.
 #[test]
 fn only_endpoint() {
     for daemons in [2, 6, 30, 300] {
@@ -62,7 +62,7 @@
                 };
                 let counted = run(&plan);
                 assert!(counted.most <= allowed(rate), "{plan:?} {counted:?}");
-                // A daemon that has just lost its callers gets permits for a moment more.
+                // A daemon whose callers have just left still gets permits for a short time.
                 let least = if daemons <= 6 && demand != Demand::Moving {
                     0.9
                 } else {
@@ -74,7 +74,7 @@
     }
 }
 
-/// Where others serve in its place, nobody waits for a permit.
+/// The bound also holds if other endpoints serve instead, so that no request waits for a permit.
 #[test]
 fn others_serve() {
     for daemons in [2, 6, 30, 300] {
@@ -88,8 +88,8 @@
     }
 }
 
-/// Even shares, as cold endpoints get them, keep to it as well, but a daemon that has all the callers uses its own share
-/// alone.
+/// Even shares, as used for cold endpoints, stay within the rate as well, but a daemon that gets all requests can only
+/// use its own share.
 #[test]
 fn even_shares_compared() {
     for daemons in [6, 30, 300] {
@@ -118,9 +118,9 @@
     TroubleKind::Restart,
 ];
 
-/// Daemons that are cut off one way, stand still, start anew, or take themselves for the coordinator, the coordinator
-/// among them: the bound holds in any window. All are counted, also those in trouble, but for what a daemon that has just
-/// started sends before it is told.
+/// The bound holds in any window under random faults of any daemon, the coordinator included: messages lost in one
+/// direction, stalls, restarts, and daemons that wrongly act as coordinator. All requests count, also those of faulty
+/// daemons, except what a daemon that has just started sends before it receives the first report.
 #[test]
 fn drawn_troubles() {
     for seed in 0..200 {
@@ -155,7 +155,7 @@
 const NOW: Time = Time(5_000_000);
 const RATE: Rate = Rate(2.0);
 
-/// The most urgent daemon goes first; of equal ones, the one that has waited longest for a permit.
+/// The most urgent claim goes first; among equal ones, the daemon whose last permit is the oldest.
 #[test]
 fn order_of_claims() {
     let mut pool = PermitPool::default();
@@ -171,7 +171,7 @@
     assert_eq!(pool.grant(NOW), None);
 }
 
-/// What isn't used is lost, so that nothing is saved up for later.
+/// Unused shares, tokens and permits are lost, so that nothing accumulates.
 #[test]
 fn nothing_saved_up() {
     let mut pool = PermitPool::default();
@@ -189,7 +189,7 @@
     assert!(!permit.is_valid(NOW + Millis(2_000)));
 }
 
-/// A permit is kept for the urgent for half of its life, and serves anybody after that.
+/// A permit is reserved for urgent requests for half of its lifetime; after that, any request may use it.
 #[test]
 fn kept_for_urgent() {
     let permit = Permit::new(NOW, RATE, Claim(3));
@@ -199,14 +199,14 @@
     assert!(permit.serves(NOW + Millis(1_000), 4));
 }
 
-/// An endpoint that takes nothing is asked now and then all the same.
+/// An endpoint that advertises a rate of 0 still gets a request now and then.
 #[test]
 fn least_rate() {
     assert_eq!(kept_rate(Rate(0.0)), LEAST_RATE);
     assert_eq!(kept_rate(RATE), RATE);
 }
 
-/// The wait grows with those that go first, not with those that are less urgent.
+/// The wait grows with the claims that go first, but not with less urgent ones.
 #[test]
 fn wait_for_permit() {
     let mut pool = PermitPool::default();
@@ -224,7 +224,7 @@
     SeenRate { named, sent }
 }
 
-/// What others tell of a rate is no other rate than the one that they were told, whatever its digits.
+/// A reported rate equals the observed one, whatever its digits, so that observing it again is no change.
 #[test]
 fn same_rate_told() {
     let service: ServiceId = "s".parse().unwrap();
@@ -241,8 +241,8 @@
     assert_eq!(again, None);
 }
 
-/// A reply without a rate ends it only if its request was sent once the rate was known; older news of it brings it back
-/// neither here nor where the end was told.
+/// A reply without a rate ends the limit only if its request was sent after the rate was known. Older reports don't
+/// restore the limit, neither here nor at daemons that received the report of its end.
 #[test]
 fn end_of_rate() {
     let service: ServiceId = "s".parse().unwrap();
--- a/lib/tests/test_endpoint_rest.rs
+++ b/lib/tests/test_endpoint_rest.rs
@@ -1,4 +1,4 @@
-//! The rest that an endpoint asks for when it turns a request away.
+//! The cooldown that an endpoint asks for when it refuses a request.
 
 use {
     hazelyoke_lib::{
@@ -17,7 +17,8 @@
     std::sync::Arc,
 };
 
-/// A refusal that names a time asks for rest; a time that can't be read, or is beyond reason, for a bounded one.
+/// A refusal that states a time asks for a cooldown. If the time can't be parsed or is too long, the cooldown is
+/// bounded.
 #[test]
 fn asked_times() {
     let named = |ms| ReplyWait::Named(Millis(ms));
@@ -67,7 +68,7 @@
     "s".parse().expect("a service")
 }
 
-/// A later refusal that asks for less doesn't take back what was asked for before; one that asks for more counts.
+/// A later refusal can extend a cooldown but not shorten it.
 #[test]
 fn longest_counts() {
     let mut states = EndpointStates::default();
@@ -84,7 +85,8 @@
     assert!(!states.end_rests(after(5_000)));
 }
 
-/// The first rest that ends is told where nobody else takes requests. A rest outlasts an entry that lapses.
+/// The end of the first cooldown is returned only if no other endpoint takes requests. A cooldown outlasts the removal
+/// of the endpoint's entry.
 #[test]
 fn first_rested() {
     let mut states = EndpointStates::default();
--- a/lib/tests/test_fleet_choice.rs
+++ b/lib/tests/test_fleet_choice.rs
@@ -1,4 +1,4 @@
-//! Which endpoint takes a request.
+//! Which endpoint gets a request.
 
 #![allow(clippy::unwrap_used, reason = "a failed unwrap fails the test")]
 
@@ -92,7 +92,7 @@
     }
 }
 
-/// Draining endpoints and those already tried get no request.
+/// Draining endpoints and those that were already tried get no request.
 #[test]
 fn draining_and_tried() {
     let mut endpoints = endpoints(2);
@@ -133,7 +133,7 @@
     }
 }
 
-/// An unreachable endpoint is chosen only where no other one is left.
+/// An unreachable endpoint is chosen only if no other one is left.
 #[test]
 fn unreachable_last_resort() {
     let mut endpoints = endpoints(2);
@@ -148,7 +148,7 @@
     assert_eq!(choose(&endpoints, &placement).unwrap().entry.id, id(1));
 }
 
-/// Failing endpoints are ejected, but never more than half of all.
+/// Failing endpoints are ejected, but never more than half of all endpoints.
 #[test]
 fn ejection_limit() {
     let mut endpoints = endpoints(4);
@@ -180,7 +180,7 @@
     }
 }
 
-/// A shared part of prompts moves to another endpoint where its own one is crowded.
+/// A shared part of prompts moves to another endpoint when its preferred one is overloaded.
 #[test]
 fn crowded_part_moves() {
     let mut endpoints = endpoints(3);
@@ -260,7 +260,8 @@
     assert!(choose(&endpoints, &placement).is_some());
 }
 
-/// Found by the soak: one odd answer took an endpoint out for the rest of a daemon's life.
+/// Guards against excluding an endpoint for as long as the daemon runs after a single reply in the name of another
+/// endpoint.
 #[test]
 fn replaced_endpoint_reopens() {
     let mut endpoints = endpoints(1);
@@ -273,8 +274,8 @@
     assert!(!endpoints.reopen_replaced(NOW + Millis(6_000)));
 }
 
-/// Of 162 equal endpoints, 110 got nothing on a day of 985 daemons with some calls each, and the busiest eleven times the
-/// mean: all daemons chose the same first ones. Each daemon has an order of its own.
+/// Guards against daemons that all choose the same ones of equal endpoints: with 985 daemons that made some calls each,
+/// 110 of 162 endpoints got nothing, and the busiest got eleven times the mean. Each daemon has a different order.
 #[test]
 fn equal_endpoints() {
     const DAEMONS: u64 = 400;
--- a/lib/tests/test_fleet_pins.rs
+++ b/lib/tests/test_fleet_pins.rs
@@ -1,5 +1,5 @@
-//! Which endpoints are chosen over a long course of events, and what they are expected to cost, as
-//! a snapshot: a change of the code that means to change no choice leaves it as it is.
+//! A snapshot of the endpoints that are chosen over a long series of events, with their expected cost. A change that
+//! isn't meant to alter a choice leaves it as it is.
 
 #![allow(clippy::unwrap_used, reason = "a failed unwrap fails the test")]
 
@@ -49,13 +49,13 @@
     })
 }
 
-/// A request under way.
+/// A request in flight.
 struct Sent {
     choice: EndpointChoice,
     is_read: bool,
 }
 
-/// A fleet under a drawn course of events.
+/// A fleet with a random series of events.
 struct Course {
     draws: Draws,
     fleet: EndpointStates,
@@ -79,7 +79,7 @@
         }
     }
 
-    /// Runs until so many choices were asked for.
+    /// Runs until `choices` choices were made.
     fn run(mut self, choices: usize) -> String {
         let mut count = 0;
         while count < choices {
@@ -102,7 +102,7 @@
         self.lines
     }
 
-    /// Draws a prompt: none, one of its own, or one with parts that others have too.
+    /// Draws a prompt: empty, with only a unique part, or with parts shared with other prompts.
     fn prompt(&mut self) -> Prompt {
         let shared = self.draws.below(4);
         if shared == 0 {
@@ -178,7 +178,7 @@
         });
     }
 
-    /// Takes a request that is under way, if there is one.
+    /// Removes and returns a random request in flight, if there is one.
     fn take_sent(&mut self) -> Option<Sent> {
         if self.sent.is_empty() {
             return None;
@@ -273,7 +273,7 @@
     insta::assert_snapshot!(lines);
 }
 
-/// Daemons of two releases side by side have to agree on these.
+/// Daemons of two releases that run side by side have to agree on these hashes and choices.
 #[test]
 fn names_pinned() {
     let mut lines = String::new();
--- a/lib/tests/test_homes.rs
+++ b/lib/tests/test_homes.rs
@@ -1,4 +1,4 @@
-//! In which data centres a request may run whose route or customer names regions.
+//! The data centres in which a request may run if its route or customer is restricted to regions.
 
 #![allow(clippy::unwrap_used, reason = "a failed unwrap fails the test")]
 
@@ -45,7 +45,7 @@
     assert!(regions.places(&homes(&["nowhere"]), &None).is_nowhere());
 }
 
-/// A data centre that the settings don't name is in no region.
+/// A data centre without a region in the settings belongs to no region.
 #[test]
 fn unknown_place() {
     let places = regions().places(&homes(&["a"]), &None);
@@ -54,7 +54,7 @@
     assert!(Places::Anywhere.allow(&"new".parse().unwrap()));
 }
 
-/// Pieces wait for an endpoint where they may run, also past their objective.
+/// Pieces wait for an endpoint in an allowed data centre, even past their objective.
 #[test]
 fn pieces_stay() {
     let places = regions().places(&homes(&["a"]), &None);
--- a/lib/tests/test_reply_proof.rs
+++ b/lib/tests/test_reply_proof.rs
@@ -1,4 +1,4 @@
-//! A reply proves that a request did not run, or counts as its answer, only by its own marks.
+//! A reply proves that a request did not run, or counts as its answer, only by what its own head states.
 
 use {
     hazelyoke_lib::{
@@ -34,7 +34,7 @@
     StatusCode::from_u16(code).expect("the code is valid")
 }
 
-/// All marks that a reply may carry.
+/// Returns all combinations of facts that the head of a reply may state.
 fn all_facts() -> impl Iterator<Item = ReplyFacts> {
     [None, Some("r1"), Some("r2")]
         .into_iter()
--- a/lib/tests/test_reported_pace.rs
+++ b/lib/tests/test_reported_pace.rs
@@ -1,4 +1,4 @@
-//! Endpoints that say themselves how long work takes there at the moment.
+//! Endpoints that report their own slowdown.
 
 #![allow(clippy::unwrap_used, reason = "a failed unwrap fails the test")]
 
@@ -27,7 +27,7 @@
 
 const NOW: Time = Time(60_000_000);
 
-/// Usual time of a call.
+/// Usual time of a call, in milliseconds.
 const CALL: f64 = 60.0;
 
 fn pace(hundredths: u32) -> PaceReport {
@@ -87,7 +87,7 @@
     choice(states, now).entry
 }
 
-/// A report counts for a moment; nothing, and what can't be a pace, counts as usual.
+/// A report expires after a short time; a missing or invalid one counts as the usual time.
 #[test]
 fn reports_age() {
     let last = |pace| Some((NOW, load(pace)));
@@ -109,7 +109,7 @@
     }
 }
 
-/// An endpoint that says that it is slow is passed over, for as long as that is believed.
+/// An endpoint that reports that it is slow is avoided while the report is valid.
 #[test]
 fn slow_passed_over() {
     let mut states = endpoints(2);
@@ -120,7 +120,7 @@
     assert_eq!(chosen(&states, NOW).id, slow.id);
 }
 
-/// What can't be a pace is told once.
+/// An invalid slowdown is reported once.
 #[test]
 fn unclear_once() {
     let mut states = endpoints(1);
@@ -130,7 +130,7 @@
     assert!(!told(&mut states));
 }
 
-/// The usual time of a call stays what it is where slow calls say that they are slow.
+/// Slow calls don't change the learned usual time of a call if their replies report the slowdown.
 #[test]
 fn usual_time_learnt() {
     let mut states = endpoints(1);
@@ -149,8 +149,8 @@
     assert!((expected.0 - CALL).abs() < 1.0, "{expected}");
 }
 
-/// Calls that take over twice the usual time, of 3,000 at six endpoints, each of which is 2.5 times as slow for a seventh
-/// of the time, in spells of 100 ms or more; its replies say so if `reports` is set.
+/// Returns how many of 3,000 calls at six endpoints take over twice the usual time. Each endpoint is 2.5 times as slow
+/// for about a seventh of the time, in periods of 100 ms or more; its replies report that if `reports` is set.
 fn slow_calls(reports: bool, seed: u64) -> usize {
     const SPELL: u64 = 100;
     let mut draws = Draws::new(seed);
@@ -176,7 +176,7 @@
     late
 }
 
-/// Reports of the daemon's own replies spare calls also where hosts change ten times a second.
+/// Reports in the replies to the daemon's own calls avoid slow calls even if hosts change ten times a second.
 #[test]
 fn fewer_slow_calls() {
     let with: usize = (1..=5).map(|seed| slow_calls(true, seed)).sum();
--- a/lib/tests/test_request_region.rs
+++ b/lib/tests/test_request_region.rs
@@ -1,4 +1,4 @@
-//! In which region the stages of a request run.
+//! The region in which the stages of a request run.
 
 use hazelyoke_lib::{
     gateway::rules::{
@@ -34,7 +34,7 @@
     }
 }
 
-/// A request that is in time in its own region stays, also where it would end sooner in another one.
+/// A request that the local region admits stays there, even if it would end sooner in another one.
 #[test]
 fn own_region_suffices() {
     let others = [admitted(region(1), 100.0)];
@@ -42,7 +42,7 @@
     assert_eq!(chosen, Some(admitted(OWN, 700.0)));
 }
 
-/// A request that would be refused runs where it is in time and ends first.
+/// A request that the local region would refuse runs in the region that admits it with the shortest expected time.
 #[test]
 fn spill_in_time() {
     let others = [
@@ -54,7 +54,7 @@
     assert_eq!(chosen, Some(admitted(region(3), 500.0)));
 }
 
-/// Where it is in time nowhere, the caller hears of its own region.
+/// If no region admits the request, the caller gets the refusal of the local region.
 #[test]
 fn refused_everywhere() {
     let others = || [refused(region(1), 900.0)].into_iter();
--- a/lib/tests/test_retry_hints.rs
+++ b/lib/tests/test_retry_hints.rs
@@ -1,4 +1,4 @@
-//! Refused callers are told to come back later where the queues are longer, within bounds.
+//! Refused callers are told to retry later if queues are longer, within bounds.
 
 use hazelyoke_lib::{
     gateway::{
@@ -62,8 +62,8 @@
     }
 }
 
-/// Expected are 6,132 ms: 50 ms until the call that runs ends, 5,882 ms of queue, 100 ms of the call, 100 ms
-/// of the request itself.
+/// The expected time is 6,132 ms: 50 ms until the running call ends, 5,882 ms of queue, 100 ms for the call, and 100 ms
+/// for the request itself.
 #[test]
 fn refused_admission() {
     let service = StageService {
--- a/lib/tests/test_retry_rules.rs
+++ b/lib/tests/test_retry_rules.rs
@@ -1,4 +1,4 @@
-//! Another attempt is sent only where the request may run again and another endpoint can take it.
+//! Another attempt is sent only if the request may run again and another endpoint can take it.
 
 use {
     hazelyoke_lib::{
@@ -129,7 +129,7 @@
         assert_eq!(may_retry(kind, 3, &history(1, 0, 0)), may_run_twice);
         assert_eq!(may_retry(kind, 3, &history(2, 1, 0)), may_run_twice);
         assert!(may_retry(kind, 3, &history(2, 2, 0)));
-        // Endpoints that were not reached are no attempts.
+        // Unreachable endpoints don't count as attempts.
         assert!(may_retry(kind, 1, &history(0, 0, 3)));
     }
 }
@@ -145,7 +145,7 @@
         let step = next_step(failure, &history(0, 0, unreachable));
         assert_eq!(step, AfterFailure::GiveUp);
     }
-    // Nobody waits for an endpoint that refuses connections.
+    // Endpoints that refuse connections cost no time and have no limit.
     let ended = AttemptFailure::NotRun(NotRunReason::Ended);
     let step = next_step(ended, &history(0, 0, 3));
     assert_eq!(step, AfterFailure::ChooseAnother);
--- a/lib/tests/test_stage_admission.rs
+++ b/lib/tests/test_stage_admission.rs
@@ -1,4 +1,4 @@
-//! Requests whose stages can't be made in time are refused at once.
+//! Requests whose stages can't finish in time are refused at once.
 
 use hazelyoke_lib::{
     gateway::rules::{
@@ -45,14 +45,14 @@
     }
 }
 
-/// A chain of stages at idle endpoints is expected to take the sum of its calls.
+/// The expected time of a chain of stages at idle endpoints is the sum of its calls.
 #[test]
 fn idle_chain() {
     let stages = [stage(0.0, 1, &[]), stage(0.0, 2, &[0])];
     assert_eq!(stages_time(&stages, NO_WAY), WorkMillis(250.0 + 260.0));
 }
 
-/// Stages side by side are expected to take as long as the longest of them.
+/// The expected time of parallel stages is that of the longest one.
 #[test]
 fn parallel_stages() {
     let stages = [stage(0.0, 1, &[]), stage(0.0, 5, &[])];
@@ -74,7 +74,7 @@
     );
 }
 
-/// A crowded fleet refuses a request with a bounded `Retry-After`.
+/// An overloaded fleet refuses a request with a bounded `Retry-After`.
 #[test]
 fn crowded_fleet() {
     let verdict = decide(&request(vec![stage(500.0, 1, &[])]));
@@ -96,7 +96,7 @@
     }
 }
 
-/// A request waits for the work that goes ahead of its own, not for what goes behind.
+/// A request waits for the pieces that go ahead of its own, but not for those behind.
 #[test]
 fn work_behind() {
     let first = PlannedStage {
--- a/lib/tests/test_time_limits.rs
+++ b/lib/tests/test_time_limits.rs
@@ -1,5 +1,5 @@
-//! A request's time follows from its caller, its route and the kind of its answer; its urgency from
-//! the ranks of both.
+//! A request's time limit follows from its caller, its route and the kind of its answer; its urgency follows from the
+//! ranks of customer and route.
 
 use hazelyoke_lib::{
     gateway::{
--- a/lib/tests/test_window_budget.rs
+++ b/lib/tests/test_window_budget.rs
@@ -1,4 +1,4 @@
-//! Repeats stay within what the installation allows, over all daemons and every window.
+//! Retries stay within the limits of the installation, over all daemons and every window.
 
 use {
     hazelyoke_lib::{
@@ -14,7 +14,7 @@
     window: Millis(10_000),
 };
 
-/// A daemon that just started grants retries by the ratio alone and leaves the slack untouched.
+/// A daemon that has just started grants retries by the ratio alone and doesn't use the slack.
 #[test]
 fn fresh_daemon() {
     let mut budget = WindowBudget::new(LIMITS, Time(0));
@@ -26,7 +26,7 @@
     assert_eq!(granted, 3);
 }
 
-/// Spent retries are granted again once the window has passed.
+/// Used retries are available again once the window has passed.
 #[test]
 fn spent_grants_return() {
     let mut budget = WindowBudget::new(LIMITS, Time(0));
@@ -37,8 +37,8 @@
     assert!(budget.withdraw(late + Millis(10_000), 1));
 }
 
-/// Any order of requests, repeats and restarts at several daemons: no window holds more repeats
-/// than the ratio of the requests in it and the slack allow.
+/// For any order of requests, retries and restarts at several daemons, no window holds more retries than the ratio of
+/// its requests and the slack allow.
 #[test]
 fn fleet_bound() {
     for_seeds(200, 4096, |u| {
