--- a/lib/src/gateway/peers/far_reports.rs
+++ b/lib/src/gateway/peers/far_reports.rs
@@ -12,7 +12,7 @@
             message::{FarNote, Heartbeat},
             record::ReceivedHeartbeat,
         },
-        rules::{coordinator::Coordinator, homes::RegionHash},
+        rules::{allowed_regions::RegionHash, coordinator::Coordinator},
     },
     shared::{ids::ServiceId, units::Time},
 };
--- a/lib/src/gateway/peers/far_services.rs
+++ b/lib/src/gateway/peers/far_services.rs
@@ -7,7 +7,7 @@
         gateway::{
             hashes::ServiceHash,
             peers::message::FarNote,
-            rules::{backlog::Backlog, homes::RegionHash},
+            rules::{allowed_regions::RegionHash, backlog::Backlog},
         },
         shared::units::{Millis, Time},
     },
--- a/lib/src/gateway/peers/membership.rs
+++ b/lib/src/gateway/peers/membership.rs
@@ -19,9 +19,9 @@
                 record::{Peer, ReceivedHeartbeat},
             },
             rules::{
+                allowed_regions::RegionHash,
                 coordinator,
                 gossip::{self, RingPosition},
-                homes::RegionHash,
                 liveness::{self, ReceiveConditions},
                 stall::StallLog,
             },
--- a/lib/src/gateway/peers/message.rs
+++ b/lib/src/gateway/peers/message.rs
@@ -20,7 +20,7 @@
             rates::note::{PermitNote, RateNote},
             request_digest::RequestDigest,
             revision::{Era, Revision},
-            rules::homes::RegionHash,
+            rules::allowed_regions::RegionHash,
             stages::job::{JobEnd, PieceInput, ResultHandle},
             table::Version,
             table_parts::{PartHash, PartList},
--- a/lib/src/gateway/peers/notes.rs
+++ b/lib/src/gateway/peers/notes.rs
@@ -7,7 +7,7 @@
     crate::{
         gateway::{
             hashes::{EndpointHash, ServiceHash},
-            rules::{backlog::Backlog, homes::RegionHash},
+            rules::{allowed_regions::RegionHash, backlog::Backlog},
         },
         shared::units::Capacity,
     },
--- a/lib/src/gateway/peers/outgoing.rs
+++ b/lib/src/gateway/peers/outgoing.rs
@@ -12,9 +12,9 @@
             },
             revision::Revision,
             rules::{
+                allowed_regions::RegionHash,
                 coordinator::{self, Coordinator},
                 gossip::{self, HeartbeatExtras},
-                homes::RegionHash,
                 liveness,
             },
         },
--- a/lib/src/gateway/peers/queries.rs
+++ b/lib/src/gateway/peers/queries.rs
@@ -10,10 +10,10 @@
             },
             revision::Revision,
             rules::{
+                allowed_regions::RegionHash,
                 catch_up::{self, ListOffer, TableOffer},
                 coordinator::{self, Coordinator, DaemonCandidate},
                 fetch_turn::{self, Holders, Sources},
-                homes::RegionHash,
                 unconfirmed_entry,
             },
             table::Version,
--- a/lib/src/gateway/peers/record.rs
+++ b/lib/src/gateway/peers/record.rs
@@ -5,10 +5,10 @@
         gateway::{
             peers::message::{Heartbeat, PeerNote, Phase},
             rules::{
+                allowed_regions::RegionHash,
                 coordinator::{DaemonCandidate, PeerState},
                 distance::are_apart,
                 gossip::RingPosition,
-                homes::RegionHash,
                 liveness::{self, LifeSigns},
             },
         },
--- a/lib/src/gateway/routing/endpoint_state.rs
+++ b/lib/src/gateway/routing/endpoint_state.rs
@@ -12,12 +12,13 @@
                 sent_parts::SentParts,
             },
             rules::{
+                allowed_regions::RegionHash,
                 eligibility::{RequestStanding, Standing},
                 endpoint_choice::{EndpointCandidate, EndpointChoice, NamedLimit, Placement},
-                endpoint_pace::{CallTime, EnginePace},
-                homes::RegionHash,
+                endpoint_exclusion,
+                endpoint_slowdown::{CallTime, EnginePace},
                 reply_proof::EndpointOutcome,
-                reported_pace, set_aside,
+                reported_slowdown,
             },
         },
         shared::{
@@ -214,7 +215,7 @@
             cold: coldness != Coldness::Warm,
             outstanding: self.outstanding(),
             call_time: self.call_time.get(),
-            reported_pace: reported_pace::factor(now, self.reported_load),
+            reported_pace: reported_slowdown::factor(now, self.reported_load),
             waiting_tokens: self.prefill + self.peers.prefill,
             pace: self.pace.at(now),
             cached_tokens,
@@ -258,7 +259,7 @@
             EndpointOutcome::Failed => self.health.failed(now, may_eject),
             EndpointOutcome::Unreachable => {
                 self.cold.presume(now);
-                self.unreachable_until = Some(set_aside::reachable_from(now));
+                self.unreachable_until = Some(endpoint_exclusion::reachable_from(now));
                 true
             }
             EndpointOutcome::Ended => self.refused(now),
@@ -288,7 +289,7 @@
         self.accepted();
         if let Some(call_time) = call_time {
             // What is learnt is the usual time.
-            let factor = reported_pace::factor(now, self.reported_load);
+            let factor = reported_slowdown::factor(now, self.reported_load);
             self.call_time.learn(WorkMillis(call_time.0 / factor));
         }
     }
@@ -297,7 +298,7 @@
     pub(crate) fn reopen(&mut self, now: Time) -> bool {
         let is_due = self
             .replaced
-            .is_some_and(|replaced| set_aside::may_reopen(now, replaced));
+            .is_some_and(|replaced| endpoint_exclusion::may_reopen(now, replaced));
         if is_due {
             self.replaced = None;
         }
--- a/lib/src/gateway/routing/endpoint_states.rs
+++ b/lib/src/gateway/routing/endpoint_states.rs
@@ -15,10 +15,10 @@
                 endpoint_state::{EndpointState, PeerLoad},
             },
             rules::{
+                allowed_regions::{RegionHash, Regions},
                 distance::{RegionWay, are_apart},
                 eligibility::{Exclusion, LeftOut, Places},
                 endpoint_choice::{self, EndpointChoice, Placement},
-                homes::{RegionHash, Regions},
                 reply_proof::EndpointOutcome,
             },
         },
--- a/lib/src/gateway/routing/forward.rs
+++ b/lib/src/gateway/routing/forward.rs
@@ -21,10 +21,10 @@
                 stream_resume::StreamedRequest,
             },
             rules::{
+                allowed_regions::RegionHash,
                 attempt_timeout::{AttemptPlan, attempt_timeout},
                 eligibility::LeftOut,
                 endpoint_choice::EndpointChoice,
-                homes::RegionHash,
                 outcome::UnansweredEnd,
                 reply_proof::{NotRunReason, is_endpoint_failure},
                 retry::{self, AfterFailure, AttemptFailure, RetryReason},
--- a/lib/src/gateway/routing/region_choice.rs
+++ b/lib/src/gateway/routing/region_choice.rs
@@ -8,8 +8,8 @@
         dialect::Dialect,
         routing::{call::ForwardedCall, stage_load::admit},
         rules::{
+            allowed_regions::RegionHash,
             eligibility::Places,
-            homes::RegionHash,
             request_region::{self, RegionDecision},
         },
         stages::{chain_request::ChainRequest, job::piece_count},
--- a/lib/src/gateway/routing/reply_notices.rs
+++ b/lib/src/gateway/routing/reply_notices.rs
@@ -5,7 +5,7 @@
         gateway::{
             dialect::{Dialect, LeaveNotice, ReplyFacts, ReplyWait},
             directory::endpoint_entry::EndpointEntry,
-            rules::endpoint_rest::asked_rest,
+            rules::endpoint_cooldown::asked_rest,
             state::Gateway,
         },
         shared::units::Millis,
--- a/lib/src/gateway/routing/stages.rs
+++ b/lib/src/gateway/routing/stages.rs
@@ -14,7 +14,7 @@
             },
             rules::{
                 admission::AdmissionDecision,
-                homes::RegionHash,
+                allowed_regions::RegionHash,
                 request_region::RegionDecision,
                 retry_after::{NO_ENDPOINT, STAGE_FAILED, after_permits, after_rest},
             },
--- a/lib/src/gateway/routing/stream_resume.rs
+++ b/lib/src/gateway/routing/stream_resume.rs
@@ -16,8 +16,8 @@
                 stages::run_stages,
             },
             rules::{
+                allowed_regions::RegionHash,
                 endpoint_choice::EndpointChoice,
-                homes::RegionHash,
                 reply_proof::{EndpointOutcome, judge_resumed_head},
                 resume::may_resume,
                 retry::RetryReason,
--- a/lib/src/gateway/rules/admission.rs
+++ b/lib/src/gateway/rules/admission.rs
@@ -14,7 +14,7 @@
 //! checks the rule.
 
 use crate::{
-    gateway::rules::{call_timing::CallCost, engine_pace::TOKENS_PER_MS, retry_after},
+    gateway::rules::{call_timing::CallCost, prefill_rate::TOKENS_PER_MS, retry_after},
     shared::units::{Millis, WorkMillis},
 };
 
--- a/lib/src/gateway/rules/distance.rs
+++ b/lib/src/gateway/rules/distance.rs
@@ -14,7 +14,7 @@
 //! Tests: `lib/tests/test_distance.rs`.
 
 use crate::{
-    gateway::rules::homes::RegionHash,
+    gateway::rules::allowed_regions::RegionHash,
     shared::units::{Millis, Time, WorkMillis},
 };
 
--- a/lib/src/gateway/rules/endpoint_choice.rs
+++ b/lib/src/gateway/rules/endpoint_choice.rs
@@ -23,11 +23,11 @@
             dialect::Prompt,
             directory::endpoint_entry::EndpointEntry,
             rules::{
+                allowed_regions::RegionHash,
                 cold_share::ColdShare,
                 distance::are_apart,
                 eligibility::{Exclusion, LeftOut, Places},
-                engine_pace::TOKENS_PER_MS,
-                homes::RegionHash,
+                prefill_rate::TOKENS_PER_MS,
             },
         },
         shared::{
--- a/lib/src/gateway/rules/engine_pace.rs
+++ b/lib/src/gateway/rules/prefill_rate.rs
@@ -4,5 +4,5 @@
 //! rate.
 
 /// Prompt tokens that an engine reads in a millisecond: slightly below the rate that users state for their engines. The
-/// slowdown of each endpoint (`endpoint_pace`) is applied on top.
+/// slowdown of each endpoint (`endpoint_slowdown`) is applied on top.
 pub const TOKENS_PER_MS: f64 = 50.0;
--- a/lib/src/gateway/rules/request_region.rs
+++ b/lib/src/gateway/rules/request_region.rs
@@ -13,7 +13,7 @@
 //!
 //! Tests: `lib/tests/test_request_region.rs`.
 
-use crate::gateway::rules::{admission::AdmissionDecision, homes::RegionHash};
+use crate::gateway::rules::{admission::AdmissionDecision, allowed_regions::RegionHash};
 
 /// The admission decision for one region.
 #[derive(Debug, Clone, Copy, PartialEq)]
--- a/lib/src/gateway/serving/settings.rs
+++ b/lib/src/gateway/serving/settings.rs
@@ -7,7 +7,7 @@
 use {
     crate::{
         gateway::rules::{
-            directory_reads, homes::Regions, retry_budget::BudgetLimits, unconfirmed_entry,
+            allowed_regions::Regions, directory_reads, retry_budget::BudgetLimits, unconfirmed_entry,
         },
         shared::{
             ids::{DataCentreId, HostId},
--- a/lib/src/gateway/serving/status.rs
+++ b/lib/src/gateway/serving/status.rs
@@ -8,7 +8,7 @@
         gateway::{
             dialect::Dialect,
             peers::message::Phase,
-            rules::homes::region_hash,
+            rules::allowed_regions::region_hash,
             state::{Gateway, GatewayState},
         },
         shared::{
--- a/lib/src/gateway/stages/chain_request.rs
+++ b/lib/src/gateway/stages/chain_request.rs
@@ -8,7 +8,8 @@
             dialect::Inbound,
             request_digest::RequestDigest,
             rules::{
-                admission, eligibility::Places, homes::RegionHash, stage_objective::stage_objective,
+                admission, allowed_regions::RegionHash, eligibility::Places,
+                stage_objective::stage_objective,
             },
             stages::{
                 job::{PieceInput, StageJob, piece_count},
--- a/lib/src/gateway/stages/handover.rs
+++ b/lib/src/gateway/stages/handover.rs
@@ -12,7 +12,7 @@
                 job_message,
                 message::{JobOrder, LinkRequest},
             },
-            rules::{coordinator::Coordinator, homes::RegionHash},
+            rules::{allowed_regions::RegionHash, coordinator::Coordinator},
             stages::job::{JobEnd, StageJob},
             state::Gateway,
         },
--- a/lib/src/gateway/stages/release.rs
+++ b/lib/src/gateway/stages/release.rs
@@ -10,7 +10,7 @@
             dialect::{Dialect, ReplyFacts},
             hashes::service_hash,
             peers::message::LinkRequest,
-            rules::{coordinator::Coordinator, distance::are_apart, homes::RegionHash},
+            rules::{allowed_regions::RegionHash, coordinator::Coordinator, distance::are_apart},
             stages::{
                 endpoint_post::{Post, post},
                 job::ResultHandle,
--- a/lib/tests/fleet/mod.rs
+++ b/lib/tests/fleet/mod.rs
@@ -14,7 +14,7 @@
                 peer_change::PeerChange,
                 self_report::SelfReport,
             },
-            rules::{coordinator::Coordinator, gossip::HEARTBEAT, homes::RegionHash},
+            rules::{allowed_regions::RegionHash, coordinator::Coordinator, gossip::HEARTBEAT},
         },
         shared::{
             ids::ServiceId,
--- a/lib/tests/test_distance.rs
+++ b/lib/tests/test_distance.rs
@@ -10,11 +10,11 @@
             hashes::endpoint_hash,
             routing::{endpoint_state::PeerLoad, endpoint_states::EndpointStates},
             rules::{
+                allowed_regions::{RegionHash, Regions, region_hash},
                 cold_share::ColdShare,
                 distance::RegionWay,
                 eligibility::Places,
                 endpoint_choice::{InputLocation, Placement},
-                homes::{RegionHash, Regions, region_hash},
             },
         },
         shared::{
--- a/lib/tests/test_endpoint_rest.rs
+++ b/lib/tests/test_endpoint_rest.rs
@@ -6,7 +6,7 @@
             dialect::ReplyWait,
             directory::endpoint_entry::EndpointEntry,
             routing::endpoint_states::EndpointStates,
-            rules::{eligibility::Places, endpoint_rest::asked_rest},
+            rules::{eligibility::Places, endpoint_cooldown::asked_rest},
         },
         shared::{
             ids::ServiceId,
--- a/lib/tests/test_homes.rs
+++ b/lib/tests/test_homes.rs
@@ -5,8 +5,8 @@
 use hazelyoke_lib::{
     gateway::{
         rules::{
+            allowed_regions::Regions,
             eligibility::Places,
-            homes::Regions,
             piece_order::{DataCentreCounts, WaitingJob, WaitingOrder},
         },
         stages::job::JobId,
--- a/lib/tests/test_message_bytes.rs
+++ b/lib/tests/test_message_bytes.rs
@@ -23,10 +23,10 @@
             quarantine::note::{EndedNote, EvidenceNote},
             rates::note::{PermitNote, RateNote},
             rules::{
+                allowed_regions::RegionHash,
                 backlog::{Backlog, DeadlineBucket},
                 endpoint_rate::Claim,
                 gossip::MAX_REMOTE_NOTES,
-                homes::RegionHash,
             },
             stages::job::{JobEnd, PieceInput, ResultHandle},
             table_parts::{PartHash, PartList, PartMark},
--- a/lib/tests/test_peers.rs
+++ b/lib/tests/test_peers.rs
@@ -19,10 +19,10 @@
             },
             revision::{Era, Revision},
             rules::{
+                allowed_regions::RegionHash,
                 backlog::{Backlog, DeadlineBucket},
                 coordinator::Coordinator,
                 gossip::{MAX_ASKED, MAX_NAMED},
-                homes::RegionHash,
             },
             stages::job::{JobEnd, PieceInput, ResultHandle},
         },
--- a/lib/tests/test_regions.rs
+++ b/lib/tests/test_regions.rs
@@ -13,7 +13,7 @@
                 message::{BacklogNote, FarNote, QueueNote},
                 self_report::SelfReport,
             },
-            rules::{backlog::Backlog, coordinator::Coordinator, homes::RegionHash},
+            rules::{allowed_regions::RegionHash, backlog::Backlog, coordinator::Coordinator},
         },
         shared::units::Time,
     },
--- a/lib/tests/test_reload.rs
+++ b/lib/tests/test_reload.rs
@@ -4,7 +4,7 @@
 
 use hazelyoke_lib::{
     gateway::{
-        rules::{homes::Regions, retry_budget::BudgetLimits},
+        rules::{allowed_regions::Regions, retry_budget::BudgetLimits},
         serving::{
             reload::{Reload, SettingField, SettingFields},
             settings::{Bounds, ColdBounds, GatewaySettings},
--- a/lib/tests/test_reported_pace.rs
+++ b/lib/tests/test_reported_pace.rs
@@ -13,7 +13,7 @@
                 eligibility::Places,
                 endpoint_choice::{EndpointChoice, Placement},
                 reply_proof::EndpointOutcome,
-                reported_pace::factor,
+                reported_slowdown::factor,
             },
         },
         shared::{
--- a/lib/tests/test_request_region.rs
+++ b/lib/tests/test_request_region.rs
@@ -3,7 +3,7 @@
 use hazelyoke_lib::{
     gateway::rules::{
         admission::AdmissionDecision,
-        homes::RegionHash,
+        allowed_regions::RegionHash,
         request_region::{RegionDecision, choose},
     },
     shared::units::{Millis, WorkMillis},
