--- a/lib/src/gateway/peers/job_message.rs
+++ b/lib/src/gateway/peers/job_message.rs
@@ -6,7 +6,7 @@
 use crate::{
     gateway::{
         peers::message::{JobOrder, LinkReply},
-        rules::eligibility::Places,
+        rules::eligibility::AllowedDataCentres,
         stages::job::{JobEnd, StageJob},
     },
     shared::{
@@ -52,7 +52,7 @@
             rank: self.rank,
             result: ByteSize(self.result),
             home: self.home,
-            places: Places::of_names(self.places),
+            places: AllowedDataCentres::of_names(self.places),
             moved: ByteSize(self.moved),
         }
     }
--- a/lib/src/gateway/peers/quarantine_news.rs
+++ b/lib/src/gateway/peers/quarantine_news.rs
@@ -17,7 +17,7 @@
                 note::EvidenceNote,
                 store::{Quarantine, QuarantineChange},
             },
-            rules::{gossip::HEARTBEAT, quarantine::keepers},
+            rules::{gossip::HEARTBEAT, quarantine::evidence_holders},
             state::Gateway,
         },
         shared::units::{Millis, Time},
@@ -78,7 +78,7 @@
 fn for_keepers(notes: Vec<EvidenceNote>, peers: &Peers) -> Vec<OutgoingNotes> {
     let mut told: HashMap<SocketAddr, Vec<EvidenceNote>> = HashMap::default();
     for note in notes {
-        for keeper in keepers(note.digest.as_bytes(), peers.living_daemons()) {
+        for keeper in evidence_holders(note.digest.as_bytes(), peers.living_daemons()) {
             told.entry(keeper).or_default().push(note.clone());
         }
     }
--- a/lib/src/gateway/peers/record.rs
+++ b/lib/src/gateway/peers/record.rs
@@ -7,7 +7,7 @@
             rules::{
                 allowed_regions::RegionHash,
                 coordinator::{DaemonCandidate, PeerState},
-                distance::are_apart,
+                distance::in_different_regions,
                 gossip::RingPosition,
                 liveness::{self, LifeSigns},
             },
@@ -94,7 +94,7 @@
     /// Sets its region; `home` is that of this daemon.
     pub(crate) fn set_region(&mut self, home: Option<RegionHash>, region: Option<RegionHash>) {
         self.region = region;
-        self.is_far = are_apart(home, region);
+        self.is_far = in_different_regions(home, region);
     }
 
     /// Records a sign of life that is recent enough to refute a suspicion.
--- a/lib/src/gateway/quarantine/evidence.rs
+++ b/lib/src/gateway/quarantine/evidence.rs
@@ -5,7 +5,7 @@
 use crate::{
     gateway::{
         hashes::LifeHash,
-        rules::quarantine::{ENDED_LIMIT, is_quarantined, remembered_until, speaks_against},
+        rules::quarantine::{TERMINATED_LIMIT, counts_against, counts_until, is_quarantined},
     },
     shared::units::{Millis, Time},
 };
@@ -68,7 +68,7 @@
     /// Returns the time until an endpoint doesn't speak against the request any more; nothing if none does.
     pub fn left(&self, now: Time) -> Millis {
         let first = self.against(now).next();
-        let left = first.map(|run| remembered_until(run.at).since(now));
+        let left = first.map(|run| counts_until(run.at).since(now));
         Millis(left.unwrap_or_default().as_millis() as u64)
     }
 
@@ -100,13 +100,13 @@
             None => self.ended.push(run),
         }
         self.ended.sort_by_key(|run| (run.at, run.endpoint));
-        let surplus = self.ended.len().saturating_sub(ENDED_LIMIT);
+        let surplus = self.ended.len().saturating_sub(TERMINATED_LIMIT);
         self.ended.drain(..surplus);
     }
 
     fn against(&self, now: Time) -> impl Iterator<Item = &EndedRun> {
         let served = self.served;
         let ended = self.ended.iter();
-        ended.filter(move |run| speaks_against(now, run.at, served))
+        ended.filter(move |run| counts_against(now, run.at, served))
     }
 }
--- a/lib/src/gateway/quarantine/store.rs
+++ b/lib/src/gateway/quarantine/store.rs
@@ -1,7 +1,7 @@
 //! The requests under which endpoints ended, all that this daemon knows of.
 //!
 //! Owns the evidence of each, and which of it others haven't been told. Bounded: what was seen last is kept, refused
-//! requests before others. It has no clock: callers pass the time of the daemon's clock. Its own one began [`MEMORY`]
+//! requests before others. It has no clock: callers pass the time of the daemon's clock. Its own one began [`EVIDENCE_LIFETIME`]
 //! before, so that what other daemons saw before this process started has its place on it.
 
 use {
@@ -14,7 +14,7 @@
                 served::ServedRequests,
             },
             request_digest::RequestDigest,
-            rules::quarantine::{MEMORY, TELLINGS},
+            rules::quarantine::{EVIDENCE_LIFETIME, EVIDENCE_REPORTS},
         },
         shared::units::{Millis, Time},
     },
@@ -35,7 +35,7 @@
 
 /// Returns a time of the daemon's clock on the one of this module.
 fn on_own_clock(time: Time) -> Time {
-    time + MEMORY
+    time + EVIDENCE_LIFETIME
 }
 
 /// A change of what is refused.
@@ -133,7 +133,7 @@
         }
         let change = self.merge_evidence(now, digest, &own);
         if let Some(record) = self.records.get_mut(&digest) {
-            record.tellings = TELLINGS;
+            record.tellings = EVIDENCE_REPORTS;
         }
         change
     }
--- a/lib/src/gateway/rates/record.rs
+++ b/lib/src/gateway/rates/record.rs
@@ -6,10 +6,10 @@
         hashes::LifeHash,
         rates::note::{PermitNote, RateNote, rate_to_wire, tokens_to_wire},
         rules::{
-            endpoint_choice::NamedLimit,
+            endpoint_choice::RateLimitState,
             endpoint_rate::{
-                CLAIM_LIFE, CLAIM_RENEWAL, Claim, Permit, PermitPool, RateShare, is_look_due,
-                may_end,
+                CLAIM_LIFETIME, CLAIM_RENEWAL_INTERVAL, Claim, Permit, PermitPool, RateShare,
+                is_probe_due, may_end_limit,
             },
             gossip::HEARTBEAT,
         },
@@ -62,11 +62,11 @@
 
 impl Want {
     fn is_recent(&self, now: Time) -> bool {
-        now.since(self.at) < CLAIM_LIFE.to_duration()
+        now.since(self.at) < CLAIM_LIFETIME.to_duration()
     }
 
     fn is_due(&self, now: Time) -> bool {
-        let is_due = |claimed| now.since(claimed) >= CLAIM_RENEWAL.to_duration();
+        let is_due = |claimed| now.since(claimed) >= CLAIM_RENEWAL_INTERVAL.to_duration();
         self.is_recent(now) && self.claimed.is_none_or(is_due)
     }
 }
@@ -123,7 +123,7 @@
     pub(super) fn update(&mut self, now: Time, news: RateNews) -> Option<RateChange> {
         let known = self.news;
         let counts = match (known.rate, news.rate) {
-            (Some(_), None) => may_end(known.at, news.at),
+            (Some(_), None) => may_end_limit(known.at, news.at),
             _ => news.at > known.at,
         };
         if !counts {
@@ -160,11 +160,11 @@
     }
 
     /// Returns whether the endpoint, if it may get a request, names the rate that it takes.
-    pub(super) fn limit(&self, now: Time) -> NamedLimit {
+    pub(super) fn limit(&self, now: Time) -> RateLimitState {
         match self.news.rate {
-            None => NamedLimit::None,
-            Some(_) if is_look_due(now, self.news.at) => NamedLimit::LookDue,
-            Some(_) => NamedLimit::Permitted,
+            None => RateLimitState::None,
+            Some(_) if is_probe_due(now, self.news.at) => RateLimitState::ProbeDue,
+            Some(_) => RateLimitState::Permitted,
         }
     }
 
@@ -205,8 +205,8 @@
     /// Counts this daemon's share, as one of so many; nothing while it doesn't know the others.
     pub(super) fn count_share(&mut self, now: Time, daemons: Option<usize>) {
         match (self.news.rate, daemons) {
-            (Some(rate), Some(daemons)) => self.share.count(now, rate, daemons),
-            _ => self.share.skip(now),
+            (Some(rate), Some(daemons)) => self.share.accrue(now, rate, daemons),
+            _ => self.share.skip_until(now),
         }
     }
 
--- a/lib/src/gateway/rates/store.rs
+++ b/lib/src/gateway/rates/store.rs
@@ -13,7 +13,7 @@
                 note::{PermitNote, RateNote, as_told},
                 record::{RateNews, RateRecord},
             },
-            rules::endpoint_choice::NamedLimit,
+            rules::endpoint_choice::RateLimitState,
         },
         shared::{
             ids::ServiceId,
@@ -144,9 +144,9 @@
     }
 
     /// Returns whether an endpoint that may get a request names the rate that it takes.
-    pub fn limit(&self, now: Time, life: LifeHash) -> NamedLimit {
+    pub fn limit(&self, now: Time, life: LifeHash) -> RateLimitState {
         let record = self.records.get(&life);
-        record.map_or(NamedLimit::None, |record| record.limit(now))
+        record.map_or(RateLimitState::None, |record| record.limit(now))
     }
 
     /// Returns the permits for an endpoint that may be used; nothing where none is needed.
--- a/lib/src/gateway/routing/accept.rs
+++ b/lib/src/gateway/routing/accept.rs
@@ -9,7 +9,7 @@
             routing::call::ForwardedCall,
             rules::{
                 backend_choice::weighted,
-                eligibility::Places,
+                eligibility::AllowedDataCentres,
                 retry_after::TABLE_UNKNOWN,
                 time_limits::{caller_time, work_time},
                 urgency::urgency,
@@ -157,10 +157,10 @@
     gateway: &Gateway<D>,
     route: &Route,
     customer: Option<&CustomerEntry>,
-) -> Result<Places, Problem> {
+) -> Result<AllowedDataCentres, Problem> {
     let customer_homes = customer.and_then(|customer| customer.homes.clone());
     let regions = &gateway.settings().regions;
-    let places = regions.places(&route.homes, &customer_homes);
+    let places = regions.allowed(&route.homes, &customer_homes);
     if places.is_nowhere() {
         let detail = "no data centre is in a region of both its route and its customer";
         return Err(Problem::not_run(Code::NoEndpoint, detail).retry_after(TABLE_UNKNOWN));
--- a/lib/src/gateway/routing/call.rs
+++ b/lib/src/gateway/routing/call.rs
@@ -5,7 +5,7 @@
         gateway::{
             dialect::Inbound,
             request_digest::RequestDigest,
-            rules::{eligibility::Places, time_limits::first_event_time},
+            rules::{eligibility::AllowedDataCentres, time_limits::first_event_time},
             table::{CustomerEntry, Route},
         },
         shared::{
@@ -29,7 +29,7 @@
     /// Service of the route that serves this request.
     pub(crate) service: ServiceId,
     /// Data centres where it may run.
-    pub(crate) places: Places,
+    pub(crate) places: AllowedDataCentres,
     /// Head as the caller sent it.
     pub(crate) head: Parts,
     pub(crate) body: Bytes,
--- a/lib/src/gateway/routing/endpoint_state.rs
+++ b/lib/src/gateway/routing/endpoint_state.rs
@@ -13,10 +13,10 @@
             },
             rules::{
                 allowed_regions::RegionHash,
-                eligibility::{RequestStanding, Standing},
-                endpoint_choice::{EndpointCandidate, EndpointChoice, NamedLimit, Placement},
+                eligibility::{EndpointRestrictions, RequestRestrictions},
+                endpoint_choice::{EndpointCandidate, EndpointChoice, Placement, RateLimitState},
                 endpoint_exclusion,
-                endpoint_slowdown::{CallTime, EnginePace},
+                endpoint_slowdown::{CallTime, EngineSlowdown},
                 reply_proof::EndpointOutcome,
                 reported_slowdown,
             },
@@ -73,7 +73,7 @@
     /// When it answered as another endpoint, or as leaving.
     replaced: Option<Time>,
     call_time: CallTime,
-    pace: EnginePace,
+    pace: EngineSlowdown,
     sent_parts: SentParts,
 }
 
@@ -98,18 +98,18 @@
             has_ended: false,
             replaced: None,
             call_time: CallTime::default(),
-            pace: EnginePace::default(),
+            pace: EngineSlowdown::default(),
             sent_parts: SentParts::default(),
         }
     }
 
     /// Returns what speaks against giving the endpoint new work.
-    pub fn standing(&self) -> Standing {
-        Standing {
+    pub fn standing(&self) -> EndpointRestrictions {
+        EndpointRestrictions {
             draining: self.entry.draining || self.notices.leaves(),
             evacuated: self.evacuated,
             replaced: self.replaced.is_some(),
-            resting: self.notices.rest().is_some(),
+            cooling_down: self.notices.rest().is_some(),
         }
     }
 
@@ -153,11 +153,11 @@
         now: Time,
         placement: &Placement<'_>,
         limited: bool,
-    ) -> RequestStanding {
+    ) -> RequestRestrictions {
         let is_cold = self.cold.at(now, placement.cold_start) == Coldness::Stated;
-        RequestStanding {
-            standing: self.standing(),
-            away: !placement.places.allow(&self.entry.data_centre),
+        RequestRestrictions {
+            restrictions: self.standing(),
+            not_allowed: !placement.allowed.allow(&self.entry.data_centre),
             cold: is_cold && self.cold.is_spent(now, placement.cold_share),
             limited,
             full: self.running >= placement.connection_limit,
@@ -197,8 +197,8 @@
         &self,
         now: Time,
         placement: &Placement<'_>,
-        limit: NamedLimit,
-        way: Option<WorkMillis>,
+        limit: RateLimitState,
+        round_trip: Option<WorkMillis>,
     ) -> EndpointCandidate<'_> {
         let cached_tokens = if placement.affinity {
             self.sent_parts.cached_tokens(now, placement.prompt)
@@ -213,16 +213,16 @@
             entry: &self.entry,
             available: self.is_available(now) && !is_spared,
             cold: coldness != Coldness::Warm,
-            outstanding: self.outstanding(),
+            in_flight: self.outstanding(),
             call_time: self.call_time.get(),
-            reported_pace: reported_slowdown::factor(now, self.reported_load),
+            reported_slowdown: reported_slowdown::factor(now, self.reported_load),
             waiting_tokens: self.prefill + self.peers.prefill,
-            pace: self.pace.at(now),
+            slowdown: self.pace.at(now),
             cached_tokens,
             limit,
-            order: self.order,
+            tie_break: self.order,
             region: self.region,
-            way,
+            round_trip,
         }
     }
 
@@ -237,7 +237,7 @@
     /// Records the time to the first event of a generation.
     pub(crate) fn first_event(&mut self, now: Time, choice: &EndpointChoice, waited: WorkMillis) {
         self.prompt_read(choice.uncached);
-        self.pace.learn(now, choice.expected, waited);
+        self.pace.record(now, choice.expected, waited);
     }
 
     /// Records that tokens no longer wait to be read.
@@ -259,7 +259,7 @@
             EndpointOutcome::Failed => self.health.failed(now, may_eject),
             EndpointOutcome::Unreachable => {
                 self.cold.presume(now);
-                self.unreachable_until = Some(endpoint_exclusion::reachable_from(now));
+                self.unreachable_until = Some(endpoint_exclusion::available_from(now));
                 true
             }
             EndpointOutcome::Ended => self.refused(now),
@@ -290,7 +290,7 @@
         if let Some(call_time) = call_time {
             // What is learnt is the usual time.
             let factor = reported_slowdown::factor(now, self.reported_load);
-            self.call_time.learn(WorkMillis(call_time.0 / factor));
+            self.call_time.record(WorkMillis(call_time.0 / factor));
         }
     }
 
@@ -298,7 +298,7 @@
     pub(crate) fn reopen(&mut self, now: Time) -> bool {
         let is_due = self
             .replaced
-            .is_some_and(|replaced| endpoint_exclusion::may_reopen(now, replaced));
+            .is_some_and(|replaced| endpoint_exclusion::may_use_replaced(now, replaced));
         if is_due {
             self.replaced = None;
         }
--- a/lib/src/gateway/routing/endpoint_states.rs
+++ b/lib/src/gateway/routing/endpoint_states.rs
@@ -16,8 +16,8 @@
             },
             rules::{
                 allowed_regions::{RegionHash, Regions},
-                distance::{RegionWay, are_apart},
-                eligibility::{Exclusion, LeftOut, Places},
+                distance::{RegionRoundTrip, in_different_regions},
+                eligibility::{AllowedDataCentres, Exclusion, ExclusionCounts},
                 endpoint_choice::{self, EndpointChoice, Placement},
                 reply_proof::EndpointOutcome,
             },
@@ -53,7 +53,7 @@
     /// The region of this daemon; nothing if it isn't known or there is no other one.
     home: Option<RegionHash>,
     /// The ways to other regions.
-    ways: HashMap<RegionHash, RegionWay>,
+    round_trips: HashMap<RegionHash, RegionRoundTrip>,
     /// Number from which this daemon's order of equal endpoints follows; nothing for the order of their entries.
     seed: Option<u64>,
 }
@@ -91,10 +91,10 @@
     }
 
     /// Returns the way to a region and back; nothing for this daemon's own one.
-    pub fn way(&self, now: Time, region: Option<RegionHash>) -> Option<WorkMillis> {
-        let region = region.filter(|_| are_apart(self.home, region))?;
-        let way = self.ways.get(&region).copied().unwrap_or_default();
-        Some(way.time(now))
+    pub fn round_trip(&self, now: Time, region: Option<RegionHash>) -> Option<WorkMillis> {
+        let region = region.filter(|_| in_different_regions(self.home, region))?;
+        let round_trip = self.round_trips.get(&region).copied().unwrap_or_default();
+        Some(round_trip.time(now))
     }
 
     fn add(&mut self, now: Time, entry: Arc<EndpointEntry>) {
@@ -163,7 +163,7 @@
     /// Returns the open endpoints of a service whose calls this daemon may plan: those of its region, and any where
     /// there is none.
     pub fn planned(&self, id: &ServiceId) -> Vec<&EndpointState> {
-        let near = |member: &&EndpointState| !are_apart(self.home, member.region);
+        let near = |member: &&EndpointState| !in_different_regions(self.home, member.region);
         let planned: Vec<&EndpointState> = self.open(id).filter(near).collect();
         if planned.is_empty() {
             return self.open(id).collect();
@@ -196,11 +196,15 @@
     /// # Errors
     ///
     /// Returns why each endpoint was left out if there is none.
-    pub fn any_open(&self, id: &ServiceId, places: &Places) -> Result<(), LeftOut> {
-        let mut left_out = LeftOut::default();
+    pub fn any_open(
+        &self,
+        id: &ServiceId,
+        places: &AllowedDataCentres,
+    ) -> Result<(), ExclusionCounts> {
+        let mut left_out = ExclusionCounts::default();
         for member in self.service(id) {
             let away = !places.allow(&member.entry.data_centre);
-            let away = away.then_some(Exclusion::Away);
+            let away = away.then_some(Exclusion::NotAllowed);
             match member.standing().exclusion().or(away) {
                 Some(reason) => left_out.count(reason),
                 None => return Ok(()),
@@ -240,8 +244,8 @@
         here: &DataCentreId,
         service: &ServiceId,
         placement: &Placement<'_>,
-    ) -> Result<EndpointChoice, LeftOut> {
-        let mut left_out = LeftOut::default();
+    ) -> Result<EndpointChoice, ExclusionCounts> {
+        let mut left_out = ExclusionCounts::default();
         let mut candidates = Vec::new();
         for member in self.service(service) {
             if placement.tried.contains(&member.entry.id) {
@@ -252,14 +256,17 @@
                 Some(reason) => left_out.count(reason),
                 None => {
                     let limit = self.rates.limit(now, member.life);
-                    let way = self.way(now, member.region);
-                    candidates.push(member.candidate(now, placement, limit, way));
+                    let round_trip = self.round_trip(now, member.region);
+                    candidates.push(member.candidate(now, placement, limit, round_trip));
                 }
             }
         }
         let choice = endpoint_choice::choose(&candidates, here, placement);
         choice
-            .map(|choice| EndpointChoice { left_out, ..choice })
+            .map(|choice| EndpointChoice {
+                excluded: left_out,
+                ..choice
+            })
             .ok_or(left_out)
     }
 
@@ -334,7 +341,7 @@
         &self,
         now: Time,
         service: &ServiceId,
-        places: &Places,
+        places: &AllowedDataCentres,
         urgency: u32,
     ) -> Option<Millis> {
         let mut open = self
@@ -391,8 +398,11 @@
     /// Records that a connection to an endpoint came up after a time.
     pub fn connected(&mut self, now: Time, entry: &EndpointEntry, took: WorkMillis) {
         let region = self.of_life(entry).and_then(|member| member.region);
-        if let Some(region) = region.filter(|_| are_apart(self.home, region)) {
-            self.ways.entry(region).or_default().record(now, took);
+        if let Some(region) = region.filter(|_| in_different_regions(self.home, region)) {
+            self.round_trips
+                .entry(region)
+                .or_default()
+                .record(now, took);
         }
     }
 
--- a/lib/src/gateway/routing/endpoint_states/notices.rs
+++ b/lib/src/gateway/routing/endpoint_states/notices.rs
@@ -7,7 +7,7 @@
         gateway::{
             directory::endpoint_entry::EndpointEntry,
             routing::{endpoint_notices::EndpointNotices, endpoint_state::EndpointState},
-            rules::eligibility::{Exclusion, Places},
+            rules::eligibility::{AllowedDataCentres, Exclusion},
         },
         shared::{ids::ServiceId, units::Time},
     },
@@ -50,19 +50,19 @@
     /// Returns whether an endpoint wants nothing just now.
     pub(crate) fn is_resting(&self, entry: &EndpointEntry) -> bool {
         let member = self.life(entry);
-        member.is_some_and(|member| member.standing().resting)
+        member.is_some_and(|member| member.standing().cooling_down)
     }
 
     /// Returns when the first endpoint of a service in `places` has rested; nothing where one takes requests now, or where
     /// none rests.
-    pub fn rest_end(&self, id: &ServiceId, places: &Places) -> Option<Time> {
+    pub fn rest_end(&self, id: &ServiceId, places: &AllowedDataCentres) -> Option<Time> {
         let near = |member: &&EndpointState| places.allow(&member.entry.data_centre);
         if self.open(id).any(|member| near(&member)) {
             return None;
         }
         let members = self.service(id).filter(near);
         let resting =
-            members.filter(|member| member.standing().exclusion() == Some(Exclusion::Resting));
+            members.filter(|member| member.standing().exclusion() == Some(Exclusion::CoolingDown));
         resting.filter_map(|member| member.notices.rest()).min()
     }
 
--- a/lib/src/gateway/routing/forward.rs
+++ b/lib/src/gateway/routing/forward.rs
@@ -23,7 +23,7 @@
             rules::{
                 allowed_regions::RegionHash,
                 attempt_timeout::{AttemptPlan, attempt_timeout},
-                eligibility::LeftOut,
+                eligibility::ExclusionCounts,
                 endpoint_choice::EndpointChoice,
                 outcome::UnansweredEnd,
                 reply_proof::{NotRunReason, is_endpoint_failure},
@@ -163,7 +163,7 @@
         }
     }
 
-    async fn choose(&self) -> Result<EndpointChoice, LeftOut> {
+    async fn choose(&self) -> Result<EndpointChoice, ExclusionCounts> {
         let (tried, results) = (&self.progress.tried, self.results.as_ref());
         self.gateway
             .choose_permitted(self.call, tried, results)
@@ -176,9 +176,9 @@
             endpoint:% = choice.entry.id,
             expected_ms = choice.expected.0,
             uncached = choice.uncached,
-            outstanding = choice.outstanding,
+            outstanding = choice.in_flight,
             candidates = choice.candidates,
-            left_out:% = choice.left_out,
+            left_out:% = choice.excluded,
             attempt = self.progress.history.sent() + 1,
             left_ms = self.call.remaining(self.gateway.now()).0;
             "attempt.sent"
@@ -190,7 +190,7 @@
         let request = outbound_request(self.gateway, self.call, &choice, results, resume_after);
         // An endpoint without a free slot takes its inputs later.
         if let Some(results) = results
-            && choice.outstanding < choice.entry.slots
+            && choice.in_flight < choice.entry.slots
         {
             results.release_once_fetched();
         }
@@ -295,7 +295,7 @@
         let state = self.gateway.state.borrow();
         let (service, places) = (&self.call.service, &self.call.places);
         if let Some(rested) = state.endpoints.rest_end(service, places) {
-            return retry_after::after_rest(now, rested);
+            return retry_after::after_cooldown(now, rested);
         }
         let members = state.endpoints.open(service);
         retry_after::after_attempts(members.filter_map(|member| Some(member.reported_load?.1)))
@@ -329,7 +329,7 @@
 const QUARANTINED: &str = "endpoints ended under this request";
 
 /// Describes to the caller why no endpoint gets the request.
-fn no_endpoint(left_out: LeftOut) -> String {
+fn no_endpoint(left_out: ExclusionCounts) -> String {
     format!("no endpoint is left; left out: {left_out}")
 }
 
--- a/lib/src/gateway/routing/outbound.rs
+++ b/lib/src/gateway/routing/outbound.rs
@@ -6,7 +6,7 @@
             dialect::{Dialect, Outbound},
             routing::call::ForwardedCall,
             rules::{
-                eligibility::{LeftOut, Places},
+                eligibility::{AllowedDataCentres, ExclusionCounts},
                 endpoint_choice::{EndpointChoice, Placement},
             },
             stages::stage_results::Results,
@@ -30,7 +30,7 @@
     call: &ForwardedCall,
     tried: &[EndpointId],
     results: Option<&Results<D>>,
-) -> Result<EndpointChoice, LeftOut> {
+) -> Result<EndpointChoice, ExclusionCounts> {
     choose_endpoint_in(gateway, call, &call.places, tried, results)
 }
 
@@ -38,10 +38,10 @@
 pub(crate) fn choose_endpoint_in<D: Dialect>(
     gateway: &Gateway<D>,
     call: &ForwardedCall,
-    places: &Places,
+    places: &AllowedDataCentres,
     tried: &[EndpointId],
     results: Option<&Results<D>>,
-) -> Result<EndpointChoice, LeftOut> {
+) -> Result<EndpointChoice, ExclusionCounts> {
     // A request without stages takes no results, wherever they are.
     let inputs = results.map(Results::input_locations).unwrap_or_default();
     let placement = Placement {
@@ -50,7 +50,7 @@
         tried,
         inputs: &inputs,
         connection_limit: gateway.connections_each(&call.service),
-        places,
+        allowed: places,
         cold_share: gateway.cold_share(&call.service),
         cold_start: gateway.cold_start(&call.service),
         urgency: call.urgency,
--- a/lib/src/gateway/routing/permits.rs
+++ b/lib/src/gateway/routing/permits.rs
@@ -11,9 +11,9 @@
             rates::note::PermitNote,
             routing::{call::ForwardedCall, outbound::choose_endpoint},
             rules::{
-                eligibility::{Exclusion, LeftOut},
+                eligibility::{Exclusion, ExclusionCounts},
                 endpoint_choice::EndpointChoice,
-                endpoint_rate::{CLAIM_RENEWAL, longest_wait, may_wait},
+                endpoint_rate::{CLAIM_RENEWAL_INTERVAL, longest_wait, may_wait},
             },
             stages::stage_results::Results,
             state::Gateway,
@@ -41,7 +41,7 @@
         call: &ForwardedCall,
         tried: &[EndpointId],
         results: Option<&Results<D>>,
-    ) -> Result<EndpointChoice, LeftOut> {
+    ) -> Result<EndpointChoice, ExclusionCounts> {
         let longest = longest_wait(call.route.objective);
         let end = call.deadline.min(self.now() + longest);
         let mut place = None;
@@ -51,7 +51,7 @@
             self.end_rests();
             let choice = choose_endpoint(self, call, tried, results);
             let left_out = match &choice {
-                Ok(choice) => choice.left_out,
+                Ok(choice) => choice.excluded,
                 Err(left_out) => *left_out,
             };
             if left_out.of(Exclusion::Limited) == 0 {
@@ -68,7 +68,7 @@
                 return choice;
             }
             // A claim that isn't renewed ends.
-            let renewal = self.now() + CLAIM_RENEWAL;
+            let renewal = self.now() + CLAIM_RENEWAL_INTERVAL;
             let is_over = self.before(end.min(renewal), permits).await.is_none();
             if is_over && self.now() >= end {
                 return Err(left_out);
--- a/lib/src/gateway/routing/quarantine.rs
+++ b/lib/src/gateway/routing/quarantine.rs
@@ -6,7 +6,7 @@
         directory::endpoint_entry::EndpointEntry,
         hashes::{LifeHash, life_hash},
         request_digest::RequestDigest,
-        rules::quarantine::ENDED_LIMIT,
+        rules::quarantine::TERMINATED_LIMIT,
         state::{Gateway, GatewayState},
     },
     shared::problem::{Code, Problem},
@@ -56,7 +56,7 @@
         match self.state.borrow().quarantine.left(now, digest) {
             None => Ok(()),
             Some(left) => {
-                let detail = format!("{ENDED_LIMIT} endpoints ended under this request");
+                let detail = format!("{TERMINATED_LIMIT} endpoints ended under this request");
                 Err(Problem::not_run(Code::Quarantined, detail).retry_after(left))
             }
         }
--- a/lib/src/gateway/routing/region_choice.rs
+++ b/lib/src/gateway/routing/region_choice.rs
@@ -9,7 +9,7 @@
         routing::{call::ForwardedCall, stage_load::admit},
         rules::{
             allowed_regions::RegionHash,
-            eligibility::Places,
+            eligibility::AllowedDataCentres,
             request_region::{self, RegionDecision},
         },
         stages::{chain_request::ChainRequest, job::piece_count},
@@ -61,7 +61,7 @@
     gateway: &Gateway<D>,
     call: &ForwardedCall,
     region: Option<RegionHash>,
-) -> Option<Places> {
+) -> Option<AllowedDataCentres> {
     let state = gateway.state.borrow();
     let region = region.or(state.endpoints.home());
     let inside = gateway.settings().regions.within(&call.places, region);
--- a/lib/src/gateway/routing/reply_notices.rs
+++ b/lib/src/gateway/routing/reply_notices.rs
@@ -5,7 +5,7 @@
         gateway::{
             dialect::{Dialect, LeaveNotice, ReplyFacts, ReplyWait},
             directory::endpoint_entry::EndpointEntry,
-            rules::endpoint_cooldown::asked_rest,
+            rules::endpoint_cooldown::requested_cooldown,
             state::Gateway,
         },
         shared::units::Millis,
@@ -24,7 +24,7 @@
         if facts.leave != LeaveNotice::None {
             self.record_leave(endpoint);
         }
-        match asked_rest(status, facts.wait) {
+        match requested_cooldown(status, facts.wait) {
             Some(rest) => self.record_rest(endpoint, rest),
             None => self.state.borrow_mut().endpoints.end_trial(endpoint),
         }
--- a/lib/src/gateway/routing/stage_load.rs
+++ b/lib/src/gateway/routing/stage_load.rs
@@ -9,8 +9,8 @@
         hashes::service_hash,
         rules::{
             admission::{
-                self, AdmissionDecision, AdmissionRequest, CountSources, PieceCount, PlannedStage,
-                StageService,
+                self, AdmissionDecision, AdmissionRequest, EndpointCounts, PieceCount,
+                PlannedStage, StageService,
             },
             allowed_regions::RegionHash,
             backlog::{Backlog, DeadlineBucket},
@@ -31,14 +31,18 @@
 pub(crate) fn admit<D: Dialect>(gateway: &Gateway<D>, request: &ChainRequest) -> AdmissionDecision {
     let route = &request.route;
     let now = gateway.now();
-    let way = gateway.state.borrow().endpoints.way(now, request.region);
+    let round_trip = gateway
+        .state
+        .borrow()
+        .endpoints
+        .round_trip(now, request.region);
     let stages = (0..route.stages.len()).map(|place| planned_stage(gateway, request, place));
     admission::decide(&AdmissionRequest {
         stages: stages.collect(),
         objective: route.objective,
         rank: route.rank,
         tokens: request.tokens,
-        way: way.unwrap_or(WorkMillis(0.0)),
+        round_trip: round_trip.unwrap_or(WorkMillis(0.0)),
     })
 }
 
@@ -78,10 +82,10 @@
     });
     let state = gateway.state.borrow();
     StageService {
-        endpoints: endpoint_counts(&state, now, service, request).believed(),
+        endpoints: endpoint_counts(&state, now, service, request).usable(),
         batch: stated.batch,
         cost: stated.cost,
-        room: stated.room,
+        result_capacity: stated.room,
         outstanding: PieceCount(f64::from(outstanding)),
     }
 }
@@ -123,19 +127,19 @@
     now: Time,
     service: &ServiceId,
     request: &ChainRequest,
-) -> CountSources {
+) -> EndpointCounts {
     let open = state.endpoints.open(service);
     let listed = open.filter(|member| request.places.allow(&member.entry.data_centre));
     if let Some(region) = request.region {
         let far = state.peers.far_service(now, service, region);
-        return CountSources {
-            own_queue: None,
+        return EndpointCounts {
+            local_queue: None,
             peers: far.map(|far| far.endpoints),
             listed: listed.count(),
         };
     }
-    CountSources {
-        own_queue: state.planning.available_endpoints(now, service),
+    EndpointCounts {
+        local_queue: state.planning.available_endpoints(now, service),
         peers: state.peers.available_endpoints(service_hash(service)),
         listed: listed.count(),
     }
--- a/lib/src/gateway/routing/stages.rs
+++ b/lib/src/gateway/routing/stages.rs
@@ -16,7 +16,7 @@
                 admission::AdmissionDecision,
                 allowed_regions::RegionHash,
                 request_region::RegionDecision,
-                retry_after::{NO_ENDPOINT, STAGE_FAILED, after_permits, after_rest},
+                retry_after::{NO_ENDPOINT, STAGE_FAILED, after_cooldown, after_permits},
             },
             stages::{
                 chain::{self, ChainError},
@@ -78,7 +78,7 @@
         if let Err(left_out) = endpoints.any_open(service, &call.places) {
             let detail = format!("no endpoint of {service} may get work; left out: {left_out}");
             let rested = endpoints.rest_end(service, &call.places);
-            let wait = rested.map_or(NO_ENDPOINT, |rested| after_rest(now, rested));
+            let wait = rested.map_or(NO_ENDPOINT, |rested| after_cooldown(now, rested));
             return Err(Problem::not_run(Code::NoEndpoint, detail).retry_after(wait));
         }
     }
--- a/lib/src/gateway/routing/stream_resume.rs
+++ b/lib/src/gateway/routing/stream_resume.rs
@@ -161,7 +161,7 @@
             request = call.id(),
             endpoint:% = choice.entry.id,
             why,
-            left_out:% = choice.left_out,
+            left_out:% = choice.excluded,
             last_event = last_event.unwrap_or(0);
             "attempt.resumed"
         );
--- a/lib/src/gateway/rules/admission.rs
+++ b/lib/src/gateway/rules/admission.rs
@@ -8,7 +8,7 @@
 //! Rule: the outstanding pieces of a service that go ahead (`rules::backlog`), divided by the service's throughput,
 //! plus the wait for the first endpoint to become free, give the time at which a new piece starts. Adding the time of a
 //! call at the present load, and of the stages before, gives the time until all stages have ended. The request is
-//! admitted if that time and its own fit into its objective, less `RANK_MARGIN` of the objective for each rank.
+//! admitted if that time and its own fit into its objective, less `RANK_FRACTION` of the objective for each rank.
 //!
 //! Reason: work that starts and doesn't finish in time displaces work that could have finished. `test_stage_admission`
 //! checks the rule.
@@ -19,23 +19,23 @@
 };
 
 /// Time that a request needs besides its stages and its prompt.
-const OWN: WorkMillis = WorkMillis(80.0);
+const REQUEST_OVERHEAD: WorkMillis = WorkMillis(80.0);
 
 /// Upper bound on the time of a request itself that counts against its admission. A long prompt costs the stages no
 /// more than a short one; without the bound, long prompts would be refused for their length alone and never be served.
-const MOST_OWN: WorkMillis = WorkMillis(200.0);
+const MAX_REQUEST_TIME: WorkMillis = WorkMillis(200.0);
 
 /// Fraction of the theoretical throughput of a service that it reaches in practice.
-const EFFICIENCY: f64 = 0.85;
+const THROUGHPUT_FRACTION: f64 = 0.85;
 
 /// Time for which an endpoint keeps results after the call that computed them.
-const KEPT: WorkMillis = WorkMillis(350.0);
+const RESULT_RETENTION: WorkMillis = WorkMillis(350.0);
 
 /// Fraction of the objective that the expected time may take at rank 0.
-const MARGIN: f64 = 1.0;
+const OBJECTIVE_FRACTION: f64 = 1.0;
 
 /// Fraction of the objective that has to stay free for each rank.
-const RANK_MARGIN: f64 = 0.05;
+const RANK_FRACTION: f64 = 0.05;
 
 /// A number of pieces or of their results. It may be fractional, since averages are.
 #[derive(Debug, Clone, Copy, PartialEq, PartialOrd)]
@@ -51,7 +51,7 @@
     /// Cost of a call, as a function of its pieces.
     pub cost: CallCost,
     /// Number of results that one endpoint can hold.
-    pub room: PieceCount,
+    pub result_capacity: PieceCount,
     /// Pieces that any daemon has admitted and that aren't completed yet.
     pub outstanding: PieceCount,
 }
@@ -59,7 +59,7 @@
 impl StageService {
     /// Returns the number of endpoints that share the load. At least 1: a service without endpoints is expected to get
     /// one back.
-    fn sharing(&self) -> f64 {
+    fn sharing_endpoints(&self) -> f64 {
         self.endpoints.max(1) as f64
     }
 
@@ -67,7 +67,7 @@
     fn fill(&self) -> f64 {
         let batch = self.batch as f64;
         let call = self.cost.expected(batch).0;
-        let by_room = self.room.0 * call / (call + KEPT.0);
+        let by_room = self.result_capacity.0 * call / (call + RESULT_RETENTION.0);
         batch.min(by_room).max(1.0)
     }
 
@@ -75,22 +75,22 @@
     fn pieces_per_ms(&self) -> f64 {
         let fill = self.fill();
         let call = self.cost.expected(fill).0;
-        self.sharing() * fill / call * EFFICIENCY
+        self.sharing_endpoints() * fill / call * THROUGHPUT_FRACTION
     }
 
     /// Returns the time until the first endpoint is free for a piece with nothing ahead of it. Running calls are not
     /// interrupted. Endpoints whose calls began at random times become free one after the other within the time of one
     /// call. Without this wait the estimate is too low, and the value of the answers on days with failures falls.
-    fn busy_wait(&self) -> WorkMillis {
+    fn free_endpoint_wait(&self) -> WorkMillis {
         let call = self.cost.expected(self.fill()).0;
         let backlog = self.outstanding.0 / self.pieces_per_ms();
         let busy = (backlog / call).min(1.0);
-        WorkMillis(busy * call / (self.sharing() + 1.0))
+        WorkMillis(busy * call / (self.sharing_endpoints() + 1.0))
     }
 
     /// Returns the time of a call with `pieces` pieces of one request, at the present load.
-    fn usual_call(&self, pieces: f64) -> WorkMillis {
-        let share = self.outstanding.0 / self.sharing();
+    fn expected_call(&self, pieces: f64) -> WorkMillis {
+        let share = self.outstanding.0 / self.sharing_endpoints();
         let fill = share.clamp(pieces, self.fill().max(pieces));
         self.cost.expected(fill)
     }
@@ -98,21 +98,21 @@
 
 /// The number of endpoints of a service that get calls, by each source that has a count.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct CountSources {
+pub struct EndpointCounts {
     /// Count of this daemon's own queue of the service; `None` if it has no jobs for the service.
-    pub own_queue: Option<usize>,
+    pub local_queue: Option<usize>,
     /// Count that other daemons reported; `None` if none of them has a queue of the service.
     pub peers: Option<usize>,
     /// Endpoints in the endpoint list that aren't draining.
     pub listed: usize,
 }
 
-impl CountSources {
+impl EndpointCounts {
     /// Returns the count to use. A queue with jobs sees which endpoints are slow or excluded for a time; this daemon's
     /// own queue is the most recent, then the queues that other daemons report. Neither may know yet that an endpoint
     /// has left, so the listed count is an upper bound.
-    pub fn believed(&self) -> usize {
-        let reported = self.own_queue.or(self.peers);
+    pub fn usable(&self) -> usize {
+        let reported = self.local_queue.or(self.peers);
         reported.unwrap_or(self.listed).min(self.listed)
     }
 }
@@ -143,7 +143,7 @@
     pub tokens: u32,
     /// Round-trip time to the region where the request would run, which each stage and the request itself takes once; 0
     /// for the local region.
-    pub way: WorkMillis,
+    pub round_trip: WorkMillis,
 }
 
 /// Result of the admission of a request.
@@ -164,12 +164,12 @@
 }
 
 /// Estimates the time from the end of a request's stages to its first event, with a prompt of `tokens` tokens.
-pub fn own_time(tokens: u32) -> WorkMillis {
-    WorkMillis(OWN.0 + f64::from(tokens) / TOKENS_PER_MS)
+pub fn request_time(tokens: u32) -> WorkMillis {
+    WorkMillis(REQUEST_OVERHEAD.0 + f64::from(tokens) / TOKENS_PER_MS)
 }
 
-/// Estimates the time until all stages have ended, where each stage takes one round trip of `way`.
-pub fn stages_time(stages: &[PlannedStage], way: WorkMillis) -> WorkMillis {
+/// Estimates the time until all stages have ended, where each stage takes the time `round_trip` in addition.
+pub fn stages_time(stages: &[PlannedStage], round_trip: WorkMillis) -> WorkMillis {
     let mut ends = Vec::with_capacity(stages.len());
     for stage in stages {
         // A validated table refers to earlier stages only, so each of them has an end time here.
@@ -183,20 +183,21 @@
             continue;
         }
         let service = &stage.service;
-        let queued = service.busy_wait().0 + stage.ahead.0 / service.pieces_per_ms();
-        let call = service.usual_call(f64::from(stage.pieces));
-        ends.push(queued.max(before) + call.0 + way.0);
+        let queued = service.free_endpoint_wait().0 + stage.ahead.0 / service.pieces_per_ms();
+        let call = service.expected_call(f64::from(stage.pieces));
+        ends.push(queued.max(before) + call.0 + round_trip.0);
     }
     WorkMillis(ends.into_iter().fold(0.0, f64::max))
 }
 
 /// Decides whether a request is admitted.
 pub fn decide(request: &AdmissionRequest) -> AdmissionDecision {
-    let own = own_time(request.tokens).0.min(MOST_OWN.0);
-    let expected_ms = stages_time(&request.stages, request.way).0 + request.way.0 + own;
+    let own = request_time(request.tokens).0.min(MAX_REQUEST_TIME.0);
+    let expected_ms =
+        stages_time(&request.stages, request.round_trip).0 + request.round_trip.0 + own;
     let expected = WorkMillis(expected_ms);
     let objective = request.objective.0 as f64;
-    let allowed = objective * (MARGIN - RANK_MARGIN * f64::from(request.rank));
+    let allowed = objective * (OBJECTIVE_FRACTION - RANK_FRACTION * f64::from(request.rank));
     if expected_ms <= allowed {
         return AdmissionDecision::Admit { expected };
     }
--- a/lib/src/gateway/rules/allowed_regions.rs
+++ b/lib/src/gateway/rules/allowed_regions.rs
@@ -14,7 +14,7 @@
 
 use {
     crate::{
-        gateway::{rules::eligibility::Places, table::HomeRegions},
+        gateway::{rules::eligibility::AllowedDataCentres, table::HomeRegions},
         shared::ids::{DataCentreId, RegionId},
     },
     serde::{Deserialize, Serialize},
@@ -58,27 +58,35 @@
         others
     }
 
-    /// Returns those of `places` that are in `region`, or all of them if `region` is `None`.
-    pub fn within(&self, places: &Places, region: Option<RegionHash>) -> Places {
+    /// Returns those of `allowed` that are in `region`, or all of them if `region` is `None`.
+    pub fn within(
+        &self,
+        allowed: &AllowedDataCentres,
+        region: Option<RegionHash>,
+    ) -> AllowedDataCentres {
         if region.is_none() {
-            return places.clone();
+            return allowed.clone();
         }
         let known = self.0.keys();
-        let inside = known.filter(|place| self.region(place) == region && places.allow(place));
-        Places::Only(Arc::new(inside.cloned().collect()))
+        let inside = known
+            .filter(|data_centre| self.region(data_centre) == region && allowed.allow(data_centre));
+        AllowedDataCentres::Only(Arc::new(inside.cloned().collect()))
     }
 
     /// Returns the data centres where requests of a route and a customer may run; there may be none.
-    pub fn places(&self, route: &HomeRegions, customer: &HomeRegions) -> Places {
+    pub fn allowed(&self, route: &HomeRegions, customer: &HomeRegions) -> AllowedDataCentres {
         if route.is_none() && customer.is_none() {
-            return Places::Anywhere;
+            return AllowedDataCentres::Anywhere;
         }
-        let is_home = |region: &RegionId| {
-            let named = |homes: &HomeRegions| homes.as_ref().is_none_or(|all| all.contains(region));
-            named(route) && named(customer)
+        let is_allowed = |region: &RegionId| {
+            let includes =
+                |regions: &HomeRegions| regions.as_ref().is_none_or(|all| all.contains(region));
+            includes(route) && includes(customer)
         };
-        let homes = self.0.iter().filter(|(_, region)| is_home(region));
-        let places: BTreeSet<DataCentreId> = homes.map(|(place, _)| place.clone()).collect();
-        Places::Only(Arc::new(places))
+        let regions = self.0.iter().filter(|(_, region)| is_allowed(region));
+        let allowed: BTreeSet<DataCentreId> = regions
+            .map(|(data_centre, _)| data_centre.clone())
+            .collect();
+        AllowedDataCentres::Only(Arc::new(allowed))
     }
 }
--- a/lib/src/gateway/rules/cold_share.rs
+++ b/lib/src/gateway/rules/cold_share.rs
@@ -5,9 +5,10 @@
 //! that this daemon drew for the endpoint.
 //!
 //! Rule: if the endpoint can take at least one request per second from each daemon, each daemon sends its whole share,
-//! evenly spaced. Otherwise daemons take turns: each may send one request within a time slot of length `TURN`. The slot
-//! recurs at the daemon's phase, at an interval with which all daemons together send `MEAN_PART` of what the endpoint
-//! can take on average. An unused turn is lost. A daemon that doesn't know the other daemons yet sends nothing.
+//! evenly spaced. Otherwise daemons take turns: each may send one request within a time slot of length `LONGEST_TURN`.
+//! The slot recurs at the daemon's phase, at an interval with which all daemons together send `MEAN_FRACTION` of what
+//! the endpoint can take on average. An unused turn is lost. A daemon that doesn't know the other daemons yet sends
+//! nothing.
 //!
 //! Reason: an endpoint that has just started fails under more load, and daemons don't coordinate. Shares that
 //! accumulate would all be used in the same second once a key becomes hot; turns with random phases coincide only by
@@ -23,11 +24,11 @@
 };
 
 /// Maximum length of a daemon's turn, long enough that a request usually arrives in it.
-const TURN: Millis = Millis(1_000);
+const LONGEST_TURN: Millis = Millis(1_000);
 
 /// Fraction of an endpoint's capacity that daemons use on average when they take turns. By calculation, at a mean of 6
 /// requests per second, 21 or more coincide in 1 of 690,000 seconds.
-const MEAN_PART: f64 = 0.3;
+const MEAN_FRACTION: f64 = 0.3;
 
 /// Time over which a daemon spreads its whole share, in seconds. The tenth beyond one second covers requests that take
 /// different times on the network.
@@ -47,18 +48,18 @@
 }
 
 impl ColdShare {
-    /// Returns the share of one of `daemons` daemons if an endpoint can take `bearable` requests per second; `None`
+    /// Returns the share of one of `daemons` daemons if an endpoint can take `capacity` requests per second; `None`
     /// means any number.
-    pub fn new(bearable: Option<f64>, daemons: usize) -> Self {
-        let Some(bearable) = bearable else {
+    pub fn new(capacity: Option<f64>, daemons: usize) -> Self {
+        let Some(capacity) = capacity else {
             return Self::Unlimited;
         };
         let daemons = daemons.max(1) as f64;
-        let whole = (bearable / daemons).floor();
+        let whole = (capacity / daemons).floor();
         if whole >= 1.0 {
             return Self::Spaced(Duration::from_secs_f64(SPREAD_S / whole));
         }
-        let mean = bearable.max(1.0) * MEAN_PART;
+        let mean = capacity.max(1.0) * MEAN_FRACTION;
         Self::Turns(Duration::from_secs_f64(daemons / mean))
     }
 
@@ -78,5 +79,5 @@
 
 fn is_turn(now: Time, round: Duration, phase: f64) -> bool {
     let rounds = now.since(Time::default()).as_secs_f64() / round.as_secs_f64() + phase;
-    round.mul_f64(rounds.fract()) < TURN.to_duration().min(round / 2)
+    round.mul_f64(rounds.fract()) < LONGEST_TURN.to_duration().min(round / 2)
 }
--- a/lib/src/gateway/rules/connections.rs
+++ b/lib/src/gateway/rules/connections.rs
@@ -12,12 +12,12 @@
 //! Tests: `lib/tests/test_connections.rs`.
 
 /// Minimum number of requests that a daemon may have in flight at an endpoint, whatever the number of daemons.
-const LEAST_SHARE: usize = 1;
+const MIN_SHARE: usize = 1;
 
 /// Returns the number of requests that one daemon may have in flight at an endpoint that accepts `accepted`
 /// connections; `u32::MAX` if it has no limit.
 pub fn in_flight_limit(accepted: Option<usize>, daemons: usize) -> u32 {
     let accepted = accepted.unwrap_or(usize::MAX);
-    let share = (accepted / daemons.max(1)).max(LEAST_SHARE);
+    let share = (accepted / daemons.max(1)).max(MIN_SHARE);
     u32::try_from(share).unwrap_or(u32::MAX)
 }
--- a/lib/src/gateway/rules/distance.rs
+++ b/lib/src/gateway/rules/distance.rs
@@ -5,7 +5,7 @@
 //!
 //! Rule: two data centres are in different regions if both regions are known and differ. The round-trip time to another
 //! region is the shortest time in which a connection there was established within the last one to two windows of length
-//! `WINDOW`, or `UNKNOWN_WAY` if there was none.
+//! `MEASUREMENT_WINDOW`, or `UNKNOWN_ROUND_TRIP` if there was none.
 //!
 //! Reason: establishing a connection takes one round trip plus delays of the peer and the network; the shortest time is
 //! closest to the round trip alone. Between data centres of one region the round trip is negligible for the decisions
@@ -19,33 +19,33 @@
 };
 
 /// Length of a window over which the shortest time is taken, so that a route that became longer is noticed.
-const WINDOW: Millis = Millis(15_000);
+const MEASUREMENT_WINDOW: Millis = Millis(15_000);
 
 /// Round-trip time to a region to which no connection was established recently: about that across a continent.
-const UNKNOWN_WAY: WorkMillis = WorkMillis(50.0);
+const UNKNOWN_ROUND_TRIP: WorkMillis = WorkMillis(50.0);
 
 /// Returns whether two regions are known and differ.
-pub fn are_apart(one: Option<RegionHash>, other: Option<RegionHash>) -> bool {
+pub fn in_different_regions(one: Option<RegionHash>, other: Option<RegionHash>) -> bool {
     matches!((one, other), (Some(one), Some(other)) if one != other)
 }
 
 /// Estimate of the round-trip time to one region, from connections established there.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
-pub struct RegionWay {
+pub struct RegionRoundTrip {
     /// Start of the current window.
-    since: Time,
+    window_start: Time,
     /// Shortest time in the current window; `None` if no connection was established in it.
-    least: Option<WorkMillis>,
+    current: Option<WorkMillis>,
     /// Shortest time in the previous window; `None` if no connection was established in it.
-    before: Option<WorkMillis>,
+    previous: Option<WorkMillis>,
 }
 
-impl RegionWay {
+impl RegionRoundTrip {
     /// Records that establishing a connection took the time `took`.
     pub fn record(&mut self, now: Time, took: WorkMillis) {
         self.advance(now);
-        self.least = Some(
-            self.least
+        self.current = Some(
+            self.current
                 .map_or(took, |least| WorkMillis(least.0.min(took.0))),
         );
     }
@@ -53,20 +53,20 @@
     /// Returns the estimated round-trip time.
     pub fn time(mut self, now: Time) -> WorkMillis {
         self.advance(now);
-        let times = self.least.into_iter().chain(self.before);
+        let times = self.current.into_iter().chain(self.previous);
         let least = times.map(|time| time.0).reduce(f64::min);
-        least.map_or(UNKNOWN_WAY, WorkMillis)
+        least.map_or(UNKNOWN_ROUND_TRIP, WorkMillis)
     }
 
     /// Starts a new window if the current one is over.
     fn advance(&mut self, now: Time) {
-        let window = WINDOW.to_duration();
-        let passed = now.since(self.since);
+        let window = MEASUREMENT_WINDOW.to_duration();
+        let passed = now.since(self.window_start);
         if passed < window {
             return;
         }
-        let least = self.least.take();
-        self.before = least.filter(|_| passed < window * 2);
-        self.since = now;
+        let least = self.current.take();
+        self.previous = least.filter(|_| passed < window * 2);
+        self.window_start = now;
     }
 }
--- a/lib/src/gateway/rules/eligibility.rs
+++ b/lib/src/gateway/rules/eligibility.rs
@@ -21,7 +21,7 @@
 
 /// The data centres where a request may run.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub enum Places {
+pub enum AllowedDataCentres {
     /// All data centres.
     #[default]
     Anywhere,
@@ -29,7 +29,7 @@
     Only(Arc<BTreeSet<DataCentreId>>),
 }
 
-impl Places {
+impl AllowedDataCentres {
     /// Returns whether the request may run in a data centre.
     pub fn allow(&self, data_centre: &DataCentreId) -> bool {
         match self {
@@ -69,11 +69,11 @@
     /// Its data centre is being evacuated.
     Evacuated,
     /// The request may not run in its data centre.
-    Away,
+    NotAllowed,
     /// It answered as another endpoint, or as leaving.
     Replaced,
     /// It refused a request and asked this daemon to send nothing for a time.
-    Resting,
+    CoolingDown,
     /// It is cold, and this daemon has used its share of the requests to it.
     Cold,
     /// It advertises a rate limit, and this daemon has no permit for another request.
@@ -87,9 +87,9 @@
     pub const ALL: [Self; 8] = [
         Self::Draining,
         Self::Evacuated,
-        Self::Away,
+        Self::NotAllowed,
         Self::Replaced,
-        Self::Resting,
+        Self::CoolingDown,
         Self::Cold,
         Self::Limited,
         Self::Full,
@@ -100,9 +100,9 @@
         match self {
             Self::Draining => "draining",
             Self::Evacuated => "evacuated",
-            Self::Away => "away",
+            Self::NotAllowed => "away",
             Self::Replaced => "replaced",
-            Self::Resting => "resting",
+            Self::CoolingDown => "resting",
             Self::Cold => "cold",
             Self::Limited => "limited",
             Self::Full => "full",
@@ -112,7 +112,7 @@
 
 /// The reasons against an endpoint that hold for every request.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Standing {
+pub struct EndpointRestrictions {
     /// Set if the endpoint announced in its entry or in a reply that it is leaving.
     pub draining: bool,
     /// Set if its data centre is being evacuated.
@@ -120,29 +120,29 @@
     /// Set if it answered as another endpoint, or as leaving.
     pub replaced: bool,
     /// Set if it refused a request and asked this daemon to send nothing for a time.
-    pub resting: bool,
+    pub cooling_down: bool,
 }
 
-impl Standing {
+impl EndpointRestrictions {
     /// Returns the reason for which the endpoint gets nothing new at all, if there is one.
     pub fn exclusion(self) -> Option<Exclusion> {
         let reasons = [
             (self.draining, Exclusion::Draining),
             (self.evacuated, Exclusion::Evacuated),
             (self.replaced, Exclusion::Replaced),
-            (self.resting, Exclusion::Resting),
+            (self.cooling_down, Exclusion::CoolingDown),
         ];
-        first(&reasons)
+        first_holding(&reasons)
     }
 }
 
 /// The reasons against an endpoint for one request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct RequestStanding {
+pub struct RequestRestrictions {
     /// Reasons that hold for every request.
-    pub standing: Standing,
+    pub restrictions: EndpointRestrictions,
     /// Set if the request may not run in the endpoint's data centre.
-    pub away: bool,
+    pub not_allowed: bool,
     /// Set if the endpoint is cold and this daemon has used its share of the requests to it.
     pub cold: bool,
     /// Set if the endpoint advertises a rate limit and this daemon has no permit for another request.
@@ -151,30 +151,32 @@
     pub full: bool,
 }
 
-impl RequestStanding {
+impl RequestRestrictions {
     /// Returns the reason for which the endpoint doesn't get the request, if there is one.
     pub fn exclusion(self) -> Option<Exclusion> {
         let reasons = [
-            (self.away, Exclusion::Away),
+            (self.not_allowed, Exclusion::NotAllowed),
             (self.cold, Exclusion::Cold),
             (self.limited, Exclusion::Limited),
             (self.full, Exclusion::Full),
         ];
-        self.standing.exclusion().or_else(|| first(&reasons))
+        self.restrictions
+            .exclusion()
+            .or_else(|| first_holding(&reasons))
     }
 }
 
 /// Returns the first reason that holds.
-fn first(reasons: &[(bool, Exclusion)]) -> Option<Exclusion> {
+fn first_holding(reasons: &[(bool, Exclusion)]) -> Option<Exclusion> {
     let mut holding = reasons.iter().filter(|(holds, _)| *holds);
     holding.next().map(|(_, reason)| *reason)
 }
 
 /// The number of excluded endpoints of a service, by reason.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct LeftOut([usize; Exclusion::ALL.len()]);
+pub struct ExclusionCounts([usize; Exclusion::ALL.len()]);
 
-impl LeftOut {
+impl ExclusionCounts {
     /// Counts an excluded endpoint.
     pub fn count(&mut self, reason: Exclusion) {
         self.0[reason as usize] += 1;
@@ -187,7 +189,7 @@
 }
 
 /// Writes the counts above 0, separated by commas, such as `draining=1,evacuated=9`; `none` if all are 0.
-impl fmt::Display for LeftOut {
+impl fmt::Display for ExclusionCounts {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let mut comma = "";
         for reason in Exclusion::ALL {
--- a/lib/src/gateway/rules/endpoint_choice.rs
+++ b/lib/src/gateway/rules/endpoint_choice.rs
@@ -25,8 +25,8 @@
             rules::{
                 allowed_regions::RegionHash,
                 cold_share::ColdShare,
-                distance::are_apart,
-                eligibility::{Exclusion, LeftOut, Places},
+                distance::in_different_regions,
+                eligibility::{AllowedDataCentres, Exclusion, ExclusionCounts},
                 prefill_rate::TOKENS_PER_MS,
             },
         },
@@ -44,29 +44,29 @@
 
 /// Time that each request beyond the slots of an engine adds, in milliseconds. It is high enough to prefer any engine
 /// with a free slot.
-const OVERFULL_MS: f64 = 100.0;
+const OVER_SLOTS_MS: f64 = 100.0;
 
 /// Fraction of a plain call's usual time that a fully busy endpoint adds before calls queue, so that equal endpoints
 /// get equal load.
-const CROWDING: f64 = 0.5;
+const BUSY_FRACTION: f64 = 0.5;
 
 /// Factor on the expected time at an endpoint for which this daemon has a permit, since an unused permit is lost. It
 /// doesn't apply to the cost of shared tokens that are read again.
-const PERMITTED: f64 = 0.5;
+const PERMIT_FACTOR: f64 = 0.5;
 
 /// Cost of each shared token of a prompt that has to be read again, in milliseconds, in addition to the time it takes:
 /// reading it uses the engine and displaces cached tokens that other requests may still need.
 const SHARED_TOKEN_MS: f64 = 0.15;
 
 /// Cost of a call into another data centre of the region, in milliseconds: about the round-trip time.
-const HOP_MS: f64 = 1.0;
+const CENTRE_HOP_MS: f64 = 1.0;
 
 /// Cost of each megabyte of inputs from another data centre of the region, in milliseconds.
 const INPUT_MB_MS: f64 = 100.0;
 
 /// Cost of each megabyte of inputs from another region, in milliseconds: links between regions have little bandwidth,
 /// and all hosts share it.
-const FAR_INPUT_MB_MS: f64 = 1_000.0;
+const REMOTE_INPUT_MB_MS: f64 = 1_000.0;
 
 /// Number of bytes in a megabyte.
 const MB: f64 = 1e6;
@@ -96,7 +96,7 @@
     /// Maximum number of requests that this daemon may have in flight at one endpoint.
     pub connection_limit: u32,
     /// Data centres where the request may run.
-    pub places: &'a Places,
+    pub allowed: &'a AllowedDataCentres,
     /// Share of the requests to each cold endpoint of the service that this daemon may send.
     pub cold_share: ColdShare,
     /// Time after its start for which an endpoint of the service is usually cold.
@@ -115,36 +115,36 @@
     /// Set if the endpoint is cold, or may be.
     pub cold: bool,
     /// Requests in flight at the endpoint, from all daemons.
-    pub outstanding: u32,
+    pub in_flight: u32,
     /// Usual time of a plain call at the endpoint.
     pub call_time: WorkMillis,
     /// Slowdown that the endpoint reports itself: the present time of work as a multiple of the usual one.
-    pub reported_pace: f64,
+    pub reported_slowdown: f64,
     /// Prompt tokens that all daemons sent to the endpoint and that it hasn't read yet.
     pub waiting_tokens: f64,
     /// Slowdown that this daemon observed: the ratio of observed to expected time to the first event.
-    pub pace: f64,
+    pub slowdown: f64,
     /// Tokens of the prompt that the endpoint caches, as far as this daemon sent them; 0 without affinity.
     pub cached_tokens: u32,
     /// Whether the endpoint advertises a rate limit, and whether it has to be probed.
-    pub limit: NamedLimit,
+    pub limit: RateLimitState,
     /// Position among equal candidates, different in each daemon; the smallest goes first.
-    pub order: u64,
+    pub tie_break: u64,
     /// Region of the endpoint; `None` if it isn't known or the installation has one region only.
     pub region: Option<RegionHash>,
     /// Round-trip time to the endpoint if it is in another region; `None` in the local region.
-    pub way: Option<WorkMillis>,
+    pub round_trip: Option<WorkMillis>,
 }
 
 /// Whether an endpoint that may get a request advertises a rate limit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum NamedLimit {
+pub enum RateLimitState {
     /// The endpoint advertises no limit.
     None,
     /// It advertises a limit, and this daemon has a permit to send one request.
     Permitted,
     /// This daemon has a permit, and should use it to find out whether the limit still holds.
-    LookDue,
+    ProbeDue,
 }
 
 /// The chosen endpoint, with the values that decided.
@@ -157,11 +157,11 @@
     /// Prompt tokens that the endpoint probably has to read.
     pub uncached: u32,
     /// Requests in flight at the endpoint, from all daemons.
-    pub outstanding: u32,
+    pub in_flight: u32,
     /// Number of endpoints that were compared.
     pub candidates: usize,
     /// Number of endpoints that were excluded, by reason.
-    pub left_out: LeftOut,
+    pub excluded: ExclusionCounts,
 }
 
 impl EndpointChoice {
@@ -170,7 +170,7 @@
     /// while this one is available: an attempt that is cut short in favour of one of them can lose the answer of an
     /// endpoint that is only slow.
     pub fn alternatives(&self) -> usize {
-        let soon = [Exclusion::Cold, Exclusion::Full].map(|reason| self.left_out.of(reason));
+        let soon = [Exclusion::Cold, Exclusion::Full].map(|reason| self.excluded.of(reason));
         self.candidates.saturating_sub(1) + soon.iter().sum::<usize>()
     }
 }
@@ -203,34 +203,36 @@
             (candidate, estimate)
         })
         .min_by(|(a, at_a), (b, at_b)| {
-            let look_first = is_look_due(b).cmp(&is_look_due(a));
+            let probe_first = is_probe_due(b).cmp(&is_probe_due(a));
             let soonest = at_a.time.0.total_cmp(&at_b.time.0);
-            look_first.then(soonest).then(a.order.cmp(&b.order))
+            probe_first
+                .then(soonest)
+                .then(a.tie_break.cmp(&b.tie_break))
         })?;
     Some(EndpointChoice {
         entry: best.entry.clone(),
         expected: estimate.time,
         uncached: estimate.uncached,
-        outstanding: best.outstanding,
+        in_flight: best.in_flight,
         candidates: compared.len(),
-        left_out: LeftOut::default(),
+        excluded: ExclusionCounts::default(),
     })
 }
 
-fn is_look_due(candidate: &EndpointCandidate<'_>) -> bool {
-    candidate.limit == NamedLimit::LookDue
+fn is_probe_due(candidate: &EndpointCandidate<'_>) -> bool {
+    candidate.limit == RateLimitState::ProbeDue
 }
 
 /// Returns the candidates in the region of the request's daemon, or all candidates if there are none.
 fn in_region<'a, 'c>(candidates: &[&'c EndpointCandidate<'a>]) -> Vec<&'c EndpointCandidate<'a>> {
-    let near = candidates
+    let local = candidates
         .iter()
-        .filter(|candidate| candidate.way.is_none());
-    let near: Vec<&EndpointCandidate<'_>> = near.copied().collect();
-    if near.is_empty() {
+        .filter(|candidate| candidate.round_trip.is_none());
+    let local: Vec<&EndpointCandidate<'_>> = local.copied().collect();
+    if local.is_empty() {
         candidates.to_vec()
     } else {
-        near
+        local
     }
 }
 
@@ -265,7 +267,7 @@
     let prompt = placement.prompt;
     if prompt.tokens_in == 0 && prompt.parts.is_empty() {
         return Estimate {
-            time: plain_call_time(candidate),
+            time: estimate_plain_call(candidate),
             uncached: 0,
         };
     }
@@ -282,41 +284,41 @@
         0.0
     };
     Estimate {
-        time: WorkMillis(first_event_time(candidate, uncached).0 + read_again_ms),
+        time: WorkMillis(estimate_first_event(candidate, uncached).0 + read_again_ms),
         uncached,
     }
 }
 
 /// Estimates the time of a plain call.
-fn plain_call_time(candidate: &EndpointCandidate<'_>) -> WorkMillis {
-    let outstanding = f64::from(candidate.outstanding);
+fn estimate_plain_call(candidate: &EndpointCandidate<'_>) -> WorkMillis {
+    let in_flight = f64::from(candidate.in_flight);
     let slots = slots(candidate);
-    let queued = (outstanding + 1.0 - slots).max(0.0) / slots;
-    let crowding = CROWDING * outstanding / slots;
-    let call = candidate.call_time.0 * candidate.reported_pace;
+    let queued = (in_flight + 1.0 - slots).max(0.0) / slots;
+    let crowding = BUSY_FRACTION * in_flight / slots;
+    let call = candidate.call_time.0 * candidate.reported_slowdown;
     let time = call * (1.0 + queued + crowding);
     WorkMillis(time * permit_factor(candidate))
 }
 
 /// Estimates the time to the first event of a generation.
-fn first_event_time(candidate: &EndpointCandidate<'_>, uncached: u32) -> WorkMillis {
-    let outstanding = f64::from(candidate.outstanding);
+fn estimate_first_event(candidate: &EndpointCandidate<'_>, uncached: u32) -> WorkMillis {
+    let in_flight = f64::from(candidate.in_flight);
     let waiting = candidate.waiting_tokens + f64::from(uncached);
-    let overfull = (outstanding + 1.0 - slots(candidate)).max(0.0) * OVERFULL_MS;
-    let ms = waiting / TOKENS_PER_MS + outstanding * GENERATION_MS + overfull;
+    let overfull = (in_flight + 1.0 - slots(candidate)).max(0.0) * OVER_SLOTS_MS;
+    let ms = waiting / TOKENS_PER_MS + in_flight * GENERATION_MS + overfull;
     // The observed slowdown follows the reported one with a delay, so the two must not be multiplied.
-    let pace = if candidate.reported_pace > 1.0 {
-        candidate.pace.max(candidate.reported_pace)
+    let slowdown = if candidate.reported_slowdown > 1.0 {
+        candidate.slowdown.max(candidate.reported_slowdown)
     } else {
-        candidate.pace
+        candidate.slowdown
     };
-    WorkMillis(ms * pace * permit_factor(candidate))
+    WorkMillis(ms * slowdown * permit_factor(candidate))
 }
 
 fn permit_factor(candidate: &EndpointCandidate<'_>) -> f64 {
     match candidate.limit {
-        NamedLimit::None => 1.0,
-        NamedLimit::Permitted | NamedLimit::LookDue => PERMITTED,
+        RateLimitState::None => 1.0,
+        RateLimitState::Permitted | RateLimitState::ProbeDue => PERMIT_FACTOR,
     }
 }
 
@@ -337,20 +339,20 @@
     placement: &Placement<'_>,
 ) -> WorkMillis {
     let there = &candidate.entry.data_centre;
-    let hop = match candidate.way {
-        Some(way) => way.0,
+    let hop = match candidate.round_trip {
+        Some(round_trip) => round_trip.0,
         None if there == here => 0.0,
-        None => HOP_MS,
+        None => CENTRE_HOP_MS,
     };
     let mut crossing = 0;
-    let mut far = 0;
+    let mut remote = 0;
     for input in placement.inputs {
-        if are_apart(input.region, candidate.region) {
-            far += input.size.0;
+        if in_different_regions(input.region, candidate.region) {
+            remote += input.size.0;
         } else if input.data_centre != *there {
             crossing += input.size.0;
         }
     }
     let crossing = crossing as f64 / MB * INPUT_MB_MS;
-    WorkMillis(hop + crossing + far as f64 / MB * FAR_INPUT_MB_MS)
+    WorkMillis(hop + crossing + remote as f64 / MB * REMOTE_INPUT_MB_MS)
 }
--- a/lib/src/gateway/rules/endpoint_cooldown.rs
+++ b/lib/src/gateway/rules/endpoint_cooldown.rs
@@ -16,13 +16,13 @@
 };
 
 /// Cooldown of an endpoint whose stated time can't be parsed.
-const UNCLEAR_REST: Millis = Millis(1_000);
+const DEFAULT_COOLDOWN: Millis = Millis(1_000);
 
 /// Upper bound on a cooldown.
-const LONGEST_REST: Millis = Millis(600_000);
+const MAX_COOLDOWN: Millis = Millis(600_000);
 
 /// Returns the cooldown that a reply asks for; `None` if it asks for none.
-pub fn asked_rest(status: StatusCode, wait: ReplyWait) -> Option<Millis> {
+pub fn requested_cooldown(status: StatusCode, wait: ReplyWait) -> Option<Millis> {
     let refuses = [
         StatusCode::SERVICE_UNAVAILABLE,
         StatusCode::TOO_MANY_REQUESTS,
@@ -30,10 +30,10 @@
     if !refuses.contains(&status) {
         return None;
     }
-    let rest = match wait {
+    let cooldown = match wait {
         ReplyWait::None => return None,
-        ReplyWait::Unclear => UNCLEAR_REST,
-        ReplyWait::Named(time) => time.min(LONGEST_REST),
+        ReplyWait::Unclear => DEFAULT_COOLDOWN,
+        ReplyWait::Named(time) => time.min(MAX_COOLDOWN),
     };
-    (rest > Millis(0)).then_some(rest)
+    (cooldown > Millis(0)).then_some(cooldown)
 }
--- a/lib/src/gateway/rules/endpoint_exclusion.rs
+++ b/lib/src/gateway/rules/endpoint_exclusion.rs
@@ -22,11 +22,11 @@
 const REPLACED_TIME: Millis = Millis(5_000);
 
 /// Returns when an endpoint that couldn't be reached at `now` is available again.
-pub fn reachable_from(now: Time) -> Time {
+pub fn available_from(now: Time) -> Time {
     now + UNREACHABLE_TIME
 }
 
 /// Returns whether an endpoint that answered as another one at `replaced` may be used again.
-pub fn may_reopen(now: Time, replaced: Time) -> bool {
+pub fn may_use_replaced(now: Time, replaced: Time) -> bool {
     now.since(replaced) >= REPLACED_TIME.to_duration()
 }
--- a/lib/src/gateway/rules/endpoint_rate.rs
+++ b/lib/src/gateway/rules/endpoint_rate.rs
@@ -7,8 +7,8 @@
 //! Rule: the rate is divided evenly among the daemons. Each daemon hands its share, as it accrues, to the coordinator
 //! of the endpoint's service. The coordinator grants permits for whole requests to the daemons that claim one: the most
 //! urgent claim first, then the daemon whose last permit is the oldest. Without a permit, nothing is sent to the
-//! endpoint. Anything unused is lost: a share beyond `SHARE_KEPT`, the coordinator's tokens beyond `POOL_KEPT`, and a
-//! permit after its [`permit_life`].
+//! endpoint. Anything unused is lost: a share beyond `MAX_SHARE_TIME`, the coordinator's tokens beyond `MAX_POOL_TIME`,
+//! and a permit after its [`permit_lifetime`].
 //!
 //! Reason: the shares add up to the advertised rate whatever daemons know about each other. Two daemons that both act
 //! as coordinator have only the tokens that were handed to each. A daemon that gets all requests gets all permits.
@@ -20,51 +20,51 @@
 };
 
 /// Minimum rate at which an endpoint gets requests even if it advertises less, so that the end of its limit is noticed.
-pub const LEAST_RATE: Rate = Rate(0.25);
+pub const MIN_RATE: Rate = Rate(0.25);
 
 /// Maximum accrual of a daemon's share, as a time at its rate: twice the interval between two reports.
-const SHARE_KEPT: Millis = Millis(1_000);
+const MAX_SHARE_TIME: Millis = Millis(1_000);
 
 /// Maximum number of tokens that a coordinator holds beyond one whole request, as a time at the rate.
-const POOL_KEPT: Millis = Millis(250);
+const MAX_POOL_TIME: Millis = Millis(250);
 
 /// Maximum number of tokens that a coordinator accepts at once beyond one whole request, as a time at the rate. Shares
 /// that were sent while its process was stalled arrive together, and each would be granted before the next one is
 /// counted.
-const TAKEN_AT_ONCE: Millis = Millis(1_000);
+const MAX_DEPOSIT_TIME: Millis = Millis(1_000);
 
 /// Bounds on the lifetime of a permit, and the number of requests that all valid permits together may stand for:
 /// permits that a fleet saves up may all be used at once.
-const SHORTEST_PERMIT: Millis = Millis(500);
-const LONGEST_PERMIT: Millis = Millis(2_000);
-const PERMITS_KEPT: f64 = 4.0;
+const SHORTEST_PERMIT_LIFETIME: Millis = Millis(500);
+const LONGEST_PERMIT_LIFETIME: Millis = Millis(2_000);
+const MAX_VALID_PERMITS: f64 = 4.0;
 
 /// Divisor of a permit's lifetime: for this fraction of it, the permit is reserved for requests at least as urgent as
 /// the claim that it was granted for.
-const PERMIT_RESERVED: u64 = 2;
+const RESERVED_TIME_DIVISOR: u64 = 2;
 
 /// Time for which a claim is valid. A claim outlives its requests by up to this time, and may then get a permit that
 /// nobody uses.
-pub const CLAIM_LIFE: Millis = Millis(150);
+pub const CLAIM_LIFETIME: Millis = Millis(150);
 
 /// Interval after which a claim is renewed while there are requests for it.
-pub const CLAIM_RENEWAL: Millis = Millis(50);
+pub const CLAIM_RENEWAL_INTERVAL: Millis = Millis(50);
 
 /// Time after its last claim for which the coordinator remembers when a daemon got its last permit.
-const CLAIMANT_KEPT: Millis = Millis(10_000);
+const CLAIMANT_RETENTION: Millis = Millis(10_000);
 
 /// Divisor of a request's objective that gives the time it may wait for a permit, and the minimum of that time: a few
 /// round trips to the coordinator.
-const WAIT_PART: u64 = 4;
+const WAIT_DIVISOR: u64 = 4;
 const SHORTEST_PERMIT_WAIT: Millis = Millis(50);
 
 /// Minimum time by which a report that an endpoint advertises no limit has to be newer than what is known. The age of a
 /// report is overstated by its time on the network, and protecting an overloaded endpoint has priority.
-const END_MARGIN: Millis = Millis(20);
+const LIMIT_END_MARGIN: Millis = Millis(20);
 
 /// Time after the last reply that advertised a limit after which the endpoint gets the next request for which there is
 /// a permit. The end of the limit is then noticed even if other endpoints would be chosen.
-const UNHEARD: Millis = Millis(2_000);
+const PROBE_INTERVAL: Millis = Millis(2_000);
 
 /// A number of requests, as in a token bucket; it may be fractional.
 #[derive(Debug, Clone, Copy, Default, PartialEq, PartialOrd)]
@@ -74,49 +74,50 @@
     /// One whole request.
     pub const ONE: Self = Self(1.0);
 
-    /// Returns the requests that come at a rate in a time.
+    /// Returns the requests that accrue at a rate in a time.
     fn of(rate: Rate, time: Millis) -> Self {
         Self(rate.0 * time.to_duration().as_secs_f64())
     }
 }
 
-/// Returns the rate at which an endpoint that advertises the rate `named` gets requests.
-pub fn kept_rate(named: Rate) -> Rate {
-    Rate(named.0.max(LEAST_RATE.0))
+/// Returns the rate at which an endpoint that advertises the rate `advertised` gets requests.
+pub fn effective_rate(advertised: Rate) -> Rate {
+    Rate(advertised.0.max(MIN_RATE.0))
 }
 
-/// Returns the time in which `tokens` accrue for an endpoint that advertises the rate `named`.
-fn time_of(tokens: Tokens, named: Rate) -> Millis {
-    let time = Duration::from_secs_f64(tokens.0 / kept_rate(named).0);
+/// Returns the time in which `tokens` accrue for an endpoint that advertises the rate `advertised`.
+fn accrual_time(tokens: Tokens, advertised: Rate) -> Millis {
+    let time = Duration::from_secs_f64(tokens.0 / effective_rate(advertised).0);
     Millis(time.as_millis() as u64)
 }
 
-/// Returns the lifetime of a permit for an endpoint that advertises the rate `named`.
-pub fn permit_life(named: Rate) -> Millis {
-    time_of(Tokens(PERMITS_KEPT), named).clamp(SHORTEST_PERMIT, LONGEST_PERMIT)
+/// Returns the lifetime of a permit for an endpoint that advertises the rate `advertised`.
+pub fn permit_lifetime(advertised: Rate) -> Millis {
+    accrual_time(Tokens(MAX_VALID_PERMITS), advertised)
+        .clamp(SHORTEST_PERMIT_LIFETIME, LONGEST_PERMIT_LIFETIME)
 }
 
 /// Returns the maximum time for which a request with this objective may wait for a permit.
 pub fn longest_wait(objective: Millis) -> Millis {
-    Millis(objective.0 / WAIT_PART).max(SHORTEST_PERMIT_WAIT)
+    Millis(objective.0 / WAIT_DIVISOR).max(SHORTEST_PERMIT_WAIT)
 }
 
 /// Returns whether a request may wait for a permit. `waiting` counts the requests of this daemon that are at least as
 /// urgent, including this one; if they can't all get a permit within `wait`, the request is refused at once.
-pub fn may_wait(waiting: usize, named: Rate, wait: Millis) -> bool {
-    let expected = Tokens::of(kept_rate(named), wait).0.ceil();
+pub fn may_wait(waiting: usize, advertised: Rate, wait: Millis) -> bool {
+    let expected = Tokens::of(effective_rate(advertised), wait).0.ceil();
     waiting as f64 <= expected.max(1.0)
 }
 
-/// Returns whether a report of time `news` that an endpoint advertises no limit any more overrides what is known since
-/// `known`.
-pub fn may_end(known: Time, news: Time) -> bool {
-    news >= known + END_MARGIN
+/// Returns whether a report of time `reported` that an endpoint advertises no limit any more overrides what is known
+/// since `known`.
+pub fn may_end_limit(known: Time, reported: Time) -> bool {
+    reported >= known + LIMIT_END_MARGIN
 }
 
-/// Returns whether an endpoint that last advertised a limit at `named` has to be probed.
-pub fn is_look_due(now: Time, named: Time) -> bool {
-    now.since(named) >= UNHEARD.to_duration()
+/// Returns whether an endpoint that last advertised a limit at `advertised` has to be probed.
+pub fn is_probe_due(now: Time, advertised: Time) -> bool {
+    now.since(advertised) >= PROBE_INTERVAL.to_duration()
 }
 
 /// A daemon's share of an advertised rate that it hasn't handed to the coordinator yet.
@@ -136,16 +137,16 @@
     }
 
     /// Adds what has accrued since the last count, where `daemons` daemons share the rate.
-    pub fn count(&mut self, now: Time, named: Rate, daemons: usize) {
-        let part = Rate(kept_rate(named).0 / daemons.max(1) as f64);
-        let come = part.0 * now.since(self.counted).as_secs_f64();
-        let most = Tokens::of(part, SHARE_KEPT);
-        self.tokens = Tokens((self.tokens.0 + come).min(most.0));
+    pub fn accrue(&mut self, now: Time, advertised: Rate, daemons: usize) {
+        let share = Rate(effective_rate(advertised).0 / daemons.max(1) as f64);
+        let accrued = share.0 * now.since(self.counted).as_secs_f64();
+        let most = Tokens::of(share, MAX_SHARE_TIME);
+        self.tokens = Tokens((self.tokens.0 + accrued).min(most.0));
         self.counted = now;
     }
 
     /// Skips the time until now without accruing, because this daemon doesn't know the other daemons yet.
-    pub fn skip(&mut self, now: Time) {
+    pub fn skip_until(&mut self, now: Time) {
         self.counted = now;
     }
 
@@ -170,11 +171,11 @@
 
 impl Permit {
     /// Grants a permit for a claim.
-    pub fn new(now: Time, named: Rate, claim: Claim) -> Self {
-        let life = permit_life(named);
+    pub fn new(now: Time, advertised: Rate, claim: Claim) -> Self {
+        let life = permit_lifetime(advertised);
         Self {
             until: now + life,
-            reserved_until: now + Millis(life.0 / PERMIT_RESERVED),
+            reserved_until: now + Millis(life.0 / RESERVED_TIME_DIVISOR),
             claim,
         }
     }
@@ -202,7 +203,7 @@
 
 impl Claimant {
     fn open_claim(&self, now: Time) -> Option<Claim> {
-        let is_recent = now.since(self.claimed) < CLAIM_LIFE.to_duration();
+        let is_recent = now.since(self.claimed) < CLAIM_LIFETIME.to_duration();
         self.claim.filter(|_| is_recent)
     }
 }
@@ -212,29 +213,29 @@
 pub struct PermitPool {
     tokens: Tokens,
     /// Tokens that may still be accepted, and when that was last counted.
-    room: Tokens,
+    acceptable: Tokens,
     counted: Option<Time>,
     claimants: Vec<Claimant>,
 }
 
 impl PermitPool {
     /// Adds the tokens that a daemon hands over.
-    pub fn deposit(&mut self, now: Time, named: Rate, tokens: Tokens) {
-        self.count_room(now, named);
-        let taken = tokens.0.min(self.room.0);
-        self.room.0 -= taken;
-        let most = Tokens::ONE.0 + Tokens::of(kept_rate(named), POOL_KEPT).0;
+    pub fn deposit(&mut self, now: Time, advertised: Rate, tokens: Tokens) {
+        self.update_acceptable(now, advertised);
+        let taken = tokens.0.min(self.acceptable.0);
+        self.acceptable.0 -= taken;
+        let most = Tokens::ONE.0 + Tokens::of(effective_rate(advertised), MAX_POOL_TIME).0;
         self.tokens = Tokens((self.tokens.0 + taken).min(most));
     }
 
     /// Updates the number of tokens that may be accepted: it accrues at the rate.
-    fn count_room(&mut self, now: Time, named: Rate) {
-        let rate = kept_rate(named);
-        let most = Tokens::ONE.0 + Tokens::of(rate, TAKEN_AT_ONCE).0;
-        let come = self
+    fn update_acceptable(&mut self, now: Time, advertised: Rate) {
+        let rate = effective_rate(advertised);
+        let most = Tokens::ONE.0 + Tokens::of(rate, MAX_DEPOSIT_TIME).0;
+        let accrued = self
             .counted
             .map_or(most, |counted| rate.0 * now.since(counted).as_secs_f64());
-        self.room = Tokens((self.room.0 + come).min(most));
+        self.acceptable = Tokens((self.acceptable.0 + accrued).min(most));
         self.counted = Some(now);
     }
 
@@ -270,7 +271,7 @@
     }
 
     /// Returns the time after which the daemon at `address`, which has no permit, may expect one for its claim.
-    pub fn wait(&self, now: Time, named: Rate, address: SocketAddr) -> Millis {
+    pub fn wait(&self, now: Time, advertised: Rate, address: SocketAddr) -> Millis {
         let claimants = self.claimants.iter();
         let mine = claimants.clone().find(|one| one.address == address);
         let mine = mine.and_then(|one| one.open_claim(now));
@@ -279,12 +280,12 @@
         let open = others.filter_map(|one| one.open_claim(now));
         let ahead = open.filter(|claim| *claim <= mine).count();
         let missing = ahead as f64 + Tokens::ONE.0 - self.tokens.0;
-        time_of(Tokens(missing.max(0.0)), named)
+        accrual_time(Tokens(missing.max(0.0)), advertised)
     }
 
-    /// Forgets daemons that haven't claimed a permit for `CLAIMANT_KEPT`.
+    /// Forgets daemons that haven't claimed a permit for `CLAIMANT_RETENTION`.
     pub fn expire(&mut self, now: Time) {
-        let kept = |one: &Claimant| now.since(one.claimed) < CLAIMANT_KEPT.to_duration();
-        self.claimants.retain(kept);
+        let is_recent = |one: &Claimant| now.since(one.claimed) < CLAIMANT_RETENTION.to_duration();
+        self.claimants.retain(is_recent);
     }
 }
--- a/lib/src/gateway/rules/endpoint_slowdown.rs
+++ b/lib/src/gateway/rules/endpoint_slowdown.rs
@@ -13,21 +13,21 @@
 use crate::shared::units::{Millis, Time, WorkMillis};
 
 /// Assumed time of a plain call before the first one was observed.
-const FIRST_CALL: WorkMillis = WorkMillis(15.0);
+const INITIAL_CALL_TIME: WorkMillis = WorkMillis(15.0);
 
 /// Weight of a new observation in both averages, from 0 to 1.
-const GAIN: f64 = 0.15;
+const SMOOTHING_WEIGHT: f64 = 0.15;
 
 /// Bounds on the slowdown, as a ratio.
-const LEAST_PACE: f64 = 0.5;
-const GREATEST_PACE: f64 = 20.0;
+const MIN_SLOWDOWN: f64 = 0.5;
+const MAX_SLOWDOWN: f64 = 20.0;
 
 /// Time without observations after which a slowdown expires.
-const PACE_LIFETIME: Millis = Millis(4_000);
+const SLOWDOWN_LIFETIME: Millis = Millis(4_000);
 
 /// Minimum expected time that a slowdown is computed from: below it, the ratio depends more on the network than on the
 /// endpoint.
-const LEAST_EXPECTED: WorkMillis = WorkMillis(30.0);
+const MIN_EXPECTED: WorkMillis = WorkMillis(30.0);
 
 /// Usual time of a plain call at one endpoint.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -38,7 +38,7 @@
 impl Default for CallTime {
     fn default() -> Self {
         Self {
-            average: FIRST_CALL,
+            average: INITIAL_CALL_TIME,
         }
     }
 }
@@ -50,31 +50,31 @@
     }
 
     /// Adds the observed time of a call to the average.
-    pub fn learn(&mut self, observed: WorkMillis) {
-        self.average.0 += GAIN * (observed.0 - self.average.0);
+    pub fn record(&mut self, observed: WorkMillis) {
+        self.average.0 += SMOOTHING_WEIGHT * (observed.0 - self.average.0);
     }
 }
 
 /// Ratio of observed to expected time to the first event at one engine.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct EnginePace {
+pub struct EngineSlowdown {
     ratio: f64,
-    learned_at: Time,
+    recorded_at: Time,
 }
 
-impl Default for EnginePace {
+impl Default for EngineSlowdown {
     fn default() -> Self {
         Self {
             ratio: 1.0,
-            learned_at: Time::default(),
+            recorded_at: Time::default(),
         }
     }
 }
 
-impl EnginePace {
+impl EngineSlowdown {
     /// Returns the ratio at `now`: 1 for an endpoint that is as fast as expected.
     pub fn at(self, now: Time) -> f64 {
-        if now.since(self.learned_at) > PACE_LIFETIME.to_duration() {
+        if now.since(self.recorded_at) > SLOWDOWN_LIFETIME.to_duration() {
             1.0
         } else {
             self.ratio
@@ -82,11 +82,11 @@
     }
 
     /// Adds the expected and the observed time of a first event to the ratio.
-    pub fn learn(&mut self, now: Time, expected: WorkMillis, waited: WorkMillis) {
-        let observed = waited.0 / expected.0.max(LEAST_EXPECTED.0);
+    pub fn record(&mut self, now: Time, expected: WorkMillis, waited: WorkMillis) {
+        let observed = waited.0 / expected.0.max(MIN_EXPECTED.0);
         let ratio = self.at(now);
-        let next = ratio + GAIN * (observed - ratio);
-        self.ratio = next.clamp(LEAST_PACE, GREATEST_PACE);
-        self.learned_at = now;
+        let next = ratio + SMOOTHING_WEIGHT * (observed - ratio);
+        self.ratio = next.clamp(MIN_SLOWDOWN, MAX_SLOWDOWN);
+        self.recorded_at = now;
     }
 }
--- a/lib/src/gateway/rules/piece_order.rs
+++ b/lib/src/gateway/rules/piece_order.rs
@@ -19,7 +19,7 @@
 
 use {
     crate::{
-        gateway::{rules::eligibility::Places, stages::job::JobId},
+        gateway::{rules::eligibility::AllowedDataCentres, stages::job::JobId},
         shared::{
             ids::DataCentreId,
             units::{ByteSize, Millis, Time},
@@ -86,7 +86,7 @@
     /// Preferred data centre: the one where the results will probably be used.
     pub preferred: Option<&'a DataCentreId>,
     /// Data centres where the pieces are allowed to run.
-    pub allowed: &'a Places,
+    pub allowed: &'a AllowedDataCentres,
     /// Bytes that cross between data centres for each piece that runs outside the preferred data centre.
     pub moved: ByteSize,
 }
--- a/lib/src/gateway/rules/quarantine.rs
+++ b/lib/src/gateway/rules/quarantine.rs
@@ -4,10 +4,11 @@
 //! Inputs: the times at which endpoints terminated while they ran the request (each incarnation of an endpoint once),
 //! the time when the request was last served successfully, and the daemons that are alive.
 //!
-//! Rule: a terminated endpoint counts against the request for [`MEMORY`], unless the request was served after the
-//! termination or less than [`SERVED_GRACE`] before it. A request with [`ENDED_LIMIT`] endpoints against it is refused,
-//! from any caller and at any daemon, until one of them no longer counts. [`KEEPERS`] living daemons, always the same
-//! ones for the same request, hold the evidence until the limit is reached; then it is reported to all daemons.
+//! Rule: a terminated endpoint counts against the request for [`EVIDENCE_LIFETIME`], unless the request was served
+//! after the termination or less than [`SERVED_GRACE`] before it. A request with [`TERMINATED_LIMIT`] endpoints against
+//! it is refused, from any caller and at any daemon, until one of them no longer counts. [`EVIDENCE_HOLDERS`] living
+//! daemons, always the same ones for the same request, hold the evidence until the limit is reached; then it is
+//! reported to all daemons.
 //!
 //! Reason: a request that terminates every endpoint that runs it also takes down the other work there, each time it is
 //! sent. Without this rule, 16 attempts terminated 16 processes of 8 endpoints that restart; with it, 3 (test
@@ -24,41 +25,44 @@
 
 /// Number of terminated endpoints after which a request is refused. With 2, requests that happen to run beside a
 /// harmful one would be refused after two such coincidences.
-pub const ENDED_LIMIT: usize = 3;
+pub const TERMINATED_LIMIT: usize = 3;
 
 /// Time for which a terminated endpoint counts against a request. In the worst case, a harmful request that is sent
 /// forever costs three endpoints in this time.
-pub const MEMORY: Millis = Millis(600_000);
+pub const EVIDENCE_LIFETIME: Millis = Millis(600_000);
 
 /// Time after a successful end of the request for which terminated endpoints don't count against it. It is longer than
 /// a request runs: when endpoints terminate together, a request that was served just before is not blamed.
 pub const SERVED_GRACE: Millis = Millis(10_000);
 
 /// Number of daemons that hold the evidence against a request; two of them may be lost at once.
-pub const KEEPERS: usize = 3;
+pub const EVIDENCE_HOLDERS: usize = 3;
 
 /// Number of times that a terminated endpoint is reported to each evidence holder, since datagrams get lost.
-pub const TELLINGS: u32 = 3;
+pub const EVIDENCE_REPORTS: u32 = 3;
 
 /// Returns whether an endpoint that terminated at `ended` counts against a request that was last served at `served`.
-pub fn speaks_against(now: Time, ended: Time, served: Option<Time>) -> bool {
+pub fn counts_against(now: Time, ended: Time, served: Option<Time>) -> bool {
     let is_excused = served.is_some_and(|served| ended <= served + SERVED_GRACE);
-    !is_excused && now < remembered_until(ended)
+    !is_excused && now < counts_until(ended)
 }
 
 /// Returns whether a request is refused if `against` terminated endpoints count against it.
 pub fn is_quarantined(against: usize) -> bool {
-    against >= ENDED_LIMIT
+    against >= TERMINATED_LIMIT
 }
 
 /// Returns the time until which an endpoint that terminated at `ended` counts against a request.
-pub fn remembered_until(ended: Time) -> Time {
-    ended + MEMORY
+pub fn counts_until(ended: Time) -> Time {
+    ended + EVIDENCE_LIFETIME
 }
 
 /// Returns those of `daemons` that hold the evidence against a request, or all of them if there are no more than
 /// needed.
-pub fn keepers(digest: &[u8], daemons: impl Iterator<Item = SocketAddr>) -> Vec<SocketAddr> {
+pub fn evidence_holders(
+    digest: &[u8],
+    daemons: impl Iterator<Item = SocketAddr>,
+) -> Vec<SocketAddr> {
     let weight = |daemon: &SocketAddr| {
         let mut bytes = digest.to_vec();
         bytes.extend_from_slice(daemon.to_string().as_bytes());
@@ -66,6 +70,6 @@
     };
     let mut daemons: Vec<SocketAddr> = daemons.collect();
     daemons.sort_by_cached_key(|daemon| (weight(daemon), *daemon));
-    daemons.truncate(KEEPERS);
+    daemons.truncate(EVIDENCE_HOLDERS);
     daemons
 }
--- a/lib/src/gateway/rules/retry_after.rs
+++ b/lib/src/gateway/rules/retry_after.rs
@@ -61,9 +61,9 @@
 }
 
 /// Returns the wait after a request whose service has only endpoints in a cooldown; the first cooldown ends at
-/// `rested`.
-pub fn after_rest(now: Time, rested: Time) -> Millis {
-    let wait = rested.since(now).as_micros().div_ceil(1_000);
+/// `cooldown_end`.
+pub fn after_cooldown(now: Time, cooldown_end: Time) -> Millis {
+    let wait = cooldown_end.since(now).as_micros().div_ceil(1_000);
     Millis(wait as u64).max(SHORTEST_AFTER_ATTEMPTS)
 }
 
--- a/lib/src/gateway/rules/retry_budget.rs
+++ b/lib/src/gateway/rules/retry_budget.rs
@@ -5,7 +5,7 @@
 //!
 //! Rule: the installation limits the retries at a service over any window to a share of the service's requests, plus a
 //! fixed slack. Each daemon may retry that share of its own requests, and has an equal part of the slack, which is
-//! divided among `SPARE_DAEMONS` more daemons than it knows. A daemon that has just started doesn't use the slack for
+//! divided among `UNKNOWN_DAEMONS` more daemons than it knows. A daemon that has just started doesn't use the slack for
 //! one window, since its previous process may have used it.
 //!
 //! Reason: the limit holds for all daemons together although they don't coordinate. Test: `fleet_bound`
@@ -17,10 +17,10 @@
 };
 
 /// Fraction of the allowed retries that a daemon uses; the rest covers differences between clocks and between windows.
-const SAFETY: f64 = 0.75;
+const SPENT_FRACTION: f64 = 0.75;
 
 /// Number of daemons that may be alive beyond those known.
-const SPARE_DAEMONS: f64 = 2.0;
+const UNKNOWN_DAEMONS: f64 = 2.0;
 
 /// Limits on the retries at a service, for all daemons together.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -77,12 +77,12 @@
 
     /// Returns the number of retries that this daemon may send within one window.
     fn allowed(&self, now: Time, daemons: usize) -> f64 {
-        let earned = self.requests.len() as f64 * self.limits.ratio.0 * SAFETY;
+        let earned = self.requests.len() as f64 * self.limits.ratio.0 * SPENT_FRACTION;
         let is_fresh = now.since(self.started) < self.limits.window.to_duration();
         if is_fresh {
             return earned;
         }
-        earned + self.limits.slack * SAFETY / (daemons.max(1) as f64 + SPARE_DAEMONS)
+        earned + self.limits.slack * SPENT_FRACTION / (daemons.max(1) as f64 + UNKNOWN_DAEMONS)
     }
 
     /// Forgets requests and retries that have left the window.
--- a/lib/src/gateway/serving/status.rs
+++ b/lib/src/gateway/serving/status.rs
@@ -114,7 +114,10 @@
         RegionStatus {
             region: name.to_string(),
             daemons: state.peers.daemons_in(region),
-            way_ms: state.endpoints.way(now, region).map_or(0.0, |way| way.0),
+            way_ms: state
+                .endpoints
+                .round_trip(now, region)
+                .map_or(0.0, |time| time.0),
         }
     });
     statuses.collect()
--- a/lib/src/gateway/stages/chain_request.rs
+++ b/lib/src/gateway/stages/chain_request.rs
@@ -8,7 +8,7 @@
             dialect::Inbound,
             request_digest::RequestDigest,
             rules::{
-                admission, allowed_regions::RegionHash, eligibility::Places,
+                admission, allowed_regions::RegionHash, eligibility::AllowedDataCentres,
                 stage_objective::stage_objective,
             },
             stages::{
@@ -47,11 +47,11 @@
     /// Tokens of its prompt.
     pub tokens: u32,
     /// Time that the request itself needs after its stages.
-    pub own_time: Millis,
+    pub request_time: Millis,
     /// Data centre of the endpoint that will probably serve it.
     pub home: Option<DataCentreId>,
     /// Data centres where it and its stages may run.
-    pub places: Places,
+    pub places: AllowedDataCentres,
     /// Region whose coordinators run its stages; nothing for that of its daemon.
     pub region: Option<RegionHash>,
 }
@@ -76,9 +76,9 @@
             objective,
             rank,
             tokens: inbound.prompt.tokens_in,
-            own_time: Millis(admission::own_time(inbound.prompt.tokens_in).0 as u64),
+            request_time: Millis(admission::request_time(inbound.prompt.tokens_in).0 as u64),
             home: None,
-            places: Places::Anywhere,
+            places: AllowedDataCentres::Anywhere,
             region: None,
         }
     }
@@ -92,7 +92,7 @@
 
     /// Sets where the request and its stages may run.
     #[must_use]
-    pub fn within(mut self, places: Places) -> Self {
+    pub fn within(mut self, places: AllowedDataCentres) -> Self {
         self.places = places;
         self
     }
@@ -120,7 +120,7 @@
     pub fn piece_rank(&self, stage: usize) -> PieceRank {
         let later = self.later_stages(stage);
         PieceRank {
-            objective: stage_objective(self.objective, later, self.own_time),
+            objective: stage_objective(self.objective, later, self.request_time),
             rank: self.rank,
         }
     }
--- a/lib/src/gateway/stages/job.rs
+++ b/lib/src/gateway/stages/job.rs
@@ -4,7 +4,7 @@
 
 use {
     crate::{
-        gateway::{request_digest::RequestDigest, rules::eligibility::Places},
+        gateway::{request_digest::RequestDigest, rules::eligibility::AllowedDataCentres},
         shared::{
             ids::DataCentreId,
             units::{ByteSize, Millis, Time},
@@ -102,7 +102,7 @@
     /// Data centre where the results will probably be used.
     pub home: Option<DataCentreId>,
     /// Data centres where the pieces may run.
-    pub places: Places,
+    pub places: AllowedDataCentres,
     /// Bytes that cross between data centres if one piece runs elsewhere: its inputs, and its result
     /// once for each piece that uses it.
     pub moved: ByteSize,
--- a/lib/src/gateway/stages/queues.rs
+++ b/lib/src/gateway/stages/queues.rs
@@ -12,7 +12,7 @@
             request_digest::RequestDigest,
             routing::endpoint_states::EndpointStates,
             rules::{
-                eligibility::Places,
+                eligibility::AllowedDataCentres,
                 retry_budget::{BudgetLimits, WindowBudget},
             },
             stages::{
@@ -101,7 +101,7 @@
             let planned = endpoints.planned(service).into_iter();
             let entries: Vec<_> = planned.map(|member| member.entry.clone()).collect();
             queue.set_endpoints(&entries);
-            queue.set_rested(endpoints.rest_end(service, &Places::Anywhere));
+            queue.set_rested(endpoints.rest_end(service, &AllowedDataCentres::Anywhere));
         }
     }
 
--- a/lib/src/gateway/stages/release.rs
+++ b/lib/src/gateway/stages/release.rs
@@ -10,7 +10,10 @@
             dialect::{Dialect, ReplyFacts},
             hashes::service_hash,
             peers::message::LinkRequest,
-            rules::{allowed_regions::RegionHash, coordinator::Coordinator, distance::are_apart},
+            rules::{
+                allowed_regions::RegionHash, coordinator::Coordinator,
+                distance::in_different_regions,
+            },
             stages::{
                 endpoint_post::{Post, post},
                 job::ResultHandle,
@@ -56,7 +59,7 @@
         let region = handle
             .address()
             .and_then(|at| endpoints.region_at(service, at));
-        let far = region.filter(|_| are_apart(endpoints.home(), region));
+        let far = region.filter(|_| in_different_regions(endpoints.home(), region));
         by_region.entry(far).or_default().push(handle);
     }
     by_region
--- a/lib/tests/load/mod.rs
+++ b/lib/tests/load/mod.rs
@@ -7,7 +7,7 @@
         gateway::{
             directory::endpoint_entry::EndpointEntry,
             rules::{
-                eligibility::Places,
+                eligibility::AllowedDataCentres,
                 retry_budget::{BudgetLimits, WindowBudget},
             },
             stages::{
@@ -175,7 +175,7 @@
             rank: 0,
             result: ByteSize(1_000),
             home: Some(format!("dc{centre}").parse().unwrap()),
-            places: Places::Anywhere,
+            places: AllowedDataCentres::Anywhere,
             moved: ByteSize(1_000_000),
         };
         self.queue.add(now, id, job);
--- a/lib/tests/rates/mod.rs
+++ b/lib/tests/rates/mod.rs
@@ -36,16 +36,16 @@
 /// Interval between two rounds of messages of a daemon, and the delay of messages that are sent out of turn, in
 /// milliseconds.
 const ROUND_MS: u64 = 200;
-const NEWS_MS: u64 = 2;
+const EARLY_ROUND_MS: u64 = 2;
 
-const LIFE: LifeHash = LifeHash(7);
+const INCARNATION: LifeHash = LifeHash(7);
 
 /// Urgency of all requests.
 const URGENCY: u32 = 5;
 
 /// How daemons divide the advertised rate.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Way {
+pub enum Method {
     /// Each daemon has an even share, with turns if that is less than one request per second.
     EvenShares,
     /// Daemons hand their shares to a coordinator, which grants permits.
@@ -64,22 +64,22 @@
 
 /// A fault of one daemon during a time range, in milliseconds.
 #[derive(Debug, Clone)]
-pub struct Trouble {
+pub struct Fault {
     pub daemon: usize,
     pub time: Range<u64>,
-    pub kind: TroubleKind,
+    pub kind: FaultKind,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum TroubleKind {
+pub enum FaultKind {
     /// Nothing that the daemon sends arrives.
     Mute,
     /// Nothing that is sent to the daemon arrives.
     Deaf,
     /// The daemon's process is stalled; messages to it wait.
-    Still,
+    Stalled,
     /// The daemon wrongly acts as the coordinator.
-    Believes,
+    ActsAsCoordinator,
     /// The daemon restarts at the start of the time range.
     Restart,
 }
@@ -87,7 +87,7 @@
 /// A fleet and its load.
 #[derive(Debug, Clone)]
 pub struct Plan {
-    pub way: Way,
+    pub method: Method,
     pub daemons: usize,
     pub rate: f64,
     /// Requests per second of all callers.
@@ -96,7 +96,7 @@
     pub wait_ms: u64,
     pub demand: Demand,
     pub seconds: u64,
-    pub troubles: Vec<Trouble>,
+    pub faults: Vec<Fault>,
     pub seed: u64,
 }
 
@@ -206,14 +206,14 @@
         self.counted(end)
     }
 
-    fn is(&self, now: u64, daemon: usize, kind: TroubleKind) -> bool {
-        let mut troubles = self.plan.troubles.iter();
-        troubles.any(|one| one.daemon == daemon && one.kind == kind && one.time.contains(&now))
+    fn is(&self, now: u64, daemon: usize, kind: FaultKind) -> bool {
+        let mut faults = self.plan.faults.iter();
+        faults.any(|one| one.daemon == daemon && one.kind == kind && one.time.contains(&now))
     }
 
     fn restart(&mut self, now: u64) {
-        let restarts = self.plan.troubles.iter();
-        let restarts = restarts.filter(|one| one.kind == TroubleKind::Restart);
+        let restarts = self.plan.faults.iter();
+        let restarts = restarts.filter(|one| one.kind == FaultKind::Restart);
         let restarts = restarts.filter(|one| one.time.start == now);
         let restarted: Vec<usize> = restarts.map(|one| one.daemon).collect();
         for daemon in restarted {
@@ -223,8 +223,7 @@
 
     fn send(&mut self, now: u64, from: usize, to: usize, content: Content) {
         self.datagrams += usize::from(from != to);
-        if from != to
-            && (self.is(now, from, TroubleKind::Mute) || self.is(now, to, TroubleKind::Deaf))
+        if from != to && (self.is(now, from, FaultKind::Mute) || self.is(now, to, FaultKind::Deaf))
         {
             return;
         }
@@ -239,7 +238,7 @@
 
     fn deliver(&mut self, now: u64) {
         for message in std::mem::take(&mut self.messages) {
-            if message.due > now || self.is(now, message.to, TroubleKind::Still) {
+            if message.due > now || self.is(now, message.to, FaultKind::Stalled) {
                 self.messages.push_back(message);
                 continue;
             }
@@ -262,7 +261,7 @@
     }
 
     fn coordinator(&self, now: u64, daemon: usize) -> usize {
-        if self.is(now, daemon, TroubleKind::Believes) {
+        if self.is(now, daemon, FaultKind::ActsAsCoordinator) {
             daemon
         } else {
             0
@@ -284,7 +283,7 @@
             self.waiting.push((daemon, now + self.plan.wait_ms));
         }
         for (daemon, until) in std::mem::take(&mut self.waiting) {
-            let is_sent = !self.is(now, daemon, TroubleKind::Still) && self.request(now, daemon);
+            let is_sent = !self.is(now, daemon, FaultKind::Stalled) && self.request(now, daemon);
             if !is_sent && now < until {
                 self.waiting.push((daemon, until));
             }
@@ -293,30 +292,30 @@
 
     /// Sends a request if the daemon may; returns whether it did.
     fn request(&mut self, now: u64, daemon: usize) -> bool {
-        if self.plan.way == Way::EvenShares {
+        if self.plan.method == Method::EvenShares {
             return self.send_share(now, daemon);
         }
         let time = clock(now);
         let one = &mut self.daemons[daemon];
-        if !one.rates.may_send(time, LIFE, URGENCY) {
-            if one.rates.turned_away(time, LIFE, URGENCY) {
-                one.round = one.round.min(now + NEWS_MS);
+        if !one.rates.may_send(time, INCARNATION, URGENCY) {
+            if one.rates.turned_away(time, INCARNATION, URGENCY) {
+                one.round = one.round.min(now + EARLY_ROUND_MS);
             }
             return false;
         }
-        let knows = one.rates.knows(LIFE);
-        one.rates.sent(time, LIFE, URGENCY);
+        let knows = one.rates.knows(INCARNATION);
+        one.rates.sent(time, INCARNATION, URGENCY);
         let named = Some(NamedRate {
             rate: Rate(self.plan.rate),
             clear: true,
         });
         let seen = SeenRate { named, sent: time };
-        one.rates.observe(time, LIFE, &self.service, seen);
+        one.rates.observe(time, INCARNATION, &self.service, seen);
         if knows {
             self.sent.push(now);
         } else {
             // A daemon that has just started doesn't know the rate yet, so this request doesn't count.
-            one.round = now + NEWS_MS;
+            one.round = now + EARLY_ROUND_MS;
         }
         true
     }
@@ -335,7 +334,7 @@
 
     fn rounds(&mut self, now: u64) {
         for daemon in 0..self.plan.daemons {
-            if self.daemons[daemon].round > now || self.is(now, daemon, TroubleKind::Still) {
+            if self.daemons[daemon].round > now || self.is(now, daemon, FaultKind::Stalled) {
                 continue;
             }
             self.daemons[daemon].round = now + ROUND_MS;
@@ -348,7 +347,7 @@
                     self.send(now, daemon, coordinator, Content::Note(daemon, report));
                 }
                 if let Some(telling) = message.telling {
-                    for to in self.told(daemon, coordinator) {
+                    for to in self.recipients(daemon, coordinator) {
                         self.send(now, daemon, to, Content::Note(daemon, telling));
                     }
                 }
@@ -358,18 +357,18 @@
 
     /// Returns the daemons that a daemon reports to: all in a small fleet or as the coordinator, otherwise the
     /// coordinator and six random ones.
-    fn told(&mut self, daemon: usize, coordinator: usize) -> Vec<usize> {
+    fn recipients(&mut self, daemon: usize, coordinator: usize) -> Vec<usize> {
         let all = self.plan.daemons;
         if all <= 13 || daemon == coordinator {
             return (0..all).filter(|to| *to != daemon).collect();
         }
-        let mut told: Vec<usize> = (0..6)
+        let mut recipients: Vec<usize> = (0..6)
             .map(|_| self.draws.below(all as u64) as usize)
             .collect();
-        told.push(coordinator);
-        told.retain(|to| *to != daemon);
-        told.dedup();
-        told
+        recipients.push(coordinator);
+        recipients.retain(|to| *to != daemon);
+        recipients.dedup();
+        recipients
     }
 
     fn counted(&self, end: u64) -> Counted {
--- a/lib/tests/test_batch_queue.rs
+++ b/lib/tests/test_batch_queue.rs
@@ -8,7 +8,7 @@
         gateway::{
             directory::endpoint_entry::EndpointEntry,
             rules::{
-                eligibility::Places,
+                eligibility::AllowedDataCentres,
                 retry_budget::{BudgetLimits, WindowBudget},
             },
             stages::{
@@ -78,7 +78,7 @@
         rank: 0,
         result: ByteSize(1_000),
         home: None,
-        places: Places::Anywhere,
+        places: AllowedDataCentres::Anywhere,
         moved: ByteSize(1_000),
     }
 }
--- a/lib/tests/test_cold_share.rs
+++ b/lib/tests/test_cold_share.rs
@@ -10,16 +10,16 @@
 };
 
 /// Requests per second that the endpoints of these tests can take.
-const BEARABLE: f64 = 20.0;
+const CAPACITY: f64 = 20.0;
 
 /// Interval at which a daemon with pending requests checks whether it may send one.
-const LOOK: Millis = Millis(10);
+const CHECK_INTERVAL: Millis = Millis(10);
 
 /// Returns the maximum number of requests in any second, and their total, of daemons that send whenever they may. Each
-/// daemon assumes a fleet of `believed` daemons and has a random start time.
-fn flood(daemons: usize, believed: usize, seconds: u64, seed: u64) -> (usize, usize) {
+/// daemon assumes a fleet of `assumed` daemons and has a random start time.
+fn flood(daemons: usize, assumed: usize, seconds: u64, seed: u64) -> (usize, usize) {
     let mut draws = Draws::new(seed);
-    let share = ColdShare::new(Some(BEARABLE), believed);
+    let share = ColdShare::new(Some(CAPACITY), assumed);
     let phases: Vec<f64> = (0..daemons)
         .map(|_| draws.below(1_000_000) as f64 / 1e6)
         .collect();
@@ -27,8 +27,8 @@
     let mut last: Vec<Option<Time>> = vec![None; daemons];
     let mut window: VecDeque<u64> = VecDeque::new();
     let (mut most, mut all) = (0, 0);
-    for look in 0..seconds * 1_000 / LOOK.0 {
-        let at = look * LOOK.0 * 1_000;
+    for check in 0..seconds * 1_000 / CHECK_INTERVAL.0 {
+        let at = check * CHECK_INTERVAL.0 * 1_000;
         for daemon in 0..daemons {
             let now = Time(at + starts[daemon]);
             if share.may_send(now, last[daemon], phases[daemon]) {
@@ -78,7 +78,7 @@
 /// Unused turns don't accumulate: daemons that all start to send at the same time can't all do so.
 #[test]
 fn sudden_demand() {
-    let share = ColdShare::new(Some(BEARABLE), 295);
+    let share = ColdShare::new(Some(CAPACITY), 295);
     let mut draws = Draws::new(7);
     for second in 0..200 {
         let now = Time(second * 1_000_000);
--- a/lib/tests/test_decision_pins.rs
+++ b/lib/tests/test_decision_pins.rs
@@ -77,7 +77,7 @@
                 fixed: WorkMillis(120.0),
                 piece: WorkMillis(7.5),
             },
-            room: PieceCount(24.0),
+            result_capacity: PieceCount(24.0),
             outstanding: PieceCount(outstanding),
         },
         ahead: PieceCount(outstanding * 0.75),
@@ -129,7 +129,7 @@
                 (900, 9, 64),
             ] {
                 let request = AdmissionRequest {
-                    way: WorkMillis(0.0),
+                    round_trip: WorkMillis(0.0),
                     stages: stages(shape, outstanding),
                     objective: Millis(objective),
                     rank,
--- a/lib/tests/test_distance.rs
+++ b/lib/tests/test_distance.rs
@@ -12,8 +12,8 @@
             rules::{
                 allowed_regions::{RegionHash, Regions, region_hash},
                 cold_share::ColdShare,
-                distance::RegionWay,
-                eligibility::Places,
+                distance::RegionRoundTrip,
+                eligibility::AllowedDataCentres,
                 endpoint_choice::{InputLocation, Placement},
             },
         },
@@ -28,7 +28,7 @@
 const NOW: Time = Time(60_000_000);
 
 /// Data centres with their regions, two in each of two regions.
-const PLACES: [(&str, &str); 4] = [
+const DATA_CENTRES: [(&str, &str); 4] = [
     ("n1", "north"),
     ("s1", "south"),
     ("n2", "north"),
@@ -36,24 +36,28 @@
 ];
 
 /// Number of endpoints in each data centre.
-const EACH: usize = 5;
+const ENDPOINTS_EACH: usize = 5;
 
 fn regions() -> Regions {
-    let places = PLACES.map(|(place, region)| (place.parse().unwrap(), region.parse().unwrap()));
-    Regions(places.into_iter().collect())
+    let data_centres = DATA_CENTRES
+        .map(|(data_centre, region)| (data_centre.parse().unwrap(), region.parse().unwrap()));
+    Regions(data_centres.into_iter().collect())
 }
 
 fn region(name: &str) -> RegionHash {
     region_hash(&name.parse().unwrap())
 }
 
-fn entry(place: &str, number: usize) -> Arc<EndpointEntry> {
-    let host = PLACES.iter().position(|(name, _)| *name == place).unwrap();
+fn entry(data_centre: &str, number: usize) -> Arc<EndpointEntry> {
+    let host = DATA_CENTRES
+        .iter()
+        .position(|(name, _)| *name == data_centre)
+        .unwrap();
     Arc::new(EndpointEntry {
-        id: format!("{place}-{number}").parse().unwrap(),
+        id: format!("{data_centre}-{number}").parse().unwrap(),
         service: "s".parse().unwrap(),
         address: format!("10.{host}.0.1:{}", 80 + number).parse().unwrap(),
-        data_centre: place.parse().unwrap(),
+        data_centre: data_centre.parse().unwrap(),
         slots: 4,
         draining: false,
         cold: Millis(0),
@@ -63,12 +67,12 @@
 }
 
 /// Returns the endpoints as a daemon in a data centre knows them.
-fn seen_from(place: &str) -> EndpointStates {
+fn seen_from(data_centre: &str) -> EndpointStates {
     let mut states = EndpointStates::default();
-    states.set_regions(&place.parse().unwrap(), &regions());
-    for (place, _) in PLACES {
-        for number in 0..EACH {
-            states.upsert(NOW, entry(place, number));
+    states.set_regions(&data_centre.parse().unwrap(), &regions());
+    for (data_centre, _) in DATA_CENTRES {
+        for number in 0..ENDPOINTS_EACH {
+            states.upsert(NOW, entry(data_centre, number));
         }
     }
     states
@@ -90,7 +94,7 @@
         tried: &[],
         inputs,
         connection_limit: u32::MAX,
-        places: &Places::Anywhere,
+        allowed: &AllowedDataCentres::Anywhere,
         cold_share: ColdShare::Unlimited,
         cold_start: Millis(0),
         urgency: 0,
@@ -118,8 +122,11 @@
     for (here, home) in [("n1", "n"), ("s2", "s")] {
         let states = seen_from(here);
         for shared in 0..40 {
-            let place = chosen(&states, here, &prompt(shared), &[]);
-            assert!(place.starts_with(home), "{shared} from {here} to {place}");
+            let data_centre = chosen(&states, here, &prompt(shared), &[]);
+            assert!(
+                data_centre.starts_with(home),
+                "{shared} from {here} to {data_centre}"
+            );
         }
     }
 }
@@ -132,9 +139,9 @@
         running,
         prefill: 0.0,
     };
-    let northern = ["n1", "n2"]
-        .into_iter()
-        .flat_map(|place| (0..EACH).map(move |number| endpoint_hash(&entry(place, number).id)));
+    let northern = ["n1", "n2"].into_iter().flat_map(|data_centre| {
+        (0..ENDPOINTS_EACH).map(move |number| endpoint_hash(&entry(data_centre, number).id))
+    });
     let loads = northern.map(|hash| (hash, full(20))).collect();
     states.set_peer_loads(&loads);
     let plain = Prompt::default();
@@ -162,19 +169,19 @@
 /// The estimate is the shortest time of a connection, and half a minute later that time no longer counts.
 #[test]
 fn ways_learnt() {
-    let mut way = RegionWay::default();
-    let first = way.time(NOW);
+    let mut round_trip = RegionRoundTrip::default();
+    let first = round_trip.time(NOW);
     for took in [61.0, 40.2, 250.0] {
-        way.record(NOW, WorkMillis(took));
+        round_trip.record(NOW, WorkMillis(took));
     }
-    assert_eq!(way.time(NOW), WorkMillis(40.2));
+    assert_eq!(round_trip.time(NOW), WorkMillis(40.2));
     let later = NOW + Millis(16_000);
-    way.record(later, WorkMillis(90.0));
-    assert_eq!(way.time(later), WorkMillis(40.2));
+    round_trip.record(later, WorkMillis(90.0));
+    assert_eq!(round_trip.time(later), WorkMillis(40.2));
     let last = later + Millis(16_000);
-    way.record(last, WorkMillis(95.0));
-    assert_eq!(way.time(last), WorkMillis(90.0));
-    assert_eq!(way.time(last + Millis(60_000)), first);
+    round_trip.record(last, WorkMillis(95.0));
+    assert_eq!(round_trip.time(last), WorkMillis(90.0));
+    assert_eq!(round_trip.time(last + Millis(60_000)), first);
 }
 
 /// Only connections to other regions are recorded, by region.
@@ -183,25 +190,26 @@
     let mut states = seen_from("n1");
     states.connected(NOW, &entry("s1", 1), WorkMillis(41.0));
     states.connected(NOW, &entry("n2", 1), WorkMillis(1.0));
-    let way = |name| states.way(NOW, Some(region(name)));
-    assert_eq!(way("south"), Some(WorkMillis(41.0)));
-    assert_eq!(way("north"), None);
-    assert_eq!(states.way(NOW, None), None);
+    let round_trip = |name| states.round_trip(NOW, Some(region(name)));
+    assert_eq!(round_trip("south"), Some(WorkMillis(41.0)));
+    assert_eq!(round_trip("north"), None);
+    assert_eq!(states.round_trip(NOW, None), None);
 }
 
 /// There are no other regions in an installation with one region, nor for an unknown data centre.
 #[test]
 fn one_region() {
-    let places = ["a", "b"].map(|place| (place.parse().unwrap(), "only".parse().unwrap()));
-    let one = Regions(places.into_iter().collect());
+    let data_centres =
+        ["a", "b"].map(|data_centre| (data_centre.parse().unwrap(), "only".parse().unwrap()));
+    let one = Regions(data_centres.into_iter().collect());
     assert_eq!(one.region(&"a".parse().unwrap()), None);
     assert!(one.others(None).is_empty());
     let two = regions();
     assert_eq!(two.region(&"elsewhere".parse().unwrap()), None);
     assert_eq!(two.others(Some(region("north"))), [region("south")].into());
-    let inside = two.within(&Places::Anywhere, Some(region("south")));
+    let inside = two.within(&AllowedDataCentres::Anywhere, Some(region("south")));
     assert_eq!(
         inside,
-        Places::of_names(vec!["s1".parse().unwrap(), "s2".parse().unwrap()])
+        AllowedDataCentres::of_names(vec!["s1".parse().unwrap(), "s2".parse().unwrap()])
     );
 }
--- a/lib/tests/test_eligibility.rs
+++ b/lib/tests/test_eligibility.rs
@@ -11,7 +11,10 @@
             routing::endpoint_states::EndpointStates,
             rules::{
                 cold_share::ColdShare,
-                eligibility::{Exclusion, LeftOut, Places, RequestStanding, Standing},
+                eligibility::{
+                    AllowedDataCentres, EndpointRestrictions, Exclusion, ExclusionCounts,
+                    RequestRestrictions,
+                },
                 endpoint_choice::{EndpointChoice, Placement},
                 reply_proof::EndpointOutcome,
             },
@@ -56,29 +59,37 @@
     states
 }
 
-fn placement<'a>(prompt: &'a Prompt, places: &'a Places, tried: &'a [EndpointId]) -> Placement<'a> {
+fn placement<'a>(
+    prompt: &'a Prompt,
+    allowed: &'a AllowedDataCentres,
+    tried: &'a [EndpointId],
+) -> Placement<'a> {
     Placement {
         prompt,
         affinity: true,
         tried,
         inputs: &[],
         connection_limit: 2,
-        places,
+        allowed,
         cold_share: one_a_second(),
         cold_start: COLD,
         urgency: 0,
     }
 }
 
-fn choose(states: &EndpointStates, now: Time, places: &Places) -> Result<EndpointChoice, LeftOut> {
+fn choose(
+    states: &EndpointStates,
+    now: Time,
+    allowed: &AllowedDataCentres,
+) -> Result<EndpointChoice, ExclusionCounts> {
     let prompt = Prompt::default();
     let here = "near".parse().unwrap();
     let service = "s".parse().unwrap();
-    states.choose(now, &here, &service, &placement(&prompt, places, &[]))
+    states.choose(now, &here, &service, &placement(&prompt, allowed, &[]))
 }
 
 fn chosen(states: &EndpointStates, now: Time) -> String {
-    let choice = choose(states, now, &Places::Anywhere).unwrap();
+    let choice = choose(states, now, &AllowedDataCentres::Anywhere).unwrap();
     choice.entry.id.to_string()
 }
 
@@ -87,78 +98,78 @@
     names.iter().map(hash).collect()
 }
 
-fn only(names: &[&str]) -> Places {
-    let places: BTreeSet<_> = names.iter().map(|name| name.parse().unwrap()).collect();
-    Places::Only(Arc::new(places))
+fn only(names: &[&str]) -> AllowedDataCentres {
+    let allowed: BTreeSet<_> = names.iter().map(|name| name.parse().unwrap()).collect();
+    AllowedDataCentres::Only(Arc::new(allowed))
 }
 
 /// Each reason is enough, and the one that lasts longest is reported.
 #[test]
 fn each_reason() {
-    let free = RequestStanding {
-        standing: Standing::default(),
-        away: false,
+    let free = RequestRestrictions {
+        restrictions: EndpointRestrictions::default(),
+        not_allowed: false,
         cold: false,
         limited: false,
         full: false,
     };
     assert_eq!(free.exclusion(), None);
-    let standing = |draining, evacuated, replaced| Standing {
+    let restrictions = |draining, evacuated, replaced| EndpointRestrictions {
         draining,
         evacuated,
         replaced,
-        resting: true,
+        cooling_down: true,
     };
-    let resting = RequestStanding {
-        standing: standing(false, false, false),
-        away: false,
+    let cooling_down = RequestRestrictions {
+        restrictions: restrictions(false, false, false),
+        not_allowed: false,
         cold: true,
         limited: true,
         full: true,
     };
-    assert_eq!(resting.exclusion(), Some(Exclusion::Resting));
-    for (standing, reason) in [
+    assert_eq!(cooling_down.exclusion(), Some(Exclusion::CoolingDown));
+    for (restrictions, reason) in [
         (
-            RequestStanding {
-                standing: standing(true, true, true),
+            RequestRestrictions {
+                restrictions: restrictions(true, true, true),
                 ..free
             },
             Exclusion::Draining,
         ),
         (
-            RequestStanding {
-                standing: standing(false, true, true),
+            RequestRestrictions {
+                restrictions: restrictions(false, true, true),
                 ..free
             },
             Exclusion::Evacuated,
         ),
         (
-            RequestStanding {
-                standing: standing(false, false, true),
-                away: true,
+            RequestRestrictions {
+                restrictions: restrictions(false, false, true),
+                not_allowed: true,
                 ..free
             },
             Exclusion::Replaced,
         ),
         (
-            RequestStanding {
-                away: true,
+            RequestRestrictions {
+                not_allowed: true,
                 cold: true,
                 ..free
             },
-            Exclusion::Away,
+            Exclusion::NotAllowed,
         ),
         (
-            RequestStanding {
+            RequestRestrictions {
                 cold: true,
                 full: true,
                 ..free
             },
             Exclusion::Cold,
         ),
-        (RequestStanding { full: true, ..free }, Exclusion::Full),
+        (RequestRestrictions { full: true, ..free }, Exclusion::Full),
     ] {
-        assert_eq!(standing.exclusion(), Some(reason));
+        assert_eq!(restrictions.exclusion(), Some(reason));
     }
 }
 
@@ -176,9 +187,9 @@
     states.set_evacuated(NOW, evacuated(&["north"]));
     let left_out = choose(&states, NOW, &only(&["near", "north"])).unwrap_err();
     assert_eq!(left_out.to_string(), "draining=1,evacuated=1,away=2");
-    assert_eq!(LeftOut::default().to_string(), "none");
-    let choice = choose(&states, NOW, &Places::Anywhere).unwrap();
-    assert_eq!(choice.left_out.of(Exclusion::Evacuated), 1);
+    assert_eq!(ExclusionCounts::default().to_string(), "none");
+    let choice = choose(&states, NOW, &AllowedDataCentres::Anywhere).unwrap();
+    assert_eq!(choice.excluded.of(Exclusion::Evacuated), 1);
 }
 
 /// An endpoint that is added while its data centre is evacuated gets nothing and doesn't count as available.
@@ -191,7 +202,9 @@
     assert_eq!(states.open(&service).count(), 1);
     assert_eq!(chosen(&states, NOW), "e1");
     states.set_evacuated(NOW, evacuated(&["near", "north"]));
-    let none = states.any_open(&service, &Places::Anywhere).unwrap_err();
+    let none = states
+        .any_open(&service, &AllowedDataCentres::Anywhere)
+        .unwrap_err();
     assert_eq!(none.to_string(), "evacuated=2");
 }
 
@@ -204,7 +217,7 @@
     assert_eq!(chosen(&states, NOW), "e1");
     states.sent(NOW, &cold, &Prompt::default(), 0);
     states.ended(NOW, &cold, EndpointOutcome::Served(None));
-    let left_out = choose(&states, NOW + Millis(500), &Places::Anywhere).unwrap_err();
+    let left_out = choose(&states, NOW + Millis(500), &AllowedDataCentres::Anywhere).unwrap_err();
     assert_eq!(left_out.of(Exclusion::Cold), 1);
     assert_eq!(chosen(&states, NOW + Millis(1_200)), "e1");
     states.sent(NOW + Millis(1_200), &cold, &Prompt::default(), 0);
@@ -227,7 +240,7 @@
     let service = "s".parse().unwrap();
     let mut states = states((1..=4).map(|number| entry(number, "near")));
     let choose = |states: &EndpointStates, now| {
-        let placement = placement(&prompt, &Places::Anywhere, &[]);
+        let placement = placement(&prompt, &AllowedDataCentres::Anywhere, &[]);
         states.choose(now, &here, &service, &placement).unwrap()
     };
     let first = choose(&states, NOW);
@@ -261,8 +274,8 @@
     // It is used if there is no other endpoint.
     let tried = ["e2".parse().unwrap()];
     let prompt = Prompt::default();
-    let places = Places::Anywhere;
-    let placement = placement(&prompt, &places, &tried);
+    let allowed = AllowedDataCentres::Anywhere;
+    let placement = placement(&prompt, &allowed, &tried);
     let here = "near".parse().unwrap();
     let service = "s".parse().unwrap();
     let choice = states.choose(NOW + Millis(500), &here, &service, &placement);
@@ -278,7 +291,7 @@
     for _ in 0..2 {
         states.sent(NOW, &former, &Prompt::default(), 0);
     }
-    assert!(choose(&states, NOW, &Places::Anywhere).is_err());
+    assert!(choose(&states, NOW, &AllowedDataCentres::Anywhere).is_err());
     let next = EndpointEntry {
         born: Some(Born(5_000)),
         revision: 12.into(),
--- a/lib/tests/test_endpoint_rate.rs
+++ b/lib/tests/test_endpoint_rate.rs
@@ -14,7 +14,7 @@
                 store::{EndpointRates, RateChange, SeenRate},
             },
             rules::endpoint_rate::{
-                Claim, LEAST_RATE, Permit, PermitPool, RateShare, Tokens, kept_rate,
+                Claim, MIN_RATE, Permit, PermitPool, RateShare, Tokens, effective_rate,
             },
         },
         shared::{
@@ -23,20 +23,20 @@
         },
     },
     hazelyoke_testutils::draws::Draws,
-    rates::{Counted, Demand, Model, Plan, Trouble, TroubleKind, Way, allowed},
+    rates::{Counted, Demand, Fault, FaultKind, Method, Model, Plan, allowed},
     std::net::SocketAddr,
 };
 
 fn plan(daemons: usize, rate: f64, demand: Demand) -> Plan {
     Plan {
-        way: Way::Permits,
+        method: Method::Permits,
         daemons,
         rate,
         load: 60.0,
         wait_ms: 0,
         demand,
         seconds: 30,
-        troubles: Vec::new(),
+        faults: Vec::new(),
         seed: 1,
     }
 }
@@ -96,7 +96,7 @@
         for rate in [1.0, 6.0, 20.0] {
             for demand in DEMANDS {
                 let plan = Plan {
-                    way: Way::EvenShares,
+                    method: Method::EvenShares,
                     wait_ms: 50,
                     ..plan(daemons, rate, demand)
                 };
@@ -110,12 +110,12 @@
     }
 }
 
-const KINDS: [TroubleKind; 5] = [
-    TroubleKind::Mute,
-    TroubleKind::Deaf,
-    TroubleKind::Still,
-    TroubleKind::Believes,
-    TroubleKind::Restart,
+const FAULT_KINDS: [FaultKind; 5] = [
+    FaultKind::Mute,
+    FaultKind::Deaf,
+    FaultKind::Stalled,
+    FaultKind::ActsAsCoordinator,
+    FaultKind::Restart,
 ];
 
 /// The bound holds in any window under random faults of any daemon, the coordinator included: messages lost in one
@@ -128,17 +128,17 @@
         let daemons = *draws.pick(&[2, 6, 30]);
         let rate = *draws.pick(&[0.0, 0.4, 1.0, 1.1, 6.0, 20.0]);
         let demand = *draws.pick(&[Demand::Even, Demand::AtOne, Demand::Moving]);
-        let troubles = (0..draws.below(8)).map(|_| {
+        let faults = (0..draws.below(8)).map(|_| {
             let start = draws.below(20_000);
             let length = *draws.pick(&[300, 1_000, 3_000, 8_000]);
-            Trouble {
+            Fault {
                 daemon: draws.below(daemons as u64) as usize,
                 time: start..start + length,
-                kind: *draws.pick(&KINDS),
+                kind: *draws.pick(&FAULT_KINDS),
             }
         });
         let plan = Plan {
-            troubles: troubles.collect(),
+            faults: faults.collect(),
             load: *draws.pick(&[5.0, 60.0, 300.0]),
             seed,
             ..plan(daemons, rate, demand)
@@ -181,7 +181,7 @@
     pool.claim(NOW, address(1), Claim(0));
     assert_eq!(pool.grant(NOW), None);
     let mut share = RateShare::new(NOW);
-    share.count(NOW + Millis(60_000), RATE, 4);
+    share.accrue(NOW + Millis(60_000), RATE, 4);
     assert_eq!(share.take(), Tokens(0.5));
     assert_eq!(share.take(), Tokens(0.0));
     let permit = Permit::new(NOW, RATE, Claim(0));
@@ -202,8 +202,8 @@
 /// An endpoint that advertises a rate of 0 still gets a request now and then.
 #[test]
 fn least_rate() {
-    assert_eq!(kept_rate(Rate(0.0)), LEAST_RATE);
-    assert_eq!(kept_rate(RATE), RATE);
+    assert_eq!(effective_rate(Rate(0.0)), MIN_RATE);
+    assert_eq!(effective_rate(RATE), RATE);
 }
 
 /// The wait grows with the claims that go first, but not with less urgent ones.
@@ -228,16 +228,19 @@
 #[test]
 fn same_rate_told() {
     let service: ServiceId = "s".parse().unwrap();
-    let life = LifeHash(7);
+    let incarnation = LifeHash(7);
     let mut rates = EndpointRates::default();
-    let began = rates.observe(NOW, life, &service, seen(Some(0.333_333), NOW));
+    let began = rates.observe(NOW, incarnation, &service, seen(Some(0.333_333), NOW));
     assert!(matches!(began, Some(RateChange::Began(_))));
     let messages = rates.messages(NOW, Some(6));
-    let told = messages[0].telling.unwrap();
+    let report = messages[0].telling.unwrap();
     let later = NOW + Millis(50);
-    let newer = RateNote { age_ms: 0, ..told };
+    let newer = RateNote {
+        age_ms: 0,
+        ..report
+    };
     assert_eq!(rates.merge(later, &service, &newer), None);
-    let again = rates.observe(later, life, &service, seen(Some(0.333_333), later));
+    let again = rates.observe(later, incarnation, &service, seen(Some(0.333_333), later));
     assert_eq!(again, None);
 }
 
@@ -246,23 +249,26 @@
 #[test]
 fn end_of_rate() {
     let service: ServiceId = "s".parse().unwrap();
-    let life = LifeHash(7);
+    let incarnation = LifeHash(7);
     let mut rates = EndpointRates::default();
-    rates.observe(NOW, life, &service, seen(Some(2.0), NOW));
+    rates.observe(NOW, incarnation, &service, seen(Some(2.0), NOW));
     let named = rates.messages(NOW, Some(6))[0].telling.unwrap();
     let later = NOW + Millis(500);
-    assert_eq!(rates.observe(later, life, &service, seen(None, NOW)), None);
-    assert!(!rates.may_send(later, life, 0));
+    assert_eq!(
+        rates.observe(later, incarnation, &service, seen(None, NOW)),
+        None
+    );
+    assert!(!rates.may_send(later, incarnation, 0));
     let sent = NOW + Millis(100);
-    let ended = rates.observe(later, life, &service, seen(None, sent));
+    let ended = rates.observe(later, incarnation, &service, seen(None, sent));
     assert_eq!(ended, Some(RateChange::Ended));
-    assert!(rates.may_send(later, life, 0));
+    assert!(rates.may_send(later, incarnation, 0));
     let older = RateNote {
         age_ms: 700,
         ..named
     };
     assert_eq!(rates.merge(later, &service, &older), None);
     assert_eq!(rates.limited(), 0);
-    rates.forget(life);
-    assert!(!rates.knows(life));
+    rates.forget(incarnation);
+    assert!(!rates.knows(incarnation));
 }
--- a/lib/tests/test_endpoint_rest.rs
+++ b/lib/tests/test_endpoint_rest.rs
@@ -6,7 +6,7 @@
             dialect::ReplyWait,
             directory::endpoint_entry::EndpointEntry,
             routing::endpoint_states::EndpointStates,
-            rules::{eligibility::Places, endpoint_cooldown::asked_rest},
+            rules::{eligibility::AllowedDataCentres, endpoint_cooldown::requested_cooldown},
         },
         shared::{
             ids::ServiceId,
@@ -27,7 +27,7 @@
         StatusCode::TOO_MANY_REQUESTS,
     ];
     for status in refusals {
-        for (wait, rest) in [
+        for (wait, cooldown) in [
             (ReplyWait::None, None),
             (named(0), None),
             (named(1), Some(1)),
@@ -35,12 +35,16 @@
             (named(86_400_000), Some(600_000)),
             (ReplyWait::Unclear, Some(1_000)),
         ] {
-            assert_eq!(asked_rest(status, wait), rest.map(Millis), "{wait:?}");
+            assert_eq!(
+                requested_cooldown(status, wait),
+                cooldown.map(Millis),
+                "{wait:?}"
+            );
         }
     }
     for status in [200, 404, 421, 500, 502] {
         let status = StatusCode::from_u16(status).expect("a status");
-        assert_eq!(asked_rest(status, named(3_000)), None, "{status}");
+        assert_eq!(requested_cooldown(status, named(3_000)), None, "{status}");
     }
 }
 
@@ -77,11 +81,19 @@
     assert!(states.record_rest(&entry, after(3_000)));
     assert!(!states.record_rest(&entry, after(1_000)));
     assert!(!states.end_rests(after(2_999)));
-    assert!(states.any_open(&service(), &Places::Anywhere).is_err());
+    assert!(
+        states
+            .any_open(&service(), &AllowedDataCentres::Anywhere)
+            .is_err()
+    );
     assert!(!states.record_rest(&entry, after(4_000)));
     assert!(!states.end_rests(after(3_999)));
     assert!(states.end_rests(after(4_000)));
-    assert!(states.any_open(&service(), &Places::Anywhere).is_ok());
+    assert!(
+        states
+            .any_open(&service(), &AllowedDataCentres::Anywhere)
+            .is_ok()
+    );
     assert!(!states.end_rests(after(5_000)));
 }
 
@@ -94,16 +106,17 @@
     for entry in &entries {
         states.upsert(START, Arc::new(entry.clone()));
     }
-    let rested = |states: &EndpointStates| states.rest_end(&service(), &Places::Anywhere);
+    let first_end =
+        |states: &EndpointStates| states.rest_end(&service(), &AllowedDataCentres::Anywhere);
     states.record_rest(&entries[0], after(3_000));
     states.record_rest(&entries[1], after(2_000));
-    assert_eq!(rested(&states), None);
+    assert_eq!(first_end(&states), None);
     states.remove(&entries[2].id);
-    assert_eq!(rested(&states), Some(after(2_000)));
+    assert_eq!(first_end(&states), Some(after(2_000)));
     states.remove(&entries[1].id);
-    assert_eq!(rested(&states), Some(after(3_000)));
+    assert_eq!(first_end(&states), Some(after(3_000)));
     states.upsert(after(500), Arc::new(entries[1].clone()));
-    assert_eq!(rested(&states), Some(after(2_000)));
+    assert_eq!(first_end(&states), Some(after(2_000)));
     assert!(states.end_rests(after(2_000)));
-    assert_eq!(rested(&states), None);
+    assert_eq!(first_end(&states), None);
 }
--- a/lib/tests/test_fleet_choice.rs
+++ b/lib/tests/test_fleet_choice.rs
@@ -11,7 +11,7 @@
             routing::{endpoint_state::PeerLoad, endpoint_states::EndpointStates},
             rules::{
                 cold_share::ColdShare,
-                eligibility::Places,
+                eligibility::AllowedDataCentres,
                 endpoint_choice::{EndpointChoice, InputLocation, Placement},
                 reply_proof::EndpointOutcome,
             },
@@ -67,7 +67,7 @@
         tried: &[],
         inputs: &[],
         connection_limit: u32::MAX,
-        places: &Places::Anywhere,
+        allowed: &AllowedDataCentres::Anywhere,
         cold_share: ColdShare::Unlimited,
         cold_start: Millis(0),
         urgency: 0,
--- a/lib/tests/test_fleet_pins.rs
+++ b/lib/tests/test_fleet_pins.rs
@@ -13,7 +13,7 @@
             rules::{
                 backend_choice::weighted,
                 cold_share::ColdShare,
-                eligibility::Places,
+                eligibility::AllowedDataCentres,
                 endpoint_choice::{EndpointChoice, InputLocation, Placement},
                 reply_proof::EndpointOutcome,
             },
@@ -147,7 +147,7 @@
             tried: &tried,
             inputs: &inputs,
             connection_limit: *self.draws.pick(&[1, 3, u32::MAX, u32::MAX]),
-            places: &Places::Anywhere,
+            allowed: &AllowedDataCentres::Anywhere,
             cold_share: ColdShare::Unlimited,
             cold_start: Millis(0),
             urgency: 0,
@@ -164,7 +164,7 @@
             return;
         };
         let (id, ms) = (&choice.entry.id, choice.expected.0);
-        let (uncached, outstanding) = (choice.uncached, choice.outstanding);
+        let (uncached, outstanding) = (choice.uncached, choice.in_flight);
         let among = choice.candidates;
         writeln!(
             self.lines,
--- a/lib/tests/test_harmful_pieces.rs
+++ b/lib/tests/test_harmful_pieces.rs
@@ -7,7 +7,7 @@
         gateway::{
             directory::endpoint_entry::EndpointEntry,
             rules::{
-                eligibility::Places,
+                eligibility::AllowedDataCentres,
                 piece_group::max_pieces_after_termination,
                 retry_budget::{BudgetLimits, WindowBudget},
             },
@@ -73,7 +73,7 @@
         rank: 0,
         result: ByteSize(1_000),
         home: None,
-        places: Places::Anywhere,
+        places: AllowedDataCentres::Anywhere,
         moved: ByteSize(0),
     }
 }
--- a/lib/tests/test_homes.rs
+++ b/lib/tests/test_homes.rs
@@ -6,7 +6,7 @@
     gateway::{
         rules::{
             allowed_regions::Regions,
-            eligibility::Places,
+            eligibility::AllowedDataCentres,
             piece_order::{DataCentreCounts, WaitingJob, WaitingOrder},
         },
         stages::job::JobId,
@@ -16,48 +16,60 @@
 };
 
 fn regions() -> Regions {
-    let places = [("a1", "a"), ("a2", "a"), ("b1", "b"), ("c1", "c")];
-    let places = places.map(|(place, region)| (place.parse().unwrap(), region.parse().unwrap()));
-    Regions(places.into_iter().collect())
+    let data_centres = [("a1", "a"), ("a2", "a"), ("b1", "b"), ("c1", "c")];
+    let data_centres = data_centres
+        .map(|(data_centre, region)| (data_centre.parse().unwrap(), region.parse().unwrap()));
+    Regions(data_centres.into_iter().collect())
 }
 
-fn homes(names: &[&str]) -> HomeRegions {
+fn regions_named(names: &[&str]) -> HomeRegions {
     let regions: Vec<_> = names.iter().map(|name| name.parse().unwrap()).collect();
     Some(regions.into())
 }
 
-fn names(places: &Places) -> Vec<String> {
-    places.names().iter().map(ToString::to_string).collect()
+fn names(allowed: &AllowedDataCentres) -> Vec<String> {
+    allowed.names().iter().map(ToString::to_string).collect()
 }
 
 #[test]
 fn both_bind() {
     let regions = regions();
-    assert_eq!(regions.places(&None, &None), Places::Anywhere);
-    assert_eq!(names(&regions.places(&homes(&["a"]), &None)), ["a1", "a2"]);
+    assert_eq!(regions.allowed(&None, &None), AllowedDataCentres::Anywhere);
     assert_eq!(
-        names(&regions.places(&None, &homes(&["b", "c"]))),
+        names(&regions.allowed(&regions_named(&["a"]), &None)),
+        ["a1", "a2"]
+    );
+    assert_eq!(
+        names(&regions.allowed(&None, &regions_named(&["b", "c"]))),
         ["b1", "c1"]
     );
-    let both = regions.places(&homes(&["a", "b"]), &homes(&["b", "c"]));
+    let both = regions.allowed(&regions_named(&["a", "b"]), &regions_named(&["b", "c"]));
     assert_eq!(names(&both), ["b1"]);
-    assert!(regions.places(&homes(&["a"]), &homes(&["c"])).is_nowhere());
-    assert!(regions.places(&homes(&["nowhere"]), &None).is_nowhere());
+    assert!(
+        regions
+            .allowed(&regions_named(&["a"]), &regions_named(&["c"]))
+            .is_nowhere()
+    );
+    assert!(
+        regions
+            .allowed(&regions_named(&["nowhere"]), &None)
+            .is_nowhere()
+    );
 }
 
 /// A data centre without a region in the settings belongs to no region.
 #[test]
 fn unknown_place() {
-    let places = regions().places(&homes(&["a"]), &None);
-    assert!(places.allow(&"a1".parse().unwrap()));
-    assert!(!places.allow(&"new".parse().unwrap()));
-    assert!(Places::Anywhere.allow(&"new".parse().unwrap()));
+    let allowed = regions().allowed(&regions_named(&["a"]), &None);
+    assert!(allowed.allow(&"a1".parse().unwrap()));
+    assert!(!allowed.allow(&"new".parse().unwrap()));
+    assert!(AllowedDataCentres::Anywhere.allow(&"new".parse().unwrap()));
 }
 
 /// Pieces wait for an endpoint in an allowed data centre, even past their objective.
 #[test]
 fn pieces_stay() {
-    let places = regions().places(&homes(&["a"]), &None);
+    let allowed = regions().allowed(&regions_named(&["a"]), &None);
     let home = "a1".parse().unwrap();
     let job = |added| WaitingJob {
         id: JobId(1),
@@ -66,7 +78,7 @@
         objective: Time(1_000_000),
         rank: 0,
         preferred: Some(&home),
-        allowed: &places,
+        allowed: &allowed,
         moved: ByteSize(100),
     };
     let centres = ["a1", "a2", "b1"].map(|name| name.parse().unwrap());
--- a/lib/tests/test_job_message.rs
+++ b/lib/tests/test_job_message.rs
@@ -5,7 +5,7 @@
 use hazelyoke_lib::{
     gateway::{
         peers::message::JobOrder,
-        rules::eligibility::Places,
+        rules::eligibility::AllowedDataCentres,
         stages::job::{PieceInput, StageJob},
     },
     shared::{
@@ -29,7 +29,7 @@
         rank: 3,
         result: ByteSize(800),
         home: Some("z".parse().unwrap()),
-        places: Places::Anywhere,
+        places: AllowedDataCentres::Anywhere,
         moved: ByteSize(2_400),
     }
 }
--- a/lib/tests/test_plan_pins.rs
+++ b/lib/tests/test_plan_pins.rs
@@ -8,7 +8,7 @@
         gateway::{
             directory::endpoint_entry::EndpointEntry,
             rules::{
-                eligibility::Places,
+                eligibility::AllowedDataCentres,
                 retry_budget::{BudgetLimits, WindowBudget},
             },
             stages::{
@@ -139,7 +139,7 @@
             rank: self.draws.below(3) as u32,
             result: ByteSize(size),
             home: CENTRES.get(centre).map(|name| name.parse().unwrap()),
-            places: Places::Anywhere,
+            places: AllowedDataCentres::Anywhere,
             moved: ByteSize(size * *self.draws.pick(&[1, 3, 20])),
         };
         self.queue.add(self.now, id, job);
--- a/lib/tests/test_quarantine.rs
+++ b/lib/tests/test_quarantine.rs
@@ -22,7 +22,8 @@
             rules::{
                 gossip::HEARTBEAT,
                 quarantine::{
-                    ENDED_LIMIT, KEEPERS, MEMORY, SERVED_GRACE, TELLINGS, keepers, speaks_against,
+                    EVIDENCE_HOLDERS, EVIDENCE_LIFETIME, EVIDENCE_REPORTS, SERVED_GRACE,
+                    TERMINATED_LIMIT, counts_against, evidence_holders,
                 },
             },
         },
@@ -64,13 +65,13 @@
 #[test]
 fn bounds_of_evidence() {
     let ended = seconds(1_000);
-    let last = ended + MEMORY - Millis(1);
-    assert!(speaks_against(last, ended, None));
-    assert!(!speaks_against(ended + MEMORY, ended, None));
+    let last = ended + EVIDENCE_LIFETIME - Millis(1);
+    assert!(counts_against(last, ended, None));
+    assert!(!counts_against(ended + EVIDENCE_LIFETIME, ended, None));
     let excused = ended - SERVED_GRACE;
-    assert!(!speaks_against(last, ended, Some(excused)));
-    assert!(speaks_against(last, ended, Some(excused - Millis(1))));
-    assert!(!speaks_against(last, ended, Some(ended + Millis(1))));
+    assert!(!counts_against(last, ended, Some(excused)));
+    assert!(counts_against(last, ended, Some(excused - Millis(1))));
+    assert!(!counts_against(last, ended, Some(ended + Millis(1))));
 }
 
 /// Three lives that ended are enough, and a life that several daemons report counts once.
@@ -82,8 +83,8 @@
     assert!(!evidence(&[run(1, 100), run(2, 101), run(1, 102)]).is_quarantined(now));
     let three = evidence(&[run(1, 100), run(2, 101), run(3, 102)]);
     assert!(three.is_quarantined(now));
-    assert_eq!(three.left(now), Millis(MEMORY.0 - 10_000));
-    assert!(!three.is_quarantined(seconds(100) + MEMORY));
+    assert_eq!(three.left(now), Millis(EVIDENCE_LIFETIME.0 - 10_000));
+    assert!(!three.is_quarantined(seconds(100) + EVIDENCE_LIFETIME));
 }
 
 /// Merged in any order, evidence says the same, also if parts of it are merged twice. A life ends once; daemons that
@@ -141,7 +142,7 @@
     assert!(quarantine.left(now, &digest(7)).is_some());
     assert_eq!(quarantine.left(now, &digest(8)), None);
     assert_eq!(quarantine.digests(now).collect::<Vec<_>>(), [digest(7)]);
-    let over = seconds(101) + MEMORY;
+    let over = seconds(101) + EVIDENCE_LIFETIME;
     assert_eq!(
         quarantine.expire(over),
         [QuarantineChange::Ended(digest(7))]
@@ -231,7 +232,7 @@
     let now = seconds(102);
     assert!(!quarantine.has_news(now));
     end(&mut quarantine, 7, 1);
-    for _ in 0..TELLINGS {
+    for _ in 0..EVIDENCE_REPORTS {
         assert!(quarantine.has_news(now));
         assert_eq!(quarantine.take_own_news(now).len(), 1);
     }
@@ -242,7 +243,7 @@
 /// The fullest datagram isn't split on its way.
 #[test]
 fn datagram_size() {
-    let ended = (0..ENDED_LIMIT).map(|_| EndedNote {
+    let ended = (0..TERMINATED_LIMIT).map(|_| EndedNote {
         endpoint: LifeHash(u32::MAX),
         age_ms: u32::MAX,
     });
@@ -262,13 +263,16 @@
 #[test]
 fn agreed_keepers() {
     let all: Vec<_> = (0..40).map(fleet::address).collect();
-    let of = |request: u64| keepers(digest(request).as_bytes(), all.iter().copied());
+    let of = |request: u64| evidence_holders(digest(request).as_bytes(), all.iter().copied());
     let chosen: BTreeSet<_> = (0..200).flat_map(of).collect();
-    assert_eq!(of(1).len(), KEEPERS);
+    assert_eq!(of(1).len(), EVIDENCE_HOLDERS);
     assert_eq!(chosen.len(), all.len());
     let mut turned = all.clone();
     turned.reverse();
-    assert_eq!(keepers(digest(1).as_bytes(), turned.into_iter()), of(1));
+    assert_eq!(
+        evidence_holders(digest(1).as_bytes(), turned.into_iter()),
+        of(1)
+    );
 }
 
 /// What each daemon of a fleet knows of requests, beside what it knows of the others.
--- a/lib/tests/test_reported_pace.rs
+++ b/lib/tests/test_reported_pace.rs
@@ -10,7 +10,7 @@
             routing::endpoint_states::EndpointStates,
             rules::{
                 cold_share::ColdShare,
-                eligibility::Places,
+                eligibility::AllowedDataCentres,
                 endpoint_choice::{EndpointChoice, Placement},
                 reply_proof::EndpointOutcome,
                 reported_slowdown::factor,
@@ -28,7 +28,7 @@
 const NOW: Time = Time(60_000_000);
 
 /// Usual time of a call, in milliseconds.
-const CALL: f64 = 60.0;
+const CALL_MS: f64 = 60.0;
 
 fn pace(hundredths: u32) -> PaceReport {
     PaceReport::Named(ReportedPace::try_from(hundredths).unwrap())
@@ -74,7 +74,7 @@
         tried: &[],
         inputs: &[],
         connection_limit: u32::MAX,
-        places: &Places::Anywhere,
+        allowed: &AllowedDataCentres::Anywhere,
         cold_share: ColdShare::Unlimited,
         cold_start: Millis(0),
         urgency: 0,
@@ -141,12 +141,12 @@
         states.ended(
             NOW,
             &one,
-            EndpointOutcome::Served(Some(WorkMillis(CALL * 2.5))),
+            EndpointOutcome::Served(Some(WorkMillis(CALL_MS * 2.5))),
         );
     }
     let later = NOW + Millis(2_000);
     let expected = choice(&states, later).expected;
-    assert!((expected.0 - CALL).abs() < 1.0, "{expected}");
+    assert!((expected.0 - CALL_MS).abs() < 1.0, "{expected}");
 }
 
 /// Returns how many of 3,000 calls at six endpoints take over twice the usual time. Each endpoint is 2.5 times as slow
@@ -169,7 +169,7 @@
         if reports {
             states.record_load(now, &entry, load(pace(hundredths)));
         }
-        let took = WorkMillis(CALL * f64::from(hundredths) / 100.0);
+        let took = WorkMillis(CALL_MS * f64::from(hundredths) / 100.0);
         states.ended(now, &entry, EndpointOutcome::Served(Some(took)));
         late += usize::from(slow[number]);
     }
--- a/lib/tests/test_request_region.rs
+++ b/lib/tests/test_request_region.rs
@@ -9,7 +9,7 @@
     shared::units::{Millis, WorkMillis},
 };
 
-const OWN: Option<RegionHash> = None;
+const LOCAL: Option<RegionHash> = None;
 
 fn region(number: u32) -> Option<RegionHash> {
     Some(RegionHash(number))
@@ -38,8 +38,8 @@
 #[test]
 fn own_region_suffices() {
     let others = [admitted(region(1), 100.0)];
-    let chosen = choose(Some(admitted(OWN, 700.0)), others.into_iter());
-    assert_eq!(chosen, Some(admitted(OWN, 700.0)));
+    let chosen = choose(Some(admitted(LOCAL, 700.0)), others.into_iter());
+    assert_eq!(chosen, Some(admitted(LOCAL, 700.0)));
 }
 
 /// A request that the local region would refuse runs in the region that admits it with the shortest expected time.
@@ -50,7 +50,7 @@
         admitted(region(2), 600.0),
         admitted(region(3), 500.0),
     ];
-    let chosen = choose(Some(refused(OWN, 820.0)), others.into_iter());
+    let chosen = choose(Some(refused(LOCAL, 820.0)), others.into_iter());
     assert_eq!(chosen, Some(admitted(region(3), 500.0)));
 }
 
@@ -58,7 +58,7 @@
 #[test]
 fn refused_everywhere() {
     let others = || [refused(region(1), 900.0)].into_iter();
-    let own = refused(OWN, 1_500.0);
+    let own = refused(LOCAL, 1_500.0);
     assert_eq!(choose(Some(own), others()), Some(own));
     assert_eq!(choose(None, others()), Some(refused(region(1), 900.0)));
     assert_eq!(choose(None, [].into_iter()), None);
--- a/lib/tests/test_retry_hints.rs
+++ b/lib/tests/test_retry_hints.rs
@@ -73,12 +73,12 @@
             fixed: WorkMillis(20.0),
             piece: WorkMillis(10.0),
         },
-        room: PieceCount(f64::MAX),
+        result_capacity: PieceCount(f64::MAX),
         outstanding: PieceCount(400.0),
     };
     let decision = |objective, rank| {
         admission::decide(&AdmissionRequest {
-            way: WorkMillis(0.0),
+            round_trip: WorkMillis(0.0),
             stages: vec![PlannedStage {
                 service,
                 ahead: PieceCount(400.0),
--- a/lib/tests/test_scale.rs
+++ b/lib/tests/test_scale.rs
@@ -9,7 +9,7 @@
             hashes::EndpointHash,
             peers::message::LoadNote,
             rules::{
-                eligibility::Places,
+                eligibility::AllowedDataCentres,
                 gossip::{MAX_DIGEST_LOADS, digest_loads},
                 retry_budget::{BudgetLimits, WindowBudget},
             },
@@ -70,7 +70,7 @@
         rank: 0,
         result: ByteSize(8_000),
         home: Some(format!("dc{}", number % DATA_CENTRES).parse().unwrap()),
-        places: Places::Anywhere,
+        places: AllowedDataCentres::Anywhere,
         moved: ByteSize(60_000),
     }
 }
--- a/lib/tests/test_stage_admission.rs
+++ b/lib/tests/test_stage_admission.rs
@@ -11,7 +11,7 @@
     shared::units::{Millis, WorkMillis},
 };
 
-const NO_WAY: WorkMillis = WorkMillis(0.0);
+const NO_ROUND_TRIP: WorkMillis = WorkMillis(0.0);
 
 fn service(outstanding: f64) -> StageService {
     StageService {
@@ -21,7 +21,7 @@
             fixed: WorkMillis(240.0),
             piece: WorkMillis(10.0),
         },
-        room: PieceCount(1_000.0),
+        result_capacity: PieceCount(1_000.0),
         outstanding: PieceCount(outstanding),
     }
 }
@@ -37,7 +37,7 @@
 
 fn request(stages: Vec<PlannedStage>) -> AdmissionRequest {
     AdmissionRequest {
-        way: NO_WAY,
+        round_trip: NO_ROUND_TRIP,
         stages,
         objective: Millis(1_000),
         rank: 0,
@@ -49,20 +49,23 @@
 #[test]
 fn idle_chain() {
     let stages = [stage(0.0, 1, &[]), stage(0.0, 2, &[0])];
-    assert_eq!(stages_time(&stages, NO_WAY), WorkMillis(250.0 + 260.0));
+    assert_eq!(
+        stages_time(&stages, NO_ROUND_TRIP),
+        WorkMillis(250.0 + 260.0)
+    );
 }
 
 /// The expected time of parallel stages is that of the longest one.
 #[test]
 fn parallel_stages() {
     let stages = [stage(0.0, 1, &[]), stage(0.0, 5, &[])];
-    assert_eq!(stages_time(&stages, NO_WAY), WorkMillis(290.0));
+    assert_eq!(stages_time(&stages, NO_ROUND_TRIP), WorkMillis(290.0));
 }
 
 #[test]
 fn stage_without_pieces() {
     let stages = [stage(900.0, 0, &[]), stage(0.0, 1, &[0])];
-    assert_eq!(stages_time(&stages, NO_WAY), WorkMillis(250.0));
+    assert_eq!(stages_time(&stages, NO_ROUND_TRIP), WorkMillis(250.0));
 }
 
 #[test]
@@ -90,7 +93,10 @@
 fn monotonic_expectation() {
     let mut last = WorkMillis(0.0);
     for outstanding in 0..200 {
-        let expected = stages_time(&[stage(f64::from(outstanding) * 5.0, 2, &[])], NO_WAY);
+        let expected = stages_time(
+            &[stage(f64::from(outstanding) * 5.0, 2, &[])],
+            NO_ROUND_TRIP,
+        );
         assert!(expected >= last);
         last = expected;
     }
--- a/lib/tests/test_stage_pins.rs
+++ b/lib/tests/test_stage_pins.rs
@@ -12,7 +12,7 @@
         gateway::{
             directory::endpoint_entry::EndpointEntry,
             rules::{
-                eligibility::Places,
+                eligibility::AllowedDataCentres,
                 retry_budget::{BudgetLimits, WindowBudget},
             },
             stages::{
@@ -148,7 +148,7 @@
             rank: u.int_in_range(0..=3)?,
             result: ByteSize(*u.choose(&[900, 2_500])?),
             home: home.map(|home| home.parse().unwrap()),
-            places: Places::Anywhere,
+            places: AllowedDataCentres::Anywhere,
             moved: ByteSize(moved),
         };
         let asked = format!(
--- a/lib/tests/test_stage_rules.rs
+++ b/lib/tests/test_stage_rules.rs
@@ -6,10 +6,10 @@
     hazelyoke_lib::{
         gateway::{
             rules::{
-                admission::CountSources,
+                admission::EndpointCounts,
                 call_fill::{CallFill, Fit},
                 call_timing::{CallCost, answer_limit, is_overdue},
-                eligibility::Places,
+                eligibility::AllowedDataCentres,
                 piece_order::{DataCentreCounts, WaitingJob, WaitingOrder, preferred_wait},
                 piece_retry::{
                     LostSend, PieceRetry, after_loss, is_retry, may_resend, misses_deadline,
@@ -162,7 +162,7 @@
         objective: after(1_000),
         rank: 0,
         preferred,
-        allowed: &Places::Anywhere,
+        allowed: &AllowedDataCentres::Anywhere,
         moved: ByteSize(100_000),
     }
 }
@@ -242,13 +242,13 @@
 
 #[test]
 fn believed_endpoints() {
-    let believed = |own_queue, peers, listed| {
-        let counts = CountSources {
-            own_queue,
+    let believed = |local_queue, peers, listed| {
+        let counts = EndpointCounts {
+            local_queue,
             peers,
             listed,
         };
-        counts.believed()
+        counts.usable()
     };
     assert_eq!(believed(Some(2), Some(5), 6), 2);
     assert_eq!(believed(None, Some(5), 6), 5);
