--- a/lib/src/gateway/rules/endpoint_rate.rs
+++ b/lib/src/gateway/rules/endpoint_rate.rs
@@ -29,8 +29,8 @@
 const MAX_POOL_TIME: Millis = Millis(250);
 
 /// Maximum number of tokens that a coordinator accepts at once beyond one whole request, as a time at the rate. Shares
-/// that were sent while its process was stalled arrive together, and each would be granted before the next one is
-/// counted.
+/// that were sent while its process was stalled arrive together, and `MAX_POOL_TIME` alone wouldn't limit them: each
+/// would be granted before the next one arrives.
 const MAX_DEPOSIT_TIME: Millis = Millis(1_000);
 
 /// Bounds on the lifetime of a permit, and the number of requests that all valid permits together may stand for:
@@ -58,8 +58,9 @@
 const WAIT_DIVISOR: u64 = 4;
 const SHORTEST_PERMIT_WAIT: Millis = Millis(50);
 
-/// Minimum time by which a report that an endpoint advertises no limit has to be newer than what is known. The age of a
-/// report is overstated by its time on the network, and protecting an overloaded endpoint has priority.
+/// Minimum time by which a report that an endpoint advertises no limit has to be newer than what is known. A report's
+/// age doesn't include its time on the network, so it seems newer than it is, and protecting an overloaded endpoint has
+/// priority.
 const LIMIT_END_MARGIN: Millis = Millis(20);
 
 /// Time after the last reply that advertised a limit after which the endpoint gets the next request for which there is
@@ -212,7 +213,7 @@
 #[derive(Debug, Clone, Default)]
 pub struct PermitPool {
     tokens: Tokens,
-    /// Tokens that may still be accepted, and when that was last counted.
+    /// Tokens that may still be accepted, and the time when they were last updated.
     acceptable: Tokens,
     counted: Option<Time>,
     claimants: Vec<Claimant>,
