--- a/lib/src/gateway/rules/admission.rs
+++ b/lib/src/gateway/rules/admission.rs
@@ -23,7 +23,7 @@
 
 /// Upper bound on the time of a request itself that counts against its admission. A long prompt costs the stages no
 /// more than a short one; without the bound, long prompts would be refused for their length alone and never be served.
-const MAX_REQUEST_TIME: WorkMillis = WorkMillis(200.0);
+const MAX_COUNTED_REQUEST_TIME: WorkMillis = WorkMillis(200.0);
 
 /// Fraction of the theoretical throughput of a service that it reaches in practice.
 const THROUGHPUT_FRACTION: f64 = 0.85;
@@ -67,8 +67,8 @@
     fn fill(&self) -> f64 {
         let batch = self.batch as f64;
         let call = self.cost.expected(batch).0;
-        let by_room = self.result_capacity.0 * call / (call + RESULT_RETENTION.0);
-        batch.min(by_room).max(1.0)
+        let by_capacity = self.result_capacity.0 * call / (call + RESULT_RETENTION.0);
+        batch.min(by_capacity).max(1.0)
     }
 
     /// Returns the number of pieces that the service completes in a millisecond at full load.
@@ -192,7 +192,9 @@
 
 /// Decides whether a request is admitted.
 pub fn decide(request: &AdmissionRequest) -> AdmissionDecision {
-    let own = request_time(request.tokens).0.min(MAX_REQUEST_TIME.0);
+    let own = request_time(request.tokens)
+        .0
+        .min(MAX_COUNTED_REQUEST_TIME.0);
     let expected_ms =
         stages_time(&request.stages, request.round_trip).0 + request.round_trip.0 + own;
     let expected = WorkMillis(expected_ms);
--- a/lib/src/gateway/rules/endpoint_choice.rs
+++ b/lib/src/gateway/rules/endpoint_choice.rs
@@ -294,9 +294,9 @@
     let in_flight = f64::from(candidate.in_flight);
     let slots = slots(candidate);
     let queued = (in_flight + 1.0 - slots).max(0.0) / slots;
-    let crowding = BUSY_FRACTION * in_flight / slots;
+    let busy = BUSY_FRACTION * in_flight / slots;
     let call = candidate.call_time.0 * candidate.reported_slowdown;
-    let time = call * (1.0 + queued + crowding);
+    let time = call * (1.0 + queued + busy);
     WorkMillis(time * permit_factor(candidate))
 }
 
