--- a/lib/src/gateway/routing/attempt.rs
+++ b/lib/src/gateway/routing/attempt.rs
@@ -16,8 +16,8 @@
             rules::{
                 endpoint_choice::EndpointChoice,
                 reply_proof::{
-                    EndpointOutcome, HeadVerdict, NotRunReason, ReplyOriginError,
-                    is_endpoint_failure, judge_head,
+                    EndpointOutcome, HeadVerdict, NotRunReason, ReplyOriginError, classify_head,
+                    is_endpoint_failure,
                 },
             },
             state::Gateway,
@@ -180,7 +180,7 @@
     let (head, body) = response.into_parts();
     let facts = D::read_reply(&head);
     gateway.record_reply(endpoint, head.status, &facts, sent);
-    match judge_head(call.id(), call.route.kind, head.status, &facts)? {
+    match classify_head(call.id(), call.route.kind, head.status, &facts)? {
         HeadVerdict::NotRun(reason) => Ok(ProvenReply::NotRun(reason)),
         HeadVerdict::Stream => Ok(ProvenReply::Streaming(head, body, connection)),
         HeadVerdict::Whole => {
--- a/lib/src/gateway/routing/stream_resume.rs
+++ b/lib/src/gateway/routing/stream_resume.rs
@@ -18,7 +18,7 @@
             rules::{
                 allowed_regions::RegionHash,
                 endpoint_choice::EndpointChoice,
-                reply_proof::{EndpointOutcome, judge_resumed_head},
+                reply_proof::{EndpointOutcome, classify_resumed_head},
                 resume::may_resume,
                 retry::RetryReason,
             },
@@ -236,7 +236,7 @@
         self.gateway
             .record_reply(endpoint, head.status, &facts, sent);
         let kind = self.call.route.kind;
-        judge_resumed_head(self.call.id(), kind, head.status, &facts)
+        classify_resumed_head(self.call.id(), kind, head.status, &facts)
     }
 
     /// Sends a request and waits for the head of its reply, as long as the caller and the deadline
--- a/lib/src/gateway/rules/admission.rs
+++ b/lib/src/gateway/rules/admission.rs
@@ -192,11 +192,11 @@
 
 /// Decides whether a request is admitted.
 pub fn decide(request: &AdmissionRequest) -> AdmissionDecision {
-    let own = request_time(request.tokens)
+    let counted = request_time(request.tokens)
         .0
         .min(MAX_COUNTED_REQUEST_TIME.0);
     let expected_ms =
-        stages_time(&request.stages, request.round_trip).0 + request.round_trip.0 + own;
+        stages_time(&request.stages, request.round_trip).0 + request.round_trip.0 + counted;
     let expected = WorkMillis(expected_ms);
     let objective = request.objective.0 as f64;
     let allowed = objective * (OBJECTIVE_FRACTION - RANK_FRACTION * f64::from(request.rank));
--- a/lib/src/gateway/rules/endpoint_rate.rs
+++ b/lib/src/gateway/rules/endpoint_rate.rs
@@ -173,10 +173,10 @@
 impl Permit {
     /// Grants a permit for a claim.
     pub fn new(now: Time, advertised: Rate, claim: Claim) -> Self {
-        let life = permit_lifetime(advertised);
+        let lifetime = permit_lifetime(advertised);
         Self {
-            until: now + life,
-            reserved_until: now + Millis(life.0 / RESERVED_TIME_DIVISOR),
+            until: now + lifetime,
+            reserved_until: now + Millis(lifetime.0 / RESERVED_TIME_DIVISOR),
             claim,
         }
     }
@@ -199,7 +199,7 @@
     claim: Option<Claim>,
     claimed: Time,
     /// When the daemon last got a permit; `None` if it never did.
-    served: Option<Time>,
+    last_permit: Option<Time>,
 }
 
 impl Claimant {
@@ -223,10 +223,10 @@
     /// Adds the tokens that a daemon hands over.
     pub fn deposit(&mut self, now: Time, advertised: Rate, tokens: Tokens) {
         self.update_acceptable(now, advertised);
-        let taken = tokens.0.min(self.acceptable.0);
-        self.acceptable.0 -= taken;
+        let accepted = tokens.0.min(self.acceptable.0);
+        self.acceptable.0 -= accepted;
         let most = Tokens::ONE.0 + Tokens::of(effective_rate(advertised), MAX_POOL_TIME).0;
-        self.tokens = Tokens((self.tokens.0 + taken).min(most));
+        self.tokens = Tokens((self.tokens.0 + accepted).min(most));
     }
 
     /// Updates the number of tokens that may be accepted: it accrues at the rate.
@@ -249,7 +249,7 @@
                 address,
                 claim: Some(claim),
                 claimed: now,
-                served: None,
+                last_permit: None,
             }),
         }
     }
@@ -263,9 +263,9 @@
         let open = claimants.filter_map(|one| Some((one.open_claim(now)?, one)));
         // Of equal claims, the most recent one is the most likely to be still wanted.
         let (_, first) =
-            open.min_by_key(|(claim, one)| (*claim, one.served, Reverse(one.claimed)))?;
+            open.min_by_key(|(claim, one)| (*claim, one.last_permit, Reverse(one.claimed)))?;
         first.claim = None;
-        first.served = Some(now);
+        first.last_permit = Some(now);
         let address = first.address;
         self.tokens.0 -= Tokens::ONE.0;
         Some(address)
--- a/lib/src/gateway/rules/reply_proof.rs
+++ b/lib/src/gateway/rules/reply_proof.rs
@@ -107,7 +107,7 @@
 /// # Errors
 ///
 /// Returns an error if the reply proves nothing: the request has possibly run.
-pub fn judge_head(
+pub fn classify_head(
     request: &str,
     kind: RouteKind,
     status: StatusCode,
@@ -135,13 +135,13 @@
 /// # Errors
 ///
 /// Returns the outcome for the endpoint if the reply does not continue the stream.
-pub fn judge_resumed_head(
+pub fn classify_resumed_head(
     request: &str,
     kind: RouteKind,
     status: StatusCode,
     facts: &ReplyFacts,
 ) -> Result<(), EndpointOutcome> {
-    match judge_head(request, kind, status, facts) {
+    match classify_head(request, kind, status, facts) {
         Ok(HeadVerdict::NotRun(reason)) => Err(reason.endpoint_outcome()),
         Ok(_) if status == StatusCode::OK => Ok(()),
         Ok(_) | Err(_) => Err(EndpointOutcome::Failed),
--- a/lib/src/gateway/rules/request_region.rs
+++ b/lib/src/gateway/rules/request_region.rs
@@ -34,14 +34,14 @@
     }
 }
 
-/// Returns the region where a request runs, with the decision there. `own` is the decision for the local region.
+/// Returns the region where a request runs, with the decision there. `local` is the decision for the local region.
 /// Returns `None` if no region has all endpoints that the request needs.
 pub fn choose(
-    own: Option<RegionDecision>,
+    local: Option<RegionDecision>,
     others: impl Iterator<Item = RegionDecision>,
 ) -> Option<RegionDecision> {
-    if own.is_some_and(|own| own.admitted_ms().is_some()) {
-        return own;
+    if local.is_some_and(|local| local.admitted_ms().is_some()) {
+        return local;
     }
     let others: Vec<RegionDecision> = others.collect();
     let admitting = others
@@ -49,5 +49,5 @@
         .filter_map(|other| Some((other.admitted_ms()?, other)));
     let soonest = admitting.min_by(|(one, _), (other, _)| one.total_cmp(other));
     let soonest = soonest.map(|(_, other)| *other);
-    soonest.or(own).or(others.first().copied())
+    soonest.or(local).or(others.first().copied())
 }
--- a/lib/src/gateway/serving/settings.rs
+++ b/lib/src/gateway/serving/settings.rs
@@ -7,7 +7,8 @@
 use {
     crate::{
         gateway::rules::{
-            allowed_regions::Regions, directory_reads, retry_budget::BudgetLimits, unconfirmed_entry,
+            allowed_regions::Regions, directory_reads, retry_budget::BudgetLimits,
+            unconfirmed_entry,
         },
         shared::{
             ids::{DataCentreId, HostId},
--- a/lib/tests/test_decision_pins.rs
+++ b/lib/tests/test_decision_pins.rs
@@ -268,7 +268,7 @@
 }
 
 /// A daemon of one core that receives heartbeats: of two daemons as strong, two weaker, and a strong one that stops.
-fn listener() -> Peers {
+fn receiver() -> Peers {
     let mut me = daemon("10.0.0.1:7000", 1.0);
     for (address, cores, phase) in [
         ("10.0.0.2:7000", 1.0, Phase::Ready),
@@ -296,7 +296,7 @@
 /// ready and if it isn't.
 #[test]
 fn service_coordinators() {
-    let peers = listener();
+    let peers = receiver();
     let mut lines = String::new();
     let services = [
         "encode",
@@ -326,7 +326,7 @@
             writeln!(lines, "{service} {ready}: {chain}").unwrap();
         }
     }
-    let mut passing = listener();
+    let mut passing = receiver();
     passing.pass_over(Time(0), &"10.0.0.2:7000".parse().unwrap());
     for service in services {
         let next = coordinator(&passing, service, false, &[]);
--- a/lib/tests/test_reply_proof.rs
+++ b/lib/tests/test_reply_proof.rs
@@ -5,8 +5,8 @@
         gateway::{
             dialect::ReplyFacts,
             rules::reply_proof::{
-                EndpointOutcome, HeadVerdict, NotRunReason, ReplyOriginError, is_endpoint_failure,
-                judge_head, judge_resumed_head,
+                EndpointOutcome, HeadVerdict, NotRunReason, ReplyOriginError, classify_head,
+                classify_resumed_head, is_endpoint_failure,
             },
             table::RouteKind,
         },
@@ -48,7 +48,7 @@
 fn replaced_endpoint() {
     for facts in all_facts() {
         for kind in KINDS {
-            let verdict = judge_head("r1", kind, status(421), &facts);
+            let verdict = classify_head("r1", kind, status(421), &facts);
             assert_eq!(verdict, Ok(HeadVerdict::NotRun(NotRunReason::Replaced)));
         }
     }
@@ -64,7 +64,7 @@
             (500, NotRunReason::Refused),
         ] {
             for kind in KINDS {
-                let verdict = judge_head("r1", kind, status(code), &facts);
+                let verdict = classify_head("r1", kind, status(code), &facts);
                 assert_eq!(verdict, Ok(HeadVerdict::NotRun(reason)));
             }
         }
@@ -77,7 +77,7 @@
         for signed in [false, true] {
             let facts = facts(request, signed, false);
             for code in [200, 409, 500, 503] {
-                let verdict = judge_head("r1", RouteKind::Idempotent, status(code), &facts);
+                let verdict = classify_head("r1", RouteKind::Idempotent, status(code), &facts);
                 let error = ReplyOriginError::OtherRequest(facts.request.clone());
                 assert_eq!(verdict, Err(error));
             }
@@ -91,7 +91,7 @@
 fn unsigned_reply() {
     let facts = facts(Some("r1"), false, false);
     for code in [200, 409, 500] {
-        let verdict = judge_head("r1", STREAM, status(code), &facts);
+        let verdict = classify_head("r1", STREAM, status(code), &facts);
         let error = ReplyOriginError::Unsigned(status(code));
         assert_eq!(
             error.to_string(),
@@ -112,7 +112,7 @@
             (409, false),
             (500, false),
         ] {
-            let verdict = judge_head("r1", kind, status(code), &facts);
+            let verdict = classify_head("r1", kind, status(code), &facts);
             let streams = kind == STREAM && success;
             let expected = if streams {
                 HeadVerdict::Stream
@@ -128,7 +128,7 @@
 fn resumed_stream() {
     for facts in all_facts() {
         for code in [200, 204, 421, 409, 500, 503] {
-            let found = judge_resumed_head("r1", STREAM, status(code), &facts);
+            let found = classify_resumed_head("r1", STREAM, status(code), &facts);
             let is_own = facts.signed && facts.request.as_deref() == Some("r1");
             let expected = match (code, facts.not_run) {
                 (421, _) => Err(EndpointOutcome::Replaced),
