--- a/lib/src/gateway/dialect.rs
+++ b/lib/src/gateway/dialect.rs
@@ -1,8 +1,8 @@
-//! Translation between an installation's spelling of requests, replies and documents and this
-//! system's values.
+//! Translation between the wire formats of an installation (headers, bodies, documents) and the types of this
+//! library.
 //!
-//! An installation implements [`Dialect`], which decides nothing and holds no state. The values here
-//! are what it reads and writes.
+//! An installation implements [`Dialect`], which decides nothing and holds no state. The types in this module are the
+//! ones that it reads and writes.
 
 use {
     crate::{
@@ -23,18 +23,18 @@
     thiserror::Error,
 };
 
-/// Reports a document or message that doesn't follow the installation's form.
+/// Reports a document or message that doesn't follow the installation's format.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 #[error("{place}: {message}")]
 pub struct FormError {
-    /// Place in the document, or name of the header.
+    /// Path of the value in the document, or name of the header.
     pub place: String,
-    /// Description of the fault.
+    /// Description of what is wrong with the value.
     pub message: String,
 }
 
 impl FormError {
-    /// Reports a fault at a place.
+    /// Creates an error for a value at a place in a document or message.
     pub fn new(place: impl Into<String>, message: impl Into<String>) -> Self {
         Self {
             place: place.into(),
@@ -43,96 +43,96 @@
     }
 }
 
-/// A part of a prompt that may be shared with other requests.
+/// A part of a prompt that other requests may share.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PromptPart {
-    /// Identity: equal for parts with the same text.
+    /// Id of the text; parts with the same text have the same id.
     pub id: u64,
-    /// Its length in tokens.
+    /// Length in tokens.
     pub tokens: u32,
 }
 
-/// The prompt of a request, as far as its head describes it.
+/// The prompt of a request, as described in the request's head.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Prompt {
-    /// Its parts, in order.
+    /// Parts of the prompt from its beginning.
     pub parts: Vec<PromptPart>,
-    /// Its length in tokens.
+    /// Length in tokens.
     pub tokens_in: u32,
-    /// Most tokens to generate.
+    /// Maximum number of tokens to generate.
     pub tokens_out: u32,
 }
 
-/// A caller's request, apart from what is passed on unchanged.
+/// The values that the library needs from the head of a caller's request.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Inbound {
-    /// Id that the caller gave this request.
+    /// Id that the caller assigned to the request.
     pub id: Arc<str>,
-    /// Key that identifies the customer.
+    /// API key that identifies the customer.
     pub key: Option<String>,
-    /// Time that the caller waits, counted from when it sent the request.
+    /// Time that the caller waits for the answer, counted from sending the request.
     pub remaining: Option<Millis>,
-    /// The prompt, if there is one.
+    /// Prompt; empty if the request has none.
     pub prompt: Prompt,
-    /// Last event of the stream that the caller already has.
+    /// Number of the last event of the stream that the caller already received.
     pub last_event: Option<u64>,
-    /// Number of pieces of each stage.
+    /// Number of pieces of each stage, in the order of the route's stages.
     pub pieces: Vec<u32>,
-    /// Input of the pieces of the first stages.
+    /// Input of the pieces of stages that depend on no other stage.
     pub piece_key: Option<String>,
 }
 
-/// Headers that are added to a request on its way to an endpoint.
+/// Values of the headers that are added to a request before it is sent to an endpoint.
 #[derive(Debug, Clone)]
 pub struct Outbound<'a> {
-    /// Endpoint that must answer, and no other.
+    /// Endpoint that must answer; any other one refuses the request.
     pub endpoint: &'a EndpointId,
-    /// Customer that the key stands for.
+    /// Customer that the request's key belongs to.
     pub customer: Option<&'a CustomerId>,
-    /// Time left.
+    /// Time left until the request's deadline.
     pub remaining: Millis,
-    /// Order among the endpoint's requests; 0 goes first.
+    /// Urgency among the endpoint's requests; 0 is the most urgent.
     pub urgency: u32,
-    /// Results of the stages that ran before.
+    /// Results of stages that the request uses.
     pub inputs: &'a [ResultHandle],
-    /// Event after which the stream continues.
+    /// Number of the event after which the stream continues.
     pub resume_after: Option<u64>,
 }
 
-/// Load that an endpoint reports with a reply.
+/// Load that an endpoint reports in a reply.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ReplyLoad {
-    /// Requests that it runs.
+    /// Number of requests that the endpoint is running.
     pub running: u32,
-    /// Requests that wait.
+    /// Number of requests that are waiting at the endpoint.
     pub waiting: u32,
-    /// Requests that it can run at the same time.
+    /// Number of requests that the endpoint can run at the same time.
     pub slots: u32,
-    /// How long work takes there at the moment.
+    /// Slowdown of the endpoint: the time that work takes there at the moment, as a multiple of the usual time.
     pub pace: PaceReport,
 }
 
-/// What an endpoint reports of the time that work takes there at the moment.
+/// Slowdown that an endpoint reports, if any.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum PaceReport {
-    /// Nothing.
+    /// The reply reports no slowdown.
     #[default]
     None,
-    /// Something that can't be a pace.
+    /// The reported value is not a valid slowdown.
     Unclear,
-    /// This pace.
+    /// The reply reports this slowdown.
     Named(ReportedPace),
 }
 
-/// Time that work takes, in hundredths of the usual time.
+/// Slowdown of an endpoint: the time that work takes there, in hundredths of the usual time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ReportedPace(u32);
 
 impl ReportedPace {
-    /// The slowest pace that is believed.
+    /// Greatest value that is accepted, in hundredths of the usual time.
     const SLOWEST: u32 = 10_000;
 
-    /// Returns the pace as a multiple of the usual time.
+    /// Returns the slowdown as a multiple of the usual time.
     pub fn factor(self) -> f64 {
         f64::from(self.0) / 100.0
     }
@@ -150,118 +150,118 @@
     }
 }
 
-/// A number that can't be a pace.
+/// Reports a number that is not a valid slowdown.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 #[error("{0} hundredths of the usual time can't be a pace")]
 pub struct PaceError(u32);
 
-/// Rate that an endpoint names in a reply.
+/// Rate limit that an endpoint advertises in a reply.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct NamedRate {
-    /// Requests a second that it takes from all daemons together; 0 where none can be read.
+    /// Requests per second that the endpoint accepts from all daemons together; 0 if the value can't be read.
     pub rate: Rate,
-    /// The reply states it as one number, not below zero.
+    /// Whether the reply states the rate as a single number that isn't negative.
     pub clear: bool,
 }
 
-/// What an endpoint says with a reply of whether it leaves.
+/// Whether an endpoint announces in a reply that it is leaving.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum LeaveNotice {
-    /// Nothing, or that it doesn't.
+    /// The reply doesn't mention it, or states that the endpoint is not leaving.
     #[default]
     None,
-    /// Something that can't be read. An endpoint that stays has no reason to say anything.
+    /// The value can't be read. An endpoint that isn't leaving has no reason to send one.
     Unclear,
-    /// It leaves.
+    /// The endpoint is leaving.
     Leaves,
 }
 
-/// Time after which a reply asks to come back.
+/// Time after which a reply asks the caller to retry.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum ReplyWait {
-    /// It names none.
+    /// The reply states no time.
     #[default]
     None,
-    /// It names one that can't be read.
+    /// The stated time can't be read.
     Unclear,
-    /// This time.
+    /// The reply states this time.
     Named(Millis),
 }
 
-/// The head of a reply, as far as it matters here.
+/// The values that the library needs from the head of a reply.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct ReplyFacts {
-    /// Request that it answers.
+    /// Id of the request that the reply answers.
     pub request: Option<String>,
-    /// It carries the mark of an endpoint's own work.
+    /// Whether the reply has the header by which an endpoint marks replies that it made itself.
     pub signed: bool,
-    /// The endpoint reports that it didn't run the request.
+    /// Whether the endpoint reports that it didn't run the request.
     pub not_run: bool,
-    /// Load of the endpoint.
+    /// Load of the endpoint, if reported.
     pub load: Option<ReplyLoad>,
-    /// Rate that the endpoint names, if it names any.
+    /// Rate limit that the endpoint advertises, if any.
     pub rate: Option<NamedRate>,
-    /// Whether the endpoint says that it leaves.
+    /// Whether the endpoint announces that it is leaving.
     pub leave: LeaveNotice,
-    /// Time after which it asks to come back.
+    /// Time after which the endpoint asks the caller to retry.
     pub wait: ReplyWait,
 }
 
-/// The spelling of one installation. It translates and decides nothing.
+/// The wire formats of one installation. Implementations translate and decide nothing.
 ///
-/// Functions that write can't fail: they add headers and bodies from values that are valid already.
+/// Functions that write can't fail, since they get valid values.
 pub trait Dialect: 'static {
-    /// Path on which readiness is asked.
+    /// Path at which endpoints report whether they are ready.
     const READY_PATH: &'static str;
-    /// Path to which calls of pieces are posted.
+    /// Path to which calls with pieces are posted.
     const PIECES_PATH: &'static str;
-    /// Path to which results that are no longer needed are posted.
+    /// Path to which the handles of results that are no longer needed are posted.
     const RELEASE_PATH: &'static str;
 
-    /// Reads a caller's request.
+    /// Reads the head of a caller's request.
     ///
     /// # Errors
     ///
-    /// Returns what is wrong with its head.
+    /// Returns an error if the head doesn't follow the installation's format.
     fn read_request(head: &request::Parts) -> Result<Inbound, FormError>;
 
-    /// Removes from a request's headers those that only this system may set, and adds its own.
+    /// Removes the headers that only this system may set from a request's headers, and adds those of `outbound`.
     fn write_request(headers: &mut HeaderMap, outbound: &Outbound<'_>);
 
     /// Reads the head of a reply.
     fn read_reply(head: &response::Parts) -> ReplyFacts;
 
-    /// Writes the headers of a call of pieces to one endpoint.
+    /// Adds the headers of a call with pieces, which name the endpoint that must answer.
     fn write_call(headers: &mut HeaderMap, endpoint: &EndpointId);
 
-    /// Writes a call of pieces.
+    /// Returns the body of a call with pieces.
     fn write_pieces(pieces: &[PieceTask]) -> Bytes;
 
-    /// Reads how the pieces of a call ended, in their order.
+    /// Reads the outcomes of the pieces of a call, in the order of the pieces.
     ///
     /// # Errors
     ///
-    /// Returns what is wrong with the body.
+    /// Returns an error if the body doesn't follow the installation's format.
     fn read_pieces(body: &[u8]) -> Result<Vec<PieceEnd>, FormError>;
 
-    /// Writes a release of results that are no longer needed.
+    /// Returns the body of a release of results that are no longer needed.
     fn write_release(handles: &[ResultHandle]) -> Bytes;
 
-    /// Returns the time after which a caller may come back, as headers.
+    /// Adds headers with the time after which a caller may retry.
     fn write_retry_after(headers: &mut HeaderMap, wait: Duration);
 
     /// Reads a published table.
     ///
     /// # Errors
     ///
-    /// Returns what is wrong with it.
+    /// Returns an error if the document doesn't follow the installation's format.
     fn read_table(bytes: &[u8]) -> Result<Table, FormError>;
 
-    /// Reads an endpoint's entry.
+    /// Reads the directory entry of an endpoint.
     ///
     /// # Errors
     ///
-    /// Returns what is wrong with it.
+    /// Returns an error if the document doesn't follow the installation's format.
     fn read_endpoint(
         id: &str,
         revision: Revision,
--- a/lib/src/gateway/hashes.rs
+++ b/lib/src/gateway/hashes.rs
@@ -1,7 +1,7 @@
 //! Short hashes of names, for messages between daemons that have to fit into a datagram.
 //!
-//! Two names may share a hash; then the loads of both endpoints or services count for each, and two data
-//! centres are evacuated together, which costs a worse choice and breaks nothing.
+//! If two names have the same hash, the loads of both endpoints or services count for each of them, and two data
+//! centres are evacuated together. This leads to worse choices of endpoints but to no errors.
 
 use {
     crate::{
@@ -27,12 +27,13 @@
 #[serde(transparent)]
 pub struct DataCentreHash(pub u32);
 
-/// Hash of one life of an endpoint.
+/// Hash of an endpoint's incarnation: the time from one start of its process to the next.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct LifeHash(pub u32);
 
-/// Returns the hash of the life that an entry is about: the lower half of the XXH3 of its name and its start.
+/// Returns the hash of the incarnation that an entry describes: the lower half of the XXH3 of the endpoint's name and
+/// start time.
 pub fn life_hash(entry: &EndpointEntry) -> LifeHash {
     let mut bytes = entry.id.as_str().as_bytes().to_vec();
     if let Some(born) = entry.born {
@@ -41,17 +42,17 @@
     LifeHash(xxh3_64(&bytes) as u32)
 }
 
-/// Returns the hash of a data centre's name: the lower half of its XXH3.
+/// Returns the hash of a data centre's name: the lower half of the name's XXH3.
 pub fn data_centre_hash(data_centre: &DataCentreId) -> DataCentreHash {
     DataCentreHash(xxh3_64(data_centre.as_str().as_bytes()) as u32)
 }
 
-/// Returns the hash of an endpoint's name: the lower half of its XXH3.
+/// Returns the hash of an endpoint's name: the lower half of the name's XXH3.
 pub fn endpoint_hash(id: &EndpointId) -> EndpointHash {
     EndpointHash(xxh3_64(id.as_str().as_bytes()) as u32)
 }
 
-/// Returns the hash of a service's name: the lower half of its XXH3.
+/// Returns the hash of a service's name: the lower half of the name's XXH3.
 pub fn service_hash(service: &ServiceId) -> ServiceHash {
     ServiceHash(xxh3_64(service.as_str().as_bytes()) as u32)
 }
--- a/lib/src/gateway/mod.rs
+++ b/lib/src/gateway/mod.rs
@@ -1,12 +1,11 @@
-//! Forwarding of callers' own HTTP requests to endpoints, with the work that must come before.
+//! Forwards callers' HTTP requests to endpoints, after the stages that a request depends on.
 //!
-//! A [`Table`](table::Table) says which route a request takes, a
-//! [`Directory`](directory::source::Directory) which endpoints there are, and a
-//! [`Dialect`](dialect::Dialect) how requests and replies are spelled. An installation brings only those
-//! three translations; every decision is made here.
+//! A [`Table`](table::Table) defines the routes, a [`Directory`](directory::source::Directory) lists the endpoints, and
+//! a [`Dialect`](dialect::Dialect) defines the wire formats of requests and replies. An installation provides only
+//! these three; every decision is made here.
 //!
-//! `rules` holds the decisions, pure; `directory`, `routing`, `stages` and `peers` carry them out on
-//! the state in `state`; `wire` reads and writes HTTP; `serving` starts and stops all of it.
+//! `rules` contains the decisions as pure functions; `directory`, `routing`, `stages` and `peers` apply them to the
+//! state in `state`; `wire` reads and writes HTTP; `serving` starts and stops the daemon.
 
 pub mod dialect;
 pub mod directory;
--- a/lib/src/gateway/request_digest.rs
+++ b/lib/src/gateway/request_digest.rs
@@ -1,9 +1,9 @@
-//! Digests by which daemons tell that two requests are the same one, sent again.
+//! Digests by which daemons recognize a request that is sent again.
 //!
-//! Two requests are the same if their customer, method, host, path with its query, and body are; their ids differ.
-//! The digest is the first half of a SHA-256 over these, each with its length before it: a caller that could find
-//! a second request with the digest of another caller's one could have that one refused
-//! ([`quarantine`](crate::gateway::rules::quarantine)).
+//! Two requests are the same if they have the same customer, method, host, path with query, and body; their ids
+//! differ. The digest is the first half of a SHA-256 over these values, each preceded by its length. It has to be a
+//! cryptographic hash: a caller that finds a request with the same digest as a request of another caller could have
+//! that one refused ([`quarantine`](crate::gateway::rules::quarantine)).
 
 use {
     crate::shared::ids::CustomerId,
@@ -14,34 +14,34 @@
     thiserror::Error,
 };
 
-/// Bytes of a digest: enough that no two requests share one by chance or by search.
+/// Size of a digest in bytes: large enough that collisions neither happen by chance nor can be found by search.
 const SIZE: usize = 16;
 
-/// Digest of a request.
+/// Digest of a request, as 16 bytes.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(into = "(u64, u64)", from = "(u64, u64)")]
 pub struct RequestDigest([u8; SIZE]);
 
-/// What makes two requests the same one.
+/// The values of a request that are included in its digest.
 #[derive(Debug, Clone, Copy)]
 pub struct RequestContent<'a> {
     /// Customer whose key the request carries, if any.
     pub customer: Option<&'a CustomerId>,
-    /// Its head as the caller sent it; of this, the method, the host and the path count.
+    /// Head of the request as the caller sent it; only the method and the path with query are used.
     pub head: &'a Parts,
-    /// Its host, as the head names it.
+    /// Host of the request, as stated in the head.
     pub host: &'a str,
-    /// Its body.
+    /// Body of the request.
     pub body: &'a [u8],
 }
 
-/// Reports a text that isn't a digest.
+/// Reports a text that isn't a valid digest.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 #[error("{0:?} isn't a digest of {len} hexadecimal digits", len = 2 * SIZE)]
 pub struct DigestError(String);
 
 impl RequestDigest {
-    /// Returns the digest of a request.
+    /// Computes the digest of a request.
     pub fn new(content: &RequestContent<'_>) -> Self {
         let path = content.head.uri.path_and_query();
         let customer = content.customer.map_or("", CustomerId::as_str);
@@ -61,7 +61,7 @@
         Self(digest)
     }
 
-    /// Returns the bytes, for hashes that choose daemons.
+    /// Returns the bytes, for hashes by which daemons are chosen.
     pub fn as_bytes(&self) -> &[u8] {
         &self.0
     }
--- a/lib/src/gateway/state.rs
+++ b/lib/src/gateway/state.rs
@@ -1,8 +1,8 @@
-//! State of a forwarding daemon, and its clock.
+//! The state of a forwarding daemon, and its clock.
 //!
-//! Owns the table in force, the endpoints, the peers, the planning of stages and the budgets, all of
-//! one thread. Other modules change it: `directory` adopts tables and lists, `peers` records what
-//! other daemons report, `routing` and `stages` count what is in flight.
+//! Owns the table in force, the endpoints, the peers, the queues of stage services and the retry budgets. All of it
+//! belongs to one thread. Other modules change it: `directory` adopts tables and endpoint lists, `peers` records the
+//! reports of other daemons, `routing` and `stages` count requests and calls in flight.
 
 use {
     crate::{
@@ -42,21 +42,21 @@
     tokio::sync::Notify,
 };
 
-/// A table together with the bytes it was read from.
+/// A table and the bytes from which it was read.
 #[derive(Debug)]
 pub struct PublishedTable {
-    /// The table.
+    /// The table as read from the bytes.
     pub table: Table,
-    /// Its bytes, to be passed on to other daemons.
+    /// Bytes of the published document, which are passed on to other daemons.
     pub bytes: Bytes,
-    /// Fingerprint of the bytes.
+    /// Fingerprint of the bytes, which tells different documents of the same version apart.
     pub fingerprint: u64,
-    /// The bytes in parts, once they were needed.
+    /// Chunks of the bytes; computed when first needed.
     parts: OnceCell<TableParts>,
 }
 
 impl PublishedTable {
-    /// Builds a table from its bytes and what was read from them.
+    /// Creates a published table.
     pub fn new(table: Table, bytes: Bytes, fingerprint: u64) -> Self {
         Self {
             table,
@@ -66,63 +66,64 @@
         }
     }
 
-    /// Returns the bytes in parts.
+    /// Returns the chunks of the bytes.
     pub fn parts(&self) -> &TableParts {
         self.parts.get_or_init(|| TableParts::new(&self.bytes))
     }
 }
 
-/// State of a daemon, as far as it changes while it runs.
+/// The state of a daemon that changes while it runs.
 #[derive(Debug)]
 pub struct GatewayState {
-    /// The table in force.
+    /// The table in force; `None` before the first one is adopted.
     pub published: Option<Rc<PublishedTable>>,
-    /// Entries of the endpoints, as the directory publishes them.
+    /// Entries of the endpoints as published in the directory.
     pub catalogue: Catalogue,
-    /// The evacuated data centres.
+    /// Data centres that operators have evacuated.
     pub evacuations: Evacuations,
-    /// Entries that couldn't be read.
+    /// Directory entries that couldn't be read.
     pub(crate) refused: RefusedEntries,
-    /// The endpoints as requests see them: load, health, time of a call.
+    /// State of the endpoints that decides where requests are sent: load, health, response times.
     pub endpoints: EndpointStates,
-    /// Requests under which endpoints ended.
+    /// Requests during which endpoints terminated.
     pub quarantine: Quarantine,
-    /// The other daemons.
+    /// Other daemons.
     pub peers: Peers,
     /// Queues of the stage services that this daemon coordinates.
     pub planning: Planning,
-    /// Times of this daemon's reads of the directory.
+    /// Times at which this daemon read the directory.
     pub contact: DirectoryContact,
-    /// This daemon reads the directory for the others, since none that should does.
+    /// Whether this daemon reads the directory for the others, because no daemon that is meant to read it does.
     pub(crate) substitutes: bool,
-    /// A whole list of endpoints has been applied at least once.
+    /// Whether a complete endpoint list was applied at least once.
     pub has_list: bool,
-    /// A part of the first list of endpoints is in use.
+    /// Whether some entries of the first endpoint list are in use before the list is complete.
     pub(crate) has_part: bool,
     /// The outstanding pieces of this daemon's requests.
     pub workload: Workload,
-    /// Requests in flight from all daemons, as coordinators sum them up.
+    /// Sums of the requests in flight from all daemons, as reported by coordinators.
     pub load_sums: LoadSums,
-    /// Endpoints that this daemon's last digest of loads named as busy.
+    /// Endpoints that the last load digest of this daemon reported as busy.
     pub(crate) digest_named: HashSet<EndpointHash>,
-    /// Since when a peer is known to have a newer table or list.
+    /// Since when a peer has had a newer table or endpoint list than this daemon.
     pub behind_since: BehindSince,
-    /// Since when a peer is known to have a newer table, whatever of it has come.
+    /// Since when a peer has had a newer table than this daemon, whether or not some of its bytes have arrived.
     pub(crate) newer_since: Option<Time>,
-    /// Revision of the directory up to which this daemon itself knows of no newer table.
+    /// Directory revision up to which this daemon has read and found no newer table.
     pub(crate) table_read: Revision,
-    /// Latest era of the directory that this daemon has read or heard of.
+    /// Latest era of the directory that this daemon has read or that a peer has reported.
     pub(crate) era: Era,
-    /// Since when there are orders to evacuate that the directory lacks since it came back from an older copy.
+    /// Since when the directory lacks evacuation orders that this daemon holds, because the directory was restored
+    /// from an older copy; `None` if it lacks none.
     pub(crate) held_orders: Option<Time>,
-    /// Batches of the table's parts that other daemons asked for.
+    /// Batches of table chunks that other daemons requested.
     pub(crate) batches: PartBatches,
-    /// Budgets of retries at each service.
+    /// Retry budget of each service.
     pub(crate) budgets: HashMap<ServiceId, WindowBudget>,
 }
 
 impl GatewayState {
-    /// Starts without a table and without endpoints.
+    /// Creates the state of a daemon without a table and without endpoints.
     fn new(peers: Peers, catalogue: Catalogue) -> Self {
         Self {
             published: None,
@@ -150,22 +151,22 @@
         }
     }
 
-    /// Returns whether peers have had something newer than this daemon for too long, while it ran.
+    /// Returns whether peers have had a newer table or endpoint list for too long, not counting stalls of this process.
     pub(crate) fn lags(&self, now: Time) -> bool {
         let excused = |since| self.peers.standstills.exclude_stalls(since, now);
         let behind = self.behind_since.map_times(excused);
         behind.is_behind(now, self.peers.daemons())
     }
 
-    /// Returns the version of the table in force; 0 if there is none.
+    /// Returns the version of the table in force, or 0 if there is none.
     pub(crate) fn table_version(&self) -> Version {
         self.published
             .as_ref()
             .map_or(0, |published| published.table.version)
     }
 
-    /// Returns the revision of the directory up to which there is no newer table, as far as this
-    /// daemon or a living one with the same table knows.
+    /// Returns the directory revision up to which this daemon, or a live peer with the same table, found no newer
+    /// table.
     pub(crate) fn table_until(&self) -> Revision {
         let Some(published) = &self.published else {
             return Revision::default();
@@ -176,61 +177,62 @@
         self.table_read.max(same)
     }
 
-    /// Returns the revision of the directory up to which everything is known that operators published.
+    /// Returns the directory revision up to which this daemon knows all tables and evacuations that operators
+    /// published.
     pub(crate) fn operator_until(&self) -> Revision {
         self.table_until().min(self.evacuations.until())
     }
 }
 
-/// One forwarding daemon.
+/// A forwarding daemon.
 #[derive(Debug)]
 pub struct Gateway<D> {
     /// Settings in force.
     settings: RefCell<Rc<GatewaySettings>>,
-    /// State that changes while it runs. No borrow is held across an await.
+    /// State that changes while the daemon runs. No borrow is held across an await.
     pub state: RefCell<GatewayState>,
     /// Links to other daemons.
     pub links: Links,
-    /// Counters and histograms.
+    /// Metrics of the daemon.
     pub metrics: GatewayMetrics,
-    /// A signal has asked for a stop.
+    /// Whether a signal has requested a stop.
     pub stopping: Cell<bool>,
-    /// Requests without a final answer.
+    /// Number of accepted requests without a final answer.
     pub in_flight: Cell<usize>,
-    /// Wakes the loop that plans the calls of stages.
+    /// Wakes the loop that plans calls of stage services.
     pub work: Notify,
-    /// The queues of stages weren't told yet what has changed of endpoints, services or limits.
+    /// Whether endpoints, services or limits have changed since the queues of stage services were last updated.
     stale_planning: Cell<bool>,
-    /// Wakes the loop that fetches newer tables: another daemon reports one.
+    /// Wakes the loop that fetches newer tables, when another daemon reports one.
     pub(crate) newer_table: Notify,
-    /// Wakes whoever waits for another table to come into force.
+    /// Wakes the tasks that wait for another table to come into force.
     pub(crate) table_changed: Notify,
-    /// Wakes the requests that are still without an answer when the time of a stop is over.
+    /// Wakes the requests that have no answer when the grace time of a stop is over.
     pub(crate) stop_over: Notify,
-    /// Wakes whoever waits for an answer of the directory that was asked for while it was lost.
+    /// Wakes the tasks that wait for the directory to answer again after it was lost.
     pub(crate) directory_regained: Notify,
-    /// Wakes whoever waits for changes of the directory in an era that has ended.
+    /// Wakes the tasks that wait for directory changes of an era that has ended.
     pub(crate) restored: Notify,
-    /// Wakes the loop that sends heartbeats: there is something that others should know at once.
+    /// Wakes the loop that sends heartbeats, when other daemons should be informed immediately.
     pub(crate) announcement: Notify,
-    /// Wakes whoever waits for a time that may have come while the host was suspended.
+    /// Wakes the tasks that wait for a time, since it may have passed while the host was suspended.
     pub(crate) resumed: Notify,
-    /// Wakes the loop that tells others under which requests endpoints ended.
+    /// Wakes the loop that reports to other daemons during which requests endpoints terminated.
     pub(crate) quarantine_news: Notify,
-    /// Wakes the loop that tells others of rates that endpoints name, and asks for permits.
+    /// Wakes the loop that reports advertised rate limits to other daemons and requests permits.
     pub(crate) rate_news: Notify,
     /// Wakes the requests that wait for a permit.
     pub(crate) permits: Notify,
-    /// The requests that wait for permits.
+    /// Requests that wait for a permit.
     pub(crate) permit_queue: PermitQueue,
-    /// Random number that distinguishes this life of the process from others.
+    /// Random number that distinguishes this run of the process from others.
     pub run: u64,
     clock: Clock,
     dialect: PhantomData<D>,
 }
 
 impl<D: Dialect> Gateway<D> {
-    /// Builds a daemon that knows no table and no endpoints.
+    /// Creates a daemon without a table and without endpoints.
     pub fn new(settings: GatewaySettings) -> Rc<Self> {
         let run = rand::random();
         let me = Identity {
@@ -279,7 +281,8 @@
         self.settings.borrow().clone()
     }
 
-    /// Puts settings that were read again in force, as far as a running daemon can change them.
+    /// Applies settings that were read again, as far as a running daemon can change them. Returns which changes were
+    /// applied and which need a restart.
     pub fn reload(&self, read: &GatewaySettings) -> Reload {
         let reload = Reload::new(&self.settings(), read);
         let settings = Rc::new(reload.settings.clone());
@@ -295,17 +298,17 @@
             state.peers.set_region(settings.regions.region(here));
         }
         *self.settings.borrow_mut() = settings;
-        // The queues of stages take their part of a new retry budget.
+        // The queues of stage services apply a new retry budget.
         self.sync_planning();
         reload
     }
 
-    /// Returns the time on the daemon's own clock.
+    /// Returns the current time of the daemon's clock.
     pub fn now(&self) -> Time {
         self.clock.now()
     }
 
-    /// Waits until a time of the daemon's clock, which may come while the host is suspended.
+    /// Waits until a time of the daemon's clock, also if it passes while the host is suspended.
     pub(crate) async fn sleep_until(&self, time: Time) {
         while self.now() < time {
             tokio::select! {
@@ -315,7 +318,7 @@
         }
     }
 
-    /// Waits for a future until a time of the daemon's clock; returns nothing if that comes first.
+    /// Waits for a future, at most until a time of the daemon's clock. Returns `None` if the time comes first.
     pub(crate) async fn before<T>(&self, time: Time, future: impl Future<Output = T>) -> Option<T> {
         tokio::select! {
             biased;
@@ -324,12 +327,12 @@
         }
     }
 
-    /// Returns the daemon's clock, which tests turn.
+    /// Returns the daemon's clock, which tests can set.
     pub fn clock(&self) -> &Clock {
         &self.clock
     }
 
-    /// Returns the phase of the daemon, as heartbeats and the ready address report it.
+    /// Returns the phase of the daemon, as reported in heartbeats and by the readiness endpoint.
     pub fn phase(&self) -> Phase {
         let state = self.state.borrow();
         if self.stopping.get() {
@@ -341,14 +344,14 @@
         }
     }
 
-    /// Returns whether this daemon has run long enough to coordinate services, also without being ready.
+    /// Returns whether this daemon has run long enough to coordinate services, whether or not it is ready.
     pub fn is_settled(&self) -> bool {
         let state = self.state.borrow();
         let ran = state.peers.ran(self.now());
         coordinator::may_coordinate(ran, state.peers.has_stronger())
     }
 
-    /// Returns whether this daemon may coordinate services.
+    /// Returns whether this daemon is ready and has run long enough to coordinate services.
     pub fn may_coordinate(&self) -> bool {
         self.phase() == Phase::Ready && self.is_settled()
     }
@@ -358,15 +361,15 @@
         self.state.borrow().published.clone()
     }
 
-    /// Records that endpoints, services or limits have changed, and wakes the loop that plans calls. However
-    /// many have changed, the queues are told once: told of each entry of a first list of 3,001 endpoints, a
-    /// daemon compared 3,001 times all endpoints of each stage (worked out).
+    /// Records that endpoints, services or limits have changed, and wakes the loop that plans calls. The queues are
+    /// updated once for any number of changes: updated for each entry of a first list of 3,001 endpoints, a daemon
+    /// would compare all endpoints of each stage 3,001 times.
     pub(crate) fn sync_planning(&self) {
         self.stale_planning.set(true);
         self.work.notify_one();
     }
 
-    /// Tells the queues of stages which endpoints they may call, if that has changed.
+    /// Updates the queues of stage services if endpoints, services or limits have changed.
     pub(crate) fn refresh_planning(&self) {
         if !self.stale_planning.take() {
             return;
--- a/lib/src/gateway/table.rs
+++ b/lib/src/gateway/table.rs
@@ -1,7 +1,7 @@
-//! The routes, services and customers in force: one immutable value for each version.
+//! The routes, services and customers in force, as one immutable value per version.
 //!
-//! An installation's dialect reads a [`Table`] from the published document; nothing changes it after.
-//! Lookups by host, service and key are here, decisions about them aren't.
+//! An installation's dialect reads a [`Table`] from the published document. This module looks up routes, services
+//! and customers; it decides nothing about requests.
 
 use {
     crate::shared::{
@@ -12,13 +12,13 @@
     std::sync::Arc,
 };
 
-/// Regions in which requests may run and their bodies may be; nothing where they may be anywhere.
+/// Regions in which requests may run and their bodies may be stored; `None` if any region is allowed.
 pub type HomeRegions = Option<Arc<[RegionId]>>;
 
-/// Numbers the published versions of a table; a later one is greater.
+/// Version number of a published table; later versions have greater numbers.
 pub type Version = u64;
 
-/// Kind of a route's requests: decides whether one may be sent again although it may have run.
+/// Kind of a route's requests, which decides whether a request may be sent again after it may have run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RouteKind {
     /// A request may run more than once.
@@ -28,15 +28,15 @@
     /// The answer is a stream of events; a request runs at most once unless the stream can be
     /// resumed.
     Stream {
-        /// True if another endpoint can resume a broken stream.
+        /// Whether another endpoint can resume a broken stream.
         resumable: bool,
-        /// Longest pause between two events of an answer that counts as in time.
+        /// Longest pause between two events for which an answer counts as in time.
         gap: Millis,
     },
 }
 
 impl RouteKind {
-    /// Returns whether a request may be sent again although it may have run.
+    /// Returns whether a request may be sent again after it may have run.
     pub fn is_retryable(self) -> bool {
         match self {
             RouteKind::Idempotent => true,
@@ -51,131 +51,131 @@
     }
 }
 
-/// A service that serves a route's requests, and its share of them.
+/// A service that serves requests of a route, and its share of them.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Backend {
-    /// The service.
+    /// Id of the service.
     pub service: ServiceId,
-    /// Its share, relative to the other backends of the route.
+    /// Share of the requests, relative to the weights of the route's other services.
     pub weight: f64,
 }
 
-/// Work that must be finished before a route's request can run.
+/// Work that must be complete before a request of the route can be sent to an endpoint.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RouteStage {
-    /// Service that runs it.
+    /// Service that runs the pieces of the stage.
     pub service: ServiceId,
-    /// Stages whose results it needs, by their places in the route's list.
+    /// Stages whose results this stage needs, by their indexes in the route's list.
     pub after: Vec<usize>,
-    /// Usual size of one piece's result.
+    /// Usual size of the result of one piece.
     pub result: ByteSize,
 }
 
-/// Route of the requests of one host and path, with its limits.
+/// A route: how the requests for a host and a path prefix are served, and their limits.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Route {
-    /// Its name, for logs.
+    /// Name of the route, for logs.
     pub name: Arc<str>,
-    /// Host that callers name, in lower case.
+    /// Host in the request, in lower case.
     pub host: Arc<str>,
-    /// Beginning of its paths, with a slash at both ends.
+    /// Prefix of the paths, with a slash at both ends.
     pub prefix: Arc<str>,
-    /// Kind of its requests.
+    /// Kind of the requests.
     pub kind: RouteKind,
-    /// Longest time until a request is answered or refused.
+    /// Maximum time until a request is answered or refused.
     pub timeout: Millis,
-    /// Objective: time within which an answer is worth most.
+    /// Objective: time within which a request should be answered to count as in time.
     pub objective: Millis,
-    /// Rank; 0 goes first.
+    /// Rank of the requests; 0 is the most urgent.
     pub rank: u32,
-    /// Services that serve its requests.
+    /// Services that serve the requests.
     pub backends: Vec<Backend>,
-    /// Most endpoints that one request may be sent to.
+    /// Maximum number of endpoints to which one request is sent.
     pub attempts: u32,
     /// Stages that run before the request.
     pub stages: Vec<RouteStage>,
-    /// Requests need no key.
+    /// Whether requests need no key.
     pub public: bool,
-    /// Endpoints that hold the beginning of a prompt are preferred.
+    /// Whether endpoints that have cached the beginning of a prompt are preferred.
     pub affinity: bool,
-    /// Regions of its requests.
+    /// Regions in which the requests may run.
     pub homes: HomeRegions,
 }
 
 /// How endpoints of a service run pieces of a stage.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct BatchLimits {
-    /// Calls that an endpoint runs at the same time.
+    /// Maximum number of concurrent calls per endpoint.
     pub slots: usize,
-    /// Most pieces in one call.
+    /// Maximum number of pieces in one call.
     pub pieces: usize,
-    /// Time of a call without its pieces, in milliseconds.
+    /// Fixed time of a call, in milliseconds.
     pub call_ms: f64,
-    /// Time of one piece, in milliseconds.
+    /// Additional time per piece of a call, in milliseconds.
     pub piece_ms: f64,
-    /// Space that an endpoint has for results.
+    /// Result capacity: total size of the results that an endpoint can store.
     pub room: ByteSize,
-    /// Time after which an endpoint drops a result by itself.
+    /// Time after which an endpoint drops a result that wasn't released.
     pub keep: Millis,
 }
 
-/// A service as the table describes it.
+/// A service as described in the table.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ServiceEntry {
-    /// Its name.
+    /// Name by which logs, metrics and other entries refer to it.
     pub id: ServiceId,
-    /// Most connections that one endpoint accepts from all daemons together.
+    /// Maximum number of connections that one endpoint accepts from all daemons together.
     pub connections: usize,
-    /// Its endpoints generate text in batches and cache beginnings of prompts.
+    /// Whether the endpoints generate text in batches and cache the beginnings of prompts.
     pub engine: bool,
-    /// Time for which an endpoint is cold after its start.
+    /// Time after its start during which an endpoint is cold.
     pub cold_start: Millis,
-    /// Requests a second that a cold endpoint bears from all daemons together; nothing if it bears as many as
-    /// any other.
+    /// Requests per second that a cold endpoint can serve from all daemons together; `None` if it can serve as many
+    /// as a warm one.
     pub cold_rate: Option<Rate>,
-    /// Limits of calls; set for a service that runs pieces of stages.
+    /// Limits of calls of pieces; `None` for a service that runs no stages.
     pub batch: Option<BatchLimits>,
 }
 
-/// A customer, as its keys identify it.
+/// A customer, identified by its keys.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct CustomerEntry {
-    /// Its name.
+    /// Name by which logs, metrics and other entries refer to it.
     pub id: CustomerId,
-    /// Rank; it counts before that of the route, and 0 goes first.
+    /// Rank of the customer's requests, compared before the rank of the route; 0 is the most urgent.
     pub rank: u32,
-    /// Regions of its requests.
+    /// Regions in which the requests may run.
     pub homes: HomeRegions,
 }
 
-/// Limits on what a caller may send.
+/// Limits on the requests and connections of callers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct IngressLimits {
-    /// Largest head.
+    /// Maximum size of a request's head.
     pub head: ByteSize,
-    /// Largest body.
+    /// Maximum size of a request's body.
     pub body: ByteSize,
-    /// Longest time for a head to arrive.
+    /// Maximum time for a request's head to arrive.
     pub head_time: Millis,
-    /// Longest time that a connection may be idle between two requests.
+    /// Maximum time that a connection may be idle between two requests.
     pub idle: Millis,
 }
 
-/// Everything published under one version.
+/// The routes, services, customers and limits published under one version.
 #[derive(Debug, Clone, Default)]
 pub struct Table {
-    /// The version.
+    /// Version under which the table was published.
     pub version: Version,
-    /// Routes by host, those with longer prefixes first.
+    /// Routes by host, the longest prefixes first.
     hosts: HashMap<Arc<str>, Vec<Arc<Route>>>,
     services: HashMap<ServiceId, Arc<ServiceEntry>>,
-    /// Customers by key; nothing if requests need none at all.
+    /// Customers by key; `None` if requests need no keys.
     customers: Option<HashMap<Arc<str>, Arc<CustomerEntry>>>,
     limits: Option<IngressLimits>,
 }
 
 impl Table {
-    /// Builds a table from checked parts.
+    /// Creates a table from values that the dialect has validated.
     pub fn new(
         version: Version,
         routes: Vec<Route>,
@@ -205,7 +205,8 @@
         }
     }
 
-    /// Finds the route of a host and path: the one with the longest prefix.
+    /// Returns the route of a host and path: the one with the longest matching prefix. Ignores case and port of the
+    /// host.
     pub fn route(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         let name = host_name(host).to_ascii_lowercase();
         let routes = self.hosts.get(name.as_str())?;
@@ -217,7 +218,7 @@
         self.hosts.values().flatten()
     }
 
-    /// Returns a service.
+    /// Returns the service with an id.
     pub fn service(&self, id: &ServiceId) -> Option<&Arc<ServiceEntry>> {
         self.services.get(id)
     }
@@ -227,23 +228,23 @@
         self.services.values()
     }
 
-    /// Returns whether requests need keys at all.
+    /// Returns whether requests of routes that aren't public need keys.
     pub fn needs_keys(&self) -> bool {
         self.customers.is_some()
     }
 
-    /// Finds the customer that holds a key.
+    /// Returns the customer that a key belongs to.
     pub fn customer(&self, key: &str) -> Option<&Arc<CustomerEntry>> {
         self.customers.as_ref()?.get(key)
     }
 
-    /// Returns the limits on callers; nothing before the first version.
+    /// Returns the limits on callers; `None` in the default table, which stands for no published version.
     pub fn limits(&self) -> Option<&IngressLimits> {
         self.limits.as_ref()
     }
 }
 
-/// Returns a host without its port.
+/// Returns the host name in `host` without the port.
 fn host_name(host: &str) -> &str {
     match host.rsplit_once(':') {
         Some((name, port)) if port.bytes().all(|byte| byte.is_ascii_digit()) => name,
--- a/lib/tests/test_batch_queue.rs
+++ b/lib/tests/test_batch_queue.rs
@@ -1,4 +1,5 @@
-//! Pieces of stages are planned, made again and told to the right requests, whatever endpoints do.
+//! Tests that the queue of a stage service plans calls, retries pieces and returns each result to the right job,
+//! whatever endpoints answer.
 
 #![allow(clippy::unwrap_used, reason = "a failed unwrap fails the test")]
 
@@ -97,7 +98,7 @@
     CallEnd::Answered((0..call.pieces.len()).map(made).collect())
 }
 
-/// A start late enough for the budget's slack to be there.
+/// Returns the time at which a test starts: late enough for the retry budget's slack to have accrued.
 fn start() -> Time {
     Time(0) + Millis(20_000)
 }
@@ -115,12 +116,12 @@
     let ended = queue.take_ended();
     assert_eq!(ended.len(), 2);
     let JobEnd::Completed(handles) = &ended[0].end else {
-        panic!("the first job wasn't made: {ended:?}");
+        panic!("the first job wasn't completed: {ended:?}");
     };
     assert_eq!(handles.len(), 3);
 }
 
-/// An endpoint gets no more calls at once than it has slots.
+/// An endpoint gets at most as many concurrent calls as it has slots.
 #[test]
 fn endpoint_slots() {
     let now = start();
@@ -131,7 +132,7 @@
     assert!(queue.plan(now).is_empty());
 }
 
-/// Waiting pieces are spread evenly over the idle endpoints.
+/// Waiting pieces are distributed evenly over the idle endpoints.
 #[test]
 fn idle_endpoints_share() {
     let now = start();
@@ -143,7 +144,7 @@
     assert_eq!(sizes, [2, 2, 2, 2]);
 }
 
-/// A call has no more pieces than its endpoint has room for results; results count until released.
+/// The results of a call fit into the free capacity of its endpoint. Results take up capacity until released.
 #[test]
 fn result_room() {
     let now = start();
@@ -157,14 +158,14 @@
     assert_eq!(calls[0].pieces.len(), 4);
     assert!(queue.is_short_of_room(now));
     queue.call_ended(now + Millis(250), calls[0].id, all_made(&calls[0]));
-    // The results are kept until their endpoint was told to drop them.
+    // The endpoint stores the results until they are released.
     assert!(queue.plan(now + Millis(251)).is_empty());
     let kept: Vec<ResultHandle> = (0..4).map(|piece| handle(&calls[0], piece)).collect();
     queue.released(&kept);
     assert_eq!(queue.plan(now + Millis(252))[0].pieces.len(), 4);
 }
 
-/// An overdue call is retried at another endpoint; only the first result counts.
+/// The pieces of an overdue call are sent to another endpoint; only the first result counts.
 #[test]
 fn overdue_call_retried() {
     let now = start();
@@ -208,7 +209,7 @@
     );
 }
 
-/// Inputs of a running call are released before its end only where room is short, and only once.
+/// Inputs of a running call are released early only if their endpoint is short of result capacity, and only once.
 #[test]
 fn early_input_release() {
     let now = start();
@@ -222,7 +223,7 @@
     assert!(queue.take_fetched(later, |_| true).is_empty());
 }
 
-/// Results of a cancelled job are surplus, to be released at their endpoint.
+/// Results of a cancelled job become surplus, which is released at the endpoints.
 #[test]
 fn cancelled_job() {
     let now = start();
@@ -236,7 +237,7 @@
     assert_eq!(queue.jobs(), 0);
 }
 
-/// An endpoint whose call broke gets no further call for a while.
+/// An endpoint that broke off a call gets no calls for a time.
 #[test]
 fn broken_endpoint_avoided() {
     let now = start();
@@ -248,13 +249,13 @@
     assert_eq!(queue.plan(now + Millis(301)).len(), 1);
 }
 
-/// A queue under any order of jobs, answers, failures, cancels and departures.
+/// A queue with random jobs, answers, failures, cancellations and departures of endpoints.
 struct Run {
     queue: BatchQueue,
     now: Time,
-    /// Calls in hand, with the pieces that their endpoint has to answer.
+    /// Calls in flight.
     calls: Vec<BatchCall>,
-    /// Pieces of each job that isn't over.
+    /// Request and number of pieces of each job that hasn't ended.
     open: BTreeMap<JobId, (String, u32)>,
     over: BTreeSet<JobId>,
     next: u64,
@@ -343,7 +344,11 @@
         for call in self.queue.plan(self.now) {
             assert!(!call.pieces.is_empty() && call.pieces.len() <= LIMITS.pieces);
             let busy = self.calls.iter().filter(|c| c.entry.id == call.entry.id);
-            assert_eq!(busy.count(), 0, "an endpoint got a call beyond its slots");
+            assert_eq!(
+                busy.count(),
+                0,
+                "an endpoint got more calls than it has slots"
+            );
             self.calls.push(call);
         }
     }
@@ -367,7 +372,7 @@
     }
 }
 
-/// Each job ends once, with the results of its own pieces, under any order of events.
+/// Each job ends exactly once, with the results of its own pieces, in any order of events.
 #[test]
 fn jobs_end_once() {
     for_seeds(400, 1_024, |u| {
@@ -375,7 +380,7 @@
         while !u.is_empty() {
             run.step(u)?;
         }
-        // Once endpoints answer, nothing is left.
+        // If endpoints answer from now on, all jobs end.
         run.queue.set_endpoints(&entries(4));
         let mut rounds = 0;
         while !run.open.is_empty() && rounds < 2_000 {
@@ -395,7 +400,7 @@
     });
 }
 
-/// Endpoints in two data centres, one each.
+/// Returns a queue with two data centres of one endpoint each.
 fn two_centres() -> BatchQueue {
     let limits = BatchLimits {
         room: ByteSize(10_000_000),
@@ -416,7 +421,7 @@
     }
 }
 
-/// Pieces with large results run in the data centre in which the results are used.
+/// Pieces with large results run in their preferred data centre, in which the results are used.
 #[test]
 fn large_result_home() {
     let now = start();
@@ -436,7 +441,7 @@
     }
 }
 
-/// A piece with a large result waits a limited time for an endpoint of its own data centre.
+/// A piece with a large result waits a limited time for an endpoint of its preferred data centre.
 #[test]
 fn home_endpoint_wait() {
     let now = start();
@@ -446,10 +451,14 @@
     queue.add(now, JobId(2), job_at("b", "z", 500_000, now));
     assert!(
         queue.plan(now + Millis(140)).is_empty(),
-        "the one at home is busy"
+        "the endpoint in the preferred data centre is busy"
     );
     let calls = queue.plan(now + Millis(160));
-    assert_eq!(calls.len(), 1, "it has waited long enough");
+    assert_eq!(
+        calls.len(),
+        1,
+        "the wait for the preferred data centre is over"
+    );
     assert_eq!(calls[0].entry.data_centre.to_string(), "far");
 }
 
@@ -464,7 +473,7 @@
     assert_eq!(queue.plan(now).len(), 1);
 }
 
-/// No piece waits for a data centre that has no endpoints.
+/// A piece doesn't wait for its preferred data centre if this has no endpoints.
 #[test]
 fn empty_data_centre() {
     let now = start();
@@ -474,7 +483,7 @@
     assert_eq!(queue.plan(now).len(), 1);
 }
 
-/// A piece past its objective no longer waits for its own data centre.
+/// A piece that has passed its objective doesn't wait for its preferred data centre.
 #[test]
 fn late_piece_anywhere() {
     let now = start();
@@ -490,7 +499,7 @@
     assert_eq!(queue.plan(now + Millis(11)).len(), 1);
 }
 
-/// Jobs that no endpoint can run before it has rested end at once; the others wait for it.
+/// While all endpoints are cooling down, jobs that can't be run after the cooldown end at once; others wait.
 #[test]
 fn endpoints_at_rest() {
     let now = start();
--- a/lib/tests/test_harmful_pieces.rs
+++ b/lib/tests/test_harmful_pieces.rs
@@ -1,4 +1,5 @@
-//! A piece that ends each endpoint that runs it takes down few others with it, in virtual time.
+//! Tests that a harmful piece, which terminates every endpoint that runs it, is isolated after few endpoints and
+//! fails few other pieces. Runs in virtual time.
 
 #![allow(clippy::unwrap_used, reason = "a failed unwrap fails the test")]
 
@@ -23,19 +24,19 @@
     std::sync::Arc,
 };
 
-/// Endpoints of the service: few, so that what failed is sent together again, and so many that it is spread.
+/// Numbers of endpoints of the service: with few, failed pieces are sent together again; with many, they are spread.
 const ENDPOINTS: [u32; 3] = [1, 2, 12];
 
-/// Endpoints of the largest of these services.
+/// The largest of these numbers of endpoints.
 const MANY: u32 = 12;
 
-/// Time after which an endpoint that ended is back, under another id.
+/// Time after which an endpoint that terminated is back, under another id.
 const BACK: Millis = Millis(2_000);
 
-/// Time in which a call ends that ends its endpoint.
+/// Time from the start of a harmful call until its endpoint terminates.
 const HARM: Millis = Millis(20);
 
-/// Time between two plannings.
+/// Time between two planning rounds.
 const STEP: Millis = Millis(25);
 
 const LIMITS: BatchLimits = BatchLimits {
@@ -78,18 +79,18 @@
     }
 }
 
-/// What became of all jobs.
+/// The outcomes of all jobs, and what they cost.
 #[derive(Debug, Default)]
 struct Outcome {
     made: usize,
     failed: usize,
     ended: u32,
     calls: usize,
-    /// When the last job ended.
+    /// Time from the start until the last job ended.
     last: Millis,
 }
 
-/// Endpoints of which each ends that runs the piece of a harmful job.
+/// A run of a queue whose endpoints terminate when they run a piece of a harmful job.
 struct Run {
     queue: BatchQueue,
     now: Time,
@@ -103,14 +104,15 @@
 }
 
 impl Run {
-    /// Runs `jobs` jobs of one piece, of which `harmful` end endpoints, all queued while one endpoint is free.
+    /// Runs `jobs` jobs of one piece, of which the first `harmful` terminate endpoints. All jobs are queued while one
+    /// endpoint is free.
     fn outcome(endpoints: u32, jobs: u64, harmful: u64) -> Outcome {
         let limits = BudgetLimits {
             ratio: Share(0.2),
             slack: 1_000.0,
             window: Millis(10_000),
         };
-        // Late enough for the budget's slack to be there.
+        // Late enough for the retry budget's slack to have accrued.
         let now = Time::default() + Millis(20_000);
         let mut run = Self {
             queue: BatchQueue::new(LIMITS, WindowBudget::new(limits, Time(0))),
@@ -126,7 +128,7 @@
         for number in 0..jobs {
             run.queue.add(now, JobId(number), job(number, now));
         }
-        // All go into one call.
+        // All pieces go into one call.
         run.plan();
         assert_eq!(run.running.len(), 1);
         for _ in 1..endpoints {
@@ -208,7 +210,7 @@
     }
 }
 
-/// Of 1, 8 or 50 pieces in one call one is harmful: it alone fails, after three endpoints.
+/// If one of 1, 8 or 50 pieces in a call is harmful, only this piece fails, after it terminated three endpoints.
 #[test]
 fn harmful_piece() {
     for endpoints in ENDPOINTS {
@@ -220,7 +222,7 @@
     }
 }
 
-/// Two harmful pieces in one call: both fail, and no other one does.
+/// If two pieces in a call are harmful, only these two fail.
 #[test]
 fn two_harmful_pieces() {
     for endpoints in ENDPOINTS {
@@ -230,7 +232,7 @@
     }
 }
 
-/// The others are done within seconds, in few calls.
+/// A harmful piece delays the other pieces by seconds at most, and costs few additional calls.
 #[test]
 fn cost_for_others() {
     let calm = Run::outcome(MANY, 50, 0);
@@ -239,7 +241,7 @@
     assert!(outcome.last <= Millis(2_500), "{outcome:?}");
 }
 
-/// A piece is alone in its call after two ends, however large the first call was.
+/// After two terminated endpoints a piece is alone in its call, however large the first call was.
 #[test]
 fn group_sizes() {
     let sizes: Vec<usize> = [1, 2, 8, 15, 16, 50, 64]
--- a/lib/tests/test_job_message.rs
+++ b/lib/tests/test_job_message.rs
@@ -1,4 +1,4 @@
-//! Jobs on their way between two daemons whose clocks differ.
+//! Tests that a job keeps its values when it is sent between two daemons whose clocks differ.
 
 #![allow(clippy::unwrap_used, reason = "a failed unwrap fails the test")]
 
@@ -78,7 +78,7 @@
     let objective = |now| order.clone().into_job(now).objective;
     assert_eq!(objective(Time(90_000_000)), Time(89_700_000));
     assert_eq!(objective(Time(300_000)), Time(0));
-    // A receiver that has just started has no time before its start.
+    // The clock of a receiver that has just started can't represent earlier times.
     assert_eq!(objective(Time(1_000)), Time(0));
 }
 
--- a/lib/tests/test_request_digest.rs
+++ b/lib/tests/test_request_digest.rs
@@ -1,4 +1,4 @@
-//! Which requests count as the same one, sent again.
+//! Tests which requests are recognized as the same request sent again.
 
 #![allow(clippy::unwrap_used, reason = "a failed unwrap fails the test")]
 
@@ -31,7 +31,7 @@
     RequestDigest::new(&content).to_string()
 }
 
-/// Each part of what a request is counts, and none runs into the next one.
+/// Each value of a request affects the digest, and moving bytes from one value to the next does too.
 #[test]
 fn parts_count() {
     let same = digest(Some("c"), "POST", "h", "/a/b?q=1", "body");
@@ -50,7 +50,7 @@
     assert_eq!(distinct.len(), others.len());
 }
 
-/// Headers that differ from one sending to the next, such as its id, don't count.
+/// Headers that differ when a request is sent again, such as its id, don't affect the digest.
 #[test]
 fn headers_left_out() {
     let of = |id: &str| {
@@ -65,7 +65,7 @@
     assert_eq!(of("1"), of("2"));
 }
 
-/// A digest that was written as text or sent to another daemon is the same one.
+/// A digest stays the same when written as text or sent to another daemon.
 #[test]
 fn written_and_read() {
     let text = digest(None, "GET", "h", "/a", "x");
--- a/lib/tests/test_route_table.rs
+++ b/lib/tests/test_route_table.rs
@@ -1,4 +1,4 @@
-//! Which route takes a request, and whose key it carries.
+//! Tests which route a request takes and which customer its key belongs to.
 
 #![allow(clippy::unwrap_used, reason = "a failed unwrap fails the test")]
 
@@ -78,7 +78,7 @@
     assert_eq!(name(&table, "a.example", "/x"), None);
 }
 
-/// Hosts are compared without case and port.
+/// Hosts are compared ignoring case and port.
 #[test]
 fn host_comparison() {
     let table = table();
--- a/lib/tests/test_stage_pins.rs
+++ b/lib/tests/test_stage_pins.rs
@@ -1,5 +1,5 @@
-//! Pins what the queue of a stage decides, step by step, over a spread of jobs, endpoints and ends
-//! of calls: a change that means to change no decision leaves the snapshots as they are.
+//! Records the decisions of a stage service's queue step by step, for random jobs, endpoints and outcomes of calls.
+//! A change that isn't meant to affect decisions must leave the snapshots unchanged.
 
 #![allow(clippy::unwrap_used, reason = "a failed unwrap fails the test")]
 
@@ -40,10 +40,10 @@
     keep: Millis(2_500),
 };
 
-/// Data centres of the endpoints, in their order.
+/// Data centre of each endpoint.
 const CENTRES: [&str; 6] = ["z", "far", "z", "far", "z", "alone"];
 
-/// Bytes of choices for one run, and bits below a seed's number that hold this size.
+/// Bytes of random choices for one run, and the number of low bits of a seed that hold this size.
 const CHOICES: u64 = 2_048;
 const SIZE_BITS: u32 = 32;
 
@@ -62,7 +62,7 @@
     (0..count).map(|i| Arc::new(entry(i))).collect()
 }
 
-/// Retries that the queue may send.
+/// Limits of the retry budget.
 const BUDGET: BudgetLimits = BudgetLimits {
     ratio: Share(0.2),
     slack: 20.0,
@@ -74,12 +74,12 @@
     texts.join(" ")
 }
 
-/// Results by the numbers of their calls and pieces.
+/// Returns a handle that contains the call's id and the piece's index.
 fn handle(call: &BatchCall, piece: usize) -> ResultHandle {
     ResultHandle(format!("{}/{}-{piece}", call.entry.address, call.id).into())
 }
 
-/// One run, written down.
+/// A run of a queue, and the log of its decisions.
 struct Run {
     queue: BatchQueue,
     now: Time,
