--- a/lib/src/gateway/dialect.rs
+++ b/lib/src/gateway/dialect.rs
@@ -26,14 +26,14 @@
 /// Reports a document or message that doesn't follow the installation's format.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 #[error("{place}: {message}")]
-pub struct FormError {
+pub struct FormatError {
     /// Path of the value in the document, or name of the header.
     pub place: String,
     /// Description of what is wrong with the value.
     pub message: String,
 }
 
-impl FormError {
+impl FormatError {
     /// Creates an error for a value at a place in a document or message.
     pub fn new(place: impl Into<String>, message: impl Into<String>) -> Self {
         Self {
@@ -109,28 +109,28 @@
     /// Number of requests that the endpoint can run at the same time.
     pub slots: u32,
     /// Slowdown of the endpoint: the time that work takes there at the moment, as a multiple of the usual time.
-    pub pace: PaceReport,
+    pub slowdown: SlowdownReport,
 }
 
 /// Slowdown that an endpoint reports, if any.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub enum PaceReport {
+pub enum SlowdownReport {
     /// The reply reports no slowdown.
     #[default]
     None,
     /// The reported value is not a valid slowdown.
-    Unclear,
+    Invalid,
     /// The reply reports this slowdown.
-    Named(ReportedPace),
+    Valid(ReportedSlowdown),
 }
 
 /// Slowdown of an endpoint: the time that work takes there, in hundredths of the usual time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub struct ReportedPace(u32);
+pub struct ReportedSlowdown(u32);
 
-impl ReportedPace {
+impl ReportedSlowdown {
     /// Greatest value that is accepted, in hundredths of the usual time.
-    const SLOWEST: u32 = 10_000;
+    const MAX_HUNDREDTHS: u32 = 10_000;
 
     /// Returns the slowdown as a multiple of the usual time.
     pub fn factor(self) -> f64 {
@@ -138,14 +138,14 @@
     }
 }
 
-impl TryFrom<u32> for ReportedPace {
-    type Error = PaceError;
+impl TryFrom<u32> for ReportedSlowdown {
+    type Error = SlowdownError;
 
-    fn try_from(hundredths: u32) -> Result<Self, PaceError> {
-        if (1..=Self::SLOWEST).contains(&hundredths) {
+    fn try_from(hundredths: u32) -> Result<Self, SlowdownError> {
+        if (1..=Self::MAX_HUNDREDTHS).contains(&hundredths) {
             Ok(Self(hundredths))
         } else {
-            Err(PaceError(hundredths))
+            Err(SlowdownError(hundredths))
         }
     }
 }
@@ -153,39 +153,39 @@
 /// Reports a number that is not a valid slowdown.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 #[error("{0} hundredths of the usual time can't be a pace")]
-pub struct PaceError(u32);
+pub struct SlowdownError(u32);
 
 /// Rate limit that an endpoint advertises in a reply.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct NamedRate {
+pub struct AdvertisedRate {
     /// Requests per second that the endpoint accepts from all daemons together; 0 if the value can't be read.
     pub rate: Rate,
     /// Whether the reply states the rate as a single number that isn't negative.
-    pub clear: bool,
+    pub valid: bool,
 }
 
 /// Whether an endpoint announces in a reply that it is leaving.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub enum LeaveNotice {
+pub enum LeaveSignal {
     /// The reply doesn't mention it, or states that the endpoint is not leaving.
     #[default]
     None,
     /// The value can't be read. An endpoint that isn't leaving has no reason to send one.
-    Unclear,
+    Invalid,
     /// The endpoint is leaving.
-    Leaves,
+    Leaving,
 }
 
 /// Time after which a reply asks the caller to retry.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub enum ReplyWait {
+pub enum RetryAfter {
     /// The reply states no time.
     #[default]
     None,
     /// The stated time can't be read.
-    Unclear,
+    Invalid,
     /// The reply states this time.
-    Named(Millis),
+    Valid(Millis),
 }
 
 /// The values that the library needs from the head of a reply.
@@ -200,11 +200,11 @@
     /// Load of the endpoint, if reported.
     pub load: Option<ReplyLoad>,
     /// Rate limit that the endpoint advertises, if any.
-    pub rate: Option<NamedRate>,
+    pub rate: Option<AdvertisedRate>,
     /// Whether the endpoint announces that it is leaving.
-    pub leave: LeaveNotice,
+    pub leave: LeaveSignal,
     /// Time after which the endpoint asks the caller to retry.
-    pub wait: ReplyWait,
+    pub retry_after: RetryAfter,
 }
 
 /// The wire formats of one installation. Implementations translate and decide nothing.
@@ -223,7 +223,7 @@
     /// # Errors
     ///
     /// Returns an error if the head doesn't follow the installation's format.
-    fn read_request(head: &request::Parts) -> Result<Inbound, FormError>;
+    fn read_request(head: &request::Parts) -> Result<Inbound, FormatError>;
 
     /// Removes the headers that only this system may set from a request's headers, and adds those of `outbound`.
     fn write_request(headers: &mut HeaderMap, outbound: &Outbound<'_>);
@@ -242,7 +242,7 @@
     /// # Errors
     ///
     /// Returns an error if the body doesn't follow the installation's format.
-    fn read_pieces(body: &[u8]) -> Result<Vec<PieceEnd>, FormError>;
+    fn read_pieces(body: &[u8]) -> Result<Vec<PieceEnd>, FormatError>;
 
     /// Returns the body of a release of results that are no longer needed.
     fn write_release(handles: &[ResultHandle]) -> Bytes;
@@ -255,7 +255,7 @@
     /// # Errors
     ///
     /// Returns an error if the document doesn't follow the installation's format.
-    fn read_table(bytes: &[u8]) -> Result<Table, FormError>;
+    fn read_table(bytes: &[u8]) -> Result<Table, FormatError>;
 
     /// Reads the directory entry of an endpoint.
     ///
@@ -266,5 +266,5 @@
         id: &str,
         revision: Revision,
         bytes: &[u8],
-    ) -> Result<EndpointEntry, FormError>;
+    ) -> Result<EndpointEntry, FormatError>;
 }
--- a/lib/src/gateway/directory/follow.rs
+++ b/lib/src/gateway/directory/follow.rs
@@ -7,7 +7,7 @@
 
 use {
     crate::gateway::{
-        dialect::{Dialect, FormError},
+        dialect::{Dialect, FormatError},
         directory::{
             coverage::wait_for_duty,
             endpoint_entry::{EndpointEntry, EndpointList},
@@ -359,7 +359,7 @@
     gateway: &Gateway<D>,
     name: &str,
     revision: Revision,
-    error: &FormError,
+    error: &FormatError,
 ) {
     let is_new = gateway.state.borrow_mut().refused.record(name, revision);
     if !is_new {
--- a/lib/src/gateway/hashes.rs
+++ b/lib/src/gateway/hashes.rs
@@ -30,16 +30,16 @@
 /// Hash of an endpoint's incarnation: the time from one start of its process to the next.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
-pub struct LifeHash(pub u32);
+pub struct IncarnationHash(pub u32);
 
 /// Returns the hash of the incarnation that an entry describes: the lower half of the XXH3 of the endpoint's name and
 /// start time.
-pub fn life_hash(entry: &EndpointEntry) -> LifeHash {
+pub fn incarnation_hash(entry: &EndpointEntry) -> IncarnationHash {
     let mut bytes = entry.id.as_str().as_bytes().to_vec();
     if let Some(born) = entry.born {
         bytes.extend_from_slice(&born.0.to_le_bytes());
     }
-    LifeHash(xxh3_64(&bytes) as u32)
+    IncarnationHash(xxh3_64(&bytes) as u32)
 }
 
 /// Returns the hash of a data centre's name: the lower half of the name's XXH3.
--- a/lib/src/gateway/quarantine/evidence.rs
+++ b/lib/src/gateway/quarantine/evidence.rs
@@ -4,7 +4,7 @@
 
 use crate::{
     gateway::{
-        hashes::LifeHash,
+        hashes::IncarnationHash,
         rules::quarantine::{TERMINATED_LIMIT, counts_against, counts_until, is_quarantined},
     },
     shared::units::{Millis, Time},
@@ -18,7 +18,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct EndedRun {
     /// The life that ended.
-    pub endpoint: LifeHash,
+    pub endpoint: IncarnationHash,
     /// When it ended, or when that was noticed.
     pub at: Time,
 }
--- a/lib/src/gateway/quarantine/note.rs
+++ b/lib/src/gateway/quarantine/note.rs
@@ -6,7 +6,7 @@
 use {
     crate::{
         gateway::{
-            hashes::LifeHash,
+            hashes::IncarnationHash,
             quarantine::evidence::{EndedRun, Evidence},
             request_digest::RequestDigest,
         },
@@ -17,22 +17,22 @@
 
 /// An endpoint that ended under a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-#[serde(into = "(LifeHash, u32)", from = "(LifeHash, u32)")]
+#[serde(into = "(IncarnationHash, u32)", from = "(IncarnationHash, u32)")]
 pub struct EndedNote {
     /// The life that ended.
-    pub endpoint: LifeHash,
+    pub endpoint: IncarnationHash,
     /// How long ago, in milliseconds.
     pub age_ms: u32,
 }
 
-impl From<EndedNote> for (LifeHash, u32) {
+impl From<EndedNote> for (IncarnationHash, u32) {
     fn from(note: EndedNote) -> Self {
         (note.endpoint, note.age_ms)
     }
 }
 
-impl From<(LifeHash, u32)> for EndedNote {
-    fn from((endpoint, age_ms): (LifeHash, u32)) -> Self {
+impl From<(IncarnationHash, u32)> for EndedNote {
+    fn from((endpoint, age_ms): (IncarnationHash, u32)) -> Self {
         Self { endpoint, age_ms }
     }
 }
--- a/lib/src/gateway/quarantine/store.rs
+++ b/lib/src/gateway/quarantine/store.rs
@@ -7,7 +7,7 @@
 use {
     crate::{
         gateway::{
-            hashes::LifeHash,
+            hashes::IncarnationHash,
             quarantine::{
                 evidence::{EndedRun, Evidence},
                 note::EvidenceNote,
@@ -46,7 +46,7 @@
         /// The request.
         digest: RequestDigest,
         /// The lives of endpoints that ended under it.
-        ended: Vec<LifeHash>,
+        ended: Vec<IncarnationHash>,
     },
     /// A request isn't refused any more.
     Ended(RequestDigest),
@@ -122,7 +122,7 @@
         &mut self,
         now: Time,
         digest: RequestDigest,
-        endpoint: LifeHash,
+        endpoint: IncarnationHash,
     ) -> Option<QuarantineChange> {
         let now = on_own_clock(now);
         let run = EndedRun { endpoint, at: now };
--- a/lib/src/gateway/rates/note.rs
+++ b/lib/src/gateway/rates/note.rs
@@ -6,7 +6,7 @@
 use {
     crate::{
         gateway::{
-            hashes::LifeHash,
+            hashes::IncarnationHash,
             rules::endpoint_rate::{Claim, Tokens},
         },
         shared::units::{Millis, Rate},
@@ -25,7 +25,7 @@
 #[serde(into = "RateFields", from = "RateFields")]
 pub struct RateNote {
     /// The endpoint.
-    pub endpoint: LifeHash,
+    pub endpoint: IncarnationHash,
     /// The rate that it names, in thousandths of a request a second; nothing if it names none any more.
     pub rate_milli: Option<u32>,
     /// How long ago it said so, in milliseconds.
@@ -37,7 +37,7 @@
 }
 
 /// A note as it is written: endpoint, rate, age, share, claim.
-type RateFields = (LifeHash, Option<u32>, u32, u32, Option<Claim>);
+type RateFields = (IncarnationHash, Option<u32>, u32, u32, Option<Claim>);
 
 impl From<RateNote> for RateFields {
     fn from(note: RateNote) -> Self {
@@ -102,24 +102,27 @@
 
 /// The answer of a coordinator to a claim.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-#[serde(into = "(LifeHash, u32, u32)", from = "(LifeHash, u32, u32)")]
+#[serde(
+    into = "(IncarnationHash, u32, u32)",
+    from = "(IncarnationHash, u32, u32)"
+)]
 pub struct PermitNote {
     /// The endpoint.
-    pub endpoint: LifeHash,
+    pub endpoint: IncarnationHash,
     /// Requests that the receiver may send there.
     pub permits: u32,
     /// Time after which it may expect more, in milliseconds.
     pub wait_ms: u32,
 }
 
-impl From<PermitNote> for (LifeHash, u32, u32) {
+impl From<PermitNote> for (IncarnationHash, u32, u32) {
     fn from(note: PermitNote) -> Self {
         (note.endpoint, note.permits, note.wait_ms)
     }
 }
 
-impl From<(LifeHash, u32, u32)> for PermitNote {
-    fn from((endpoint, permits, wait_ms): (LifeHash, u32, u32)) -> Self {
+impl From<(IncarnationHash, u32, u32)> for PermitNote {
+    fn from((endpoint, permits, wait_ms): (IncarnationHash, u32, u32)) -> Self {
         Self {
             endpoint,
             permits,
--- a/lib/src/gateway/rates/record.rs
+++ b/lib/src/gateway/rates/record.rs
@@ -3,7 +3,7 @@
 
 use crate::{
     gateway::{
-        hashes::LifeHash,
+        hashes::IncarnationHash,
         rates::note::{PermitNote, RateNote, rate_to_wire, tokens_to_wire},
         rules::{
             endpoint_choice::RateLimitState,
@@ -211,7 +211,7 @@
     }
 
     /// Returns what the coordinator is told now, if it is time to.
-    pub(super) fn report(&mut self, now: Time, endpoint: LifeHash) -> Option<RateNote> {
+    pub(super) fn report(&mut self, now: Time, endpoint: IncarnationHash) -> Option<RateNote> {
         self.news.rate?;
         let claim_due = self.want.is_some_and(|want| want.is_due(now));
         let pause_over = |handed| now.since(handed) >= REPORT_PAUSE.to_duration();
@@ -233,7 +233,7 @@
     }
 
     /// Returns what others are told now, if it is time to.
-    pub(super) fn telling(&mut self, now: Time, endpoint: LifeHash) -> Option<RateNote> {
+    pub(super) fn telling(&mut self, now: Time, endpoint: IncarnationHash) -> Option<RateNote> {
         if self.news.rate.is_none() && now.since(self.news.at) >= END_TOLD.to_duration() {
             return None;
         }
@@ -249,7 +249,7 @@
     }
 
     /// Returns what is known of the endpoint.
-    pub(super) fn note(&self, now: Time, endpoint: LifeHash) -> RateNote {
+    pub(super) fn note(&self, now: Time, endpoint: IncarnationHash) -> RateNote {
         let age = now.since(self.news.at).as_millis();
         RateNote {
             endpoint,
--- a/lib/src/gateway/rates/store.rs
+++ b/lib/src/gateway/rates/store.rs
@@ -7,8 +7,8 @@
 use {
     crate::{
         gateway::{
-            dialect::NamedRate,
-            hashes::LifeHash,
+            dialect::AdvertisedRate,
+            hashes::IncarnationHash,
             rates::{
                 note::{PermitNote, RateNote, as_told},
                 record::{RateNews, RateRecord},
@@ -28,7 +28,7 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct SeenRate {
     /// What the reply names.
-    pub named: Option<NamedRate>,
+    pub named: Option<AdvertisedRate>,
     /// When the request was sent.
     pub sent: Time,
 }
@@ -56,7 +56,7 @@
 /// The endpoints that name a rate, or did so.
 #[derive(Debug, Default)]
 pub struct EndpointRates {
-    records: HashMap<LifeHash, RateRecord>,
+    records: HashMap<IncarnationHash, RateRecord>,
 }
 
 impl EndpointRates {
@@ -72,12 +72,12 @@
     }
 
     /// Returns the rate that an endpoint names.
-    pub fn rate(&self, life: LifeHash) -> Option<Rate> {
+    pub fn rate(&self, life: IncarnationHash) -> Option<Rate> {
         self.records.get(&life)?.rate()
     }
 
     /// Returns whether anything is known of an endpoint.
-    pub fn knows(&self, life: LifeHash) -> bool {
+    pub fn knows(&self, life: IncarnationHash) -> bool {
         self.records.contains_key(&life)
     }
 
@@ -86,7 +86,7 @@
     pub fn observe(
         &mut self,
         now: Time,
-        life: LifeHash,
+        life: IncarnationHash,
         service: &ServiceId,
         seen: SeenRate,
     ) -> Option<RateChange> {
@@ -113,7 +113,7 @@
     fn update(
         &mut self,
         now: Time,
-        life: LifeHash,
+        life: IncarnationHash,
         service: &ServiceId,
         news: RateNews,
     ) -> Option<RateChange> {
@@ -127,35 +127,35 @@
     }
 
     /// Returns whether it is the first time that an endpoint names no clear rate.
-    pub fn is_first_unclear(&mut self, life: LifeHash) -> bool {
+    pub fn is_first_unclear(&mut self, life: IncarnationHash) -> bool {
         let record = self.records.get_mut(&life);
         record.is_some_and(|record| !std::mem::replace(&mut record.reported, true))
     }
 
     /// Forgets an endpoint.
-    pub fn forget(&mut self, life: LifeHash) {
+    pub fn forget(&mut self, life: IncarnationHash) {
         self.records.remove(&life);
     }
 
     /// Returns whether a request of some urgency may be sent to an endpoint.
-    pub fn may_send(&self, now: Time, life: LifeHash, urgency: u32) -> bool {
+    pub fn may_send(&self, now: Time, life: IncarnationHash, urgency: u32) -> bool {
         let record = self.records.get(&life);
         record.is_none_or(|record| record.may_send(now, urgency))
     }
 
     /// Returns whether an endpoint that may get a request names the rate that it takes.
-    pub fn limit(&self, now: Time, life: LifeHash) -> RateLimitState {
+    pub fn limit(&self, now: Time, life: IncarnationHash) -> RateLimitState {
         let record = self.records.get(&life);
         record.map_or(RateLimitState::None, |record| record.limit(now))
     }
 
     /// Returns the permits for an endpoint that may be used; nothing where none is needed.
-    pub fn permits(&self, now: Time, life: LifeHash) -> Option<usize> {
+    pub fn permits(&self, now: Time, life: IncarnationHash) -> Option<usize> {
         self.records.get(&life)?.permits(now)
     }
 
     /// Uses up a permit for an endpoint that names a rate.
-    pub fn sent(&mut self, now: Time, life: LifeHash, urgency: u32) {
+    pub fn sent(&mut self, now: Time, life: IncarnationHash, urgency: u32) {
         if let Some(record) = self.records.get_mut(&life) {
             record.sent(now, urgency);
         }
@@ -163,13 +163,13 @@
 
     /// Records that a request wasn't sent to an endpoint for lack of a permit; returns whether the coordinator is to be
     /// told at once.
-    pub fn turned_away(&mut self, now: Time, life: LifeHash, urgency: u32) -> bool {
+    pub fn turned_away(&mut self, now: Time, life: IncarnationHash, urgency: u32) -> bool {
         let record = self.records.get_mut(&life);
         record.is_some_and(|record| record.turned_away(now, urgency))
     }
 
     /// Returns the time after which a permit for an endpoint may be expected; nothing if that isn't known.
-    pub fn wait(&self, now: Time, life: LifeHash) -> Option<Millis> {
+    pub fn wait(&self, now: Time, life: IncarnationHash) -> Option<Millis> {
         self.records.get(&life)?.wait(now)
     }
 
--- a/lib/src/gateway/routing/accept.rs
+++ b/lib/src/gateway/routing/accept.rs
@@ -158,9 +158,9 @@
     route: &Route,
     customer: Option<&CustomerEntry>,
 ) -> Result<AllowedDataCentres, Problem> {
-    let customer_homes = customer.and_then(|customer| customer.homes.clone());
+    let customer_homes = customer.and_then(|customer| customer.allowed_regions.clone());
     let regions = &gateway.settings().regions;
-    let places = regions.allowed(&route.homes, &customer_homes);
+    let places = regions.allowed(&route.allowed_regions, &customer_homes);
     if places.is_nowhere() {
         let detail = "no data centre is in a region of both its route and its customer";
         return Err(Problem::not_run(Code::NoEndpoint, detail).retry_after(TABLE_UNKNOWN));
--- a/lib/src/gateway/routing/endpoint_state.rs
+++ b/lib/src/gateway/routing/endpoint_state.rs
@@ -3,9 +3,9 @@
 use {
     crate::{
         gateway::{
-            dialect::{PaceReport, Prompt, ReplyLoad},
+            dialect::{Prompt, ReplyLoad, SlowdownReport},
             directory::endpoint_entry::EndpointEntry,
-            hashes::{EndpointHash, LifeHash, endpoint_hash, life_hash},
+            hashes::{EndpointHash, IncarnationHash, endpoint_hash, incarnation_hash},
             routing::{
                 cold_state::{ColdState, Coldness},
                 endpoint_notices::EndpointNotices,
@@ -46,7 +46,7 @@
     /// Hash of its name, as loads are exchanged by it.
     pub(crate) hash: EndpointHash,
     /// Hash of this life, as rates are exchanged by it.
-    pub(crate) life: LifeHash,
+    pub(crate) life: IncarnationHash,
     /// Region of its data centre; nothing if that isn't known or there is no other one.
     pub(crate) region: Option<RegionHash>,
     /// Requests in flight from this daemon.
@@ -83,7 +83,7 @@
             evacuated,
             cold: ColdState::new(now, entry.cold),
             hash: endpoint_hash(&entry.id),
-            life: life_hash(&entry),
+            life: incarnation_hash(&entry),
             region: None,
             entry,
             running: 0,
@@ -168,7 +168,7 @@
     /// pace.
     pub(crate) fn record_load(&mut self, now: Time, load: ReplyLoad) -> bool {
         self.reported_load = Some((now, load));
-        load.pace == PaceReport::Unclear && !std::mem::replace(&mut self.is_unclear, true)
+        load.slowdown == SlowdownReport::Invalid && !std::mem::replace(&mut self.is_unclear, true)
     }
 
     /// Returns the requests in flight from all daemons, as far as is known.
--- a/lib/src/gateway/routing/endpoint_states.rs
+++ b/lib/src/gateway/routing/endpoint_states.rs
@@ -8,7 +8,7 @@
         gateway::{
             dialect::{Prompt, ReplyLoad},
             directory::endpoint_entry::{EndpointEntry, EndpointLife},
-            hashes::{DataCentreHash, EndpointHash, LifeHash, data_centre_hash},
+            hashes::{DataCentreHash, EndpointHash, IncarnationHash, data_centre_hash},
             rates::store::EndpointRates,
             routing::{
                 endpoint_notices::RememberedNotices,
@@ -292,7 +292,7 @@
     }
 
     /// Returns the endpoint whose life has a hash.
-    pub(crate) fn of_hash(&self, life: LifeHash) -> Option<&EndpointState> {
+    pub(crate) fn of_hash(&self, life: IncarnationHash) -> Option<&EndpointState> {
         self.members.values().find(|member| member.life == life)
     }
 
@@ -312,7 +312,7 @@
     pub(crate) fn turned_away(&mut self, now: Time, service: &ServiceId, urgency: u32) -> bool {
         let limited = self.limited(service).map(|member| member.life);
         let without = limited.filter(|life| !self.rates.may_send(now, *life, urgency));
-        let without: Vec<LifeHash> = without.collect();
+        let without: Vec<IncarnationHash> = without.collect();
         let mut is_due = false;
         for life in without {
             is_due |= self.rates.turned_away(now, life, urgency);
--- a/lib/src/gateway/routing/named_rates.rs
+++ b/lib/src/gateway/routing/named_rates.rs
@@ -3,9 +3,9 @@
 use {
     crate::{
         gateway::{
-            dialect::{Dialect, NamedRate, ReplyFacts},
+            dialect::{AdvertisedRate, Dialect, ReplyFacts},
             directory::endpoint_entry::EndpointEntry,
-            hashes::life_hash,
+            hashes::incarnation_hash,
             rates::{
                 note::RateNote,
                 store::{RateChange, SeenRate},
@@ -57,14 +57,14 @@
     pub(crate) fn record_rate(
         &self,
         endpoint: &EndpointEntry,
-        named: Option<NamedRate>,
+        named: Option<AdvertisedRate>,
         served: bool,
         sent: Time,
     ) {
         if named.is_none() && !served {
             return;
         }
-        let (now, life) = (self.now(), life_hash(endpoint));
+        let (now, life) = (self.now(), incarnation_hash(endpoint));
         let mut state = self.state.borrow_mut();
         if !state.endpoints.has_life(endpoint) {
             return;
@@ -72,7 +72,7 @@
         let rates = &mut state.endpoints.rates;
         let seen = SeenRate { named, sent };
         let change = rates.observe(now, life, &endpoint.service, seen);
-        let unclear = named.filter(|named| !named.clear);
+        let unclear = named.filter(|named| !named.valid);
         let unclear = unclear.filter(|_| rates.is_first_unclear(life));
         drop(state);
         if let Some(change) = change {
--- a/lib/src/gateway/routing/quarantine.rs
+++ b/lib/src/gateway/routing/quarantine.rs
@@ -4,7 +4,7 @@
     gateway::{
         dialect::Dialect,
         directory::endpoint_entry::EndpointEntry,
-        hashes::{LifeHash, life_hash},
+        hashes::{IncarnationHash, incarnation_hash},
         request_digest::RequestDigest,
         rules::quarantine::TERMINATED_LIMIT,
         state::{Gateway, GatewayState},
@@ -14,9 +14,9 @@
 
 impl GatewayState {
     /// Returns the name of the endpoint of a life; its hash where the endpoint isn't known here any more.
-    pub(crate) fn life_name(&self, life: LifeHash) -> String {
+    pub(crate) fn life_name(&self, life: IncarnationHash) -> String {
         let mut members = self.endpoints.members();
-        let member = members.find(|member| life_hash(&member.entry) == life);
+        let member = members.find(|member| incarnation_hash(&member.entry) == life);
         member.map_or_else(
             || format!("{:08x}", life.0),
             |member| member.entry.id.to_string(),
@@ -31,7 +31,7 @@
         let mut state = self.state.borrow_mut();
         let change = state
             .quarantine
-            .endpoint_ended(now, digest, life_hash(entry));
+            .endpoint_ended(now, digest, incarnation_hash(entry));
         drop(state);
         self.quarantine_news.notify_one();
         self.apply_quarantine(change, "own request");
--- a/lib/src/gateway/routing/reply_notices.rs
+++ b/lib/src/gateway/routing/reply_notices.rs
@@ -3,7 +3,7 @@
 use {
     crate::{
         gateway::{
-            dialect::{Dialect, LeaveNotice, ReplyFacts, ReplyWait},
+            dialect::{Dialect, LeaveSignal, ReplyFacts, RetryAfter},
             directory::endpoint_entry::EndpointEntry,
             rules::endpoint_cooldown::requested_cooldown,
             state::Gateway,
@@ -21,14 +21,14 @@
         status: StatusCode,
         facts: &ReplyFacts,
     ) {
-        if facts.leave != LeaveNotice::None {
+        if facts.leave != LeaveSignal::None {
             self.record_leave(endpoint);
         }
-        match requested_cooldown(status, facts.wait) {
+        match requested_cooldown(status, facts.retry_after) {
             Some(rest) => self.record_rest(endpoint, rest),
             None => self.state.borrow_mut().endpoints.end_trial(endpoint),
         }
-        if facts.leave == LeaveNotice::Unclear || facts.wait == ReplyWait::Unclear {
+        if facts.leave == LeaveSignal::Invalid || facts.retry_after == RetryAfter::Invalid {
             self.record_unclear(endpoint);
         }
     }
--- a/lib/src/gateway/rules/allowed_regions.rs
+++ b/lib/src/gateway/rules/allowed_regions.rs
@@ -14,7 +14,7 @@
 
 use {
     crate::{
-        gateway::{rules::eligibility::AllowedDataCentres, table::HomeRegions},
+        gateway::{rules::eligibility::AllowedDataCentres, table::AllowedRegions},
         shared::ids::{DataCentreId, RegionId},
     },
     serde::{Deserialize, Serialize},
@@ -74,13 +74,13 @@
     }
 
     /// Returns the data centres where requests of a route and a customer may run; there may be none.
-    pub fn allowed(&self, route: &HomeRegions, customer: &HomeRegions) -> AllowedDataCentres {
+    pub fn allowed(&self, route: &AllowedRegions, customer: &AllowedRegions) -> AllowedDataCentres {
         if route.is_none() && customer.is_none() {
             return AllowedDataCentres::Anywhere;
         }
         let is_allowed = |region: &RegionId| {
             let includes =
-                |regions: &HomeRegions| regions.as_ref().is_none_or(|all| all.contains(region));
+                |regions: &AllowedRegions| regions.as_ref().is_none_or(|all| all.contains(region));
             includes(route) && includes(customer)
         };
         let regions = self.0.iter().filter(|(_, region)| is_allowed(region));
--- a/lib/src/gateway/rules/endpoint_cooldown.rs
+++ b/lib/src/gateway/rules/endpoint_cooldown.rs
@@ -11,7 +11,7 @@
 //! Tests: `lib/tests/test_endpoint_rest.rs`.
 
 use {
-    crate::{gateway::dialect::ReplyWait, shared::units::Millis},
+    crate::{gateway::dialect::RetryAfter, shared::units::Millis},
     http::StatusCode,
 };
 
@@ -22,7 +22,7 @@
 const MAX_COOLDOWN: Millis = Millis(600_000);
 
 /// Returns the cooldown that a reply asks for; `None` if it asks for none.
-pub fn requested_cooldown(status: StatusCode, wait: ReplyWait) -> Option<Millis> {
+pub fn requested_cooldown(status: StatusCode, wait: RetryAfter) -> Option<Millis> {
     let refuses = [
         StatusCode::SERVICE_UNAVAILABLE,
         StatusCode::TOO_MANY_REQUESTS,
@@ -31,9 +31,9 @@
         return None;
     }
     let cooldown = match wait {
-        ReplyWait::None => return None,
-        ReplyWait::Unclear => DEFAULT_COOLDOWN,
-        ReplyWait::Named(time) => time.min(MAX_COOLDOWN),
+        RetryAfter::None => return None,
+        RetryAfter::Invalid => DEFAULT_COOLDOWN,
+        RetryAfter::Valid(time) => time.min(MAX_COOLDOWN),
     };
     (cooldown > Millis(0)).then_some(cooldown)
 }
--- a/lib/src/gateway/rules/reported_slowdown.rs
+++ b/lib/src/gateway/rules/reported_slowdown.rs
@@ -11,7 +11,7 @@
 //! Tests: `lib/tests/test_reported_pace.rs`.
 
 use crate::{
-    gateway::dialect::{PaceReport, ReplyLoad},
+    gateway::dialect::{ReplyLoad, SlowdownReport},
     shared::units::{Millis, Time},
 };
 
@@ -21,8 +21,8 @@
 /// Returns the time of work as a multiple of the usual one, from the last load that an endpoint reported.
 pub fn factor(now: Time, last: Option<(Time, ReplyLoad)>) -> f64 {
     let recent = last.filter(|(at, _)| now.since(*at) <= REPORT_LIFETIME.to_duration());
-    match recent.map(|(_, load)| load.pace) {
-        Some(PaceReport::Named(pace)) => pace.factor(),
-        Some(PaceReport::None | PaceReport::Unclear) | None => 1.0,
+    match recent.map(|(_, load)| load.slowdown) {
+        Some(SlowdownReport::Valid(pace)) => pace.factor(),
+        Some(SlowdownReport::None | SlowdownReport::Invalid) | None => 1.0,
     }
 }
--- a/lib/src/gateway/table.rs
+++ b/lib/src/gateway/table.rs
@@ -13,7 +13,7 @@
 };
 
 /// Regions in which requests may run and their bodies may be stored; `None` if any region is allowed.
-pub type HomeRegions = Option<Arc<[RegionId]>>;
+pub type AllowedRegions = Option<Arc<[RegionId]>>;
 
 /// Version number of a published table; later versions have greater numbers.
 pub type Version = u64;
@@ -99,7 +99,7 @@
     /// Whether endpoints that have cached the beginning of a prompt are preferred.
     pub affinity: bool,
     /// Regions in which the requests may run.
-    pub homes: HomeRegions,
+    pub allowed_regions: AllowedRegions,
 }
 
 /// How endpoints of a service run pieces of a stage.
@@ -145,7 +145,7 @@
     /// Rank of the customer's requests, compared before the rank of the route; 0 is the most urgent.
     pub rank: u32,
     /// Regions in which the requests may run.
-    pub homes: HomeRegions,
+    pub allowed_regions: AllowedRegions,
 }
 
 /// Limits on the requests and connections of callers.
--- a/lib/tests/rates/mod.rs
+++ b/lib/tests/rates/mod.rs
@@ -7,8 +7,8 @@
 use {
     hazelyoke_lib::{
         gateway::{
-            dialect::NamedRate,
-            hashes::LifeHash,
+            dialect::AdvertisedRate,
+            hashes::IncarnationHash,
             rates::{
                 note::RateNote,
                 store::{EndpointRates, PermitAnswer, SeenRate},
@@ -38,7 +38,7 @@
 const ROUND_MS: u64 = 200;
 const EARLY_ROUND_MS: u64 = 2;
 
-const INCARNATION: LifeHash = LifeHash(7);
+const INCARNATION: IncarnationHash = IncarnationHash(7);
 
 /// Urgency of all requests.
 const URGENCY: u32 = 5;
@@ -305,9 +305,9 @@
         }
         let knows = one.rates.knows(INCARNATION);
         one.rates.sent(time, INCARNATION, URGENCY);
-        let named = Some(NamedRate {
+        let named = Some(AdvertisedRate {
             rate: Rate(self.plan.rate),
-            clear: true,
+            valid: true,
         });
         let seen = SeenRate { named, sent: time };
         one.rates.observe(time, INCARNATION, &self.service, seen);
--- a/lib/tests/test_accusations.rs
+++ b/lib/tests/test_accusations.rs
@@ -6,7 +6,7 @@
 use {
     hazelyoke_lib::{
         gateway::{
-            hashes::LifeHash,
+            hashes::IncarnationHash,
             quarantine::{note::EvidenceNote, store::Quarantine},
             request_digest::RequestDigest,
             rules::gossip::HEARTBEAT,
@@ -238,7 +238,7 @@
             if self.endpoints[place].back > now {
                 continue;
             }
-            let life = LifeHash(self.endpoints[place].life);
+            let life = IncarnationHash(self.endpoints[place].life);
             self.endpoints[place].back = now + BACK;
             self.endpoints[place].life = self.next_life();
             for (_, request) in std::mem::take(&mut self.endpoints[place].running) {
--- a/lib/tests/test_eligibility.rs
+++ b/lib/tests/test_eligibility.rs
@@ -5,7 +5,7 @@
 use {
     hazelyoke_lib::{
         gateway::{
-            dialect::{PaceReport, Prompt, PromptPart, ReplyLoad},
+            dialect::{Prompt, PromptPart, ReplyLoad, SlowdownReport},
             directory::endpoint_entry::{Born, EndpointEntry},
             hashes::{DataCentreHash, data_centre_hash},
             routing::endpoint_states::EndpointStates,
@@ -306,7 +306,7 @@
         running: 4,
         waiting: 9,
         slots: 4,
-        pace: PaceReport::None,
+        slowdown: SlowdownReport::None,
     };
     states.record_load(NOW, &former, load);
     let member = states.get(&next.id).unwrap();
--- a/lib/tests/test_endpoint_rate.rs
+++ b/lib/tests/test_endpoint_rate.rs
@@ -7,8 +7,8 @@
 use {
     hazelyoke_lib::{
         gateway::{
-            dialect::NamedRate,
-            hashes::LifeHash,
+            dialect::AdvertisedRate,
+            hashes::IncarnationHash,
             rates::{
                 note::RateNote,
                 store::{EndpointRates, RateChange, SeenRate},
@@ -217,9 +217,9 @@
 }
 
 fn seen(rate: Option<f64>, sent: Time) -> SeenRate {
-    let named = rate.map(|rate| NamedRate {
+    let named = rate.map(|rate| AdvertisedRate {
         rate: Rate(rate),
-        clear: true,
+        valid: true,
     });
     SeenRate { named, sent }
 }
@@ -228,7 +228,7 @@
 #[test]
 fn same_rate_told() {
     let service: ServiceId = "s".parse().unwrap();
-    let incarnation = LifeHash(7);
+    let incarnation = IncarnationHash(7);
     let mut rates = EndpointRates::default();
     let began = rates.observe(NOW, incarnation, &service, seen(Some(0.333_333), NOW));
     assert!(matches!(began, Some(RateChange::Began(_))));
@@ -249,7 +249,7 @@
 #[test]
 fn end_of_rate() {
     let service: ServiceId = "s".parse().unwrap();
-    let incarnation = LifeHash(7);
+    let incarnation = IncarnationHash(7);
     let mut rates = EndpointRates::default();
     rates.observe(NOW, incarnation, &service, seen(Some(2.0), NOW));
     let named = rates.messages(NOW, Some(6))[0].telling.unwrap();
--- a/lib/tests/test_endpoint_rest.rs
+++ b/lib/tests/test_endpoint_rest.rs
@@ -3,7 +3,7 @@
 use {
     hazelyoke_lib::{
         gateway::{
-            dialect::ReplyWait,
+            dialect::RetryAfter,
             directory::endpoint_entry::EndpointEntry,
             routing::endpoint_states::EndpointStates,
             rules::{eligibility::AllowedDataCentres, endpoint_cooldown::requested_cooldown},
@@ -21,19 +21,19 @@
 /// bounded.
 #[test]
 fn asked_times() {
-    let named = |ms| ReplyWait::Named(Millis(ms));
+    let named = |ms| RetryAfter::Valid(Millis(ms));
     let refusals = [
         StatusCode::SERVICE_UNAVAILABLE,
         StatusCode::TOO_MANY_REQUESTS,
     ];
     for status in refusals {
         for (wait, cooldown) in [
-            (ReplyWait::None, None),
+            (RetryAfter::None, None),
             (named(0), None),
             (named(1), Some(1)),
             (named(3_000), Some(3_000)),
             (named(86_400_000), Some(600_000)),
-            (ReplyWait::Unclear, Some(1_000)),
+            (RetryAfter::Invalid, Some(1_000)),
         ] {
             assert_eq!(
                 requested_cooldown(status, wait),
--- a/lib/tests/test_fleet_pins.rs
+++ b/lib/tests/test_fleet_pins.rs
@@ -6,7 +6,7 @@
 use {
     hazelyoke_lib::{
         gateway::{
-            dialect::{PaceReport, Prompt, PromptPart, ReplyLoad},
+            dialect::{Prompt, PromptPart, ReplyLoad, SlowdownReport},
             directory::endpoint_entry::EndpointEntry,
             hashes::{endpoint_hash, service_hash},
             routing::{endpoint_state::PeerLoad, endpoint_states::EndpointStates},
@@ -256,7 +256,7 @@
             running: self.draws.below(4) as u32,
             waiting: self.draws.below(4) as u32,
             slots: 4,
-            pace: PaceReport::None,
+            slowdown: SlowdownReport::None,
         };
         self.fleet.record_load(self.now, &entry, load);
     }
--- a/lib/tests/test_homes.rs
+++ b/lib/tests/test_homes.rs
@@ -10,7 +10,7 @@
             piece_order::{DataCentreCounts, WaitingJob, WaitingOrder},
         },
         stages::job::JobId,
-        table::HomeRegions,
+        table::AllowedRegions,
     },
     shared::units::{ByteSize, Millis, Time},
 };
@@ -22,7 +22,7 @@
     Regions(data_centres.into_iter().collect())
 }
 
-fn regions_named(names: &[&str]) -> HomeRegions {
+fn regions_named(names: &[&str]) -> AllowedRegions {
     let regions: Vec<_> = names.iter().map(|name| name.parse().unwrap()).collect();
     Some(regions.into())
 }
--- a/lib/tests/test_message_bytes.rs
+++ b/lib/tests/test_message_bytes.rs
@@ -14,7 +14,7 @@
                 },
                 evacuations::{EvacuationOrder, Evacuations},
             },
-            hashes::{EndpointHash, LifeHash, ServiceHash},
+            hashes::{EndpointHash, IncarnationHash, ServiceHash},
             peers::message::{
                 BacklogNote, Datagram, FarNote, Frame, Heartbeat, JobOrder, LinkReply, LinkRequest,
                 LoadDigest, LoadNote, PROTOCOL, PeerNote, Phase, QuarantineReport, QueueNote,
@@ -270,11 +270,11 @@
         digest: "0123456789abcdef00000000000000ff".parse().unwrap(),
         ended: vec![
             EndedNote {
-                endpoint: LifeHash(0xdead_beef),
+                endpoint: IncarnationHash(0xdead_beef),
                 age_ms: 70_000,
             },
             EndedNote {
-                endpoint: LifeHash(7),
+                endpoint: IncarnationHash(7),
                 age_ms: 12,
             },
         ],
@@ -298,14 +298,14 @@
 fn rate_bytes() {
     let mut lines = Lines::default();
     let claim = RateNote {
-        endpoint: LifeHash(u32::MAX),
+        endpoint: IncarnationHash(u32::MAX),
         rate_milli: Some(1_100),
         age_ms: 70_000,
         share_micro: 183_333,
         claim: Some(Claim(3)),
     };
     let ended = RateNote {
-        endpoint: LifeHash(7),
+        endpoint: IncarnationHash(7),
         rate_milli: None,
         age_ms: 12,
         share_micro: 0,
@@ -319,7 +319,7 @@
     };
     lines.add("rates", &Datagram::Rates(report.clone()));
     let permit = PermitNote {
-        endpoint: LifeHash(7),
+        endpoint: IncarnationHash(7),
         permits: 1,
         wait_ms: 909,
     };
--- a/lib/tests/test_quarantine.rs
+++ b/lib/tests/test_quarantine.rs
@@ -8,7 +8,7 @@
     fleet::{Fleet, plain_report},
     hazelyoke_lib::{
         gateway::{
-            hashes::LifeHash,
+            hashes::IncarnationHash,
             peers::{
                 message::{Datagram, PROTOCOL, QuarantineReport, encode},
                 quarantine_news::gather,
@@ -46,7 +46,7 @@
 
 fn run(endpoint: u32, second: u64) -> EndedRun {
     EndedRun {
-        endpoint: LifeHash(endpoint),
+        endpoint: IncarnationHash(endpoint),
         at: seconds(second),
     }
 }
@@ -55,7 +55,7 @@
 fn end(quarantine: &mut Quarantine, request: u64, endpoints: u32) -> Vec<QuarantineChange> {
     let ended = (1..=endpoints).filter_map(|number| {
         let at = seconds(100 + u64::from(number));
-        quarantine.endpoint_ended(at, digest(request), LifeHash(number))
+        quarantine.endpoint_ended(at, digest(request), IncarnationHash(number))
     });
     ended.collect()
 }
@@ -101,7 +101,7 @@
                         let endpoint = draw.below(6);
                         let at = seconds(endpoint * 11) + Millis(draw.below(1_000));
                         EndedRun {
-                            endpoint: LifeHash(endpoint as u32),
+                            endpoint: IncarnationHash(endpoint as u32),
                             at,
                         }
                     })
@@ -135,7 +135,7 @@
     let began = end(&mut quarantine, 7, 3);
     let expected = QuarantineChange::Began {
         digest: digest(7),
-        ended: (1..=3).map(LifeHash).collect(),
+        ended: (1..=3).map(IncarnationHash).collect(),
     };
     assert_eq!(began, [expected]);
     let now = seconds(110);
@@ -178,7 +178,7 @@
         digest: digest(7),
         ended: (1..=3)
             .map(|number| EndedNote {
-                endpoint: LifeHash(number),
+                endpoint: IncarnationHash(number),
                 age_ms: 4_000,
             })
             .collect(),
@@ -197,7 +197,7 @@
         digest: digest(7),
         ended: (1..=3)
             .map(|number| EndedNote {
-                endpoint: LifeHash(number),
+                endpoint: IncarnationHash(number),
                 age_ms: 60_000 + number,
             })
             .collect(),
@@ -218,7 +218,7 @@
     end(&mut quarantine, 1, 3);
     for request in 10..10_010 {
         let at = seconds(200) + Millis(request);
-        quarantine.endpoint_ended(at, digest(request), LifeHash(request as u32));
+        quarantine.endpoint_ended(at, digest(request), IncarnationHash(request as u32));
     }
     let now = seconds(300);
     assert!(quarantine.left(now, &digest(1)).is_some());
@@ -244,7 +244,7 @@
 #[test]
 fn datagram_size() {
     let ended = (0..TERMINATED_LIMIT).map(|_| EndedNote {
-        endpoint: LifeHash(u32::MAX),
+        endpoint: IncarnationHash(u32::MAX),
         age_ms: u32::MAX,
     });
     let note = EvidenceNote {
@@ -326,7 +326,7 @@
 
     fn ended(&mut self, daemon: usize, request: u64, endpoint: u32) {
         let now = self.fleet.now;
-        self.quarantines[daemon].endpoint_ended(now, digest(request), LifeHash(endpoint));
+        self.quarantines[daemon].endpoint_ended(now, digest(request), IncarnationHash(endpoint));
     }
 }
 
--- a/lib/tests/test_reported_pace.rs
+++ b/lib/tests/test_reported_pace.rs
@@ -5,7 +5,7 @@
 use {
     hazelyoke_lib::{
         gateway::{
-            dialect::{PaceReport, Prompt, ReplyLoad, ReportedPace},
+            dialect::{Prompt, ReplyLoad, ReportedSlowdown, SlowdownReport},
             directory::endpoint_entry::EndpointEntry,
             routing::endpoint_states::EndpointStates,
             rules::{
@@ -30,16 +30,16 @@
 /// Usual time of a call, in milliseconds.
 const CALL_MS: f64 = 60.0;
 
-fn pace(hundredths: u32) -> PaceReport {
-    PaceReport::Named(ReportedPace::try_from(hundredths).unwrap())
+fn pace(hundredths: u32) -> SlowdownReport {
+    SlowdownReport::Valid(ReportedSlowdown::try_from(hundredths).unwrap())
 }
 
-fn load(pace: PaceReport) -> ReplyLoad {
+fn load(slowdown: SlowdownReport) -> ReplyLoad {
     ReplyLoad {
         running: 1,
         waiting: 0,
         slots: 6,
-        pace,
+        slowdown,
     }
 }
 
@@ -94,18 +94,18 @@
     assert_eq!(factor(NOW, last(pace(250))), 2.5);
     assert_eq!(factor(NOW + Millis(400), last(pace(250))), 2.5);
     assert_eq!(factor(NOW + Millis(401), last(pace(250))), 1.0);
-    assert_eq!(factor(NOW, last(PaceReport::None)), 1.0);
-    assert_eq!(factor(NOW, last(PaceReport::Unclear)), 1.0);
+    assert_eq!(factor(NOW, last(SlowdownReport::None)), 1.0);
+    assert_eq!(factor(NOW, last(SlowdownReport::Invalid)), 1.0);
     assert_eq!(factor(NOW, None), 1.0);
 }
 
 #[test]
 fn bounds_of_paces() {
     for hundredths in [1, 100, 10_000] {
-        assert!(ReportedPace::try_from(hundredths).is_ok());
+        assert!(ReportedSlowdown::try_from(hundredths).is_ok());
     }
     for hundredths in [0, 10_001, u32::MAX] {
-        assert!(ReportedPace::try_from(hundredths).is_err());
+        assert!(ReportedSlowdown::try_from(hundredths).is_err());
     }
 }
 
@@ -124,8 +124,9 @@
 #[test]
 fn unclear_once() {
     let mut states = endpoints(1);
-    let told =
-        |states: &mut EndpointStates| states.record_load(NOW, &entry(0), load(PaceReport::Unclear));
+    let told = |states: &mut EndpointStates| {
+        states.record_load(NOW, &entry(0), load(SlowdownReport::Invalid))
+    };
     assert!(told(&mut states));
     assert!(!told(&mut states));
 }
--- a/lib/tests/test_retry_hints.rs
+++ b/lib/tests/test_retry_hints.rs
@@ -2,7 +2,7 @@
 
 use hazelyoke_lib::{
     gateway::{
-        dialect::{PaceReport, ReplyLoad},
+        dialect::{ReplyLoad, SlowdownReport},
         rules::{
             admission::{
                 self, AdmissionDecision, AdmissionRequest, PieceCount, PlannedStage, StageService,
@@ -19,7 +19,7 @@
         running: 1,
         waiting,
         slots,
-        pace: PaceReport::None,
+        slowdown: SlowdownReport::None,
     }
 }
 
--- a/lib/tests/test_route_table.rs
+++ b/lib/tests/test_route_table.rs
@@ -29,7 +29,7 @@
         stages: Vec::new(),
         public: false,
         affinity: false,
-        homes: None,
+        allowed_regions: None,
     }
 }
 
@@ -37,7 +37,7 @@
     let customer = Arc::new(CustomerEntry {
         id: "c".parse().unwrap(),
         rank: 1,
-        homes: None,
+        allowed_regions: None,
     });
     Table::new(
         7,
