--- a/lib/src/gateway/stages/batch_queue.rs
+++ b/lib/src/gateway/stages/batch_queue.rs
@@ -5,7 +5,7 @@
 //! the endpoint is free, so calls get larger as the load rises. Any piece may run more than once: two coordinators
 //! at the same time cost throughput but do no harm.
 //!
-//! Owns the state and its simple changes. `batch_plan` builds calls from it, `batch_results` applies their
+//! Owns the state and its simple changes. `call_scheduling` builds calls from it, `batch_results` applies their
 //! outcomes. Sends nothing and reads no clock.
 
 use {
--- a/lib/src/gateway/stages/call_runner.rs
+++ b/lib/src/gateway/stages/call_runner.rs
@@ -62,7 +62,7 @@
     let allowed = gateway.allowed_calls();
     let mut state = gateway.state.borrow_mut();
     state.stage_queues.set_allowed_calls(&allowed);
-    let calls = state.stage_queues.plan(now);
+    let calls = state.stage_queues.schedule(now);
     drop(state);
     for ServiceCall { service, call } in calls {
         gateway.call_sent(&call.entry);
--- a/lib/src/gateway/stages/batch_plan.rs
+++ b/lib/src/gateway/stages/call_scheduling.rs
@@ -20,7 +20,7 @@
                 batch_call::{BatchCall, CallId, PieceRef, RunningCall, SentPiece},
                 batch_queue::BatchQueue,
                 job::{JobEnd, JobId, PieceTask},
-                plan_round::PlanRound,
+                scheduling_round::SchedulingRound,
                 workers::FreeWorker,
             },
         },
@@ -53,7 +53,7 @@
 impl BatchQueue {
     /// Returns the calls to send now, and records them as in flight. Before that, ends the jobs that can't meet
     /// their deadlines and queues the pieces of overdue calls again.
-    pub fn plan(&mut self, now: Time) -> Vec<BatchCall> {
+    pub fn schedule(&mut self, now: Time) -> Vec<BatchCall> {
         self.end_hopeless(now);
         self.requeue_overdue(now);
         self.held_until = None;
@@ -67,9 +67,9 @@
         if free.is_empty() {
             return calls;
         }
-        let mut round = PlanRound::new(free, self.workers.counts(), waiting);
+        let mut round = SchedulingRound::new(free, self.workers.counts(), waiting);
         while !round.free.is_empty() && round.waiting > 0 {
-            let Some(call) = self.plan_next(now, &mut round) else {
+            let Some(call) = self.schedule_next(now, &mut round) else {
                 break;
             };
             calls.push(call);
@@ -87,10 +87,10 @@
     }
 
     /// Plans one call, for the first free endpoint that can run any of the waiting pieces.
-    fn plan_next(&mut self, now: Time, round: &mut PlanRound) -> Option<BatchCall> {
+    fn schedule_next(&mut self, now: Time, round: &mut SchedulingRound) -> Option<BatchCall> {
         for place in 0..round.free.len() {
             let worker = round.free[place].clone();
-            let Some(call) = self.plan_for(now, &worker, round) else {
+            let Some(call) = self.schedule_for(now, &worker, round) else {
                 continue;
             };
             round.subtract(&self.calls[&call.id].pieces);
@@ -109,11 +109,11 @@
 
     /// Plans a call for a free endpoint with its share of the waiting pieces. Returns `None` if its share is empty
     /// or the call is held.
-    fn plan_for(
+    fn schedule_for(
         &mut self,
         now: Time,
         worker: &FreeWorker,
-        round: &mut PlanRound,
+        round: &mut SchedulingRound,
     ) -> Option<BatchCall> {
         let here = &worker.data_centre;
         let (free_here, free) = (round.free_in(here), round.free.len());
@@ -131,11 +131,11 @@
         if pieces < self.limits.pieces && self.is_held(now, here, round) {
             return None;
         }
-        self.plan_call(now, &worker.incarnation, &order.jobs, pieces, round.waiting)
+        self.schedule_call(now, &worker.incarnation, &order.jobs, pieces, round.waiting)
     }
 
     /// Returns whether a call that isn't full has to wait in a data centre, and records until when.
-    fn is_held(&mut self, now: Time, data_centre: &DataCentreId, round: &PlanRound) -> bool {
+    fn is_held(&mut self, now: Time, data_centre: &DataCentreId, round: &SchedulingRound) -> bool {
         let Some(spacing) = self.spacing.get(data_centre) else {
             return false;
         };
@@ -172,7 +172,7 @@
     }
 
     /// Plans a call of at most `pieces` pieces for an endpoint. Returns `None` if no piece can be sent to it.
-    fn plan_call(
+    fn schedule_call(
         &mut self,
         now: Time,
         endpoint: &EndpointLife,
--- a/lib/src/gateway/stages/mod.rs
+++ b/lib/src/gateway/stages/mod.rs
@@ -4,16 +4,16 @@
 //! job. One daemon, the coordinator of the service, batches the pieces of all daemons' jobs into calls of endpoints.
 //!
 //! `chain` runs the stages of one request; `handover` sends the job of each stage to the coordinator of its
-//! service. On the coordinator, `queues` holds one `batch_queue` per service, `batch_plan` builds calls from the
+//! service. On the coordinator, `queues` holds one `batch_queue` per service, `call_scheduling` builds calls from the
 //! waiting pieces, `call_runner` sends them, and `batch_results` applies their outcomes.
 
-mod batch_plan;
 mod batch_results;
+mod call_scheduling;
 mod endpoint_post;
 mod handover;
 mod job_state;
 mod local_job;
-mod plan_round;
+mod scheduling_round;
 mod worker;
 mod workers;
 
--- a/lib/src/gateway/stages/queues.rs
+++ b/lib/src/gateway/stages/queues.rs
@@ -104,8 +104,8 @@
                 BatchQueue::new(*limits, WindowBudget::new(budget, Time::default()))
             });
             queue.set_limits(*limits, budget, daemons);
-            let planned = endpoints.planned(service).into_iter();
-            let entries: Vec<_> = planned.map(|member| member.entry.clone()).collect();
+            let eligible = endpoints.planned(service).into_iter();
+            let entries: Vec<_> = eligible.map(|member| member.entry.clone()).collect();
             queue.set_endpoints(&entries);
             queue.set_cooldown_end(endpoints.rest_end(service, &AllowedDataCentres::Anywhere));
         }
@@ -216,10 +216,10 @@
     }
 
     /// Returns the calls to send now, and records them as in flight.
-    pub(crate) fn plan(&mut self, now: Time) -> Vec<ServiceCall> {
+    pub(crate) fn schedule(&mut self, now: Time) -> Vec<ServiceCall> {
         let mut calls = Vec::new();
         for (service, queue) in &mut self.queues {
-            for call in queue.plan(now) {
+            for call in queue.schedule(now) {
                 let service = service.clone();
                 calls.push(ServiceCall { service, call });
             }
--- a/lib/src/gateway/stages/plan_round.rs
+++ b/lib/src/gateway/stages/scheduling_round.rs
@@ -14,7 +14,7 @@
 };
 
 /// The free endpoints and the waiting jobs of one planning round; each planned call is subtracted.
-pub(super) struct PlanRound {
+pub(super) struct SchedulingRound {
     /// Free endpoints, in the order in which they get calls.
     pub(super) free: Vec<FreeWorker>,
     /// Number of free endpoints in each data centre.
@@ -29,7 +29,7 @@
     pub(super) waiting: usize,
 }
 
-impl PlanRound {
+impl SchedulingRound {
     pub(super) fn new(free: Vec<FreeWorker>, counts: DataCentreCounts, waiting: usize) -> Self {
         let mut free_counts: HashMap<DataCentreId, usize> = HashMap::default();
         for worker in &free {
--- a/lib/tests/load/mod.rs
+++ b/lib/tests/load/mod.rs
@@ -210,7 +210,7 @@
 
     fn plan(&mut self, now: Time) {
         self.schedulings += 1;
-        for call in self.queue.plan(now) {
+        for call in self.queue.schedule(now) {
             self.outcome.fills.push(call.pieces.len());
             let spread = (self.fraction() * 2.0 - 1.0) * self.pattern.jitter;
             let ends = now + WorkMillis(call.expected.0 * (1.0 + spread));
--- a/lib/tests/test_batch_queue.rs
+++ b/lib/tests/test_batch_queue.rs
@@ -109,7 +109,7 @@
     let mut queue = queue(LIMITS, 1);
     queue.add(now, JobId(1), job("a", 3, now));
     queue.add(now, JobId(2), job("b", 2, now));
-    let calls = queue.plan(now);
+    let calls = queue.schedule(now);
     assert_eq!(calls.len(), 1);
     assert_eq!(calls[0].pieces.len(), 5);
     queue.call_ended(now + Millis(250), calls[0].id, all_completed(&calls[0]));
@@ -127,9 +127,9 @@
     let now = start();
     let mut queue = queue(LIMITS, 1);
     queue.add(now, JobId(1), job("a", 1, now));
-    assert_eq!(queue.plan(now).len(), 1);
+    assert_eq!(queue.schedule(now).len(), 1);
     queue.add(now, JobId(2), job("b", 1, now));
-    assert!(queue.plan(now).is_empty());
+    assert!(queue.schedule(now).is_empty());
 }
 
 /// Waiting pieces are distributed evenly over the idle endpoints.
@@ -140,7 +140,7 @@
     for id in 0..4 {
         queue.add(now, JobId(id), job("a", 2, now));
     }
-    let sizes: Vec<usize> = queue.plan(now).iter().map(|c| c.pieces.len()).collect();
+    let sizes: Vec<usize> = queue.schedule(now).iter().map(|c| c.pieces.len()).collect();
     assert_eq!(sizes, [2, 2, 2, 2]);
 }
 
@@ -154,15 +154,15 @@
     };
     let mut queue = queue(limits, 1);
     queue.add(now, JobId(1), job("a", 8, now));
-    let calls = queue.plan(now);
+    let calls = queue.schedule(now);
     assert_eq!(calls[0].pieces.len(), 4);
     assert!(queue.is_short_of_capacity(now));
     queue.call_ended(now + Millis(250), calls[0].id, all_completed(&calls[0]));
     // The endpoint stores the results until they are released.
-    assert!(queue.plan(now + Millis(251)).is_empty());
+    assert!(queue.schedule(now + Millis(251)).is_empty());
     let kept: Vec<ResultHandle> = (0..4).map(|piece| handle(&calls[0], piece)).collect();
     queue.released(&kept);
-    assert_eq!(queue.plan(now + Millis(252))[0].pieces.len(), 4);
+    assert_eq!(queue.schedule(now + Millis(252))[0].pieces.len(), 4);
 }
 
 /// The pieces of an overdue call are sent to another endpoint; only the first result counts.
@@ -171,9 +171,9 @@
     let now = start();
     let mut queue = queue(LIMITS, 2);
     queue.add(now, JobId(1), job("a", 1, now));
-    let slow = queue.plan(now).remove(0);
-    assert!(queue.plan(now + Millis(400)).is_empty());
-    let again = queue.plan(now + Millis(600)).remove(0);
+    let slow = queue.schedule(now).remove(0);
+    assert!(queue.schedule(now + Millis(400)).is_empty());
+    let again = queue.schedule(now + Millis(600)).remove(0);
     assert_ne!(again.entry.id, slow.entry.id);
     assert_eq!(again.retries, 1);
     queue.call_ended(now + Millis(810), again.id, all_completed(&again));
@@ -199,7 +199,7 @@
         ..job("a", 1, now)
     };
     queue.add(now, JobId(1), late);
-    assert!(queue.plan(now).is_empty());
+    assert!(queue.schedule(now).is_empty());
     assert_eq!(
         queue.take_ended(),
         [EndedJob {
@@ -215,7 +215,7 @@
     let now = start();
     let mut queue = queue(LIMITS, 1);
     queue.add(now, JobId(1), job("a", 1, now));
-    queue.plan(now);
+    queue.schedule(now);
     let later = now + Millis(150);
     assert!(queue.take_fetched(now, |_| true).is_empty());
     assert!(queue.take_fetched(later, |_| false).is_empty());
@@ -229,7 +229,7 @@
     let now = start();
     let mut queue = queue(LIMITS, 1);
     queue.add(now, JobId(1), job("a", 2, now));
-    let call = queue.plan(now).remove(0);
+    let call = queue.schedule(now).remove(0);
     queue.cancel(JobId(1));
     queue.call_ended(now + Millis(250), call.id, all_completed(&call));
     assert!(queue.take_ended().is_empty());
@@ -243,10 +243,10 @@
     let now = start();
     let mut queue = queue(LIMITS, 1);
     queue.add(now, JobId(1), job("a", 1, now));
-    let call = queue.plan(now).remove(0);
+    let call = queue.schedule(now).remove(0);
     queue.call_ended(now, call.id, CallEnd::Broken);
-    assert!(queue.plan(now + Millis(200)).is_empty());
-    assert_eq!(queue.plan(now + Millis(301)).len(), 1);
+    assert!(queue.schedule(now + Millis(200)).is_empty());
+    assert_eq!(queue.schedule(now + Millis(301)).len(), 1);
 }
 
 /// A queue with random jobs, answers, failures, cancellations and departures of endpoints.
@@ -285,7 +285,7 @@
             }
             _ => {}
         }
-        self.plan();
+        self.schedule();
         self.check();
         Ok(())
     }
@@ -340,8 +340,8 @@
         Ok(())
     }
 
-    fn plan(&mut self) {
-        for call in self.queue.plan(self.now) {
+    fn schedule(&mut self) {
+        for call in self.queue.schedule(self.now) {
             assert!(!call.pieces.is_empty() && call.pieces.len() <= LIMITS.pieces);
             let busy = self.calls.iter().filter(|c| c.entry.id == call.entry.id);
             assert_eq!(
@@ -386,7 +386,7 @@
         while !run.open.is_empty() && rounds < 2_000 {
             rounds += 1;
             run.now = run.now + Millis(100);
-            run.plan();
+            run.schedule();
             for call in std::mem::take(&mut run.calls) {
                 let end = all_completed(&call);
                 run.queue.call_ended(run.now, call.id, end);
@@ -428,7 +428,7 @@
     let mut queue = two_centres();
     queue.add(now, JobId(1), job_at("a", "far", 20_000, now));
     queue.add(now, JobId(2), job_at("b", "z", 20_000, now));
-    let calls = queue.plan(now);
+    let calls = queue.schedule(now);
     assert_eq!(calls.len(), 2);
     for call in &calls {
         let preferred = if &*call.pieces[0].request == "a" {
@@ -447,13 +447,13 @@
     let now = start();
     let mut queue = two_centres();
     queue.add(now, JobId(1), job_at("a", "z", 500_000, now));
-    assert_eq!(queue.plan(now).len(), 1);
+    assert_eq!(queue.schedule(now).len(), 1);
     queue.add(now, JobId(2), job_at("b", "z", 500_000, now));
     assert!(
-        queue.plan(now + Millis(140)).is_empty(),
+        queue.schedule(now + Millis(140)).is_empty(),
         "the endpoint in the preferred data centre is busy"
     );
-    let calls = queue.plan(now + Millis(160));
+    let calls = queue.schedule(now + Millis(160));
     assert_eq!(
         calls.len(),
         1,
@@ -468,9 +468,9 @@
     let now = start();
     let mut queue = two_centres();
     queue.add(now, JobId(1), job_at("a", "z", 500_000, now));
-    queue.plan(now);
+    queue.schedule(now);
     queue.add(now, JobId(2), job_at("b", "z", 100, now));
-    assert_eq!(queue.plan(now).len(), 1);
+    assert_eq!(queue.schedule(now).len(), 1);
 }
 
 /// A piece doesn't wait for its preferred data centre if this has no endpoints.
@@ -480,7 +480,7 @@
     let mut queue = two_centres();
     queue.set_endpoints(&entries(1));
     queue.add(now, JobId(1), job_at("a", "far", 500_000, now));
-    assert_eq!(queue.plan(now).len(), 1);
+    assert_eq!(queue.schedule(now).len(), 1);
 }
 
 /// A piece that has passed its objective doesn't wait for its preferred data centre.
@@ -489,14 +489,14 @@
     let now = start();
     let mut queue = two_centres();
     queue.add(now, JobId(1), job_at("a", "z", 500_000, now));
-    queue.plan(now);
+    queue.schedule(now);
     let late = StageJob {
         objective: now + Millis(10),
         ..job_at("b", "z", 500_000, now)
     };
     queue.add(now, JobId(2), late);
-    assert!(queue.plan(now + Millis(5)).is_empty());
-    assert_eq!(queue.plan(now + Millis(11)).len(), 1);
+    assert!(queue.schedule(now + Millis(5)).is_empty());
+    assert_eq!(queue.schedule(now + Millis(11)).len(), 1);
 }
 
 /// While all endpoints are cooling down, jobs that can't be run after the cooldown end at once; others wait.
@@ -507,7 +507,7 @@
     queue.set_cooldown_end(Some(now + Millis(9_900)));
     queue.add(now, JobId(1), job("a", 1, now));
     queue.add(now, JobId(2), job("b", 1, now + Millis(1_000)));
-    assert!(queue.plan(now).is_empty());
+    assert!(queue.schedule(now).is_empty());
     let ended: Vec<JobId> = queue.take_ended().iter().map(|ended| ended.id).collect();
     assert_eq!(ended, [JobId(1)]);
 }
--- a/lib/tests/test_harmful_pieces.rs
+++ b/lib/tests/test_harmful_pieces.rs
@@ -37,7 +37,7 @@
 const TIME_TO_HARM: Millis = Millis(20);
 
 /// Time between two planning rounds.
-const PLAN_INTERVAL: Millis = Millis(25);
+const SCHEDULE_INTERVAL: Millis = Millis(25);
 
 const LIMITS: BatchLimits = BatchLimits {
     slots: 1,
@@ -129,7 +129,7 @@
             run.queue.add(now, JobId(number), job(number, now));
         }
         // All pieces go into one call.
-        run.plan();
+        run.schedule();
         assert_eq!(run.running.len(), 1);
         for _ in 1..endpoints {
             run.add_endpoint();
@@ -147,8 +147,8 @@
         self.queue.set_endpoints(&self.endpoints);
     }
 
-    fn plan(&mut self) {
-        for call in self.queue.plan(self.now) {
+    fn schedule(&mut self) {
+        for call in self.queue.schedule(self.now) {
             let takes = if self.is_harmful(&call) {
                 TIME_TO_HARM
             } else {
@@ -168,7 +168,7 @@
     }
 
     fn step(&mut self) {
-        self.now = self.now + PLAN_INTERVAL;
+        self.now = self.now + SCHEDULE_INTERVAL;
         let now = self.now;
         let (over, running) = std::mem::take(&mut self.running)
             .into_iter()
@@ -182,7 +182,7 @@
         for _ in 0..back {
             self.add_endpoint();
         }
-        self.plan();
+        self.schedule();
         for job in self.queue.take_ended() {
             match job.end {
                 JobEnd::Completed(_) => self.outcome.completed += 1,
--- a/lib/tests/test_plan_pins.rs
+++ b/lib/tests/test_plan_pins.rs
@@ -188,7 +188,7 @@
     }
 
     fn plan(&mut self) {
-        for call in self.queue.plan(self.now) {
+        for call in self.queue.schedule(self.now) {
             let pieces: Vec<String> = call
                 .pieces
                 .iter()
--- a/lib/tests/test_scale.rs
+++ b/lib/tests/test_scale.rs
@@ -96,7 +96,7 @@
         for number in 0..endpoints {
             queue.add(NOW, JobId(number), job(number));
         }
-        let calls = queue.plan(NOW);
+        let calls = queue.schedule(NOW);
         assert!(calls.len() as u64 >= endpoints / 4, "{}", calls.len());
         let ordered = queue.ordered_jobs();
         assert!(ordered <= DATA_CENTRES * endpoints, "{daemons}: {ordered}");
--- a/lib/tests/test_stage_pins.rs
+++ b/lib/tests/test_stage_pins.rs
@@ -124,7 +124,7 @@
             }
             _ => self.release(),
         }
-        self.plan();
+        self.schedule();
         self.note_ends();
         Ok(())
     }
@@ -213,8 +213,8 @@
         self.queue.released(&surplus);
     }
 
-    fn plan(&mut self) {
-        for call in self.queue.plan(self.now) {
+    fn schedule(&mut self) {
+        for call in self.queue.schedule(self.now) {
             let piece = |task: &hazelyoke_lib::gateway::stages::job::PieceTask| {
                 format!("{}.{}", task.request, task.piece)
             };
