--- a/lib/src/gateway/stages/batch_call.rs
+++ b/lib/src/gateway/stages/batch_call.rs
@@ -47,7 +47,7 @@
     pub pieces: Vec<PieceTask>,
     /// Time that the call is expected to take.
     pub expected: WorkMillis,
-    /// Number of pieces of the service that were waiting when the call was planned, those of the call included.
+    /// Number of pieces of the service that were waiting when the call was scheduled, those of the call included.
     pub waiting: usize,
     /// Number of pieces in the call that were sent before.
     pub retries: usize,
--- a/lib/src/gateway/stages/batch_queue.rs
+++ b/lib/src/gateway/stages/batch_queue.rs
@@ -93,7 +93,7 @@
         self.held_until
     }
 
-    /// Returns the number of jobs put in order so far, as a measure of the cost of planning; a job counts each time.
+    /// Returns the number of jobs put in order so far, as a measure of the cost of scheduling; a job counts each time.
     pub fn ordered_jobs(&self) -> u64 {
         self.ordered
     }
--- a/lib/src/gateway/stages/call_runner.rs
+++ b/lib/src/gateway/stages/call_runner.rs
@@ -1,6 +1,6 @@
 //! Sends the calls of the services that this daemon coordinates, and applies their outcomes.
 //!
-//! Owns the loop that plans calls whenever jobs, endpoints or limits change. Relies on `queues` for the calls to
+//! Owns the loop that schedules calls whenever jobs, endpoints or limits change. Relies on `queues` for the calls to
 //! send, on `endpoint_post` for the HTTP exchange, and on `rules::call_timing` for the timeout of an answer.
 
 use {
@@ -33,7 +33,7 @@
 /// endpoint's exclusion depend on time alone and don't wake the loop.
 const CHECK_INTERVAL: Duration = Duration::from_millis(25);
 
-/// Plans and sends calls whenever something has changed, and periodically while there are jobs. Never returns.
+/// Schedules and sends calls whenever something has changed, and periodically while there are jobs. Never returns.
 pub async fn run_calls<D: Dialect>(gateway: Rc<Gateway<D>>) {
     loop {
         let is_busy = gateway.state.borrow().stage_queues.jobs() > 0;
--- a/lib/src/gateway/stages/call_scheduling.rs
+++ b/lib/src/gateway/stages/call_scheduling.rs
@@ -86,7 +86,7 @@
         self.limits.slots.max(1)
     }
 
-    /// Plans one call, for the first free endpoint that can run any of the waiting pieces.
+    /// Schedules one call, for the first free endpoint that can run any of the waiting pieces.
     fn schedule_next(&mut self, now: Time, round: &mut SchedulingRound) -> Option<BatchCall> {
         for place in 0..round.free.len() {
             let worker = round.free[place].clone();
@@ -107,7 +107,7 @@
         None
     }
 
-    /// Plans a call for a free endpoint with its share of the waiting pieces. Returns `None` if its share is empty
+    /// Schedules a call for a free endpoint with its share of the waiting pieces. Returns `None` if its share is empty
     /// or the call is held.
     fn schedule_for(
         &mut self,
@@ -149,7 +149,7 @@
         true
     }
 
-    /// Records the time of a planned call for the spacing of calls in its data centre.
+    /// Records the time of a scheduled call for the spacing of calls in its data centre.
     fn record_spacing(&mut self, now: Time, call: &BatchCall) {
         let data_centre = &call.entry.data_centre;
         let spacing = match self.spacing.get(data_centre) {
@@ -171,7 +171,7 @@
         WaitingOrder::new(now, jobs, data_centre, counts)
     }
 
-    /// Plans a call of at most `pieces` pieces for an endpoint. Returns `None` if no piece can be sent to it.
+    /// Schedules a call of at most `pieces` pieces for an endpoint. Returns `None` if no piece can be sent to it.
     fn schedule_call(
         &mut self,
         now: Time,
@@ -263,7 +263,7 @@
         }
     }
 
-    /// Records a planned call as in flight.
+    /// Records a scheduled call as in flight.
     fn begin(&mut self, now: Time, call: &BatchCall, pieces: Vec<SentPiece>, fill: CallFill) {
         let endpoint = call.entry.life();
         let reserved = fill.reserved();
--- a/lib/src/gateway/stages/handover.rs
+++ b/lib/src/gateway/stages/handover.rs
@@ -2,7 +2,7 @@
 //!
 //! Relies on `peers` to choose the coordinator and for the link to it. If a coordinator is lost, the next one is
 //! tried. In its own region, this daemon runs the job itself as a last resort, so that no job waits for daemons
-//! that can't be reached. In another region it can't, since it plans no calls there; the job fails.
+//! that can't be reached. In another region it can't, since it schedules no calls there; the job fails.
 
 use {
     crate::{
--- a/lib/src/gateway/stages/queues.rs
+++ b/lib/src/gateway/stages/queues.rs
@@ -50,7 +50,7 @@
     sender: oneshot::Sender<JobEnd>,
 }
 
-/// A planned call and the service of its endpoint.
+/// A scheduled call and the service of its endpoint.
 #[derive(Debug)]
 pub(crate) struct ServiceCall {
     pub(crate) service: ServiceId,
--- a/lib/src/gateway/stages/scheduling_round.rs
+++ b/lib/src/gateway/stages/scheduling_round.rs
@@ -1,6 +1,6 @@
-//! The state of one planning round, in which the calls to be sent now are built.
+//! The state of one scheduling round, in which the calls to be sent now are built.
 //!
-//! It is gathered once and updated for each planned call. Relies on `rules::piece_order` for the order of the jobs.
+//! It is gathered once and updated for each scheduled call. Relies on `rules::piece_order` for the order of the jobs.
 
 use {
     crate::{
@@ -13,7 +13,7 @@
     foldhash::HashMap,
 };
 
-/// The free endpoints and the waiting jobs of one planning round; each planned call is subtracted.
+/// The free endpoints and the waiting jobs of one scheduling round; each scheduled call is subtracted.
 pub(super) struct SchedulingRound {
     /// Free endpoints, in the order in which they get calls.
     pub(super) free: Vec<FreeWorker>,
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Subtracts the pieces of a planned call from the waiting pieces.
+    /// Subtracts the pieces of a scheduled call from the waiting pieces.
     pub(super) fn subtract(&mut self, pieces: &[SentPiece]) {
         self.waiting -= pieces.len();
         for order in self.orders.values_mut() {
--- a/lib/src/gateway/state.rs
+++ b/lib/src/gateway/state.rs
@@ -199,7 +199,7 @@
     pub stopping: Cell<bool>,
     /// Number of accepted requests without a final answer.
     pub in_flight: Cell<usize>,
-    /// Wakes the loop that plans calls of stage services.
+    /// Wakes the loop that schedules calls of stage services.
     pub stage_work: Notify,
     /// Whether endpoints, services or limits have changed since the queues of stage services were last updated.
     stale_queues: Cell<bool>,
@@ -365,7 +365,7 @@
         self.state.borrow().published.clone()
     }
 
-    /// Records that endpoints, services or limits have changed, and wakes the loop that plans calls. The queues are
+    /// Records that endpoints, services or limits have changed, and wakes the loop that schedules calls. The queues are
     /// updated once for any number of changes: updated for each entry of a first list of 3,001 endpoints, a daemon
     /// would compare all endpoints of each stage 3,001 times.
     pub(crate) fn invalidate_stage_queues(&self) {
--- a/lib/tests/test_batch_queue.rs
+++ b/lib/tests/test_batch_queue.rs
@@ -1,4 +1,4 @@
-//! Tests that the queue of a stage service plans calls, retries pieces and returns each result to the right job,
+//! Tests that the queue of a stage service schedules calls, retries pieces and returns each result to the right job,
 //! whatever endpoints answer.
 
 #![allow(clippy::unwrap_used, reason = "a failed unwrap fails the test")]
--- a/lib/tests/test_harmful_pieces.rs
+++ b/lib/tests/test_harmful_pieces.rs
@@ -36,7 +36,7 @@
 /// Time from the start of a harmful call until its endpoint terminates.
 const TIME_TO_HARM: Millis = Millis(20);
 
-/// Time between two planning rounds.
+/// Time between two scheduling rounds.
 const SCHEDULE_INTERVAL: Millis = Millis(25);
 
 const LIMITS: BatchLimits = BatchLimits {
