--- a/lib/src/gateway/dialect.rs
+++ b/lib/src/gateway/dialect.rs
@@ -152,7 +152,7 @@
 
 /// Reports a number that is not a valid slowdown.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
-#[error("{0} hundredths of the usual time can't be a pace")]
+#[error("{0} hundredths of the usual time is not a valid slowdown")]
 pub struct SlowdownError(u32);
 
 /// Rate limit that an endpoint advertises in a reply.
--- a/lib/src/gateway/stages/batch_call.rs
+++ b/lib/src/gateway/stages/batch_call.rs
@@ -1,6 +1,6 @@
 //! Types for calls, each of which sends a batch of pieces to one endpoint of a stage service.
 //!
-//! Contains no logic: `call_scheduling` builds calls, `call_runner` sends them, and `batch_results` applies their
+//! Makes no decisions: `call_scheduling` builds calls, `call_runner` sends them, and `batch_results` applies their
 //! outcomes.
 
 use {
--- a/lib/src/gateway/stages/chain.rs
+++ b/lib/src/gateway/stages/chain.rs
@@ -32,7 +32,7 @@
 pub enum ChainError {
     /// The stages can't end before the deadline.
     Late,
-    /// A piece failed as often as it may be sent, or the stages started over too often because results were gone.
+    /// The job of a stage failed, or the stages started over too often because results were gone.
     Failed,
 }
 
--- a/lib/src/gateway/stages/job.rs
+++ b/lib/src/gateway/stages/job.rs
@@ -1,6 +1,6 @@
 //! Types of the stages: pieces, jobs (all pieces of one stage of one request), and handles of results.
 //!
-//! Contains no logic. Types that are sent to other daemons keep their serialized names.
+//! Makes no decisions. Types that are sent to other daemons keep their serialized names.
 
 use {
     crate::{
@@ -119,7 +119,7 @@
     Late,
     /// An input is no longer stored at its endpoint, so the stage that made it has to run again.
     InputsGone,
-    /// A piece failed as often as it may be sent, or the request is quarantined.
+    /// A piece failed as often as it may be sent, the request is quarantined, or no coordinator runs the service.
     Failed,
 }
 
--- a/lib/src/gateway/stages/worker.rs
+++ b/lib/src/gateway/stages/worker.rs
@@ -30,7 +30,8 @@
 #[derive(Debug)]
 pub(crate) struct Worker {
     pub(crate) entry: Arc<EndpointEntry>,
-    /// Whether the endpoint is listed and may get calls; false while its last calls end after it left.
+    /// Whether the endpoint may get calls at all. False for an endpoint that left, restarted or was replaced, until
+    /// its calls have ended.
     pub(crate) listed: bool,
     calls: usize,
     slowdown: LearntSlowdown,
