--- a/lib/src/gateway/stages/worker.rs
+++ b/lib/src/gateway/stages/worker.rs
@@ -81,12 +81,12 @@
         self.allowed_calls.is_some()
     }
 
-    /// Returns the free result capacity of the endpoint, whose total is `stated`. Removes results that the endpoint
+    /// Returns the free result capacity of the endpoint, whose total capacity is `total`. Removes results that the endpoint
     /// has dropped after their timeout.
-    pub(crate) fn free_capacity(&mut self, now: Time, stated: ByteSize) -> ByteSize {
+    pub(crate) fn free_capacity(&mut self, now: Time, total: ByteSize) -> ByteSize {
         self.stored.retain(|_, result| result.until > now);
         let stored: u64 = self.stored.values().map(|result| result.size.0).sum();
-        result_capacity::free_capacity(stated, ByteSize(stored + self.reserved.0))
+        result_capacity::free_capacity(total, ByteSize(stored + self.reserved.0))
     }
 
     pub(crate) fn call_sent(&mut self, reserved: ByteSize) {
