--- a/lib/src/gateway/stages/queues.rs
+++ b/lib/src/gateway/stages/queues.rs
@@ -79,8 +79,7 @@
 }
 
 impl StageQueues {
-    /// Sets the services that run pieces. The queue of a service that no longer does is removed once its jobs have
-    /// ended.
+    /// Sets the services that run pieces. The queue of a service that no longer runs pieces is kept while it has jobs.
     pub fn set_services(&mut self, table: &Table) {
         self.limits = table
             .services()
--- a/lib/src/gateway/stages/worker.rs
+++ b/lib/src/gateway/stages/worker.rs
@@ -81,7 +81,7 @@
         self.allowed_calls.is_some()
     }
 
-    /// Returns the free result capacity of the endpoint, whose total capacity is `total`. Removes results that the endpoint
+    /// Returns the free result capacity of the endpoint, given its total capacity. Removes results that the endpoint
     /// has dropped after their timeout.
     pub(crate) fn free_capacity(&mut self, now: Time, total: ByteSize) -> ByteSize {
         self.stored.retain(|_, result| result.until > now);
