--- a/lib/src/gateway/quarantine/evidence.rs
+++ b/lib/src/gateway/quarantine/evidence.rs
@@ -1,6 +1,6 @@
-//! What is known of one request: the endpoints that ended under it, and when it was last served.
+//! The evidence about one request: the endpoints that terminated while they ran it, and when it was last served.
 //!
-//! Daemons exchange it and merge what they receive; the order in which reports arrive doesn't matter.
+//! Daemons exchange evidence and merge what they receive. The result doesn't depend on the order of the reports.
 
 use crate::{
     gateway::{
@@ -10,30 +10,31 @@
     shared::units::{Millis, Time},
 };
 
-/// Difference between two reports of one good end, at most: each hop between daemons makes it look a little later, and
-/// would renew it for good without this. Well above the time of a datagram.
+/// Largest difference between two reports of the same successful end. Each hop between daemons makes the end appear a
+/// little later, so daemons would renew it forever if that counted as a new one. It is well above the time of a
+/// datagram.
 const SAME_END: Millis = Millis(1_000);
 
-/// An endpoint that ended while it ran the request.
+/// An endpoint that terminated while it ran the request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct EndedRun {
-    /// The life that ended.
+    /// Incarnation that terminated.
     pub endpoint: IncarnationHash,
-    /// When it ended, or when that was noticed.
+    /// When the endpoint terminated, or when that was noticed.
     pub at: Time,
 }
 
-/// What is known of one request.
+/// The evidence about one request.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Evidence {
-    /// The last endpoints that ended under it, at most as many as decide, the earliest first.
+    /// The last endpoints that terminated under the request, at most [`ENDED_LIMIT`], the earliest first.
     ended: Vec<EndedRun>,
-    /// When it last ran to a good end.
+    /// When the request was last served; absent if that isn't known.
     served: Option<Time>,
 }
 
 impl Evidence {
-    /// Builds what another daemon reports.
+    /// Builds evidence from terminated endpoints and the time at which the request was last served.
     pub fn new(ended: impl IntoIterator<Item = EndedRun>, served: Option<Time>) -> Self {
         let mut evidence = Self {
             ended: Vec::new(),
@@ -45,7 +46,7 @@
         evidence
     }
 
-    /// Returns the last endpoints that ended under the request, the earliest first.
+    /// Returns the last endpoints that terminated under the request, the earliest first.
     pub fn ended(&self) -> &[EndedRun] {
         &self.ended
     }
@@ -55,24 +56,25 @@
         self.served
     }
 
-    /// Returns whether the request is refused.
+    /// Returns whether the request is quarantined.
     pub fn is_quarantined(&self, now: Time) -> bool {
         is_quarantined(self.against(now).count())
     }
 
-    /// Returns whether nothing speaks against the request.
+    /// Returns whether no terminated endpoint counts against the request.
     pub fn is_spent(&self, now: Time) -> bool {
         self.against(now).next().is_none()
     }
 
-    /// Returns the time until an endpoint doesn't speak against the request any more; nothing if none does.
+    /// Returns the time until the first terminated endpoint that counts against the request stops to count; 0 if there
+    /// is none.
     pub fn left(&self, now: Time) -> Millis {
         let first = self.against(now).next();
         let left = first.map(|run| counts_until(run.at).since(now));
         Millis(left.unwrap_or_default().as_millis() as u64)
     }
 
-    /// Merges what another daemon knows.
+    /// Merges the evidence of another daemon.
     pub fn merge(&mut self, other: &Self) {
         for run in &other.ended {
             self.add(*run);
@@ -82,14 +84,14 @@
         }
     }
 
-    /// Records a good end.
+    /// Records that the request was served.
     pub fn serve(&mut self, at: Time) {
         if self.served.is_none_or(|known| at > known + SAME_END) {
             self.served = Some(at);
         }
     }
 
-    /// Records an endpoint that ended; of two reports of the same one, the earlier counts.
+    /// Records an endpoint that terminated. Of two reports of the same incarnation, the earlier time counts.
     pub fn add(&mut self, run: EndedRun) {
         let known = self
             .ended
--- a/lib/src/gateway/quarantine/mod.rs
+++ b/lib/src/gateway/quarantine/mod.rs
@@ -1,8 +1,8 @@
-//! Requests under which endpoints ended, as this daemon knows them.
+//! Requests under which endpoints terminated, as this daemon knows them.
 //!
-//! [`evidence`] holds what is known of one request, [`store`] that of all, bounded; [`note`] is what daemons tell each
-//! other of it. The rule is [`rules::quarantine`](crate::gateway::rules::quarantine); who is told, and when, is a
-//! matter of `peers::quarantine_news`.
+//! [`evidence`] is about one request, [`store`] has the evidence about a bounded number of requests. [`note`] defines
+//! the messages of daemons about it, `peers::quarantine_news` decides which daemons get them and when. The rule is
+//! [`rules::quarantine`](crate::gateway::rules::quarantine).
 
 pub mod evidence;
 pub mod note;
--- a/lib/src/gateway/quarantine/note.rs
+++ b/lib/src/gateway/quarantine/note.rs
@@ -1,7 +1,7 @@
-//! What daemons tell each other of one request.
+//! Entries of messages between daemons about one request.
 //!
-//! Values only, arrays without names on the wire; `lib/tests/test_message_bytes.rs` pins the bytes. Daemons share no
-//! clock, so that every time is an age when the note was sent.
+//! Entries are serialized as arrays without field names; `lib/tests/test_message_bytes.rs` checks the bytes. Daemons
+//! have no common clock, so each time is sent as an age at the moment of sending.
 
 use {
     crate::{
@@ -15,13 +15,13 @@
     serde::{Deserialize, Serialize},
 };
 
-/// An endpoint that ended under a request.
+/// An endpoint that terminated under a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(into = "(IncarnationHash, u32)", from = "(IncarnationHash, u32)")]
 pub struct EndedNote {
-    /// The life that ended.
+    /// Incarnation that terminated.
     pub endpoint: IncarnationHash,
-    /// How long ago, in milliseconds.
+    /// Time since the termination, in milliseconds.
     pub age_ms: u32,
 }
 
@@ -37,18 +37,18 @@
     }
 }
 
-/// What a daemon knows of one request.
+/// The evidence of a daemon about one request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(
     into = "(RequestDigest, Vec<EndedNote>, Option<u32>)",
     from = "(RequestDigest, Vec<EndedNote>, Option<u32>)"
 )]
 pub struct EvidenceNote {
-    /// The request.
+    /// Digest of the request.
     pub digest: RequestDigest,
-    /// The last endpoints that ended under it.
+    /// The last endpoints that terminated under the request, the earliest first.
     pub ended: Vec<EndedNote>,
-    /// How long ago it was last served, in milliseconds; nothing if that isn't known.
+    /// Time since the request was last served, in milliseconds; absent if that isn't known.
     pub served_ms: Option<u32>,
 }
 
@@ -69,7 +69,7 @@
 }
 
 impl EvidenceNote {
-    /// Builds the note about a request.
+    /// Builds the entry about a request.
     pub fn new(now: Time, digest: RequestDigest, evidence: &Evidence) -> Self {
         let ended = evidence.ended().iter().map(|run| EndedNote {
             endpoint: run.endpoint,
@@ -82,7 +82,7 @@
         }
     }
 
-    /// Returns what the note says, received now.
+    /// Returns the evidence in an entry that is received now.
     pub fn evidence(&self, now: Time) -> Evidence {
         let ended = self.ended.iter().map(|note| EndedRun {
             endpoint: note.endpoint,
--- a/lib/src/gateway/quarantine/served.rs
+++ b/lib/src/gateway/quarantine/served.rs
@@ -1,6 +1,7 @@
-//! The requests that this daemon served last, so that none of them is refused for what others did.
+//! The requests that this daemon served lately, so that none of them is refused because of other requests that
+//! terminate endpoints.
 //!
-//! Owns the time of the last good end of each of the last [`SERVED`] ones.
+//! The last [`SERVED`] successful ends are kept, with their times.
 
 use {
     crate::{gateway::request_digest::RequestDigest, shared::units::Time},
@@ -8,10 +9,10 @@
     std::collections::VecDeque,
 };
 
-/// Good ends that a daemon remembers (a count). A quarter of a megabyte, and some minutes at 20 requests a second.
+/// Number of successful ends that a daemon keeps: a quarter of a megabyte, and some minutes at 20 requests per second.
 const SERVED: usize = 4_096;
 
-/// The last good ends.
+/// The requests that this daemon served lately.
 #[derive(Debug, Default)]
 pub(crate) struct ServedRequests {
     last: HashMap<RequestDigest, Time>,
@@ -19,7 +20,7 @@
 }
 
 impl ServedRequests {
-    /// Records a good end.
+    /// Records that a request was served.
     pub(crate) fn record(&mut self, now: Time, digest: RequestDigest) {
         self.last.insert(digest, now);
         self.order.push_back((digest, now));
@@ -28,7 +29,7 @@
         }
     }
 
-    /// Returns the last good end of a request.
+    /// Returns when a request was last served; `None` if that isn't known any more.
     pub(crate) fn last(&self, digest: &RequestDigest) -> Option<Time> {
         self.last.get(digest).copied()
     }
--- a/lib/src/gateway/quarantine/store.rs
+++ b/lib/src/gateway/quarantine/store.rs
@@ -1,8 +1,9 @@
-//! The requests under which endpoints ended, all that this daemon knows of.
+//! The evidence about all requests under which endpoints terminated, as far as this daemon knows them.
 //!
-//! Owns the evidence of each, and which of it others haven't been told. Bounded: what was seen last is kept, refused
-//! requests before others. It has no clock: callers pass the time of the daemon's clock. Its own one began [`EVIDENCE_LIFETIME`]
-//! before, so that what other daemons saw before this process started has its place on it.
+//! The store also tracks which evidence has still to be sent to others. The number of records is bounded: quarantined
+//! requests are kept before others, and later evidence before earlier. The store has no clock; callers pass the time of
+//! the daemon's clock. Inside, times are shifted by [`EVIDENCE_LIFETIME`], so that events that other daemons saw before this
+//! process started have a time as well.
 
 use {
     crate::{
@@ -22,49 +23,50 @@
     std::cmp::Reverse,
 };
 
-/// Requests of which evidence is kept (a count). An endpoint that ends leaves one record for each request that ran
-/// there, some tens.
+/// Largest number of requests of which evidence is kept. An endpoint that terminates adds a record for each request
+/// that ran there, some tens.
 const RECORDS: usize = 2_048;
 
-/// Refused requests that daemons tell all others of (a count), the latest ones: four datagrams of 1.2 KB.
+/// Largest number of requests whose quarantine is announced to all daemons, the latest ones: four datagrams of 1.2 KB.
 const IN_FORCE: usize = 64;
 
-/// Time for which all are told that a request isn't refused any more, since it was served. Some rounds of gossip among
-/// hundreds of daemons.
+/// Time for which it is announced to all daemons that a quarantine ended because the request was served: some rounds of
+/// gossip among hundreds of daemons.
 const CLEARED_TOLD: Millis = Millis(10_000);
 
-/// Returns a time of the daemon's clock on the one of this module.
+/// Converts a time of the daemon's clock to one of the store, which is later by [`MEMORY`].
 fn on_own_clock(time: Time) -> Time {
     time + EVIDENCE_LIFETIME
 }
 
-/// A change of what is refused.
+/// A change of the quarantine of a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum QuarantineChange {
-    /// A request is refused from now on.
+    /// A request is quarantined from now on.
     Began {
-        /// The request.
+        /// Digest of the request.
         digest: RequestDigest,
-        /// The lives of endpoints that ended under it.
+        /// Incarnations of endpoints that terminated under the request.
         ended: Vec<IncarnationHash>,
     },
-    /// A request isn't refused any more.
+    /// A request isn't quarantined any more.
     Ended(RequestDigest),
 }
 
 #[derive(Debug, Default)]
 struct Record {
     evidence: Evidence,
-    /// Times that the keepers are still to be told.
+    /// Number of times that this daemon's evidence is still to be sent to the evidence holders.
     tellings: u32,
-    /// Set while the request is refused.
+    /// Whether the request is quarantined, as of the last update.
     quarantined: bool,
-    /// When the quarantine ended because the request was served.
+    /// When the quarantine last ended, or when another daemon reported one of a request that was served here; absent
+    /// otherwise.
     cleared: Option<Time>,
 }
 
 impl Record {
-    /// Returns when an endpoint last ended under the request.
+    /// Returns when an endpoint last terminated under the request.
     fn last_ended(&self) -> Time {
         let last = self.evidence.ended().last();
         last.map_or(Time::default(), |run| run.at)
@@ -75,7 +77,7 @@
             .is_some_and(|cleared| now < cleared + CLEARED_TOLD)
     }
 
-    /// Returns what has become of the quarantine.
+    /// Updates whether the request is quarantined; returns the change, if any.
     fn update(&mut self, now: Time, digest: RequestDigest) -> Option<QuarantineChange> {
         let quarantined = self.evidence.is_quarantined(now);
         if quarantined == std::mem::replace(&mut self.quarantined, quarantined) {
@@ -92,7 +94,7 @@
     }
 }
 
-/// The requests under which endpoints ended.
+/// The requests under which endpoints terminated.
 #[derive(Debug, Default)]
 pub struct Quarantine {
     records: HashMap<RequestDigest, Record>,
@@ -100,14 +102,14 @@
 }
 
 impl Quarantine {
-    /// Returns the time for which a request is still refused; nothing if it isn't.
+    /// Returns the time for which a request is still quarantined; `None` if it isn't.
     pub fn left(&self, now: Time, digest: &RequestDigest) -> Option<Millis> {
         let now = on_own_clock(now);
         let evidence = &self.records.get(digest)?.evidence;
         evidence.is_quarantined(now).then(|| evidence.left(now))
     }
 
-    /// Returns the requests that are refused.
+    /// Returns the quarantined requests.
     pub fn digests(&self, now: Time) -> impl Iterator<Item = RequestDigest> {
         let now = on_own_clock(now);
         let refused = self
@@ -117,7 +119,7 @@
         refused.map(|(digest, _)| *digest)
     }
 
-    /// Records that an endpoint ended while it ran a request of this daemon.
+    /// Records that an endpoint terminated while it ran a request of this daemon.
     pub fn endpoint_ended(
         &mut self,
         now: Time,
@@ -128,7 +130,7 @@
         let run = EndedRun { endpoint, at: now };
         let own = Evidence::new([run], self.served.last(&digest));
         if own.is_spent(now) {
-            // It was served a moment ago, so that something else ended the endpoint.
+            // The request was served a moment ago, so it isn't the cause.
             return None;
         }
         let change = self.merge_evidence(now, digest, &own);
@@ -138,7 +140,7 @@
         change
     }
 
-    /// Records that a request of this daemon ran to a good end.
+    /// Records that a request of this daemon was served.
     pub fn request_served(&mut self, now: Time, digest: RequestDigest) -> Option<QuarantineChange> {
         let now = on_own_clock(now);
         self.served.record(now, digest);
@@ -147,7 +149,7 @@
         record.update(now, digest)
     }
 
-    /// Merges what another daemon knows; returns what has changed.
+    /// Merges the evidence of another daemon; returns the changes.
     pub fn merge(&mut self, now: Time, notes: &[EvidenceNote]) -> Vec<QuarantineChange> {
         let now = on_own_clock(now);
         let merged = notes
@@ -170,14 +172,14 @@
         }
         let change = record.update(now, digest);
         if other.is_quarantined(now) && !record.quarantined {
-            // Others refuse what was served here.
+            // Another daemon quarantines a request that was served here.
             record.cleared = Some(now);
         }
         self.bound();
         change
     }
 
-    /// Forgets what has no effect any more; returns what isn't refused any more because of that.
+    /// Drops evidence that has no effect any more; returns the changes due to that.
     pub fn expire(&mut self, now: Time) -> Vec<QuarantineChange> {
         let now = on_own_clock(now);
         let changes = self
@@ -190,7 +192,7 @@
         changes
     }
 
-    /// Returns whether there is something that others are to be told.
+    /// Returns whether there is evidence to be sent to others.
     pub fn has_news(&self, now: Time) -> bool {
         let now = on_own_clock(now);
         self.records
@@ -198,7 +200,7 @@
             .any(|record| record.tellings > 0 || record.quarantined || record.is_cleared_news(now))
     }
 
-    /// Returns what this daemon saw and the keepers of each request are told now.
+    /// Returns the evidence of this daemon that is sent to the evidence holders of each request now.
     pub fn take_own_news(&mut self, now: Time) -> Vec<EvidenceNote> {
         let now = on_own_clock(now);
         let untold = self
@@ -212,7 +214,8 @@
         notes.collect()
     }
 
-    /// Returns what all daemons are told: the requests that are refused, and those that aren't any more.
+    /// Returns the evidence that is sent to all daemons: the requests that are quarantined, and those that no longer
+    /// are.
     pub fn common_news(&self, now: Time) -> Vec<EvidenceNote> {
         let now = on_own_clock(now);
         let told = self
@@ -227,7 +230,7 @@
             .collect()
     }
 
-    /// Drops a record if there are too many: one that isn't refused, the oldest.
+    /// Drops a record if there are too many: the oldest, those that aren't quarantined first.
     fn bound(&mut self) {
         if self.records.len() <= RECORDS {
             return;
--- a/lib/src/gateway/rates/mod.rs
+++ b/lib/src/gateway/rates/mod.rs
@@ -1,8 +1,9 @@
-//! Rates that endpoints in need name: how many requests a second they take from all daemons together.
+//! Rate limits that overloaded endpoints advertise: the number of requests per second that they take from all daemons
+//! together.
 //!
-//! [`store`] holds a record of each endpoint that names one; [`note`] is what daemons tell each other of it. The rule is
-//! [`rules::endpoint_rate`](crate::gateway::rules::endpoint_rate); who is told, and when, is a matter of
-//! `peers::rate_news`.
+//! [`store`] has a record of each endpoint that advertises a limit. [`note`] defines the messages of daemons about it,
+//! `peers::rate_news` decides which daemons get them and when. The rule is
+//! [`rules::endpoint_rate`](crate::gateway::rules::endpoint_rate).
 
 pub mod note;
 pub(crate) mod permit_queue;
--- a/lib/src/gateway/rates/note.rs
+++ b/lib/src/gateway/rates/note.rs
@@ -1,7 +1,7 @@
-//! What daemons tell each other of an endpoint that names a rate.
+//! Entries of messages between daemons about an endpoint that advertises a rate limit.
 //!
-//! Values only, arrays without names on the wire; `lib/tests/test_message_bytes.rs` pins the bytes. Daemons share no
-//! clock, so that a time is an age when the note was sent.
+//! Entries are serialized as arrays without field names; `lib/tests/test_message_bytes.rs` checks the bytes. Daemons
+//! have no common clock, so each time is sent as an age at the moment of sending.
 
 use {
     crate::{
@@ -14,29 +14,30 @@
     serde::{Deserialize, Serialize},
 };
 
-/// Thousandths of a request a second in one, as rates are written.
+/// Wire units in one request per second: rates are sent in thousandths.
 const MILLI: f64 = 1e3;
 
-/// Millionths of a request in one, as tokens are written.
+/// Wire units in one token, which stands for one request: tokens are sent in millionths.
 const MICRO: f64 = 1e6;
 
-/// What a daemon knows of an endpoint, and its part in what the endpoint takes.
+/// What a daemon knows of an endpoint's rate limit, and its share and claim if it sends them to the coordinator.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(into = "RateFields", from = "RateFields")]
 pub struct RateNote {
-    /// The endpoint.
+    /// Incarnation of the endpoint that the entry is about.
     pub endpoint: IncarnationHash,
-    /// The rate that it names, in thousandths of a request a second; nothing if it names none any more.
+    /// Rate limit that the endpoint advertises, in thousandths of a request per second; absent if it advertises none
+    /// any more.
     pub rate_milli: Option<u32>,
-    /// How long ago it said so, in milliseconds.
+    /// Age of the reply with this limit, or without any, in milliseconds.
     pub age_ms: u32,
-    /// Share of the rate that the sender hands on, in millionths of a request.
+    /// Tokens of the sender's share that it hands to the coordinator, in millionths of a request.
     pub share_micro: u32,
-    /// The sender's wish for a permit.
+    /// The sender's claim for a permit, if it needs one.
     pub claim: Option<Claim>,
 }
 
-/// A note as it is written: endpoint, rate, age, share, claim.
+/// Serialized form of [`RateNote`]: endpoint, rate, age, share, claim.
 type RateFields = (IncarnationHash, Option<u32>, u32, u32, Option<Claim>);
 
 impl From<RateNote> for RateFields {
@@ -64,54 +65,55 @@
 }
 
 impl RateNote {
-    /// Returns the rate that the endpoint names.
+    /// Returns the rate limit that the endpoint advertises, if any.
     pub fn rate(&self) -> Option<Rate> {
         self.rate_milli.map(|milli| Rate(f64::from(milli) / MILLI))
     }
 
-    /// Returns how long ago the endpoint said so.
+    /// Returns the age of the reply with this limit, or without any.
     pub fn age(&self) -> Millis {
         Millis(u64::from(self.age_ms))
     }
 
-    /// Returns the share that the sender hands on.
+    /// Returns the tokens that the sender hands to the coordinator.
     pub fn share(&self) -> Tokens {
         Tokens(f64::from(self.share_micro) / MICRO)
     }
 
-    /// Returns whether the sender takes part in what the endpoint takes, and doesn't only tell of it.
+    /// Returns whether the entry is a report to the coordinator, with tokens or a claim, rather than only an
+    /// announcement of the limit.
     pub fn is_report(&self) -> bool {
         self.share_micro > 0 || self.claim.is_some()
     }
 }
 
-/// Writes a rate, rounded down.
+/// Converts a rate to its wire unit, rounded down.
 pub(crate) fn rate_to_wire(rate: Rate) -> u32 {
     (rate.0 * MILLI) as u32
 }
 
-/// Returns a rate as others learn it, so that what they tell of it is no change.
+/// Returns a rate with the precision of the wire, so that a report of the same rate by another daemon is no change.
 pub(crate) fn as_told(rate: Rate) -> Rate {
     Rate(f64::from(rate_to_wire(rate)) / MILLI)
 }
 
-/// Writes tokens, rounded down.
+/// Converts tokens to their wire unit, rounded down.
 pub(crate) fn tokens_to_wire(tokens: Tokens) -> u32 {
     (tokens.0 * MICRO) as u32
 }
 
-/// The answer of a coordinator to a claim.
+/// A coordinator's answer to a claim.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(
     into = "(IncarnationHash, u32, u32)",
     from = "(IncarnationHash, u32, u32)"
 )]
 pub struct PermitNote {
-    /// The endpoint.
+    /// Incarnation of the endpoint that the permits are for.
     pub endpoint: IncarnationHash,
-    /// Requests that the receiver may send there.
+    /// Number of requests that the receiver may send to the endpoint.
     pub permits: u32,
-    /// Time after which it may expect more, in milliseconds.
+    /// Time after which the receiver may expect further permits, in milliseconds.
     pub wait_ms: u32,
 }
 
--- a/lib/src/gateway/rates/permit_queue.rs
+++ b/lib/src/gateway/rates/permit_queue.rs
@@ -1,16 +1,15 @@
-//! The requests of this daemon that wait for permits.
+//! The requests of this daemon that wait for permits, with their urgencies.
 //!
-//! Owns the urgency of each. How many may wait is a matter of
-//! [`rules::endpoint_rate`](crate::gateway::rules::endpoint_rate).
+//! [`rules::endpoint_rate`](crate::gateway::rules::endpoint_rate) decides how many may wait.
 
 use {crate::shared::ids::ServiceId, foldhash::HashMap, std::cell::RefCell};
 
-/// The requests of this daemon that wait for permits: the urgencies of those for each service, in no order.
+/// The requests of this daemon that wait for permits: their urgencies by service, unordered.
 #[derive(Debug, Default)]
 pub(crate) struct PermitQueue(RefCell<HashMap<ServiceId, Vec<u32>>>);
 
 impl PermitQueue {
-    /// Adds a request, until its place is dropped.
+    /// Adds a request, which is removed when the returned place is dropped.
     pub(crate) fn join(&self, service: &ServiceId, urgency: u32) -> WaitingPlace<'_> {
         let mut waiting = self.0.borrow_mut();
         let urgencies = waiting.entry(service.clone()).or_default();
@@ -32,7 +31,7 @@
 }
 
 impl WaitingPlace<'_> {
-    /// Returns the number of requests that are no less urgent, this one included.
+    /// Returns the number of waiting requests that are at least as urgent, including this one.
     pub(crate) fn ahead(&self) -> usize {
         let waiting = self.queue.0.borrow();
         let urgencies = waiting.get(&self.service).into_iter().flatten();
--- a/lib/src/gateway/rates/record.rs
+++ b/lib/src/gateway/rates/record.rs
@@ -1,5 +1,5 @@
-//! One endpoint that names a rate, or did so: what it said last, this daemon's part in it, and what the fleet handed to
-//! this daemon while it coordinates.
+//! The record of one endpoint that advertises a rate limit, or did so: the latest limit, this daemon's share, claim and
+//! permits, and the tokens and claims that daemons sent to this one as the coordinator.
 
 use crate::{
     gateway::{
@@ -20,43 +20,43 @@
     },
 };
 
-/// Time between two reports of a daemon's share to the coordinator while it has no claim.
+/// Time between two reports of a daemon's share to the coordinator while the daemon has no claim to send.
 const REPORT_PAUSE: Millis = Millis(500);
 
-/// Times that others are told at once of a change, a heartbeat apart.
+/// Number of times that a change is announced to others, at intervals of a heartbeat.
 const RATE_TELLINGS: u32 = 3;
 
-/// Time between two tellings later on, for daemons that have just started.
+/// Time between two later announcements, which are for daemons that have just started.
 const RETELL: Millis = Millis(1_000);
 
-/// Time for which others are told that an endpoint names no rate any more.
+/// Time for which the end of a limit is announced.
 const END_TOLD: Millis = Millis(10_000);
 
-/// A change of what an endpoint takes.
+/// A change of an endpoint's rate limit.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum RateChange {
-    /// It names a rate from now on.
+    /// The endpoint advertises a limit from now on.
     Began(Rate),
-    /// It names another one.
+    /// The endpoint advertises another limit.
     Changed(Rate),
-    /// It names none any more.
+    /// The endpoint advertises no limit any more.
     Ended,
 }
 
-/// What an endpoint said last, and when.
+/// The rate limit, or its absence, in an endpoint's reply.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(super) struct RateNews {
-    /// The rate that it names, if any.
+    /// Rate limit that the endpoint advertises, if any.
     pub(super) rate: Option<Rate>,
     pub(super) at: Time,
 }
 
-/// What this daemon wants to send, until it gets permits.
+/// This daemon's need of a permit, until it gets one.
 #[derive(Debug, Clone, Copy)]
 struct Want {
     claim: Claim,
     at: Time,
-    /// When the coordinator was last told.
+    /// When the claim was last sent to the coordinator; absent if it has to be sent at once.
     claimed: Option<Time>,
 }
 
@@ -75,9 +75,9 @@
 pub(super) struct RateRecord {
     pub(super) service: ServiceId,
     news: RateNews,
-    /// Since when this daemon knows that the endpoint names a rate.
+    /// When this daemon learned that the endpoint advertises a limit.
     since: Time,
-    /// A reply without a clear rate was reported.
+    /// Whether an advertised limit that can't be read has been logged.
     pub(super) reported: bool,
     tellings: u32,
     told: Option<Time>,
@@ -85,7 +85,7 @@
     handed: Option<Time>,
     want: Option<Want>,
     permits: Vec<Permit>,
-    /// When the first permit may be expected, as the coordinator told.
+    /// When the first permit is expected, as reported by the coordinator; absent before its answer.
     expected: Option<Time>,
     pub(super) pool: PermitPool,
 }
@@ -108,18 +108,18 @@
         }
     }
 
-    /// Returns the rate that the endpoint names.
+    /// Returns the rate limit that the endpoint advertises, if any.
     pub(super) fn rate(&self) -> Option<Rate> {
         self.news.rate
     }
 
-    /// Returns whether a reply to a request that was sent then shows that the endpoint names no rate any more: others
-    /// were on their way when it began to.
+    /// Returns whether a reply without a limit to a request that was sent at `sent` shows that the limit has ended.
+    /// Replies to earlier requests may have been on their way when the limit began.
     pub(super) fn may_end_by(&self, sent: Time) -> bool {
         sent > self.since
     }
 
-    /// Takes over what the endpoint said; what is older changes nothing.
+    /// Updates the advertised limit, unless the known one is newer.
     pub(super) fn update(&mut self, now: Time, news: RateNews) -> Option<RateChange> {
         let known = self.news;
         let counts = match (known.rate, news.rate) {
@@ -143,7 +143,7 @@
         Some(change)
     }
 
-    /// Starts anew with what depends on whether the endpoint names a rate.
+    /// Resets share, claim, permits and pool when a limit begins or ends.
     fn begin(&mut self, now: Time) {
         self.since = now;
         self.share = RateShare::new(now);
@@ -153,13 +153,13 @@
         self.pool = PermitPool::default();
     }
 
-    /// Returns whether a request of some urgency may be sent there.
+    /// Returns whether a request of that urgency may be sent to the endpoint.
     pub(super) fn may_send(&self, now: Time, urgency: u32) -> bool {
         let serves = |permit: &Permit| permit.serves(now, urgency);
         self.news.rate.is_none() || self.permits.iter().any(serves)
     }
 
-    /// Returns whether the endpoint, if it may get a request, names the rate that it takes.
+    /// Returns the state of the rate limit for an endpoint that may get a request.
     pub(super) fn limit(&self, now: Time) -> RateLimitState {
         match self.news.rate {
             None => RateLimitState::None,
@@ -168,14 +168,14 @@
         }
     }
 
-    /// Returns the permits that may be used; nothing where none is needed.
+    /// Returns the number of valid permits; `None` if the endpoint has no limit.
     pub(super) fn permits(&self, now: Time) -> Option<usize> {
         self.news.rate?;
         let valid = self.permits.iter().filter(|permit| permit.is_valid(now));
         Some(valid.count())
     }
 
-    /// Uses up a permit.
+    /// Uses up the first permit that serves a request of that urgency, and drops expired ones.
     pub(super) fn sent(&mut self, now: Time, urgency: u32) {
         self.permits.retain(|permit| permit.is_valid(now));
         let mut permits = self.permits.iter();
@@ -184,8 +184,8 @@
         }
     }
 
-    /// Records that a request wasn't sent there for lack of a permit; returns whether the coordinator is to be told at
-    /// once.
+    /// Records that a request wasn't sent to the endpoint for lack of a permit; returns whether the claim is to be sent
+    /// to the coordinator at once.
     pub(super) fn turned_away(&mut self, now: Time, urgency: u32) -> bool {
         let fresh = Want {
             claim: Claim(urgency),
@@ -202,7 +202,8 @@
         want.is_due(now)
     }
 
-    /// Counts this daemon's share, as one of so many; nothing while it doesn't know the others.
+    /// Adds this daemon's share of the time since the last call, as one of `daemons`. Nothing is added while the number
+    /// of daemons is unknown.
     pub(super) fn count_share(&mut self, now: Time, daemons: Option<usize>) {
         match (self.news.rate, daemons) {
             (Some(rate), Some(daemons)) => self.share.accrue(now, rate, daemons),
@@ -210,7 +211,7 @@
         }
     }
 
-    /// Returns what the coordinator is told now, if it is time to.
+    /// Returns the report for the coordinator if one is due.
     pub(super) fn report(&mut self, now: Time, endpoint: IncarnationHash) -> Option<RateNote> {
         self.news.rate?;
         let claim_due = self.want.is_some_and(|want| want.is_due(now));
@@ -232,7 +233,7 @@
         })
     }
 
-    /// Returns what others are told now, if it is time to.
+    /// Returns the announcement for other daemons if one is due.
     pub(super) fn telling(&mut self, now: Time, endpoint: IncarnationHash) -> Option<RateNote> {
         if self.news.rate.is_none() && now.since(self.news.at) >= END_TOLD.to_duration() {
             return None;
@@ -248,7 +249,7 @@
         Some(self.note(now, endpoint))
     }
 
-    /// Returns what is known of the endpoint.
+    /// Returns the message entry for the known limit, without share and claim.
     pub(super) fn note(&self, now: Time, endpoint: IncarnationHash) -> RateNote {
         let age = now.since(self.news.at).as_millis();
         RateNote {
@@ -260,7 +261,7 @@
         }
     }
 
-    /// Takes the answer of the coordinator.
+    /// Records the coordinator's answer to a claim.
     pub(super) fn granted(&mut self, now: Time, note: &PermitNote) {
         let Some(rate) = self.news.rate else {
             return;
@@ -274,7 +275,7 @@
         }
     }
 
-    /// Returns the time after which a permit may be expected; nothing if the coordinator hasn't told.
+    /// Returns the expected time until a permit; `None` without a current answer of the coordinator.
     pub(super) fn wait(&self, now: Time) -> Option<Millis> {
         let expected = self.expected.filter(|expected| *expected > now)?;
         Some(Millis(expected.since(now).as_millis() as u64))
--- a/lib/src/gateway/rates/store.rs
+++ b/lib/src/gateway/rates/store.rs
@@ -1,6 +1,7 @@
-//! The endpoints that name a rate, as this daemon knows them.
+//! The endpoints that advertise a rate limit, as this daemon knows them.
 //!
-//! Owns a record of each. It has no clock and sends nothing: callers pass the time and send what it returns.
+//! The store has a record of each. It has no clock and sends nothing: callers pass the time and send the messages that
+//! it returns.
 
 pub use crate::gateway::rates::record::RateChange;
 
@@ -24,65 +25,65 @@
     std::net::SocketAddr,
 };
 
-/// The rate that a reply of an endpoint names, if any.
+/// The rate limit that an endpoint advertises in a reply, if any.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct SeenRate {
-    /// What the reply names.
+    /// Advertised limit; absent if the reply has none.
     pub named: Option<AdvertisedRate>,
-    /// When the request was sent.
+    /// When the request of the reply was sent.
     pub sent: Time,
 }
 
-/// What a daemon has to tell of one endpoint now.
+/// Messages about one endpoint that are due now.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RateMessages {
-    /// The endpoint's service, whose coordinator gives permits.
+    /// Service of the endpoint, whose coordinator grants the permits.
     pub service: ServiceId,
-    /// For the coordinator.
+    /// Share and claim for the coordinator, if due.
     pub report: Option<RateNote>,
-    /// For others.
+    /// Announcement of the limit for other daemons, if due.
     pub telling: Option<RateNote>,
 }
 
-/// Permits, or the time to the next one, for one daemon.
+/// A coordinator's answer to one daemon: permits, or the time until the next one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PermitAnswer {
-    /// The daemon.
+    /// Address of the daemon.
     pub to: SocketAddr,
-    /// What it gets.
+    /// Number of permits, and the expected time until further ones.
     pub note: PermitNote,
 }
 
-/// The endpoints that name a rate, or did so.
+/// The records of endpoints that advertise a rate limit, or did so.
 #[derive(Debug, Default)]
 pub struct EndpointRates {
     records: HashMap<IncarnationHash, RateRecord>,
 }
 
 impl EndpointRates {
-    /// Returns whether no endpoint has named a rate so far.
+    /// Returns whether no endpoint has a record.
     pub fn is_empty(&self) -> bool {
         self.records.is_empty()
     }
 
-    /// Returns the number of endpoints that name a rate.
+    /// Returns the number of endpoints that advertise a limit.
     pub fn limited(&self) -> usize {
         let records = self.records.values();
         records.filter(|record| record.rate().is_some()).count()
     }
 
-    /// Returns the rate that an endpoint names.
+    /// Returns the rate limit that an endpoint advertises, if any.
     pub fn rate(&self, life: IncarnationHash) -> Option<Rate> {
         self.records.get(&life)?.rate()
     }
 
-    /// Returns whether anything is known of an endpoint.
+    /// Returns whether an endpoint has a record.
     pub fn knows(&self, life: IncarnationHash) -> bool {
         self.records.contains_key(&life)
     }
 
-    /// Records what a reply says. One that names no rate ends the last one only if its request was sent after
-    /// that was known: others may have been on their way.
+    /// Records the limit in a reply, or its absence. A reply without a limit ends the known one only if its request was
+    /// sent after the limit became known: earlier replies may have been on their way.
     pub fn observe(
         &mut self,
         now: Time,
@@ -101,7 +102,7 @@
         self.update(now, life, service, RateNews { rate, at: now })
     }
 
-    /// Merges what another daemon knows of an endpoint.
+    /// Merges the report of another daemon.
     pub fn merge(&mut self, now: Time, service: &ServiceId, note: &RateNote) -> Option<RateChange> {
         let news = RateNews {
             rate: note.rate(),
@@ -126,55 +127,55 @@
         Some(RateChange::Began(rate))
     }
 
-    /// Returns whether it is the first time that an endpoint names no clear rate.
+    /// Returns whether this is the first limit of an endpoint that can't be read; further calls return false.
     pub fn is_first_unclear(&mut self, life: IncarnationHash) -> bool {
         let record = self.records.get_mut(&life);
         record.is_some_and(|record| !std::mem::replace(&mut record.reported, true))
     }
 
-    /// Forgets an endpoint.
+    /// Removes the record of an endpoint.
     pub fn forget(&mut self, life: IncarnationHash) {
         self.records.remove(&life);
     }
 
-    /// Returns whether a request of some urgency may be sent to an endpoint.
+    /// Returns whether a request of that urgency may be sent to an endpoint.
     pub fn may_send(&self, now: Time, life: IncarnationHash, urgency: u32) -> bool {
         let record = self.records.get(&life);
         record.is_none_or(|record| record.may_send(now, urgency))
     }
 
-    /// Returns whether an endpoint that may get a request names the rate that it takes.
+    /// Returns the state of the rate limit for an endpoint that may get a request.
     pub fn limit(&self, now: Time, life: IncarnationHash) -> RateLimitState {
         let record = self.records.get(&life);
         record.map_or(RateLimitState::None, |record| record.limit(now))
     }
 
-    /// Returns the permits for an endpoint that may be used; nothing where none is needed.
+    /// Returns the number of valid permits for an endpoint; `None` if it has no limit.
     pub fn permits(&self, now: Time, life: IncarnationHash) -> Option<usize> {
         self.records.get(&life)?.permits(now)
     }
 
-    /// Uses up a permit for an endpoint that names a rate.
+    /// Uses up a permit for an endpoint that advertises a limit.
     pub fn sent(&mut self, now: Time, life: IncarnationHash, urgency: u32) {
         if let Some(record) = self.records.get_mut(&life) {
             record.sent(now, urgency);
         }
     }
 
-    /// Records that a request wasn't sent to an endpoint for lack of a permit; returns whether the coordinator is to be
-    /// told at once.
+    /// Records that a request wasn't sent to an endpoint for lack of a permit; returns whether the claim is to be sent
+    /// to the coordinator at once.
     pub fn turned_away(&mut self, now: Time, life: IncarnationHash, urgency: u32) -> bool {
         let record = self.records.get_mut(&life);
         record.is_some_and(|record| record.turned_away(now, urgency))
     }
 
-    /// Returns the time after which a permit for an endpoint may be expected; nothing if that isn't known.
+    /// Returns the expected time until a permit for an endpoint; `None` if it isn't known.
     pub fn wait(&self, now: Time, life: IncarnationHash) -> Option<Millis> {
         self.records.get(&life)?.wait(now)
     }
 
-    /// Returns what is to be told now, as one of so many daemons; nothing is handed on while this daemon doesn't know
-    /// the others.
+    /// Returns the messages that are due now, as one of `daemons`. No share is handed to coordinators while the number
+    /// of daemons is unknown.
     pub fn messages(&mut self, now: Time, daemons: Option<usize>) -> Vec<RateMessages> {
         let messages = self.records.iter_mut().map(|(life, record)| {
             record.count_share(now, daemons);
@@ -189,8 +190,8 @@
         messages.filter(something).collect()
     }
 
-    /// Takes a daemon's report as the coordinator, and returns who gets permits now; the daemon itself is answered in any
-    /// case if it wants some.
+    /// Takes a daemon's report as the coordinator, and returns the permits that are granted now. A daemon with a claim
+    /// always gets an answer, even without permits.
     pub fn take_report(
         &mut self,
         now: Time,
@@ -228,14 +229,15 @@
         answers.collect()
     }
 
-    /// Returns what is known of an endpoint if that is newer than what another daemon tells of it.
+    /// Returns the entry for an endpoint if it is newer than the one of another daemon and they differ in whether there
+    /// is a limit.
     pub fn newer(&self, now: Time, note: &RateNote) -> Option<RateNote> {
         let own = self.records.get(&note.endpoint)?.note(now, note.endpoint);
         let differs = own.rate_milli.is_some() != note.rate_milli.is_some();
         (differs && own.age_ms < note.age_ms).then_some(own)
     }
 
-    /// Takes the coordinator's answer.
+    /// Records a coordinator's answer to a claim.
     pub fn granted(&mut self, now: Time, note: &PermitNote) {
         if let Some(record) = self.records.get_mut(&note.endpoint) {
             record.granted(now, note);
--- a/lib/src/gateway/routing/accept.rs
+++ b/lib/src/gateway/routing/accept.rs
@@ -30,12 +30,12 @@
     std::{rc::Rc, sync::Arc},
 };
 
-/// Id that logs show for a request whose own id can't be read.
+/// Request id that logs show when a request's own id can't be read.
 const UNKNOWN_ID: &str = "-";
 
-/// A request that gets no reply of an endpoint.
+/// A request that is answered with a problem instead of an endpoint's reply.
 pub(crate) struct Refusal {
-    /// Id of the request.
+    /// Id of the request, or [`UNKNOWN_ID`] if its head can't be read.
     pub(crate) request: Arc<str>,
     pub(crate) problem: Problem,
 }
@@ -46,7 +46,12 @@
     customer: Option<Arc<CustomerEntry>>,
 }
 
-/// Accepts a request that arrived at `arrived`, or refuses it.
+/// Accepts a request that arrived at `arrived`.
+///
+/// # Errors
+///
+/// Returns the refusal if no table is known yet, or if the request can't be read, has no route, isn't authorized, may
+/// run in no data centre, or has a body that is too large or late.
 pub(crate) async fn accept<D: Dialect>(
     gateway: &Rc<Gateway<D>>,
     request: Request<Incoming>,
@@ -131,7 +136,7 @@
     inbound: &Inbound,
 ) -> Result<Destination, Problem> {
     let table = &published.table;
-    // A request without a host finds a route only if the table has one for the empty host.
+    // A request without a host matches only a route for the empty host.
     let host = host_of(head).unwrap_or_default();
     let Some(route) = table.route(host, head.uri.path()) else {
         let detail = format!("no route for host {host:?} in version {}", table.version);
@@ -152,7 +157,8 @@
 ///
 /// # Errors
 ///
-/// Returns a problem if there are none: its route and its customer exclude each other.
+/// Returns a problem if there are none, because the regions of the route and those of the customer have no data
+/// centre in common.
 fn places<D: Dialect>(
     gateway: &Gateway<D>,
     route: &Route,
@@ -168,7 +174,8 @@
     Ok(places)
 }
 
-/// Returns the host that the caller asks for. A `Host` header that isn't text counts as none.
+/// Returns the host that the request is addressed to: that of its URI, else its `Host` header. A header that isn't text
+/// is ignored.
 fn host_of(head: &Parts) -> Option<&str> {
     match head.uri.host() {
         Some(host) => Some(host),
@@ -176,21 +183,21 @@
     }
 }
 
-/// Picks one of a route's services, the same one for the same request.
+/// Picks one of a route's services by weight. The same request id always gets the same service.
 fn choose_backend(route: &Route, id: &str) -> ServiceId {
     let chosen = weighted(id, &route.backends, |backend| backend.weight);
-    // A checked table has a backend on each route.
+    // Validation of the table ensures that each route has a backend.
     chosen.unwrap_or(&route.backends[0]).service.clone()
 }
 
-/// Returns the largest body that is accepted. A published table has limits; one without would
-/// accept empty bodies only.
+/// Returns the size of the largest body that is accepted. Each published table states limits; without them, only
+/// empty bodies would be accepted.
 fn body_limit(published: &PublishedTable) -> ByteSize {
     let limits = published.table.limits();
     limits.map_or(ByteSize(0), |limits| limits.body)
 }
 
-/// Reads a body of at most `limit` within `time`.
+/// Reads a body of at most `limit` bytes within `time`.
 async fn read_body(body: Incoming, limit: ByteSize, time: Millis) -> Result<Bytes, Problem> {
     let collecting = Limited::new(body, limit.0 as usize).collect();
     match tokio::time::timeout(time.to_duration(), collecting).await {
--- a/lib/src/gateway/routing/answer.rs
+++ b/lib/src/gateway/routing/answer.rs
@@ -1,5 +1,5 @@
-//! Passes an endpoint's reply on to the caller. It owns the form of the answer: the reply's own head
-//! without the headers of one connection, and a body that is whole or comes as a stream.
+//! Builds the answer to the caller from an endpoint's reply: the reply's head without hop-by-hop headers, and a body
+//! that is either whole or a stream.
 
 use {
     crate::gateway::{
@@ -17,14 +17,14 @@
     tokio::sync::mpsc,
 };
 
-/// A reply whose body was read to its end.
+/// A reply whose body has been read completely.
 #[derive(Debug)]
 pub(crate) struct WholeReply {
     pub(crate) head: response::Parts,
     pub(crate) body: Bytes,
 }
 
-/// Answers with a whole reply and counts the request as answered.
+/// Answers with a whole reply, and counts and logs the request as answered.
 pub(crate) fn answer_whole<D: Dialect>(
     gateway: &Gateway<D>,
     call: &ForwardedCall,
@@ -50,13 +50,13 @@
     response
 }
 
-/// Answers with a stream whose parts come through `parts`.
+/// Answers with a stream that is read from `parts`.
 pub(crate) fn answer_stream(
     head: response::Parts,
     parts: mpsc::Receiver<StreamPart>,
 ) -> Response<ReplyBody> {
     let mut response = with_head(head, ReplyBody::Stream(parts));
-    // The length of a stream is unknown until its end, since it may be resumed elsewhere.
+    // The length of a stream is unknown until its end, since another endpoint may resume it.
     response.headers_mut().remove(header::CONTENT_LENGTH);
     response
 }
--- a/lib/src/gateway/routing/attempt.rs
+++ b/lib/src/gateway/routing/attempt.rs
@@ -1,8 +1,8 @@
-//! Runs one attempt of a request at one endpoint: connects, sends, reads the reply as far as the
-//! rules ask for it, and records the result.
+//! Runs one attempt of a request at one endpoint: connects, sends the request, reads the head of the reply and, unless
+//! it is a stream, the body, and records the outcome.
 //!
-//! It owns the input and output of an attempt. `rules::reply_proof` judges the reply, and the guard
-//! of the attempt reports to the state of the endpoint how it ended.
+//! This module does the input and output. `rules::reply_proof` decides what a reply proves, and [`AttemptGuard`]
+//! reports the outcome to the state of the endpoint.
 
 use {
     crate::{
@@ -33,51 +33,51 @@
     thiserror::Error,
 };
 
-/// Largest reply that is read whole before it is passed on, in bytes.
+/// Size of the largest reply that is read whole before it is passed on, in bytes.
 const WHOLE_REPLY: usize = 8 << 20;
 
 /// An attempt that is ready to be sent.
 pub(crate) struct PreparedAttempt {
     pub(crate) choice: EndpointChoice,
     pub(crate) request: Request<Full<Bytes>>,
-    /// Longest time from the connection to the end of the reply, or to its head if it is a stream.
+    /// Longest time from sending the request to the end of the reply, or to its head if it is a stream; absent if only
+    /// the deadline of the request applies.
     pub(crate) limit: Option<Duration>,
 }
 
 /// The result of one attempt.
 pub(crate) enum AttemptOutcome<D: Dialect> {
-    /// A whole reply, to be passed on unless another attempt is worth it.
+    /// A whole reply, which is passed on unless it is a failure that is retried.
     Whole(WholeReply),
     /// The head of a reply whose body is still coming.
     Streaming(Box<StreamingReply<D>>),
-    /// The request certainly did not run.
+    /// The endpoint did not run the request.
     NotRun(NotRunReason),
-    /// The request has possibly run.
+    /// The endpoint may have run the request.
     Unknown,
 }
 
-/// A reply to be passed on as it comes.
+/// A reply that is passed on as it arrives.
 pub(crate) struct StreamingReply<D: Dialect> {
     pub(crate) head: response::Parts,
     pub(crate) source: StreamSource<D>,
 }
 
-/// The endpoint's side of a stream.
+/// The connection to the endpoint that a stream is read from.
 pub(crate) struct StreamSource<D: Dialect> {
     pub(crate) body: Incoming,
     pub(crate) connection: ConnectionGuard,
     pub(crate) guard: AttemptGuard<D>,
 }
 
-/// A reply that proves something.
+/// A reply from which it is certain whether the endpoint ran the request.
 enum ProvenReply {
     Whole(WholeReply),
     Streaming(response::Parts, Incoming, ConnectionGuard),
     NotRun(NotRunReason),
 }
 
-/// Reason for which an attempt ended without proof: the request has possibly run. The texts appear
-/// in problem details.
+/// Reason why it is unknown whether the endpoint ran the request. The texts appear in problem details.
 #[derive(Debug, Error)]
 enum AttemptError {
     #[error(transparent)]
@@ -86,19 +86,19 @@
     TimedOut,
     #[error(transparent)]
     Origin(#[from] ReplyOriginError),
-    /// The body broke off or is too large.
+    /// The connection was lost within the body, or the body is too large.
     #[error("body: {0}")]
     Body(String),
 }
 
 impl AttemptError {
-    /// Returns whether the connection broke off, as it does when the endpoint ends.
+    /// Returns whether the connection was lost after the request was sent, as when the endpoint terminates.
     fn is_break(&self) -> bool {
         matches!(self, Self::Send(SendError::MaybeSent(_)) | Self::Body(_))
     }
 }
 
-/// Runs an attempt and records its result in `progress`.
+/// Runs an attempt and records its outcome in `progress`.
 pub(crate) async fn attempt<D: Dialect>(
     gateway: &Rc<Gateway<D>>,
     call: &ForwardedCall,
@@ -152,7 +152,7 @@
     }
 }
 
-/// Records that no connection came up, and returns what that says of the endpoint.
+/// Records that no connection could be established; returns whether the endpoint terminated or is unreachable.
 fn record_unconnected<D: Dialect>(
     gateway: &Gateway<D>,
     error: &SendError,
@@ -167,7 +167,7 @@
     NotRunReason::Unreachable
 }
 
-/// Sends the request and reads the reply as far as it has to be read before it is passed on.
+/// Sends the request and reads the reply: the head of a stream, or the whole of any other reply.
 async fn exchange<D: Dialect>(
     gateway: &Gateway<D>,
     call: &ForwardedCall,
@@ -251,7 +251,8 @@
 }
 
 impl<D: Dialect> Gateway<D> {
-    /// Records what an endpoint reports of itself with its reply to a request that was sent at `sent`.
+    /// Records what an endpoint reports about itself in its reply to a request that was sent at `sent`: its load, its
+    /// rate limit and its signals.
     pub(crate) fn record_reply(
         &self,
         endpoint: &EndpointEntry,
@@ -259,7 +260,7 @@
         facts: &ReplyFacts,
         sent: Time,
     ) {
-        // What another endpoint at the same address says of itself is of no use for this one.
+        // The reply comes from another endpoint at the same address.
         if status == StatusCode::MISDIRECTED_REQUEST {
             return;
         }
@@ -272,7 +273,7 @@
                 log::warn!(endpoint:% = endpoint.id; "endpoint.pace_unclear");
             }
         }
-        // A failure of a part of the endpoint may lack what the rest of it names.
+        // A failing component of the endpoint may reply without the rate limit that the others advertise.
         let served = facts.signed && status.is_success();
         self.record_rate(endpoint, facts.rate, served, sent);
         self.record_notices(endpoint, status, facts);
--- a/lib/src/gateway/routing/call.rs
+++ b/lib/src/gateway/routing/call.rs
@@ -1,4 +1,4 @@
-//! One accepted request, as far as it doesn't change during its attempts.
+//! The data of one accepted request that stays the same during all its attempts.
 
 use {
     crate::{
@@ -21,22 +21,22 @@
 /// One accepted request.
 pub(crate) struct ForwardedCall {
     pub(crate) inbound: Inbound,
-    /// The same for the same request sent again.
+    /// Digest of customer and content; equal if the same customer sends the same request again.
     pub(crate) digest: RequestDigest,
     pub(crate) route: Arc<Route>,
     /// Customer whose key the request carries, if any.
     pub(crate) customer: Option<Arc<CustomerEntry>>,
     /// Service of the route that serves this request.
     pub(crate) service: ServiceId,
-    /// Data centres where it may run.
+    /// Data centres where the request may run.
     pub(crate) places: AllowedDataCentres,
     /// Head as the caller sent it.
     pub(crate) head: Parts,
     pub(crate) body: Bytes,
     pub(crate) arrived: Time,
-    /// End of the work on the request in this daemon.
+    /// Time at which this daemon stops working on the request.
     pub(crate) deadline: Time,
-    /// Order among the requests of an endpoint; 0 goes first.
+    /// Rank among the requests for an endpoint; lower values are served first.
     pub(crate) urgency: u32,
 }
 
@@ -51,8 +51,7 @@
         !self.route.stages.is_empty() && self.inbound.pieces.iter().any(|count| *count > 0)
     }
 
-    /// Returns when a caller of a stream gives up if no event has come; for other requests, the
-    /// deadline.
+    /// Returns when the caller of a stream gives up unless an event has arrived; the deadline for other requests.
     pub(crate) fn give_up(&self) -> Time {
         match first_event_time(self.route.kind, self.route.objective) {
             Some(time) => self.arrived + time,
--- a/lib/src/gateway/routing/cold_state.rs
+++ b/lib/src/gateway/routing/cold_state.rs
@@ -1,40 +1,40 @@
-//! What this daemon knows of an endpoint's cold time, and what it sent the endpoint in it.
+//! Whether an endpoint is cold, and when this daemon last sent it a request.
 //!
-//! Owns the times. How much a cold endpoint gets is the rule
-//! [`cold_share`](crate::gateway::rules::cold_share).
+//! An endpoint is cold for a time after its start. How much work it gets in that time is decided by
+//! [`rules::cold_share`](crate::gateway::rules::cold_share).
 
 use crate::{
     gateway::rules::cold_share::ColdShare,
     shared::units::{Millis, Time},
 };
 
-/// How sure it is that an endpoint is cold.
+/// Whether an endpoint is cold, and how that is known.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Coldness {
-    /// It is warm, as far as is known.
+    /// Nothing indicates that the endpoint is cold.
     Warm,
-    /// It may be: it couldn't be reached or was evacuated a moment ago, and its entry may not say yet that it
-    /// started anew.
+    /// The endpoint may be cold: it couldn't be reached lately or its evacuation has just ended, and its entry may not
+    /// show a restart yet.
     Presumed,
-    /// Its entry says so.
+    /// The endpoint's entry states that it is cold.
     Stated,
 }
 
-/// The cold time of one endpoint.
+/// The cold period of one endpoint.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct ColdState {
-    /// End of the time that its entry states.
+    /// End of the cold period that the entry states.
     until: Time,
-    /// When there was last reason to presume that it starts anew.
+    /// When there was last a reason to presume that the endpoint restarts; absent if there was none.
     presumed: Option<Time>,
-    /// When this daemon last sent it a request.
+    /// When this daemon last sent the endpoint a request; absent if it never did.
     last_sent: Option<Time>,
-    /// Place of this daemon's turns, from 0 up to 1.
+    /// Random offset of this daemon's sending times within their interval, from 0 (inclusive) to 1 (exclusive).
     phase: f64,
 }
 
 impl ColdState {
-    /// Starts from an entry that states so much cold time, with a random phase.
+    /// Creates the state for an entry that states `cold` as the cold time left, with a random phase.
     pub(crate) fn new(now: Time, cold: Millis) -> Self {
         Self {
             until: now + cold,
@@ -44,12 +44,12 @@
         }
     }
 
-    /// Takes over what a newer entry states.
+    /// Sets the cold time left that a newer entry states.
     pub(crate) fn restate(&mut self, now: Time, cold: Millis) {
         self.until = now + cold;
     }
 
-    /// Records a reason to presume that the endpoint starts anew.
+    /// Records a reason to presume that the endpoint restarts.
     pub(crate) fn presume(&mut self, now: Time) {
         self.presumed = Some(now);
     }
@@ -59,7 +59,8 @@
         self.last_sent = Some(now);
     }
 
-    /// Returns how sure it is that the endpoint is cold; `start` is the usual cold time of its service.
+    /// Returns whether the endpoint is cold. `start` is the usual cold time of its service after a start, for which a
+    /// presumption holds.
     pub(crate) fn at(&self, now: Time, start: Millis) -> Coldness {
         if now < self.until {
             return Coldness::Stated;
@@ -71,7 +72,7 @@
         Coldness::Warm
     }
 
-    /// Returns whether this daemon has used up its share of the endpoint.
+    /// Returns whether this daemon has used up its share of what a cold endpoint gets.
     pub(crate) fn is_spent(&self, now: Time, share: ColdShare) -> bool {
         !share.may_send(now, self.last_sent, self.phase)
     }
--- a/lib/src/gateway/routing/endpoint_check.rs
+++ b/lib/src/gateway/routing/endpoint_check.rs
@@ -1,8 +1,8 @@
-//! Looks whether an endpoint ended when an attempt there broke off, and whether one that ended is back.
+//! Probes endpoints: whether one has terminated after an attempt there broke off, and whether a terminated one is back.
 //!
-//! An endpoint that ended gets nothing while others are available, until it accepts a connection or its entry is of
-//! another life. Its entry stands for seconds, and it looks idle, so that it would be chosen first again and again
-//! otherwise.
+//! A terminated endpoint gets no requests while others are available, until it accepts a connection or its entry shows
+//! a new incarnation. Its old entry stays in the directory for seconds and shows no load, so it would otherwise be
+//! chosen first for every request.
 
 use {
     crate::gateway::{
@@ -15,16 +15,16 @@
     std::{rc::Rc, sync::Arc, time::Duration},
 };
 
-/// Time to the first look whether an endpoint that ended is back; each later one comes after twice the time. An entry
-/// stands for 3.6 s where endpoints write it each 1.2 s, which makes three looks.
+/// Time until the first probe whether a terminated endpoint is back; it doubles with each further probe. An entry stays
+/// for 3.6 s where endpoints renew it every 1.2 s, which allows three probes.
 const FIRST_LOOK: Duration = Duration::from_millis(400);
 
-/// Longest time between two looks.
+/// Longest time between two probes.
 const LONGEST_LOOK: Duration = Duration::from_millis(1_600);
 
 impl<D: Dialect> Gateway<D> {
-    /// Looks whether an endpoint ended, after an attempt there broke off that may have run. The look goes on if
-    /// the caller leaves meanwhile.
+    /// Probes whether an endpoint has terminated, after an attempt there broke off that may have run. The probe
+    /// continues if the caller leaves meanwhile.
     pub(crate) async fn check_endpoint(
         self: &Rc<Self>,
         call: &ForwardedCall,
@@ -40,11 +40,11 @@
                 gateway.set_ended(&entry);
             }
         });
-        // The look can only fail with the process.
+        // The task is never aborted and doesn't panic.
         let _ = look.await;
     }
 
-    /// Records that an endpoint has ended, and begins to look whether it is back.
+    /// Records that an endpoint has terminated, and starts to probe whether it is back.
     pub(crate) fn set_ended(self: &Rc<Self>, entry: &Arc<EndpointEntry>) {
         let now = self.now();
         let is_new = self.state.borrow_mut().endpoints.refused(now, entry);
@@ -53,8 +53,8 @@
         }
     }
 
-    /// Looks now and then whether an endpoint that ended accepts connections again, as long as this life may get work
-    /// again.
+    /// Probes a terminated endpoint with growing pauses until it accepts a connection, or until this incarnation can't
+    /// get work any more.
     pub(crate) fn watch_ended(self: &Rc<Self>, entry: Arc<EndpointEntry>) {
         let gateway = self.clone();
         tokio::task::spawn_local(async move {
--- a/lib/src/gateway/routing/endpoint_notices.rs
+++ b/lib/src/gateway/routing/endpoint_notices.rs
@@ -1,68 +1,69 @@
-//! What endpoints have told this daemon, in their replies, of the service that they will give.
+//! The signals that endpoints sent in their replies: that they leave, or that they want no requests for a cooldown.
 //!
-//! Owns the notices of each life of an endpoint, also while it has no entry in the list. `reply_notices` records them.
+//! Signals are kept for each incarnation of an endpoint, also while it has no entry in the list. `reply_notices`
+//! records them.
 
 use crate::{
     gateway::directory::endpoint_entry::EndpointLife,
     shared::{recent_map::RecentMap, units::Time},
 };
 
-/// Most lives without an entry whose notices are remembered.
+/// Largest number of incarnations without an entry whose signals are kept.
 const REMEMBERED: usize = 1_000;
 
-/// The notices of one life of an endpoint.
+/// The signals of one incarnation of an endpoint.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub(crate) struct EndpointNotices {
-    /// It leaves. An endpoint that leaves doesn't stay after all, whatever its entry says.
+    /// Whether the endpoint leaves. This is final, whatever its entry states later.
     leaves: bool,
-    /// End of the time in which it wants nothing.
+    /// End of the cooldown in which the endpoint wants no requests; absent without one.
     rest: Option<Time>,
-    /// Its rest is over, and no reply has shown yet that it takes requests again.
+    /// Whether a cooldown is over, and no reply has shown yet that the endpoint accepts requests again.
     is_trial: bool,
-    /// It said something that can't be read.
+    /// Whether the endpoint sent a signal that can't be read.
     unclear: bool,
 }
 
 impl EndpointNotices {
-    /// Returns whether it said that it leaves.
+    /// Returns whether the endpoint leaves.
     pub(crate) fn leaves(&self) -> bool {
         self.leaves
     }
 
-    /// Returns the end of the time in which it wants nothing.
+    /// Returns the end of the endpoint's cooldown, if it has one.
     pub(crate) fn rest(&self) -> Option<Time> {
         self.rest
     }
 
-    /// Returns whether its rest is over, and it hasn't been seen to take requests again.
+    /// Returns whether a cooldown is over, and no reply has shown yet that the endpoint accepts requests again.
     pub(crate) fn is_trial(&self) -> bool {
         self.is_trial
     }
 
-    /// Records a reply that asks for no rest.
+    /// Records a reply that asks for no cooldown.
     pub(crate) fn end_trial(&mut self) {
         self.is_trial = false;
     }
 
-    /// Records that it leaves; returns whether that is new.
+    /// Records that the endpoint leaves; returns whether that is new.
     pub(crate) fn record_leave(&mut self) -> bool {
         !std::mem::replace(&mut self.leaves, true)
     }
 
-    /// Records that it wants nothing until a time; returns whether a rest begins with it. A later one that ends sooner
-    /// doesn't take back what was asked for before.
+    /// Records that the endpoint wants no requests until a time; returns whether a cooldown begins with it. A later
+    /// signal never shortens a cooldown.
     pub(crate) fn record_rest(&mut self, until: Time) -> bool {
         let known = self.rest;
         self.rest = known.max(Some(until));
         known.is_none()
     }
 
-    /// Records that it said something that can't be read; returns whether that is new.
+    /// Records that the endpoint sent a signal that can't be read; returns whether that is new.
     pub(crate) fn record_unclear(&mut self) -> bool {
         !std::mem::replace(&mut self.unclear, true)
     }
 
-    /// Ends a rest whose time is over; returns whether there was one.
+    /// Ends a cooldown whose time is over; returns whether there was one.
     pub(crate) fn end_rest(&mut self, now: Time) -> bool {
         let is_over = self.rest.is_some_and(|until| until <= now);
         if is_over {
@@ -73,27 +74,27 @@
     }
 }
 
-/// Notices of endpoints whose entries have vanished. An entry may lapse and come back while its endpoint lives, and what
-/// the endpoint said before stands.
+/// The signals of endpoints whose entries have vanished. An entry may lapse and come back while its endpoint keeps
+/// running, and earlier signals remain valid then.
 #[derive(Debug, Default)]
 pub(crate) struct RememberedNotices {
     notices: RecentMap<EndpointLife, EndpointNotices, REMEMBERED>,
 }
 
 impl RememberedNotices {
-    /// Remembers the notices of a life, if there are any.
+    /// Keeps the signals of an incarnation, if there are any.
     pub(crate) fn keep(&mut self, life: EndpointLife, notices: EndpointNotices) {
         if notices != EndpointNotices::default() {
             *self.entry(life) = notices;
         }
     }
 
-    /// Returns the notices of a life without an entry, for more to be recorded.
+    /// Returns the signals of an incarnation without an entry, so that further ones can be recorded.
     pub(crate) fn entry(&mut self, life: EndpointLife) -> &mut EndpointNotices {
         self.notices.entry(life)
     }
 
-    /// Returns the notices of a life whose entry has come back, and forgets them here.
+    /// Removes and returns the signals of an incarnation whose entry has come back.
     pub(crate) fn take(&mut self, life: &EndpointLife) -> EndpointNotices {
         self.notices.remove(life).unwrap_or_default()
     }
--- a/lib/src/gateway/routing/endpoint_state.rs
+++ b/lib/src/gateway/routing/endpoint_state.rs
@@ -1,4 +1,5 @@
-//! One endpoint as this daemon knows it: load, health, pace, and the prompts it probably caches.
+//! The state of one endpoint as this daemon knows it: load, health, slowdown, cold period, signals, and the prompts
+//! that it probably caches.
 
 use {
     crate::{
@@ -32,45 +33,45 @@
 /// Load that other daemons put on an endpoint.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct PeerLoad {
-    /// Their requests in flight.
+    /// Requests in flight from other daemons.
     pub running: u32,
-    /// Prompt tokens that they sent and that aren't read yet.
+    /// Prompt tokens that other daemons sent and that the endpoint hasn't read yet.
     pub prefill: f64,
 }
 
-/// One life of an endpoint.
+/// The state of one incarnation of an endpoint.
 #[derive(Debug)]
 pub struct EndpointState {
-    /// Its entry in the directory.
+    /// Latest directory entry of this incarnation.
     pub entry: Arc<EndpointEntry>,
-    /// Hash of its name, as loads are exchanged by it.
+    /// Hash of the endpoint's id, by which daemons exchange loads.
     pub(crate) hash: EndpointHash,
-    /// Hash of this life, as rates are exchanged by it.
+    /// Hash of this incarnation, by which daemons exchange rate limits.
     pub(crate) life: IncarnationHash,
-    /// Region of its data centre; nothing if that isn't known or there is no other one.
+    /// Region of the endpoint's data centre; absent if it isn't known or there is only one region.
     pub(crate) region: Option<RegionHash>,
     /// Requests in flight from this daemon.
     pub running: u32,
-    /// Prompt tokens that this daemon sent and that aren't read yet.
+    /// Prompt tokens that this daemon sent and that the endpoint hasn't read yet.
     pub prefill: f64,
-    /// Load from other daemons, as they reported it.
+    /// Load from other daemons, as reported by them.
     pub peers: PeerLoad,
-    /// Load that it reported with its last reply, and when.
+    /// Load that the endpoint reported with its last reply, and when the reply arrived; absent before the first report.
     pub reported_load: Option<(Time, ReplyLoad)>,
-    /// Its place among equal ones, of this daemon's own.
+    /// Position among otherwise equal endpoints, different at each daemon; the lowest goes first.
     pub(crate) order: u64,
-    /// What it has said of the service that it will give.
+    /// Signals from the endpoint's replies: whether it leaves, and its cooldown.
     pub(crate) notices: EndpointNotices,
-    /// It has reported a pace that can't be one.
+    /// Whether the endpoint has reported a slowdown that can't be read.
     is_unclear: bool,
-    /// Its data centre is evacuated.
+    /// Whether the endpoint's data centre is evacuated.
     evacuated: bool,
     cold: ColdState,
     health: Health,
     unreachable_until: Option<Time>,
-    /// It refused a connection, and hasn't accepted one since.
+    /// Whether the endpoint refused a connection and hasn't accepted one since.
     has_ended: bool,
-    /// When it answered as another endpoint, or as leaving.
+    /// When the address answered as another endpoint, or the endpoint as leaving; absent once it may be tried again.
     replaced: Option<Time>,
     call_time: CallTime,
     pace: EngineSlowdown,
@@ -103,7 +104,7 @@
         }
     }
 
-    /// Returns what speaks against giving the endpoint new work.
+    /// Returns the conditions that keep the endpoint from getting new work.
     pub fn standing(&self) -> EndpointRestrictions {
         EndpointRestrictions {
             draining: self.entry.draining || self.notices.leaves(),
@@ -118,18 +119,18 @@
         self.evacuated
     }
 
-    /// Returns whether the endpoint may get new work at all.
+    /// Returns whether nothing excludes the endpoint from new work.
     pub fn is_open(&self) -> bool {
         self.standing().exclusion().is_none()
     }
 
-    /// Takes over a newer entry of the same life.
+    /// Replaces the entry by a newer one of the same incarnation.
     pub(crate) fn renew(&mut self, now: Time, entry: Arc<EndpointEntry>) {
-        // One with the same number in a later era was written before.
+        // The same number in a later era means that the entry is unchanged since the earlier era.
         let is_rewritten = entry.revision.number != self.entry.revision.number;
         if is_rewritten || entry.cold != self.entry.cold {
             if entry.cold > self.entry.cold {
-                // It holds none of the prompts that it read before.
+                // A longer cold time means that the endpoint has lost its cached prompts.
                 self.sent_parts = SentParts::default();
             }
             self.cold.restate(now, entry.cold);
@@ -137,8 +138,8 @@
         self.entry = entry;
     }
 
-    /// Sets whether the endpoint's data centre is evacuated. One that is taken back may be cold before its
-    /// entry says so.
+    /// Sets whether the endpoint's data centre is evacuated. When an evacuation ends, the endpoint may be cold before
+    /// its entry states so.
     pub(crate) fn set_evacuated(&mut self, now: Time, evacuated: bool) {
         if self.evacuated && !evacuated {
             self.cold.presume(now);
@@ -146,8 +147,8 @@
         self.evacuated = evacuated;
     }
 
-    /// Returns what speaks against giving the endpoint a request; `limited` says that it names a rate, and there is no
-    /// permit.
+    /// Returns the conditions that keep the endpoint from getting a request. `limited` is set if the endpoint
+    /// advertises a rate limit and this daemon has no permit for it.
     pub(crate) fn standing_for(
         &self,
         now: Time,
@@ -164,20 +165,20 @@
         }
     }
 
-    /// Records the load that it reported with a reply; returns whether that says for the first time what can't be a
-    /// pace.
+    /// Records the load that the endpoint reported with a reply. Returns whether the report is the first with a
+    /// slowdown that can't be read.
     pub(crate) fn record_load(&mut self, now: Time, load: ReplyLoad) -> bool {
         self.reported_load = Some((now, load));
         load.slowdown == SlowdownReport::Invalid && !std::mem::replace(&mut self.is_unclear, true)
     }
 
-    /// Returns the requests in flight from all daemons, as far as is known.
+    /// Returns the requests in flight from all daemons, as far as they are known.
     pub fn outstanding(&self) -> u32 {
         self.running + self.peers.running
     }
 
-    /// Returns whether the endpoint is healthy, could be reached lately and doesn't rest. After a rest it gets one request
-    /// at a time until it takes one.
+    /// Returns whether the endpoint is healthy, reachable and in no cooldown. After a cooldown it is available for one
+    /// request at a time until it accepts one.
     pub(crate) fn is_available(&self, now: Time) -> bool {
         if self.notices.rest().is_some() || (self.notices.is_trial() && self.running > 0) {
             return false;
@@ -191,8 +192,8 @@
         reachable && healthy && !self.has_ended
     }
 
-    /// Describes the endpoint to the choice; `limit` says whether it names the rate that it takes, `way` is the way to
-    /// its region and back if that is another one.
+    /// Returns the endpoint as a candidate for a request. `limit` is the state of its rate limit, `way` the round-trip
+    /// time to its region if that is another one.
     pub(crate) fn candidate(
         &self,
         now: Time,
@@ -206,7 +207,7 @@
             0
         };
         let coldness = self.cold.at(now, placement.cold_start);
-        // One that is only presumed to be cold gets a request beyond its share where no other one is left.
+        // An endpoint that is only presumed cold may exceed its share if no other endpoint is available.
         let is_spared =
             coldness == Coldness::Presumed && self.cold.is_spent(now, placement.cold_share);
         EndpointCandidate {
@@ -226,7 +227,7 @@
         }
     }
 
-    /// Records that this daemon sent a request, of which `uncached` prompt tokens have to be read.
+    /// Records that this daemon sent a request with `uncached` prompt tokens that the endpoint has to read.
     pub(crate) fn sent(&mut self, now: Time, prompt: &Prompt, uncached: u32) {
         self.running += 1;
         self.cold.sent(now);
@@ -234,19 +235,19 @@
         self.sent_parts.record(now, prompt);
     }
 
-    /// Records the time to the first event of a generation.
+    /// Records that the first event of a generation arrived after `waited`.
     pub(crate) fn first_event(&mut self, now: Time, choice: &EndpointChoice, waited: WorkMillis) {
         self.prompt_read(choice.uncached);
         self.pace.record(now, choice.expected, waited);
     }
 
-    /// Records that tokens no longer wait to be read.
+    /// Removes `uncached` tokens from those that the endpoint hasn't read yet.
     pub(crate) fn prompt_read(&mut self, uncached: u32) {
         self.prefill = (self.prefill - f64::from(uncached)).max(0.0);
     }
 
-    /// Records how a request ended; `may_eject` says whether its service can spare the endpoint.
-    /// Returns whether the endpoint gets no work for a while because of it.
+    /// Records how a request ended. `may_eject` is set if enough other endpoints of the service are available for this
+    /// one to be ejected. Returns whether the outcome excludes the endpoint for a time.
     pub(crate) fn ended(&mut self, now: Time, outcome: EndpointOutcome, may_eject: bool) -> bool {
         self.running = self.running.saturating_sub(1);
         match outcome {
@@ -254,7 +255,7 @@
                 self.served(now, call_time);
                 false
             }
-            // A refusal that asks for rest is no fault, however it is marked.
+            // A refusal that asks for a cooldown isn't a failure, whatever its status code.
             EndpointOutcome::Failed if self.notices.rest().is_some() => false,
             EndpointOutcome::Failed => self.health.failed(now, may_eject),
             EndpointOutcome::Unreachable => {
@@ -273,7 +274,7 @@
 
     /// Records that the endpoint refused a connection; returns whether that is new.
     pub(crate) fn refused(&mut self, now: Time) -> bool {
-        // If it is back under its id, it is cold.
+        // If the endpoint comes back under the same id, it is cold.
         self.cold.presume(now);
         !std::mem::replace(&mut self.has_ended, true)
     }
@@ -288,13 +289,13 @@
         self.unreachable_until = None;
         self.accepted();
         if let Some(call_time) = call_time {
-            // What is learnt is the usual time.
+            // The reported slowdown is divided out, so that `call_time` estimates the usual time.
             let factor = reported_slowdown::factor(now, self.reported_load);
             self.call_time.record(WorkMillis(call_time.0 / factor));
         }
     }
 
-    /// Opens the endpoint again if it answered as another one long enough ago; returns whether it did.
+    /// Admits new work again if the address answered as another endpoint long enough ago; returns whether it does.
     pub(crate) fn reopen(&mut self, now: Time) -> bool {
         let is_due = self
             .replaced
--- a/lib/src/gateway/routing/endpoint_states.rs
+++ b/lib/src/gateway/routing/endpoint_states.rs
@@ -1,7 +1,7 @@
-//! All endpoints as this daemon knows them, by service.
+//! The states of all endpoints that this daemon knows, by service.
 //!
-//! It owns the state of each endpoint while the endpoint's entry is in the list of the directory. Entries
-//! come from `directory`, loads from `peers`, the rest from this daemon's own attempts.
+//! An endpoint has a state as long as its entry is in the endpoint list. Entries come from `directory`, loads from
+//! `peers`, everything else from this daemon's own attempts.
 
 use {
     crate::{
@@ -40,26 +40,26 @@
 pub struct EndpointStates {
     members: HashMap<EndpointId, EndpointState>,
     services: HashMap<ServiceId, Vec<EndpointId>>,
-    /// The evacuated data centres, for endpoints that come later.
+    /// The evacuated data centres; also applied to endpoints that are added later.
     evacuated: BTreeSet<DataCentreHash>,
-    /// The rates that endpoints name.
+    /// The rate limits that endpoints advertise.
     pub(crate) rates: EndpointRates,
-    /// What endpoints without an entry have said of the service that they will give.
+    /// The signals of endpoints whose entries have vanished.
     remembered: RememberedNotices,
-    /// When the first rest ends; nothing while no endpoint rests.
+    /// Earliest time at which a cooldown may end; absent if no endpoint has one.
     first_rest: Option<Time>,
-    /// The regions of data centres.
+    /// Assignment of data centres to regions.
     regions: Regions,
-    /// The region of this daemon; nothing if it isn't known or there is no other one.
+    /// The region of this daemon; absent if it isn't known or there is only one region.
     home: Option<RegionHash>,
-    /// The ways to other regions.
+    /// Round-trip times to other regions, as measured by connects.
     round_trips: HashMap<RegionHash, RegionRoundTrip>,
-    /// Number from which this daemon's order of equal endpoints follows; nothing for the order of their entries.
+    /// Seed of this daemon's order of otherwise equal endpoints; without one, they keep the order of their entries.
     seed: Option<u64>,
 }
 
 impl EndpointStates {
-    /// Adds an endpoint, or replaces its entry. Of an endpoint that started again, nothing is kept.
+    /// Adds an endpoint, or replaces its entry. A new incarnation starts with a fresh state.
     pub fn upsert(&mut self, now: Time, entry: Arc<EndpointEntry>) {
         match self.members.get_mut(&entry.id) {
             Some(member) if member.entry.born == entry.born => member.renew(now, entry),
@@ -71,7 +71,7 @@
         }
     }
 
-    /// Sets the number from which this daemon's order of equal endpoints follows, before it knows any.
+    /// Sets the seed of this daemon's order of otherwise equal endpoints. It applies to endpoints that are added later.
     pub fn set_seed(&mut self, seed: u64) {
         self.seed = Some(seed);
     }
@@ -85,12 +85,12 @@
         self.regions = regions.clone();
     }
 
-    /// Returns the region of this daemon; nothing if it isn't known or there is no other one.
+    /// Returns the region of this daemon; `None` if it isn't known or there is only one region.
     pub fn home(&self) -> Option<RegionHash> {
         self.home
     }
 
-    /// Returns the way to a region and back; nothing for this daemon's own one.
+    /// Returns the round-trip time to another region; `None` for this daemon's own region.
     pub fn round_trip(&self, now: Time, region: Option<RegionHash>) -> Option<WorkMillis> {
         let region = region.filter(|_| in_different_regions(self.home, region))?;
         let round_trip = self.round_trips.get(&region).copied().unwrap_or_default();
@@ -115,7 +115,7 @@
         self.members.insert(id, member);
     }
 
-    /// Sets which data centres are evacuated, and returns those that were before.
+    /// Sets which data centres are evacuated; returns the previous set.
     pub fn set_evacuated(
         &mut self,
         now: Time,
@@ -128,7 +128,7 @@
         mem::replace(&mut self.evacuated, data_centres)
     }
 
-    /// Removes an endpoint with all that is known of it, but for what it said of the service that it will give.
+    /// Removes an endpoint and its state; only its signals are kept.
     pub fn remove(&mut self, id: &EndpointId) {
         let Some(member) = self.members.remove(id) else {
             return;
@@ -140,7 +140,7 @@
         }
     }
 
-    /// Removes the endpoints that aren't to be kept.
+    /// Removes the endpoints for which `is_kept` returns false.
     pub(crate) fn retain(&mut self, is_kept: impl Fn(&EndpointId) -> bool) {
         let ids = self.members.keys().filter(|id| !is_kept(id));
         let removed: Vec<EndpointId> = ids.cloned().collect();
@@ -155,13 +155,13 @@
         ids.filter_map(|id| self.members.get(id))
     }
 
-    /// Returns the endpoints of a service that may get new work at all.
+    /// Returns the endpoints of a service that aren't excluded from new work.
     pub fn open(&self, id: &ServiceId) -> impl Iterator<Item = &EndpointState> {
         self.service(id).filter(|member| member.is_open())
     }
 
-    /// Returns the open endpoints of a service whose calls this daemon may plan: those of its region, and any where
-    /// there is none.
+    /// Returns the open endpoints of a service whose calls this daemon may schedule: those in its region, or all if the
+    /// region has none.
     pub fn planned(&self, id: &ServiceId) -> Vec<&EndpointState> {
         let near = |member: &&EndpointState| !in_different_regions(self.home, member.region);
         let planned: Vec<&EndpointState> = self.open(id).filter(near).collect();
@@ -191,11 +191,11 @@
         Some(self.at(id, address)?.entry.clone())
     }
 
-    /// Checks that a service has an endpoint in `places` that may get new work at all.
+    /// Checks that a service has an endpoint in `places` that isn't excluded from new work.
     ///
     /// # Errors
     ///
-    /// Returns why each endpoint was left out if there is none.
+    /// Returns the number of endpoints by the reason for which they are excluded if there is none.
     pub fn any_open(
         &self,
         id: &ServiceId,
@@ -218,7 +218,7 @@
         self.members.values()
     }
 
-    /// Returns an endpoint.
+    /// Returns the state of an endpoint.
     pub fn get(&self, id: &EndpointId) -> Option<&EndpointState> {
         self.members.get(id)
     }
@@ -231,13 +231,12 @@
             .map(|member| &member.entry.service)
     }
 
-    /// Chooses the endpoint of a service where a request is expected to begin first, seen from the data
-    /// centre `here`.
+    /// Chooses the endpoint of a service with the least expected time for a request from the data centre `here`.
     ///
     /// # Errors
     ///
-    /// Returns why each endpoint was left out if none may get the request; those that were tried before
-    /// aren't counted.
+    /// Returns the number of endpoints by the reason for which they are excluded if none may get the request. Endpoints
+    /// that were already tried aren't counted.
     pub fn choose(
         &self,
         now: Time,
@@ -270,8 +269,7 @@
             .ok_or(left_out)
     }
 
-    /// Returns the state of the life that an entry is about; an endpoint that has started again since has
-    /// nothing to do with it.
+    /// Returns the state of the incarnation that an entry describes, or `None` if the endpoint has restarted since.
     fn of_life(&mut self, entry: &EndpointEntry) -> Option<&mut EndpointState> {
         let member = self.members.get_mut(&entry.id)?;
         (member.entry.born == entry.born).then_some(member)
@@ -284,31 +282,31 @@
         }
     }
 
-    /// Uses up a permit for an endpoint that names a rate.
+    /// Uses up a permit for an endpoint that advertises a rate limit.
     pub(crate) fn use_permit(&mut self, now: Time, entry: &EndpointEntry, urgency: u32) {
         if let Some(life) = self.of_life(entry).map(|member| member.life) {
             self.rates.sent(now, life, urgency);
         }
     }
 
-    /// Returns the endpoint whose life has a hash.
+    /// Returns the endpoint whose incarnation has a hash.
     pub(crate) fn of_hash(&self, life: IncarnationHash) -> Option<&EndpointState> {
         self.members.values().find(|member| member.life == life)
     }
 
-    /// Returns the rates that endpoints name.
+    /// Returns the rate limits that endpoints advertise.
     pub fn rates(&self) -> &EndpointRates {
         &self.rates
     }
 
-    /// Returns the open endpoints of a service that name a rate.
+    /// Returns the open endpoints of a service that advertise a rate limit.
     fn limited(&self, service: &ServiceId) -> impl Iterator<Item = &EndpointState> {
         let limited = |member: &&EndpointState| self.rates.rate(member.life).is_some();
         self.open(service).filter(limited)
     }
 
-    /// Records that a request of a service wasn't sent to the endpoints for which there is no permit; returns whether
-    /// their coordinator is to be told at once.
+    /// Records that a request of a service needs permits for the endpoints for which this daemon has none. Returns
+    /// whether a claim is to be sent to the coordinator at once.
     pub(crate) fn turned_away(&mut self, now: Time, service: &ServiceId, urgency: u32) -> bool {
         let limited = self.limited(service).map(|member| member.life);
         let without = limited.filter(|life| !self.rates.may_send(now, *life, urgency));
@@ -320,23 +318,22 @@
         is_due
     }
 
-    /// Returns what the endpoints of a service that name a rate take together.
+    /// Returns the sum of the rate limits that the endpoints of a service advertise.
     pub(crate) fn named_rate(&self, service: &ServiceId) -> Rate {
         let limited = self.limited(service);
         let rates = limited.filter_map(|member| self.rates.rate(member.life));
         Rate(rates.map(|rate| rate.0).sum())
     }
 
-    /// Returns the time after which a permit for an endpoint of a service may be expected; nothing where that isn't
-    /// known.
+    /// Returns the shortest expected time until a permit for an endpoint of a service; `None` if it isn't known.
     pub(crate) fn permit_wait(&self, now: Time, service: &ServiceId) -> Option<Millis> {
         let limited = self.limited(service);
         let waits = limited.filter_map(|member| self.rates.wait(now, member.life));
         waits.min()
     }
 
-    /// Returns the time after which a permit for any endpoint of a service in `places` may be expected; nothing where
-    /// that isn't known, or one of them gets a request of some urgency now.
+    /// Returns the expected time until a permit if no open endpoint of a service in `places` can get a request of that
+    /// urgency now; `None` if one can, or if the time isn't known.
     pub(crate) fn only_permits(
         &self,
         now: Time,
@@ -353,7 +350,7 @@
         self.permit_wait(now, service)
     }
 
-    /// Returns the permits for each endpoint of a service that names a rate.
+    /// Returns the number of valid permits for each endpoint of a service that advertises a rate limit.
     pub(crate) fn permits(
         &self,
         now: Time,
@@ -365,22 +362,21 @@
         })
     }
 
-    /// Records the time to the first event of a generation.
+    /// Records that the first event of a generation arrived after `waited`.
     pub fn first_event(&mut self, now: Time, choice: &EndpointChoice, waited: WorkMillis) {
         if let Some(member) = self.of_life(&choice.entry) {
             member.first_event(now, choice, waited);
         }
     }
 
-    /// Records that an endpoint won't read a prompt any more.
+    /// Removes `uncached` tokens from those that an endpoint hasn't read yet, because it will not read them any more.
     pub fn forget_prefill(&mut self, entry: &EndpointEntry, uncached: u32) {
         if let Some(member) = self.of_life(entry) {
             member.prompt_read(uncached);
         }
     }
 
-    /// Records how a request at an endpoint ended; returns whether the endpoint gets no work for a while
-    /// because of it.
+    /// Records how a request at an endpoint ended; returns whether the outcome excludes the endpoint for a time.
     pub fn ended(&mut self, now: Time, entry: &EndpointEntry, outcome: EndpointOutcome) -> bool {
         let may_eject = self.may_eject(now, &entry.id);
         match self.of_life(entry) {
@@ -395,7 +391,7 @@
         member.is_some_and(|member| member.refused(now))
     }
 
-    /// Records that a connection to an endpoint came up after a time.
+    /// Records the time that a connect to an endpoint took. For another region this is a sample of the round-trip time.
     pub fn connected(&mut self, now: Time, entry: &EndpointEntry, took: WorkMillis) {
         let region = self.of_life(entry).and_then(|member| member.region);
         if let Some(region) = region.filter(|_| in_different_regions(self.home, region)) {
@@ -413,7 +409,7 @@
         }
     }
 
-    /// Returns whether the list has the life that an entry is about.
+    /// Returns whether the endpoint list has the incarnation that an entry describes.
     pub(crate) fn has_life(&self, entry: &EndpointEntry) -> bool {
         self.life(entry).is_some()
     }
@@ -423,22 +419,22 @@
         (member.entry.born == entry.born).then_some(member)
     }
 
-    /// Records the load that an endpoint reported with a reply; returns whether that says for the first time what can't
-    /// be a pace.
+    /// Records the load that an endpoint reported with a reply. Returns whether the report is the first with a slowdown
+    /// that can't be read.
     pub fn record_load(&mut self, now: Time, entry: &EndpointEntry, load: ReplyLoad) -> bool {
         let member = self.of_life(entry);
         member.is_some_and(|member| member.record_load(now, load))
     }
 
-    /// Sets the load that other daemons put on each endpoint; one that isn't named has none.
+    /// Sets the load that other daemons put on each endpoint; endpoints that `loads` lacks get none.
     pub fn set_peer_loads(&mut self, loads: &HashMap<EndpointHash, PeerLoad>) {
         for member in self.members.values_mut() {
             member.peers = loads.get(&member.hash).copied().unwrap_or_default();
         }
     }
 
-    /// Sets the load that other daemons put on each endpoint, from the sums over all daemons: this
-    /// daemon's own part is subtracted.
+    /// Sets the load that other daemons put on each endpoint, from the sums over all daemons: this daemon's own share
+    /// is subtracted.
     pub fn set_total_loads(&mut self, loads: &HashMap<EndpointHash, PeerLoad>) {
         for member in self.members.values_mut() {
             let total = loads.get(&member.hash).copied().unwrap_or_default();
@@ -449,8 +445,8 @@
         }
     }
 
-    /// Opens endpoints again that answered as another one long enough ago; returns whether there were
-    /// any.
+    /// Admits new work again at endpoints whose address answered as another endpoint long enough ago; returns whether
+    /// there were any.
     pub fn reopen_replaced(&mut self, now: Time) -> bool {
         let reopened = self.members.values_mut().filter_map(|member| {
             let reopened = member.reopen(now);
--- a/lib/src/gateway/routing/forward.rs
+++ b/lib/src/gateway/routing/forward.rs
@@ -1,8 +1,8 @@
-//! Answers one caller's request: accepts it, runs its stages, and makes attempts until there is a
-//! reply or the rules end it.
+//! Answers one request of a caller: accepts it, runs its stages, and makes attempts until there is a reply or the rules
+//! allow no further one.
 //!
-//! It owns the order of these steps. The modules of `rules` decide about retries, time limits and
-//! what a caller may be promised.
+//! This module determines the order of these steps. The modules of `rules` decide about retries, time limits and what a
+//! caller may be told.
 
 use {
     crate::{
@@ -109,7 +109,8 @@
     let ended = tokio::select! {
         ended = run.answer(in_flight) => ended,
         () = gateway.sleep_until(call.deadline) => Err(run.problem(TIME_OVER)),
-        // Its caller hears what can be promised, in place of a connection that just ends.
+        // Before the daemon stops, the caller gets a problem that says whether the request may have run, not just a
+        // closed connection.
         () = gateway.stop_expired.notified() => Err(run.problem("the daemon stops")),
     };
     caller.disarm();
@@ -121,9 +122,9 @@
     gateway: &'a Rc<Gateway<D>>,
     call: &'a Rc<ForwardedCall>,
     progress: RequestProgress,
-    /// Region where its stages run; nothing for this daemon's own.
+    /// Region where the stages run; absent for this daemon's own region.
     region: Option<RegionHash>,
-    /// Results of the stages, which the request takes as its inputs.
+    /// Results of the stages, which are the inputs of the request; absent if it has none.
     results: Option<Results<D>>,
 }
 
@@ -136,7 +137,7 @@
                 return self.end_unanswered(QUARANTINED);
             }
             if self.gateway.now() >= self.call.deadline {
-                // The host was suspended meanwhile: no endpoint is given work whose time is over.
+                // The host may have been suspended meanwhile. A request whose time is over is sent to no endpoint.
                 return self.end_unanswered(TIME_OVER);
             }
             let choice = match self.choose().await {
@@ -188,7 +189,7 @@
         let results = self.results.as_ref();
         let resume_after = self.call.inbound.last_event;
         let request = outbound_request(self.gateway, self.call, &choice, results, resume_after);
-        // An endpoint without a free slot takes its inputs later.
+        // An endpoint without a free slot fetches the inputs later, so they are kept longer.
         if let Some(results) = results
             && choice.in_flight < choice.entry.slots
         {
@@ -202,7 +203,7 @@
         attempt(self.gateway, self.call, prepared, &mut self.progress).await
     }
 
-    /// Returns the time after which another attempt is worth more than waiting for this one.
+    /// Returns the time limit after which another attempt is better than waiting for this one.
     fn attempt_limit(&self, choice: &EndpointChoice) -> Option<Duration> {
         let attempts = self.call.route.attempts;
         attempt_timeout(&AttemptPlan {
@@ -215,7 +216,7 @@
 
     /// Prepares another attempt after a failed one; returns whether there may be one.
     async fn prepare_next(&mut self, failure: AttemptFailure) -> Result<bool, Problem> {
-        // Its next attempt would end one more endpoint, and cost the budget a retry before that.
+        // Another attempt would probably terminate one more endpoint, and would use up a retry of the budget.
         if self.is_quarantined() {
             return Ok(false);
         }
@@ -226,7 +227,7 @@
                 if !self.gateway.withdraw(&self.call.service) {
                     return Ok(false);
                 }
-                // What is left of the old results is released before new ones need the room.
+                // The remaining old results are released first, so that the new ones have the capacity.
                 drop(self.results.take());
                 self.results = run_stages(self.gateway, self.call, self.region).await?;
                 self.progress.tried.clear();
@@ -236,7 +237,7 @@
         }
     }
 
-    /// Pays for another attempt from the retry budget; returns whether there may be one.
+    /// Withdraws a retry from the budget if the rules allow one; returns whether there may be another attempt.
     fn take_retry(&self, reason: RetryReason) -> bool {
         let route = &self.call.route;
         let history = &self.progress.history;
@@ -245,7 +246,7 @@
         if allowed {
             self.gateway.metrics.retry(reason);
         }
-        // The event is older than the term retry.
+        // The name of this event says "repeat" for a retry.
         log::info!(
             request = self.call.id(),
             why:? = reason,
@@ -257,7 +258,8 @@
         allowed
     }
 
-    /// Ends the request without a usable answer: with an endpoint's own failure if there is one.
+    /// Ends the request without a success: with the latest failure reply of an endpoint if there is one, else with a
+    /// problem.
     fn end_unanswered(&mut self, why: &str) -> Result<Response<ReplyBody>, Problem> {
         match self.progress.failure.take() {
             Some(reply) => Ok(answer_whole(self.gateway, self.call, reply)),
@@ -265,7 +267,7 @@
         }
     }
 
-    /// Returns whether so many endpoints have ended under the request that no other one gets it.
+    /// Returns whether the request is quarantined because too many endpoints terminated under it.
     fn is_quarantined(&self) -> bool {
         self.gateway.check_quarantine(&self.call.digest).is_err()
     }
@@ -285,8 +287,8 @@
         })
     }
 
-    /// Returns the time after which the caller may come back, by the permits that are to be expected, by the endpoint that
-    /// has rested first, or by the loads that the service's endpoints reported last.
+    /// Returns the time after which the caller may retry: until the next expected permit, else until the end of the
+    /// first cooldown, else by the loads that the endpoints of the service reported last.
     fn retry_after(&self) -> Millis {
         if let Some(wait) = self.gateway.permit_wait(&self.call.service) {
             return retry_after::after_permits(wait);
@@ -301,7 +303,7 @@
         retry_after::after_attempts(members.filter_map(|member| Some(member.reported_load?.1)))
     }
 
-    /// Passes a stream on while it comes; its relay takes over the request from here.
+    /// Starts to relay a stream to the caller; the relay owns the request from here on.
     fn pass_stream(
         &mut self,
         reply: StreamingReply<D>,
@@ -322,18 +324,18 @@
     }
 }
 
-/// Tells the caller that the request ended with its time.
+/// Problem detail: the deadline of the request has passed.
 const TIME_OVER: &str = "the request's time is over";
 
-/// Tells the caller why a request that has possibly run gets no other endpoint.
+/// Problem detail: the request may have run and is sent to no further endpoint, because endpoints terminated under it.
 const QUARANTINED: &str = "endpoints ended under this request";
 
-/// Describes to the caller why no endpoint gets the request.
+/// Returns the problem detail for a request that no endpoint may get.
 fn no_endpoint(left_out: ExclusionCounts) -> String {
     format!("no endpoint is left; left out: {left_out}")
 }
 
-/// Describes to the caller why no other attempt follows a failed one.
+/// Returns the problem detail for a request whose last attempt failed and isn't retried.
 fn give_up_detail(failure: AttemptFailure) -> &'static str {
     match failure {
         AttemptFailure::NotRun(NotRunReason::Unreachable | NotRunReason::Ended) => {
@@ -343,7 +345,7 @@
         AttemptFailure::NotRun(NotRunReason::Refused | NotRunReason::Replaced) => {
             "no other attempt is allowed"
         }
-        // After a server error the endpoint's own reply is passed on and this text is not used.
+        // After a server error the endpoint's reply is passed on, so this text isn't used.
         AttemptFailure::PossiblyRun | AttemptFailure::ServerError => "the attempt broke off",
     }
 }
--- a/lib/src/gateway/routing/guards.rs
+++ b/lib/src/gateway/routing/guards.rs
@@ -1,5 +1,5 @@
-//! Counts that last as long as a value lives: a request in this daemon, an attempt at an endpoint,
-//! a caller that still waits. A future that is dropped at any point leaves the counts right.
+//! Guards that keep counts for as long as they exist: of a request in this daemon, of an attempt at an endpoint, of a
+//! caller that still waits. The counts stay right wherever a future is dropped.
 
 use {
     crate::{
@@ -14,8 +14,8 @@
     std::rc::Rc,
 };
 
-/// Counts an attempt in flight at an endpoint until its outcome is known. Dropped before that, it
-/// says nothing about the endpoint's health.
+/// Counts an attempt in flight at an endpoint until its outcome is known. If it is dropped before, the attempt doesn't
+/// affect the endpoint's health.
 pub(crate) struct AttemptGuard<D: Dialect> {
     gateway: Rc<Gateway<D>>,
     pub(crate) choice: EndpointChoice,
@@ -26,7 +26,7 @@
 }
 
 impl<D: Dialect> AttemptGuard<D> {
-    /// Counts an attempt at the chosen endpoint from now on.
+    /// Creates the guard of an attempt at the chosen endpoint.
     pub(crate) fn new(
         gateway: &Rc<Gateway<D>>,
         call: &ForwardedCall,
@@ -49,7 +49,7 @@
         }
     }
 
-    /// Records that the endpoint has read the prompt; only the first call counts.
+    /// Records that the endpoint has read the prompt; later calls have no effect.
     pub(crate) fn first_event(&mut self) {
         if std::mem::take(&mut self.prefill_pending) {
             let now = self.gateway.now();
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Records that the attempt's connection came up.
+    /// Records that the connection of the attempt was established.
     pub(crate) fn connected(&self) {
         let now = self.gateway.now();
         let mut state = self.gateway.state.borrow_mut();
@@ -67,7 +67,7 @@
         state.endpoints.connected(now, &self.choice.entry, took);
     }
 
-    /// Ends the attempt with its outcome for the endpoint.
+    /// Ends the attempt and records its outcome for the endpoint.
     pub(crate) fn end(mut self, outcome: EndpointOutcome) {
         self.settle(outcome);
     }
@@ -90,7 +90,7 @@
         let set_aside = state.endpoints.ended(now, entry, outcome);
         drop(state);
         if set_aside {
-            // The key is older than the name of the type.
+            // The key of `EndpointOutcome` in this event is `ending`.
             log::info!(endpoint:% = entry.id, ending:? = outcome; "endpoint.set_aside");
         }
         if set_aside && outcome == EndpointOutcome::Ended {
@@ -105,13 +105,13 @@
     }
 }
 
-/// Counts a request of this daemon until its answer is whole.
+/// Counts a request as in flight in this daemon until its answer is complete.
 pub(crate) struct RequestGuard<D: Dialect> {
     gateway: Rc<Gateway<D>>,
 }
 
 impl<D: Dialect> RequestGuard<D> {
-    /// Counts a request from now on.
+    /// Creates the guard of a request.
     pub(crate) fn new(gateway: &Rc<Gateway<D>>) -> Self {
         gateway.in_flight.set(gateway.in_flight.get() + 1);
         Self {
@@ -127,7 +127,7 @@
     }
 }
 
-/// Counts and logs a caller that left: the request's future is dropped before its end.
+/// Counts and logs that a caller left, which drops the future of the request before its end.
 pub(crate) struct CallerLeftGuard<'a, D: Dialect> {
     gateway: &'a Gateway<D>,
     call: &'a ForwardedCall,
@@ -135,7 +135,7 @@
 }
 
 impl<'a, D: Dialect> CallerLeftGuard<'a, D> {
-    /// Watches for the caller of `call` from now on.
+    /// Creates the guard of the caller of `call`.
     pub(crate) fn new(gateway: &'a Gateway<D>, call: &'a ForwardedCall) -> Self {
         Self {
             gateway,
@@ -144,7 +144,7 @@
         }
     }
 
-    /// Records that the caller is still there at the request's end.
+    /// Records that the request has ended before the caller left.
     pub(crate) fn disarm(mut self) {
         self.armed = false;
     }
--- a/lib/src/gateway/routing/mod.rs
+++ b/lib/src/gateway/routing/mod.rs
@@ -1,4 +1,4 @@
-//! Forwards a request: accepts it, chooses endpoints, sends attempts, passes the reply on.
+//! Forwards requests: accepts each, chooses endpoints, makes attempts and passes the reply on.
 
 pub(crate) mod accept;
 pub(crate) mod answer;
--- a/lib/src/gateway/routing/named_rates.rs
+++ b/lib/src/gateway/routing/named_rates.rs
@@ -1,4 +1,4 @@
-//! Records the rates that endpoints name, in their replies and as other daemons tell, and logs what changes.
+//! Records the rate limits that endpoints advertise in their replies or that other daemons report, and logs changes.
 
 use {
     crate::{
@@ -18,12 +18,12 @@
     std::{fmt, net::SocketAddr, sync::Arc},
 };
 
-/// Where a change of a rate was learned from.
+/// Source of a change of a rate limit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum RateSource {
     /// A reply of the endpoint.
     Reply,
-    /// Another daemon.
+    /// A report of the daemon at this address.
     Peer(SocketAddr),
 }
 
@@ -37,7 +37,8 @@
 }
 
 impl<D: Dialect> Gateway<D> {
-    /// Records what an endpoint reports of itself with its reply to a call of pieces that was sent at `sent`.
+    /// Records what an endpoint reports about itself in its reply to a call of pieces that was sent at `sent`: its rate
+    /// limit and its signals.
     pub(crate) fn record_call_reply(
         &self,
         endpoint: &EndpointEntry,
@@ -45,15 +46,15 @@
         facts: &ReplyFacts,
         sent: Time,
     ) {
-        // What another endpoint at the same address says of itself is of no use for this one.
+        // A misdirected call was answered by another endpoint at the same address.
         if status != StatusCode::MISDIRECTED_REQUEST {
             self.record_rate(endpoint, facts.rate, status == StatusCode::OK, sent);
             self.record_notices(endpoint, status, facts);
         }
     }
 
-    /// Records what an endpoint's reply to a request that was sent at `sent` says of its rate. One that names none
-    /// counts only if the endpoint itself served the request, which `served` tells.
+    /// Records the rate limit that an endpoint advertises in its reply to a request that was sent at `sent`. A reply
+    /// without one counts only if the endpoint itself served the request, as given by `served`.
     pub(crate) fn record_rate(
         &self,
         endpoint: &EndpointEntry,
@@ -83,7 +84,7 @@
         }
     }
 
-    /// Merges what another daemon tells of an endpoint; nothing of one that isn't in the list.
+    /// Merges a report of another daemon. A report about an endpoint that isn't in the endpoint list is ignored.
     pub(crate) fn merge_rate(&self, note: &RateNote, source: RateSource) {
         let now = self.now();
         let mut state = self.state.borrow_mut();
@@ -103,7 +104,7 @@
         let limited = self.state.borrow().endpoints.rates.limited();
         self.metrics.endpoints.limited(limited);
         self.rate_reports.notify_one();
-        // Whoever waits for a permit may need none any more.
+        // Requests that wait for a permit may need none any more.
         self.permits.notify_waiters();
     }
 }
@@ -113,7 +114,7 @@
         RateChange::Began(rate) => {
             log::info!(endpoint:% = endpoint.id, rate:%, source:%; "endpoint.limited");
         }
-        // A rate may change with each reply.
+        // The rate may change with each reply, hence only the debug level.
         RateChange::Changed(rate) => {
             log::debug!(endpoint:% = endpoint.id, rate:%, source:%; "endpoint.limited");
         }
--- a/lib/src/gateway/routing/outbound.rs
+++ b/lib/src/gateway/routing/outbound.rs
@@ -1,4 +1,4 @@
-//! Prepares an attempt: chooses its endpoint and builds the request that goes there.
+//! Prepares an attempt: chooses the endpoint and builds the request that is sent there.
 
 use {
     crate::{
@@ -24,7 +24,7 @@
 ///
 /// # Errors
 ///
-/// Returns why the others were left out if none may get it.
+/// Returns the number of the other endpoints by the reason for which they are excluded if none may get it.
 pub(crate) fn choose_endpoint<D: Dialect>(
     gateway: &Gateway<D>,
     call: &ForwardedCall,
@@ -34,7 +34,7 @@
     choose_endpoint_in(gateway, call, &call.places, tried, results)
 }
 
-/// Chooses an endpoint for a request as [`choose_endpoint`] does, among those in some data centres.
+/// Chooses an endpoint for a request like [`choose_endpoint`], but only in the data centres `places`.
 pub(crate) fn choose_endpoint_in<D: Dialect>(
     gateway: &Gateway<D>,
     call: &ForwardedCall,
@@ -42,7 +42,7 @@
     tried: &[EndpointId],
     results: Option<&Results<D>>,
 ) -> Result<EndpointChoice, ExclusionCounts> {
-    // A request without stages takes no results, wherever they are.
+    // A request without stages has no inputs.
     let inputs = results.map(Results::input_locations).unwrap_or_default();
     let placement = Placement {
         prompt: &call.inbound.prompt,
@@ -63,8 +63,8 @@
         .choose(gateway.now(), here, &call.service, &placement)
 }
 
-/// Builds a request as it goes to an endpoint: the caller's own bytes, and the headers that this
-/// system sets. `resume_after` is the last event of a stream that the caller already has.
+/// Builds the request for an endpoint: the caller's method, path, headers and body, with the headers that the daemon
+/// sets. `resume_after` is the last event of a stream that the caller already has, if any.
 pub(crate) fn outbound_request<D: Dialect>(
     gateway: &Gateway<D>,
     call: &ForwardedCall,
@@ -73,7 +73,7 @@
     resume_after: Option<u64>,
 ) -> Request<Full<Bytes>> {
     let mut headers = passed_headers(call);
-    // A request without stages takes no results.
+    // A request without stages has no inputs.
     let inputs = results.map(Results::inputs).unwrap_or_default();
     let outbound = Outbound {
         endpoint: &choice.entry.id,
@@ -94,7 +94,7 @@
     request
 }
 
-/// Returns the caller's headers without those that concern its connection or its body's framing.
+/// Returns the caller's headers without those that concern its connection or the framing of its body.
 fn passed_headers(call: &ForwardedCall) -> HeaderMap {
     let mut headers = call.head.headers.clone();
     strip_connection_headers(&mut headers);
@@ -103,13 +103,13 @@
     headers
 }
 
-/// Returns whether the caller sent a body, be it empty.
+/// Returns whether the caller sent a body, even an empty one.
 fn had_body(call: &ForwardedCall) -> bool {
     let headers = &call.head.headers;
     headers.contains_key(header::CONTENT_LENGTH) || headers.contains_key(header::TRANSFER_ENCODING)
 }
 
-/// Removes scheme and host from a URI; the path and the query stay as they are.
+/// Removes scheme and authority from a URI; path and query stay unchanged.
 fn origin_form(uri: &Uri) -> Uri {
     let path = uri.path_and_query().cloned();
     path.map_or_else(|| uri.clone(), Uri::from)
--- a/lib/src/gateway/routing/permits.rs
+++ b/lib/src/gateway/routing/permits.rs
@@ -1,7 +1,7 @@
-//! Permits to send requests to endpoints that name a rate: who wants one, who waits for one, and who gets it.
+//! Permits to send requests to endpoints that advertise a rate limit: claims them, waits for them and uses them up.
 //!
-//! Relies on [`rules::endpoint_rate`](crate::gateway::rules::endpoint_rate) for how long a request waits, and on
-//! `peers::rate_news` to ask the coordinators.
+//! [`rules::endpoint_rate`](crate::gateway::rules::endpoint_rate) decides how long a request waits, and
+//! `peers::rate_news` sends the claims to the coordinators.
 
 use {
     crate::{
@@ -26,16 +26,16 @@
     foldhash::HashMap,
 };
 
-/// Urgency of calls of pieces: whatever request they are for, its stages come first.
+/// Urgency of calls of pieces, the highest: the stages of a request run before the request, whatever its own urgency.
 const PIECES_URGENCY: u32 = 0;
 
 impl<D: Dialect> Gateway<D> {
-    /// Chooses an endpoint for a request, other than those in `tried`; where only endpoints are left that name a rate,
-    /// waits for a permit, unless none is to be expected in time.
+    /// Chooses an endpoint for a request, other than those in `tried`. If all eligible ones lack a permit for their
+    /// rate limit, waits for a permit, unless none is expected in time.
     ///
     /// # Errors
     ///
-    /// Returns why the others were left out if none may get it.
+    /// Returns the number of the other endpoints by the reason for which they are excluded if none may get it.
     pub(crate) async fn choose_permitted(
         &self,
         call: &ForwardedCall,
@@ -46,7 +46,7 @@
         let end = call.deadline.min(self.now() + longest);
         let mut place = None;
         loop {
-            // Permits that come from here on wake it.
+            // Created before the choice, so that a permit that arrives after it ends the wait.
             let permits = self.permits.notified();
             self.end_rests();
             let choice = choose_endpoint(self, call, tried, results);
@@ -67,7 +67,7 @@
             if !may_wait(place.ahead(), rate, longest) {
                 return choice;
             }
-            // A claim that isn't renewed ends.
+            // A claim expires unless it is renewed.
             let renewal = self.now() + CLAIM_RENEWAL_INTERVAL;
             let is_over = self.timeout_at(end.min(renewal), permits).await.is_none();
             if is_over && self.now() >= end {
@@ -76,7 +76,7 @@
         }
     }
 
-    /// Records that a request of a service wasn't sent to the endpoints that name a rate.
+    /// Claims permits for the endpoints of a service that got no request for lack of one.
     fn want_permits(&self, service: &ServiceId, urgency: u32) {
         let now = self.now();
         let is_due = self
@@ -89,21 +89,21 @@
         }
     }
 
-    /// Returns whether a permit may come before `end`, as far as is known.
+    /// Returns whether a permit may arrive before `end`; true if the time isn't known.
     fn is_permit_near(&self, call: &ForwardedCall, end: Time) -> bool {
         let now = self.now();
         let wait = self.permit_wait(&call.service);
         now < end && wait.is_none_or(|wait| now + wait < end)
     }
 
-    /// Returns the time after which a permit for an endpoint of a service may be expected; nothing where that isn't
-    /// known, or none is needed.
+    /// Returns the shortest expected time until a permit for an endpoint of a service; `None` if it isn't known, or if
+    /// no permit is needed.
     pub(crate) fn permit_wait(&self, service: &ServiceId) -> Option<Millis> {
         let now = self.now();
         self.state.borrow().endpoints.permit_wait(now, service)
     }
 
-    /// Takes permits that coordinators gave.
+    /// Records permits that coordinators granted, and wakes what waits for them.
     pub(crate) fn take_permits(&self, notes: &[PermitNote]) {
         if notes.is_empty() {
             return;
@@ -118,7 +118,8 @@
         self.stage_work.notify_one();
     }
 
-    /// Returns the calls of pieces that endpoints which name a rate may get now, and asks for more where there are none.
+    /// Returns the number of calls of pieces that each endpoint with a rate limit may get now, and claims permits for
+    /// those that may get none.
     pub(crate) fn allowed_calls(&self) -> HashMap<EndpointLife, usize> {
         let now = self.now();
         let mut state = self.state.borrow_mut();
@@ -139,7 +140,7 @@
         allowed
     }
 
-    /// Uses up the permit for a call of pieces.
+    /// Uses up a permit for a call of pieces that was sent.
     pub(crate) fn call_sent(&self, endpoint: &EndpointEntry) {
         let now = self.now();
         let mut state = self.state.borrow_mut();
--- a/lib/src/gateway/routing/progress.rs
+++ b/lib/src/gateway/routing/progress.rs
@@ -1,5 +1,4 @@
-//! The state of one request during its attempts: the counts for the rules, and what is kept for
-//! the next attempt or the end.
+//! The state of one request that changes with its attempts.
 
 use crate::{
     gateway::{routing::answer::WholeReply, rules::outcome::AttemptHistory},
@@ -9,12 +8,12 @@
 /// The attempts of one request so far.
 #[derive(Debug, Default)]
 pub(crate) struct RequestProgress {
-    /// Counts for the rules.
+    /// Counts of attempts by result, from which the rules decide about retries and the final problem.
     pub(crate) history: AttemptHistory,
-    /// Endpoints that were chosen, those included to which no connection came up.
+    /// Endpoints that were chosen so far, including those that couldn't be reached.
     pub(crate) tried: Vec<EndpointId>,
-    /// Latest reply with a server error, passed on if no other attempt does better.
+    /// Latest reply with a server error, which is passed on if no later attempt succeeds.
     pub(crate) failure: Option<WholeReply>,
-    /// Result of the last attempt, for logs and problem details.
+    /// Result of the last attempt, for logs and problem details; empty before the first one.
     pub(crate) last_result: String,
 }
--- a/lib/src/gateway/routing/quarantine.rs
+++ b/lib/src/gateway/routing/quarantine.rs
@@ -1,4 +1,4 @@
-//! Records what becomes of requests for the quarantine, and refuses those that are in it.
+//! Records for the quarantine how requests end, and refuses quarantined ones.
 
 use crate::{
     gateway::{
@@ -13,7 +13,8 @@
 };
 
 impl GatewayState {
-    /// Returns the name of the endpoint of a life; its hash where the endpoint isn't known here any more.
+    /// Returns the id of the endpoint with an incarnation, or the hash in hexadecimal if this daemon doesn't know the
+    /// endpoint any more.
     pub(crate) fn life_name(&self, life: IncarnationHash) -> String {
         let mut members = self.endpoints.members();
         let member = members.find(|member| incarnation_hash(&member.entry) == life);
@@ -25,7 +26,7 @@
 }
 
 impl<D: Dialect> Gateway<D> {
-    /// Records that an endpoint ended while it ran a request of this daemon.
+    /// Records that an endpoint terminated while it ran a request of this daemon.
     pub(crate) fn record_ended(&self, digest: RequestDigest, entry: &EndpointEntry) {
         let now = self.now();
         let mut state = self.state.borrow_mut();
@@ -37,7 +38,7 @@
         self.apply_quarantine(change, "own request");
     }
 
-    /// Records that a request of this daemon ran to a good end.
+    /// Records that a request of this daemon was served.
     pub(crate) fn record_served(&self, digest: RequestDigest) {
         let now = self.now();
         let mut state = self.state.borrow_mut();
@@ -46,11 +47,11 @@
         self.apply_quarantine(change, "own request");
     }
 
-    /// Checks that a request isn't refused because endpoints ended under it.
+    /// Checks that a request isn't quarantined because endpoints terminated under it.
     ///
     /// # Errors
     ///
-    /// Returns the problem of one that is, of which nothing has run here.
+    /// Returns a problem for a quarantined request, with the time left as the time after which to retry.
     pub(crate) fn check_quarantine(&self, digest: &RequestDigest) -> Result<(), Problem> {
         let now = self.now();
         match self.state.borrow().quarantine.left(now, digest) {
--- a/lib/src/gateway/routing/region_choice.rs
+++ b/lib/src/gateway/routing/region_choice.rs
@@ -1,7 +1,7 @@
 //! Decides in which region the stages of a request run.
 //!
-//! Gathers what [`rules::request_region`](crate::gateway::rules::request_region) decides on. Relies on `stage_load` for
-//! how the services of the stages stand.
+//! Gathers the inputs of [`rules::request_region`](crate::gateway::rules::request_region): for each region, whether the
+//! request would be admitted there, which `stage_load` finds out from the load of the stages' services.
 
 use crate::{
     gateway::{
@@ -19,7 +19,7 @@
     shared::ids::ServiceId,
 };
 
-/// Decides where the stages of a request run, if it is admitted.
+/// Decides whether a request is admitted, and in which region its stages run.
 pub(crate) fn choose_region<D: Dialect>(
     gateway: &Gateway<D>,
     call: &ForwardedCall,
@@ -36,7 +36,8 @@
     })
 }
 
-/// Decides whether a request is admitted in another region, or in this daemon's own; nothing where it can't run.
+/// Decides whether a request is admitted in another region, or in this daemon's own if `region` is absent. Returns
+/// `None` if it can't run there.
 fn decide_in<D: Dialect>(
     gateway: &Gateway<D>,
     call: &ForwardedCall,
@@ -55,8 +56,8 @@
     Some(RegionDecision { region, decision })
 }
 
-/// Returns the data centres of another region, or of this daemon's own, where a request may run; nothing where a
-/// service that it needs has no endpoint there.
+/// Returns the data centres where a request may run in another region, or in this daemon's own if `region` is absent.
+/// Returns `None` if a service that it needs has no open endpoint there.
 fn places_in<D: Dialect>(
     gateway: &Gateway<D>,
     call: &ForwardedCall,
@@ -69,8 +70,8 @@
     needed_services(call).all(has_all).then_some(inside)
 }
 
-/// Returns a request as its stages need to know it that run in another region, or in this daemon's own. Where that
-/// one lacks endpoints, they may run anywhere.
+/// Returns the data of a request for its stages if they run in another region, or in this daemon's own if `region` is
+/// absent. If a needed service has no open endpoint in the region, the stages may run wherever the request may.
 pub(crate) fn stages_in<D: Dialect>(
     gateway: &Gateway<D>,
     call: &ForwardedCall,
@@ -83,20 +84,20 @@
     }
 }
 
-/// Returns the stages of a request that have pieces.
+/// Returns the stages for which a request has pieces.
 pub(crate) fn needed_stages(call: &ForwardedCall) -> impl Iterator<Item = &RouteStage> {
     let stages = call.route.stages.iter().enumerate();
     let needed = stages.filter(|(place, _)| piece_count(&call.inbound.pieces, *place) > 0);
     needed.map(|(_, stage)| stage)
 }
 
-/// Returns the services that a request needs.
+/// Returns the services that a request needs: those of its stages with pieces, and its own.
 pub(crate) fn needed_services(call: &ForwardedCall) -> impl Iterator<Item = &ServiceId> {
     let stages = needed_stages(call).map(|stage| &stage.service);
     stages.chain([&call.service])
 }
 
-/// Returns a request as its stages need to know it.
+/// Returns the data of a request for its stages.
 fn stages_of(call: &ForwardedCall) -> ChainRequest {
     ChainRequest::new(
         &call.inbound,
--- a/lib/src/gateway/routing/reply_notices.rs
+++ b/lib/src/gateway/routing/reply_notices.rs
@@ -1,4 +1,4 @@
-//! Records what endpoints say in their replies of the service that they will give, and logs what is new.
+//! Records the signals in endpoints' replies (that they leave, or want a cooldown), and logs new ones.
 
 use {
     crate::{
@@ -14,7 +14,7 @@
 };
 
 impl<D: Dialect> Gateway<D> {
-    /// Records what a reply says of whether its endpoint leaves, and whether it wants nothing for a while.
+    /// Records the signals in a reply: whether its endpoint leaves, and whether it asks for a cooldown.
     pub(crate) fn record_notices(
         &self,
         endpoint: &EndpointEntry,
@@ -33,7 +33,7 @@
         }
     }
 
-    /// Opens endpoints again whose rest is over.
+    /// Admits new work again at endpoints whose cooldown is over.
     pub(crate) fn end_rests(&self) {
         let now = self.now();
         if self.state.borrow_mut().endpoints.end_rests(now) {
--- a/lib/src/gateway/routing/reply_stream.rs
+++ b/lib/src/gateway/routing/reply_stream.rs
@@ -1,9 +1,8 @@
-//! Relays a stream of events to the caller until its end.
+//! Relays a stream of events from an endpoint to the caller until its end.
 //!
-//! It owns the request from the head of the reply to the end of the stream. `rules::resume` decides
-//! when a stream counts as broken, and `routing::stream_resume` finds its next source;
-//! `wire::event_stream` keeps events whole and in order, so that the caller misses none and gets none
-//! twice.
+//! The relay owns the request from the head of the reply to the end of the stream. `rules::resume` decides when a
+//! stream counts as broken, and `routing::stream_resume` finds the next endpoint to read it from. `wire::event_stream`
+//! keeps events whole and in order, so that the caller gets each event exactly once.
 
 use {
     crate::gateway::{
@@ -23,18 +22,19 @@
     tokio::sync::mpsc,
 };
 
-/// Chunks of a stream that may wait for its reader. They may be large, and many readers may be slow.
+/// Number of stream parts that may wait for the caller to read them. It is small because parts may be large and many
+/// callers may read slowly.
 const QUEUE: usize = 1;
 
 struct StreamRelay<D: Dialect> {
     request: StreamedRequest<D>,
     splitter: EventSplitter,
-    /// True once an event has come from any endpoint.
+    /// Whether an event has arrived from any endpoint.
     events_begun: bool,
     sink: mpsc::Sender<StreamPart>,
 }
 
-/// The end of a source.
+/// Reason why reading from a source ended.
 enum SourceEnd {
     Whole,
     Broken(Break),
@@ -42,11 +42,11 @@
     TimeOver,
 }
 
-/// Why a source broke off.
+/// Details of a source that broke off.
 struct Break {
-    /// The reason, for logs.
+    /// Reason, for logs.
     why: String,
-    /// Set if the connection or the reply was cut, unset if nothing came for too long.
+    /// True if the connection or the reply was cut, false if no data arrived for too long.
     cut: bool,
 }
 
@@ -67,7 +67,7 @@
 }
 
 impl SourceEnd {
-    /// Returns the text for the event `attempt.ended`.
+    /// Returns the outcome for the event `attempt.ended`.
     fn as_str(&self) -> &'static str {
         match self {
             SourceEnd::Whole => "answered",
@@ -78,7 +78,7 @@
     }
 }
 
-/// Starts to relay a stream from `source`; returns its parts.
+/// Starts to relay a stream from `source`; returns the receiver of its parts.
 pub(crate) fn start<D: Dialect>(
     request: StreamedRequest<D>,
     source: StreamSource<D>,
@@ -104,7 +104,7 @@
                 mut guard,
             } = source;
             let end = self.relay(&mut body, &mut guard).await;
-            // The run at this endpoint ends before another one begins.
+            // Closing the connection ends the run at this endpoint before another one begins.
             drop(body);
             drop(connection);
             self.log_end(&end, &guard);
@@ -135,7 +135,7 @@
         }
     }
 
-    /// Ends the attempt at a source that broke off; one that was cut may have ended.
+    /// Ends the attempt at a source that broke off. If it was cut, its endpoint may have terminated and is probed.
     async fn end_broken(&self, guard: AttemptGuard<D>, cut: bool) {
         let entry = guard.choice.entry.clone();
         guard.end(EndpointOutcome::Failed);
@@ -156,7 +156,7 @@
         );
     }
 
-    /// Returns the last whole event that the caller has, for logs; 0 before the first one.
+    /// Returns the number of the last whole event that was sent to the caller, for logs; 0 before the first one.
     fn last_event(&self) -> u64 {
         self.splitter.last().unwrap_or(0)
     }
@@ -174,7 +174,11 @@
         }
     }
 
-    /// Reads the next bytes of a source, or its end.
+    /// Reads the next data of a source.
+    ///
+    /// # Errors
+    ///
+    /// Returns the reason for the end of the source if there is none.
     async fn next_data(&mut self, body: &mut Incoming) -> Result<Bytes, SourceEnd> {
         let call = &self.request.call;
         let gateway = &self.request.gateway;
@@ -212,7 +216,7 @@
         let events = self.splitter.feed(data);
         if !events.is_empty() {
             if !std::mem::replace(&mut self.events_begun, true) {
-                // The endpoint has taken its inputs and read the prompt.
+                // With its first event the endpoint has fetched its inputs and read the prompt.
                 self.request.results = None;
             }
             guard.first_event();
@@ -224,8 +228,7 @@
         Ok(())
     }
 
-    /// Sends events to the caller. One that doesn't read delays its stream, but not past its
-    /// deadline.
+    /// Sends events to the caller. A caller that doesn't read delays its stream, but not beyond the deadline.
     async fn send(&self, events: Bytes) -> Result<(), SourceEnd> {
         let StreamedRequest { gateway, call, .. } = &self.request;
         let sending = self.sink.send(StreamPart::Bytes(events));
@@ -236,7 +239,7 @@
         }
     }
 
-    /// Ends the answer whole.
+    /// Ends the answer as complete.
     async fn finish(self) {
         let StreamedRequest { gateway, call, .. } = &self.request;
         let end = self.sink.send(StreamPart::End);
@@ -255,7 +258,7 @@
         );
     }
 
-    /// Breaks the answer off: dropped without its end, the body can't look complete.
+    /// Breaks off the answer. The body is dropped without its end, so that the caller can't take it for complete.
     fn break_off(self, why: &str) {
         let StreamedRequest { gateway, call, .. } = &self.request;
         let took = gateway.now().since(call.arrived);
@@ -270,7 +273,7 @@
     }
 }
 
-/// Ends after `limit`; never without one.
+/// Waits for `limit`, or forever if it is absent.
 async fn sleep_or_wait(limit: Option<Duration>) {
     match limit {
         Some(limit) => tokio::time::sleep(limit).await,
--- a/lib/src/gateway/routing/sent_parts.rs
+++ b/lib/src/gateway/routing/sent_parts.rs
@@ -1,4 +1,4 @@
-//! The parts of prompts that an endpoint probably still caches, since this daemon sent them lately.
+//! The prompt parts that an endpoint probably still caches because this daemon sent them lately.
 
 use {
     crate::{
@@ -8,14 +8,14 @@
     foldhash::HashMap,
 };
 
-/// Time for which a part is believed to stay cached where it was sent.
+/// Time for which a part is assumed to stay cached at the endpoint after it was last sent.
 const LIFETIME: Millis = Millis(20_000);
 
-/// Most parts remembered for one endpoint; beyond them all are forgotten. At 16 bytes a part this bounds the memory of
-/// an endpoint at about 100 KB.
+/// Largest number of parts that are kept for one endpoint; if there are more, all are discarded. At 16 bytes per part
+/// this limits the memory per endpoint to about 100 KB.
 const MOST_PARTS: usize = 4_096;
 
-/// Parts of prompts that were sent to one endpoint, with the time of the last sending.
+/// Ids of prompt parts that were sent to one endpoint, each with the time at which it was last sent.
 #[derive(Debug, Default)]
 pub(crate) struct SentParts {
     sent: HashMap<u64, Time>,
@@ -32,7 +32,7 @@
         }
     }
 
-    /// Returns the tokens of a prompt's beginning that are probably cached.
+    /// Returns the number of tokens at the beginning of a prompt that the endpoint probably caches.
     pub(crate) fn cached_tokens(&self, now: Time, prompt: &Prompt) -> u32 {
         let is_cached = |id: &u64| {
             self.sent
--- a/lib/src/gateway/routing/service_limits.rs
+++ b/lib/src/gateway/routing/service_limits.rs
@@ -1,9 +1,9 @@
-//! Limits of a service that this daemon keeps: its budget of retries, its share of the connections that
-//! an endpoint accepts, and its share of what a cold one bears.
+//! Limits that this daemon applies to a service: the retry budget, its share of the connections that an endpoint
+//! accepts, and its share of the requests that a cold endpoint can serve.
 //!
-//! Relies on the rules [`retry_budget`](crate::gateway::rules::retry_budget),
-//! [`connections`](crate::gateway::rules::connections) and
-//! [`cold_share`](crate::gateway::rules::cold_share); the budgets are part of the daemon's state.
+//! The rules are [`retry_budget`](crate::gateway::rules::retry_budget),
+//! [`connections`](crate::gateway::rules::connections) and [`cold_share`](crate::gateway::rules::cold_share). The
+//! budgets are part of the daemon's state.
 
 use {
     crate::{
@@ -24,13 +24,13 @@
 };
 
 impl<D: Dialect> Gateway<D> {
-    /// Counts a request for a service in its budget.
+    /// Counts a request for a service, which adds to its retry budget.
     pub fn deposit(&self, service: &ServiceId) {
         let now = self.now();
         self.with_budget(service, |budget| budget.deposit(now));
     }
 
-    /// Spends one retry of a service's budget; returns whether the budget had it.
+    /// Withdraws one retry from a service's budget; returns whether the budget allows it.
     pub fn withdraw(&self, service: &ServiceId) -> bool {
         let now = self.now();
         let daemons = self.state.borrow().peers.daemons();
@@ -48,14 +48,14 @@
         act(budget)
     }
 
-    /// Returns the requests that this daemon may have in flight at one endpoint of a service.
+    /// Returns the largest number of requests that this daemon may have in flight at one endpoint of a service.
     pub fn connections_each(&self, service: &ServiceId) -> u32 {
         let accepted = self.service_entry(service).map(|entry| entry.connections);
         in_flight_limit(accepted, self.state.borrow().peers.daemons())
     }
 
-    /// Returns what this daemon may send to each cold endpoint of a service: nothing before it has met the
-    /// others, with which it shares.
+    /// Returns how many requests this daemon may send to each cold endpoint of a service: none until it knows the other
+    /// daemons, with which it shares the limit.
     pub(crate) fn cold_share(&self, service: &ServiceId) -> ColdShare {
         let rate = self
             .service_entry(service)
@@ -67,7 +67,8 @@
         ColdShare::new(bearable, self.state.borrow().peers.known_daemons())
     }
 
-    /// Returns the time for which an endpoint of a service is usually cold after its start.
+    /// Returns the time for which an endpoint of a service is usually cold after its start; 0 if the table doesn't
+    /// state it.
     pub(crate) fn cold_start(&self, service: &ServiceId) -> Millis {
         let entry = self.service_entry(service);
         entry.map_or(Millis(0), |entry| entry.cold_start)
--- a/lib/src/gateway/routing/stage_load.rs
+++ b/lib/src/gateway/routing/stage_load.rs
@@ -1,6 +1,6 @@
-//! Gathers how the services of a request's stages stand, for its admission.
+//! Gathers the load of the services of a request's stages, for the decision whether to admit the request.
 //!
-//! Relies on the planning and the peers for what waits, and on the list of endpoints; the rule is
+//! The inputs are the outstanding pieces of this daemon and its peers, and the endpoint list; the rule is
 //! [`rules::admission`](crate::gateway::rules::admission).
 
 use crate::{
@@ -46,7 +46,8 @@
     })
 }
 
-/// Gathers how the service of a stage stands, and what goes ahead of the stage's pieces there.
+/// Gathers the load of a stage's service, and the number of outstanding pieces that are served before those of the
+/// stage.
 fn planned_stage<D: Dialect>(
     gateway: &Gateway<D>,
     request: &ChainRequest,
@@ -65,7 +66,7 @@
     }
 }
 
-/// Gathers how the service of a stage stands.
+/// Gathers the load and the limits of a stage's service.
 fn stage_service<D: Dialect>(
     gateway: &Gateway<D>,
     request: &ChainRequest,
@@ -90,17 +91,17 @@
     }
 }
 
-/// Limits of a stage's service as the table states them.
+/// Limits of a stage's service as given in the table.
 struct StatedLimits {
     batch: usize,
     cost: CallCost,
-    /// Results of the stage that an endpoint has room for.
+    /// Number of results of the stage that an endpoint has capacity for.
     room: PieceCount,
 }
 
 impl StatedLimits {
-    /// A service that runs no pieces costs no time, so that no request is refused for its load: the
-    /// stage itself will fail.
+    /// Limits of a service that runs no pieces. Its calls cost no time, so that no request is refused because of its
+    /// load; the stage fails when it runs.
     const NONE: Self = Self {
         batch: 1,
         cost: CallCost {
@@ -111,7 +112,7 @@
     };
 
     fn new(limits: &BatchLimits, result: ByteSize) -> Self {
-        // A stage without a stated size of results counts as one of tiny results.
+        // A stage without a stated result size counts as having results of one byte.
         let results = limits.capacity.0 as f64 / result.0.max(1) as f64;
         Self {
             batch: limits.pieces,
@@ -121,7 +122,7 @@
     }
 }
 
-/// Gathers the endpoints of a service that get calls, from all who know something of it.
+/// Gathers the number of endpoints of a service that get calls, from each source that counts them.
 fn endpoint_counts(
     state: &GatewayState,
     now: Time,
@@ -145,9 +146,9 @@
     }
 }
 
-/// Adds up the outstanding pieces of a service: those of this daemon's requests, which it counts
-/// itself, and those of all others of its region, as they or the service's coordinator report them; or those of
-/// another region, as its coordinator reports them.
+/// Adds up the outstanding pieces of a service. For this daemon's region these are the pieces of its own requests,
+/// which it counts itself, and those of the other daemons, as reported by them or by the service's coordinator. For
+/// another region they are those that its coordinator reports.
 fn backlog(
     state: &GatewayState,
     now: Time,
@@ -158,7 +159,7 @@
         let far = state.peers.far_service(now, service, region);
         return far.map(|far| far.backlog).unwrap_or_default();
     }
-    // Counted as ready: a daemon that would be the coordinator itself adds up the others' reports.
+    // This daemon is taken as ready: if it would then be the coordinator, it adds up the others' reports itself.
     let coordinator = state.peers.coordinator(now, service, true, &[]);
     let elsewhere = state.peers.backlog(service_hash(service), coordinator);
     state.workload.backlog(now, service).plus(&elsewhere)
--- a/lib/src/gateway/routing/stages.rs
+++ b/lib/src/gateway/routing/stages.rs
@@ -1,7 +1,7 @@
-//! Admits the stages of a request, or refuses it, and runs them.
+//! Decides whether a request with stages is admitted, and runs its stages.
 //!
-//! Turns the decision, and the end of the stages, into an answer for the caller. Relies on `region_choice` for where they
-//! run, and on `stages::chain` to run them.
+//! A refusal, or a failure of the stages, becomes a problem for the caller. `region_choice` decides where the stages
+//! run, and `stages::chain` runs them.
 
 use {
     crate::{
@@ -29,8 +29,12 @@
     std::rc::Rc,
 };
 
-/// Refuses a request at once whose stages can't end in time, or under which endpoints ended. Returns the other region
-/// where its stages run; nothing for this daemon's own.
+/// Checks before anything runs that a request isn't quarantined, that its services have endpoints, and that its stages
+/// can end in time. Returns the other region where its stages run; `None` for this daemon's own region.
+///
+/// # Errors
+///
+/// Returns the problem with which the request is refused.
 pub(crate) fn check_admission<D: Dialect>(
     gateway: &Gateway<D>,
     call: &ForwardedCall,
@@ -68,8 +72,7 @@
     }
 }
 
-/// Refuses a request at once while its service, or that of a stage that it needs, has no endpoint that may
-/// get work.
+/// Refuses a request if its service, or that of a stage with pieces, has no endpoint that may get work.
 fn check_endpoints<D: Dialect>(gateway: &Gateway<D>, call: &ForwardedCall) -> Result<(), Problem> {
     gateway.end_rests();
     let now = gateway.now();
@@ -85,8 +88,8 @@
     Ok(())
 }
 
-/// Refuses a request at once whose stages would run for nothing: only endpoints are left that name a rate, and no permit
-/// is to be expected within its objective.
+/// Refuses a request whose stages would run in vain: all endpoints of its service lack a permit for their rate limit,
+/// and none is expected within the objective of the request.
 fn check_permits<D: Dialect>(gateway: &Gateway<D>, call: &ForwardedCall) -> Result<(), Problem> {
     let now = gateway.now();
     let state = gateway.state.borrow();
@@ -104,7 +107,7 @@
     }
 }
 
-/// Runs the stages before the request, if there are any, in another region or in this daemon's own.
+/// Runs the stages of a request, if it has any, in another region or, if `region` is absent, in this daemon's own.
 pub(crate) async fn run_stages<D: Dialect>(
     gateway: &Rc<Gateway<D>>,
     call: &ForwardedCall,
@@ -114,7 +117,8 @@
         return Ok(None);
     }
     let request = stages_in(gateway, call, region);
-    // Without an endpoint, the stages have no home; the request is refused later if there still is none.
+    // If no endpoint may get the request now, the stages have no preferred data centre. The request is refused later if
+    // that is still so.
     let probable = choose_endpoint_in(gateway, call, &request.places, &[], None).ok();
     let request = request.served_in(probable.map(|choice| choice.entry.data_centre.clone()));
     match chain::run(gateway, &request).await {
--- a/lib/src/gateway/routing/stream_resume.rs
+++ b/lib/src/gateway/routing/stream_resume.rs
@@ -1,7 +1,6 @@
-//! Resumes a broken stream: finds an endpoint that continues it after the caller's last event.
+//! Resumes a broken stream: finds an endpoint that continues it after the last event that the caller has.
 //!
-//! It owns what a streamed request needs for another attempt. `rules::resume` decides how often a
-//! stream is resumed, and `rules::reply_proof` which reply continues it.
+//! `rules::resume` decides how often a stream is resumed, and `rules::reply_proof` which reply continues it.
 
 use {
     crate::{
@@ -39,30 +38,30 @@
     tokio::sync::mpsc,
 };
 
-/// The caller's side of a stream; closed when the caller has left.
+/// Sends the parts of a stream to the caller; closed when the caller has left.
 type Sink = mpsc::Sender<StreamPart>;
 
-/// A request whose reply is a stream.
+/// A request whose reply is a stream, with what another attempt needs.
 pub(crate) struct StreamedRequest<D: Dialect> {
     pub(crate) gateway: Rc<Gateway<D>>,
     pub(crate) call: Rc<ForwardedCall>,
-    /// Endpoints that were chosen for it so far.
+    /// Endpoints that were chosen for the request so far.
     pub(crate) tried: Vec<EndpointId>,
-    /// Attempts that were sent so far.
+    /// Number of attempts that were sent so far.
     pub(crate) sent: u32,
-    /// Other region where its stages run; nothing for this daemon's own.
+    /// Other region where the stages of the request run; absent for this daemon's own region.
     pub(crate) region: Option<RegionHash>,
-    /// Results of its stages, until an endpoint has taken them.
+    /// Results of the stages, until an endpoint has fetched them; absent if the request has no stages.
     pub(crate) results: Option<Results<D>>,
-    /// Counts the request in flight until its stream ends.
+    /// Counts the request as in flight until its stream ends.
     pub(crate) _in_flight: RequestGuard<D>,
 }
 
 /// The result of resuming a stream.
 pub(crate) enum ResumeEnd<D: Dialect> {
-    /// Another endpoint continues it.
+    /// Another endpoint continues the stream.
     Resumed(StreamSource<D>),
-    /// No endpoint does, or none may be asked.
+    /// No endpoint continues the stream, or no further attempt is allowed.
     Failed,
     /// The caller has left meanwhile.
     CallerLeft,
@@ -76,7 +75,7 @@
     CallerLeft,
 }
 
-/// Why an endpoint doesn't continue a stream.
+/// Reason why an endpoint doesn't continue a stream.
 enum SourceError {
     Failed,
     TimeOver,
@@ -87,13 +86,13 @@
 enum Exchange {
     Replied(Response<Incoming>, ConnectionGuard),
     Failed,
-    /// The request's time was over before the reply.
+    /// The deadline of the request passed before the reply.
     TimeOver,
     CallerLeft,
 }
 
-/// Resumes a stream at another endpoint, if that is allowed and one is found. `last_event` is the
-/// last whole event that the caller has, `why` the reason for which the source before broke off.
+/// Resumes a stream at another endpoint, if that is allowed and one is found. `last_event` is the last whole event that
+/// the caller has, `why` the reason for which the previous source broke off.
 pub(crate) async fn resume<D: Dialect>(
     request: &mut StreamedRequest<D>,
     sink: &Sink,
@@ -104,9 +103,9 @@
         return ResumeEnd::Failed;
     }
     if request.results.is_none() {
-        // The results went when the first endpoint had taken them, so the stages run again, for as long as
-        // the caller waits: they may take seconds. If they fail, `stage.ended` says why, and the stream
-        // breaks off for its own reason.
+        // The results were released once the first endpoint had fetched them, so the stages run again. They may take
+        // seconds, so they end if the caller leaves. If they fail, `stage.ended` has the cause, and
+        // `request.broken_off` the reason for which the stream broke.
         let results = tokio::select! {
             results = run_stages(&request.gateway, &request.call, request.region) => results,
             () = sink.closed() => return ResumeEnd::CallerLeft,
@@ -175,7 +174,7 @@
         }
     }
 
-    /// Sends a request that resumes the stream; returns the new source if the endpoint continues it.
+    /// Sends a request that resumes the stream; returns the new source if the endpoint continues the stream.
     async fn open_source(
         &mut self,
         choice: EndpointChoice,
@@ -186,7 +185,7 @@
         let address = guard.choice.entry.address;
         let connection = match egress::connect(address, CONNECT_LIMIT).await {
             Ok(connection) => connection,
-            // The event `endpoint.set_aside` shows that the endpoint could not be reached.
+            // The error isn't logged here: the event `endpoint.set_aside` shows that the endpoint couldn't be reached.
             Err(error) => {
                 self.gateway
                     .metrics
@@ -207,7 +206,7 @@
                 self.gateway.check_endpoint(&self.call, &entry).await;
                 return Err(SourceError::Failed);
             }
-            // The guard's drop says nothing about the endpoint.
+            // Dropping the guard leaves the health of the endpoint unchanged.
             Exchange::TimeOver => return Err(SourceError::TimeOver),
             Exchange::CallerLeft => return Err(SourceError::CallerLeft),
         };
@@ -224,8 +223,11 @@
         })
     }
 
-    /// Records what the head of a reply says, and returns whether it continues the stream, else the outcome for its
-    /// endpoint.
+    /// Records what the head of a reply reports, and checks that the reply continues the stream.
+    ///
+    /// # Errors
+    ///
+    /// Returns the outcome for the endpoint if it doesn't.
     fn judge(
         &self,
         endpoint: &EndpointEntry,
@@ -239,8 +241,7 @@
         classify_resumed_head(self.call.id(), kind, head.status, &facts)
     }
 
-    /// Sends a request and waits for the head of its reply, as long as the caller and the deadline
-    /// allow.
+    /// Sends a request and waits for the head of its reply, until the caller leaves or the deadline passes.
     async fn exchange(
         &self,
         connection: FreshConnection,
@@ -254,7 +255,7 @@
         };
         match sent {
             Some(Ok((response, connection))) => Exchange::Replied(response, connection),
-            // It counts as a failure of the endpoint; the stream is resumed elsewhere or ends with
+            // This counts as a failure of the endpoint. The stream is resumed elsewhere or ends with
             // `request.broken_off`.
             Some(Err(_)) => Exchange::Failed,
             None => Exchange::TimeOver,
@@ -262,7 +263,7 @@
     }
 }
 
-/// Returns what a connection that didn't come up says of the endpoint.
+/// Returns the outcome for an endpoint to which no connection could be established.
 fn unconnected_outcome(error: &SendError) -> EndpointOutcome {
     if error.is_refused() {
         EndpointOutcome::Ended
