--- a/lib/src/gateway/directory/apply.rs
+++ b/lib/src/gateway/directory/apply.rs
@@ -157,7 +157,7 @@
         if self.state.borrow_mut().endpoints.reopen_replaced(now) {
             self.invalidate_stage_queues();
         }
-        self.end_rests();
+        self.end_cooldowns();
     }
 
     /// Adds endpoints that had departed and whose entries have lasted since the directory came back from an older copy.
--- a/lib/src/gateway/peers/quarantine_news.rs
+++ b/lib/src/gateway/peers/quarantine_news.rs
@@ -40,7 +40,7 @@
 ) {
     loop {
         let now = gateway.now();
-        if gateway.state.borrow().quarantine.has_news(now) {
+        if gateway.state.borrow().quarantine.has_reports(now) {
             // Either end means the same: it is time to tell.
             let news = gateway.quarantine_reports.notified();
             let _ = tokio::time::timeout(HEARTBEAT.to_duration(), news).await;
@@ -65,8 +65,8 @@
 /// Gathers what others are told now: the keepers of each request what this daemon saw, and some daemons which
 /// requests are refused.
 pub fn gather(now: Time, peers: &mut Peers, quarantine: &mut Quarantine) -> Vec<OutgoingNotes> {
-    let mut outgoing = for_keepers(quarantine.take_own_news(now), peers);
-    let notes = quarantine.common_news(now);
+    let mut outgoing = for_keepers(quarantine.take_local_reports(now), peers);
+    let notes = quarantine.common_reports(now);
     if !notes.is_empty() {
         let targets = peers.draw_any();
         outgoing.push(OutgoingNotes { notes, targets });
@@ -117,11 +117,11 @@
     pub(crate) fn merge_quarantine(&self, notes: &[EvidenceNote], from: SocketAddr) {
         let now = self.now();
         let mut state = self.state.borrow_mut();
-        let had_news = state.quarantine.has_news(now);
+        let had_news = state.quarantine.has_reports(now);
         let changes = state.quarantine.merge(now, notes);
-        let has_news = state.quarantine.has_news(now);
+        let has_reports = state.quarantine.has_reports(now);
         drop(state);
-        if has_news && !had_news {
+        if has_reports && !had_news {
             // Also where nothing changes here: what was served here isn't refused, and others are to know.
             self.quarantine_reports.notify_one();
         }
@@ -157,7 +157,7 @@
         match change {
             QuarantineChange::Began { digest, ended } => {
                 let state = self.state.borrow();
-                let names = ended.iter().map(|life| state.life_name(*life));
+                let names = ended.iter().map(|life| state.incarnation_name(*life));
                 let names: Vec<String> = names.collect();
                 log::warn!(digest:%, endpoints = names.join(","), source:%; "quarantine.began");
             }
--- a/lib/src/gateway/peers/rate_news.rs
+++ b/lib/src/gateway/peers/rate_news.rs
@@ -18,7 +18,7 @@
                 note::{PermitNote, RateNote},
                 store::{EndpointRates, PermitAnswer, RateMessages},
             },
-            routing::named_rates::RateSource,
+            routing::advertised_rates::RateSource,
             rules::{coordinator::Coordinator, gossip::HEARTBEAT},
             state::{Gateway, GatewayState},
         },
@@ -83,7 +83,7 @@
         if let Some(report) = messages.report {
             self.add_note(address, report);
         }
-        let Some(note) = messages.telling else {
+        let Some(note) = messages.announcement else {
             return;
         };
         let mut told: Vec<SocketAddr> = match coordinator {
--- a/lib/src/gateway/quarantine/evidence.rs
+++ b/lib/src/gateway/quarantine/evidence.rs
@@ -13,11 +13,11 @@
 /// Largest difference between two reports of the same successful end. Each hop between daemons makes the end appear a
 /// little later, so daemons would renew it forever if that counted as a new one. It is well above the time of a
 /// datagram.
-const SAME_END: Millis = Millis(1_000);
+const SAME_SERVED: Millis = Millis(1_000);
 
 /// An endpoint that terminated while it ran the request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct EndedRun {
+pub struct TerminatedRun {
     /// Incarnation that terminated.
     pub endpoint: IncarnationHash,
     /// When the endpoint terminated, or when that was noticed.
@@ -28,26 +28,26 @@
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Evidence {
     /// The last endpoints that terminated under the request, at most [`ENDED_LIMIT`], the earliest first.
-    ended: Vec<EndedRun>,
+    ended: Vec<TerminatedRun>,
     /// When the request was last served; absent if that isn't known.
     served: Option<Time>,
 }
 
 impl Evidence {
     /// Builds evidence from terminated endpoints and the time at which the request was last served.
-    pub fn new(ended: impl IntoIterator<Item = EndedRun>, served: Option<Time>) -> Self {
+    pub fn new(ended: impl IntoIterator<Item = TerminatedRun>, served: Option<Time>) -> Self {
         let mut evidence = Self {
             ended: Vec::new(),
             served,
         };
         for run in ended {
-            evidence.add(run);
+            evidence.record_terminated(run);
         }
         evidence
     }
 
     /// Returns the last endpoints that terminated under the request, the earliest first.
-    pub fn ended(&self) -> &[EndedRun] {
+    pub fn ended(&self) -> &[TerminatedRun] {
         &self.ended
     }
 
@@ -58,18 +58,18 @@
 
     /// Returns whether the request is quarantined.
     pub fn is_quarantined(&self, now: Time) -> bool {
-        is_quarantined(self.against(now).count())
+        is_quarantined(self.counted(now).count())
     }
 
     /// Returns whether no terminated endpoint counts against the request.
-    pub fn is_spent(&self, now: Time) -> bool {
-        self.against(now).next().is_none()
+    pub fn is_without_effect(&self, now: Time) -> bool {
+        self.counted(now).next().is_none()
     }
 
     /// Returns the time until the first terminated endpoint that counts against the request stops to count; 0 if there
     /// is none.
-    pub fn left(&self, now: Time) -> Millis {
-        let first = self.against(now).next();
+    pub fn time_left(&self, now: Time) -> Millis {
+        let first = self.counted(now).next();
         let left = first.map(|run| counts_until(run.at).since(now));
         Millis(left.unwrap_or_default().as_millis() as u64)
     }
@@ -77,22 +77,22 @@
     /// Merges the evidence of another daemon.
     pub fn merge(&mut self, other: &Self) {
         for run in &other.ended {
-            self.add(*run);
+            self.record_terminated(*run);
         }
         if let Some(served) = other.served {
-            self.serve(served);
+            self.record_served(served);
         }
     }
 
     /// Records that the request was served.
-    pub fn serve(&mut self, at: Time) {
-        if self.served.is_none_or(|known| at > known + SAME_END) {
+    pub fn record_served(&mut self, at: Time) {
+        if self.served.is_none_or(|known| at > known + SAME_SERVED) {
             self.served = Some(at);
         }
     }
 
     /// Records an endpoint that terminated. Of two reports of the same incarnation, the earlier time counts.
-    pub fn add(&mut self, run: EndedRun) {
+    pub fn record_terminated(&mut self, run: TerminatedRun) {
         let known = self
             .ended
             .iter_mut()
@@ -106,7 +106,7 @@
         self.ended.drain(..surplus);
     }
 
-    fn against(&self, now: Time) -> impl Iterator<Item = &EndedRun> {
+    fn counted(&self, now: Time) -> impl Iterator<Item = &TerminatedRun> {
         let served = self.served;
         let ended = self.ended.iter();
         ended.filter(move |run| counts_against(now, run.at, served))
--- a/lib/src/gateway/quarantine/note.rs
+++ b/lib/src/gateway/quarantine/note.rs
@@ -7,7 +7,7 @@
     crate::{
         gateway::{
             hashes::IncarnationHash,
-            quarantine::evidence::{EndedRun, Evidence},
+            quarantine::evidence::{Evidence, TerminatedRun},
             request_digest::RequestDigest,
         },
         shared::units::{Millis, Time},
@@ -84,7 +84,7 @@
 
     /// Returns the evidence in an entry that is received now.
     pub fn evidence(&self, now: Time) -> Evidence {
-        let ended = self.ended.iter().map(|note| EndedRun {
+        let ended = self.ended.iter().map(|note| TerminatedRun {
             endpoint: note.endpoint,
             at: time(now, note.age_ms),
         });
--- a/lib/src/gateway/quarantine/served.rs
+++ b/lib/src/gateway/quarantine/served.rs
@@ -1,7 +1,7 @@
 //! The requests that this daemon served lately, so that none of them is refused because of other requests that
 //! terminate endpoints.
 //!
-//! The last [`SERVED`] successful ends are kept, with their times.
+//! The last [`SERVED_LIMIT`] successful ends are kept, with their times.
 
 use {
     crate::{gateway::request_digest::RequestDigest, shared::units::Time},
@@ -10,7 +10,7 @@
 };
 
 /// Number of successful ends that a daemon keeps: a quarter of a megabyte, and some minutes at 20 requests per second.
-const SERVED: usize = 4_096;
+const SERVED_LIMIT: usize = 4_096;
 
 /// The requests that this daemon served lately.
 #[derive(Debug, Default)]
@@ -24,8 +24,8 @@
     pub(crate) fn record(&mut self, now: Time, digest: RequestDigest) {
         self.last.insert(digest, now);
         self.order.push_back((digest, now));
-        while self.order.len() > SERVED {
-            self.forget_first();
+        while self.order.len() > SERVED_LIMIT {
+            self.drop_oldest();
         }
     }
 
@@ -34,7 +34,7 @@
         self.last.get(digest).copied()
     }
 
-    fn forget_first(&mut self) {
+    fn drop_oldest(&mut self) {
         if let Some((digest, at)) = self.order.pop_front()
             && self.last.get(&digest) == Some(&at)
         {
--- a/lib/src/gateway/quarantine/store.rs
+++ b/lib/src/gateway/quarantine/store.rs
@@ -10,7 +10,7 @@
         gateway::{
             hashes::IncarnationHash,
             quarantine::{
-                evidence::{EndedRun, Evidence},
+                evidence::{Evidence, TerminatedRun},
                 note::EvidenceNote,
                 served::ServedRequests,
             },
@@ -25,17 +25,17 @@
 
 /// Largest number of requests of which evidence is kept. An endpoint that terminates adds a record for each request
 /// that ran there, some tens.
-const RECORDS: usize = 2_048;
+const RECORD_LIMIT: usize = 2_048;
 
 /// Largest number of requests whose quarantine is announced to all daemons, the latest ones: four datagrams of 1.2 KB.
-const IN_FORCE: usize = 64;
+const ANNOUNCED_LIMIT: usize = 64;
 
 /// Time for which it is announced to all daemons that a quarantine ended because the request was served: some rounds of
 /// gossip among hundreds of daemons.
-const CLEARED_TOLD: Millis = Millis(10_000);
+const CLEARED_ANNOUNCED: Millis = Millis(10_000);
 
 /// Converts a time of the daemon's clock to one of the store, which is later by [`MEMORY`].
-fn on_own_clock(time: Time) -> Time {
+fn to_store_time(time: Time) -> Time {
     time + EVIDENCE_LIFETIME
 }
 
@@ -57,7 +57,7 @@
 struct Record {
     evidence: Evidence,
     /// Number of times that this daemon's evidence is still to be sent to the evidence holders.
-    tellings: u32,
+    sends_left: u32,
     /// Whether the request is quarantined, as of the last update.
     quarantined: bool,
     /// When the quarantine last ended, or when another daemon reported one of a request that was served here; absent
@@ -72,9 +72,9 @@
         last.map_or(Time::default(), |run| run.at)
     }
 
-    fn is_cleared_news(&self, now: Time) -> bool {
+    fn is_recently_cleared(&self, now: Time) -> bool {
         self.cleared
-            .is_some_and(|cleared| now < cleared + CLEARED_TOLD)
+            .is_some_and(|cleared| now < cleared + CLEARED_ANNOUNCED)
     }
 
     /// Updates whether the request is quarantined; returns the change, if any.
@@ -103,15 +103,17 @@
 
 impl Quarantine {
     /// Returns the time for which a request is still quarantined; `None` if it isn't.
-    pub fn left(&self, now: Time, digest: &RequestDigest) -> Option<Millis> {
-        let now = on_own_clock(now);
+    pub fn time_left(&self, now: Time, digest: &RequestDigest) -> Option<Millis> {
+        let now = to_store_time(now);
         let evidence = &self.records.get(digest)?.evidence;
-        evidence.is_quarantined(now).then(|| evidence.left(now))
+        evidence
+            .is_quarantined(now)
+            .then(|| evidence.time_left(now))
     }
 
     /// Returns the quarantined requests.
     pub fn digests(&self, now: Time) -> impl Iterator<Item = RequestDigest> {
-        let now = on_own_clock(now);
+        let now = to_store_time(now);
         let refused = self
             .records
             .iter()
@@ -120,38 +122,38 @@
     }
 
     /// Records that an endpoint terminated while it ran a request of this daemon.
-    pub fn endpoint_ended(
+    pub fn endpoint_terminated(
         &mut self,
         now: Time,
         digest: RequestDigest,
         endpoint: IncarnationHash,
     ) -> Option<QuarantineChange> {
-        let now = on_own_clock(now);
-        let run = EndedRun { endpoint, at: now };
-        let own = Evidence::new([run], self.served.last(&digest));
-        if own.is_spent(now) {
+        let now = to_store_time(now);
+        let run = TerminatedRun { endpoint, at: now };
+        let local = Evidence::new([run], self.served.last(&digest));
+        if local.is_without_effect(now) {
             // The request was served a moment ago, so it isn't the cause.
             return None;
         }
-        let change = self.merge_evidence(now, digest, &own);
+        let change = self.merge_evidence(now, digest, &local);
         if let Some(record) = self.records.get_mut(&digest) {
-            record.tellings = EVIDENCE_REPORTS;
+            record.sends_left = EVIDENCE_REPORTS;
         }
         change
     }
 
     /// Records that a request of this daemon was served.
     pub fn request_served(&mut self, now: Time, digest: RequestDigest) -> Option<QuarantineChange> {
-        let now = on_own_clock(now);
+        let now = to_store_time(now);
         self.served.record(now, digest);
         let record = self.records.get_mut(&digest)?;
-        record.evidence.serve(now);
+        record.evidence.record_served(now);
         record.update(now, digest)
     }
 
     /// Merges the evidence of another daemon; returns the changes.
     pub fn merge(&mut self, now: Time, notes: &[EvidenceNote]) -> Vec<QuarantineChange> {
-        let now = on_own_clock(now);
+        let now = to_store_time(now);
         let merged = notes
             .iter()
             .filter_map(|note| self.merge_evidence(now, note.digest, &note.evidence(now)));
@@ -168,47 +170,48 @@
         let record = self.records.entry(digest).or_default();
         record.evidence.merge(other);
         if let Some(served) = served {
-            record.evidence.serve(served);
+            record.evidence.record_served(served);
         }
         let change = record.update(now, digest);
         if other.is_quarantined(now) && !record.quarantined {
             // Another daemon quarantines a request that was served here.
             record.cleared = Some(now);
         }
-        self.bound();
+        self.enforce_limit();
         change
     }
 
     /// Drops evidence that has no effect any more; returns the changes due to that.
     pub fn expire(&mut self, now: Time) -> Vec<QuarantineChange> {
-        let now = on_own_clock(now);
+        let now = to_store_time(now);
         let changes = self
             .records
             .iter_mut()
             .filter_map(|(digest, record)| record.update(now, *digest))
             .collect();
-        self.records
-            .retain(|_, record| !record.evidence.is_spent(now) || record.is_cleared_news(now));
+        self.records.retain(|_, record| {
+            !record.evidence.is_without_effect(now) || record.is_recently_cleared(now)
+        });
         changes
     }
 
     /// Returns whether there is evidence to be sent to others.
-    pub fn has_news(&self, now: Time) -> bool {
-        let now = on_own_clock(now);
-        self.records
-            .values()
-            .any(|record| record.tellings > 0 || record.quarantined || record.is_cleared_news(now))
+    pub fn has_reports(&self, now: Time) -> bool {
+        let now = to_store_time(now);
+        self.records.values().any(|record| {
+            record.sends_left > 0 || record.quarantined || record.is_recently_cleared(now)
+        })
     }
 
     /// Returns the evidence of this daemon that is sent to the evidence holders of each request now.
-    pub fn take_own_news(&mut self, now: Time) -> Vec<EvidenceNote> {
-        let now = on_own_clock(now);
-        let untold = self
+    pub fn take_local_reports(&mut self, now: Time) -> Vec<EvidenceNote> {
+        let now = to_store_time(now);
+        let unsent = self
             .records
             .iter_mut()
-            .filter(|(_, record)| record.tellings > 0);
-        let notes = untold.map(|(digest, record)| {
-            record.tellings -= 1;
+            .filter(|(_, record)| record.sends_left > 0);
+        let notes = unsent.map(|(digest, record)| {
+            record.sends_left -= 1;
             EvidenceNote::new(now, *digest, &record.evidence)
         });
         notes.collect()
@@ -216,23 +219,23 @@
 
     /// Returns the evidence that is sent to all daemons: the requests that are quarantined, and those that no longer
     /// are.
-    pub fn common_news(&self, now: Time) -> Vec<EvidenceNote> {
-        let now = on_own_clock(now);
-        let told = self
+    pub fn common_reports(&self, now: Time) -> Vec<EvidenceNote> {
+        let now = to_store_time(now);
+        let reported = self
             .records
             .iter()
-            .filter(|(_, record)| record.quarantined || record.is_cleared_news(now));
-        let mut told: Vec<(&RequestDigest, &Record)> = told.collect();
-        told.sort_unstable_by_key(|(digest, record)| (Reverse(record.last_ended()), **digest));
-        let notes = told.into_iter().take(IN_FORCE);
+            .filter(|(_, record)| record.quarantined || record.is_recently_cleared(now));
+        let mut reported: Vec<(&RequestDigest, &Record)> = reported.collect();
+        reported.sort_unstable_by_key(|(digest, record)| (Reverse(record.last_ended()), **digest));
+        let notes = reported.into_iter().take(ANNOUNCED_LIMIT);
         notes
             .map(|(digest, record)| EvidenceNote::new(now, *digest, &record.evidence))
             .collect()
     }
 
     /// Drops a record if there are too many: the oldest, those that aren't quarantined first.
-    fn bound(&mut self) {
-        if self.records.len() <= RECORDS {
+    fn enforce_limit(&mut self) {
+        if self.records.len() <= RECORD_LIMIT {
             return;
         }
         let first = self
--- a/lib/src/gateway/rates/note.rs
+++ b/lib/src/gateway/rates/note.rs
@@ -15,10 +15,10 @@
 };
 
 /// Wire units in one request per second: rates are sent in thousandths.
-const MILLI: f64 = 1e3;
+const RATE_WIRE_SCALE: f64 = 1e3;
 
 /// Wire units in one token, which stands for one request: tokens are sent in millionths.
-const MICRO: f64 = 1e6;
+const TOKEN_WIRE_SCALE: f64 = 1e6;
 
 /// What a daemon knows of an endpoint's rate limit, and its share and claim if it sends them to the coordinator.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
@@ -67,7 +67,8 @@
 impl RateNote {
     /// Returns the rate limit that the endpoint advertises, if any.
     pub fn rate(&self) -> Option<Rate> {
-        self.rate_milli.map(|milli| Rate(f64::from(milli) / MILLI))
+        self.rate_milli
+            .map(|milli| Rate(f64::from(milli) / RATE_WIRE_SCALE))
     }
 
     /// Returns the age of the reply with this limit, or without any.
@@ -77,7 +78,7 @@
 
     /// Returns the tokens that the sender hands to the coordinator.
     pub fn share(&self) -> Tokens {
-        Tokens(f64::from(self.share_micro) / MICRO)
+        Tokens(f64::from(self.share_micro) / TOKEN_WIRE_SCALE)
     }
 
     /// Returns whether the entry is a report to the coordinator, with tokens or a claim, rather than only an
@@ -89,17 +90,17 @@
 
 /// Converts a rate to its wire unit, rounded down.
 pub(crate) fn rate_to_wire(rate: Rate) -> u32 {
-    (rate.0 * MILLI) as u32
+    (rate.0 * RATE_WIRE_SCALE) as u32
 }
 
 /// Returns a rate with the precision of the wire, so that a report of the same rate by another daemon is no change.
-pub(crate) fn as_told(rate: Rate) -> Rate {
-    Rate(f64::from(rate_to_wire(rate)) / MILLI)
+pub(crate) fn at_wire_precision(rate: Rate) -> Rate {
+    Rate(f64::from(rate_to_wire(rate)) / RATE_WIRE_SCALE)
 }
 
 /// Converts tokens to their wire unit, rounded down.
 pub(crate) fn tokens_to_wire(tokens: Tokens) -> u32 {
-    (tokens.0 * MICRO) as u32
+    (tokens.0 * TOKEN_WIRE_SCALE) as u32
 }
 
 /// A coordinator's answer to a claim.
--- a/lib/src/gateway/rates/permit_queue.rs
+++ b/lib/src/gateway/rates/permit_queue.rs
@@ -47,11 +47,11 @@
         let Some(urgencies) = waiting.get_mut(&self.service) else {
             return;
         };
-        if let Some(place) = urgencies
+        if let Some(position) = urgencies
             .iter()
             .position(|urgency| *urgency == self.urgency)
         {
-            urgencies.swap_remove(place);
+            urgencies.swap_remove(position);
         }
         if urgencies.is_empty() {
             waiting.remove(&self.service);
--- a/lib/src/gateway/rates/record.rs
+++ b/lib/src/gateway/rates/record.rs
@@ -21,16 +21,16 @@
 };
 
 /// Time between two reports of a daemon's share to the coordinator while the daemon has no claim to send.
-const REPORT_PAUSE: Millis = Millis(500);
+const REPORT_INTERVAL: Millis = Millis(500);
 
 /// Number of times that a change is announced to others, at intervals of a heartbeat.
-const RATE_TELLINGS: u32 = 3;
+const ANNOUNCEMENTS: u32 = 3;
 
 /// Time between two later announcements, which are for daemons that have just started.
-const RETELL: Millis = Millis(1_000);
+const ANNOUNCE_INTERVAL: Millis = Millis(1_000);
 
 /// Time for which the end of a limit is announced.
-const END_TOLD: Millis = Millis(10_000);
+const END_ANNOUNCED: Millis = Millis(10_000);
 
 /// A change of an endpoint's rate limit.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -45,7 +45,7 @@
 
 /// The rate limit, or its absence, in an endpoint's reply.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub(super) struct RateNews {
+pub(super) struct RateUpdate {
     /// Rate limit that the endpoint advertises, if any.
     pub(super) rate: Option<Rate>,
     pub(super) at: Time,
@@ -53,64 +53,64 @@
 
 /// This daemon's need of a permit, until it gets one.
 #[derive(Debug, Clone, Copy)]
-struct Want {
+struct PendingClaim {
     claim: Claim,
     at: Time,
     /// When the claim was last sent to the coordinator; absent if it has to be sent at once.
-    claimed: Option<Time>,
+    sent: Option<Time>,
 }
 
-impl Want {
+impl PendingClaim {
     fn is_recent(&self, now: Time) -> bool {
         now.since(self.at) < CLAIM_LIFETIME.to_duration()
     }
 
     fn is_due(&self, now: Time) -> bool {
-        let is_due = |claimed| now.since(claimed) >= CLAIM_RENEWAL_INTERVAL.to_duration();
-        self.is_recent(now) && self.claimed.is_none_or(is_due)
+        let is_due = |sent| now.since(sent) >= CLAIM_RENEWAL_INTERVAL.to_duration();
+        self.is_recent(now) && self.sent.is_none_or(is_due)
     }
 }
 
 #[derive(Debug)]
 pub(super) struct RateRecord {
     pub(super) service: ServiceId,
-    news: RateNews,
+    latest: RateUpdate,
     /// When this daemon learned that the endpoint advertises a limit.
     since: Time,
     /// Whether an advertised limit that can't be read has been logged.
-    pub(super) reported: bool,
-    tellings: u32,
-    told: Option<Time>,
+    pub(super) unclear_logged: bool,
+    announcements: u32,
+    announced: Option<Time>,
     share: RateShare,
-    handed: Option<Time>,
-    want: Option<Want>,
+    reported: Option<Time>,
+    pending: Option<PendingClaim>,
     permits: Vec<Permit>,
     /// When the first permit is expected, as reported by the coordinator; absent before its answer.
-    expected: Option<Time>,
+    permit_expected: Option<Time>,
     pub(super) pool: PermitPool,
 }
 
 impl RateRecord {
-    pub(super) fn new(now: Time, service: ServiceId, news: RateNews) -> Self {
+    pub(super) fn new(now: Time, service: ServiceId, latest: RateUpdate) -> Self {
         Self {
             service,
-            news,
+            latest,
             since: now,
-            reported: false,
-            tellings: RATE_TELLINGS,
-            told: None,
+            unclear_logged: false,
+            announcements: ANNOUNCEMENTS,
+            announced: None,
             share: RateShare::new(now),
-            handed: None,
-            want: None,
+            reported: None,
+            pending: None,
             permits: Vec::new(),
-            expected: None,
+            permit_expected: None,
             pool: PermitPool::default(),
         }
     }
 
     /// Returns the rate limit that the endpoint advertises, if any.
     pub(super) fn rate(&self) -> Option<Rate> {
-        self.news.rate
+        self.latest.rate
     }
 
     /// Returns whether a reply without a limit to a request that was sent at `sent` shows that the limit has ended.
@@ -120,23 +120,23 @@
     }
 
     /// Updates the advertised limit, unless the known one is newer.
-    pub(super) fn update(&mut self, now: Time, news: RateNews) -> Option<RateChange> {
-        let known = self.news;
-        let counts = match (known.rate, news.rate) {
-            (Some(_), None) => may_end_limit(known.at, news.at),
-            _ => news.at > known.at,
+    pub(super) fn update(&mut self, now: Time, update: RateUpdate) -> Option<RateChange> {
+        let known = self.latest;
+        let counts = match (known.rate, update.rate) {
+            (Some(_), None) => may_end_limit(known.at, update.at),
+            _ => update.at > known.at,
         };
         if !counts {
             return None;
         }
-        self.news = news;
-        let change = match (known.rate, news.rate) {
+        self.latest = update;
+        let change = match (known.rate, update.rate) {
             (None, Some(rate)) => RateChange::Began(rate),
             (Some(_), None) => RateChange::Ended,
             (Some(old), Some(rate)) if old != rate => RateChange::Changed(rate),
             _ => return None,
         };
-        self.tellings = RATE_TELLINGS;
+        self.announcements = ANNOUNCEMENTS;
         if !matches!(change, RateChange::Changed(_)) {
             self.begin(now);
         }
@@ -147,36 +147,36 @@
     fn begin(&mut self, now: Time) {
         self.since = now;
         self.share = RateShare::new(now);
-        self.want = None;
+        self.pending = None;
         self.permits.clear();
-        self.expected = None;
+        self.permit_expected = None;
         self.pool = PermitPool::default();
     }
 
     /// Returns whether a request of that urgency may be sent to the endpoint.
     pub(super) fn may_send(&self, now: Time, urgency: u32) -> bool {
         let serves = |permit: &Permit| permit.serves(now, urgency);
-        self.news.rate.is_none() || self.permits.iter().any(serves)
+        self.latest.rate.is_none() || self.permits.iter().any(serves)
     }
 
     /// Returns the state of the rate limit for an endpoint that may get a request.
     pub(super) fn limit(&self, now: Time) -> RateLimitState {
-        match self.news.rate {
+        match self.latest.rate {
             None => RateLimitState::None,
-            Some(_) if is_probe_due(now, self.news.at) => RateLimitState::ProbeDue,
+            Some(_) if is_probe_due(now, self.latest.at) => RateLimitState::ProbeDue,
             Some(_) => RateLimitState::Permitted,
         }
     }
 
     /// Returns the number of valid permits; `None` if the endpoint has no limit.
     pub(super) fn permits(&self, now: Time) -> Option<usize> {
-        self.news.rate?;
+        self.latest.rate?;
         let valid = self.permits.iter().filter(|permit| permit.is_valid(now));
         Some(valid.count())
     }
 
     /// Uses up the first permit that serves a request of that urgency, and drops expired ones.
-    pub(super) fn sent(&mut self, now: Time, urgency: u32) {
+    pub(super) fn use_permit(&mut self, now: Time, urgency: u32) {
         self.permits.retain(|permit| permit.is_valid(now));
         let mut permits = self.permits.iter();
         if let Some(used) = permits.position(|permit| permit.serves(now, urgency)) {
@@ -186,26 +186,26 @@
 
     /// Records that a request wasn't sent to the endpoint for lack of a permit; returns whether the claim is to be sent
     /// to the coordinator at once.
-    pub(super) fn turned_away(&mut self, now: Time, urgency: u32) -> bool {
-        let fresh = Want {
+    pub(super) fn record_denied(&mut self, now: Time, urgency: u32) -> bool {
+        let fresh = PendingClaim {
             claim: Claim(urgency),
             at: now,
-            claimed: None,
+            sent: None,
         };
-        let known = self.want.filter(|want| want.is_recent(now));
-        let want = known.map_or(fresh, |want| Want {
-            claim: want.claim.min(Claim(urgency)),
+        let known = self.pending.filter(|pending| pending.is_recent(now));
+        let pending = known.map_or(fresh, |pending| PendingClaim {
+            claim: pending.claim.min(Claim(urgency)),
             at: now,
-            claimed: want.claimed.filter(|_| want.claim <= Claim(urgency)),
+            sent: pending.sent.filter(|_| pending.claim <= Claim(urgency)),
         });
-        self.want = Some(want);
-        want.is_due(now)
+        self.pending = Some(pending);
+        pending.is_due(now)
     }
 
     /// Adds this daemon's share of the time since the last call, as one of `daemons`. Nothing is added while the number
     /// of daemons is unknown.
     pub(super) fn count_share(&mut self, now: Time, daemons: Option<usize>) {
-        match (self.news.rate, daemons) {
+        match (self.latest.rate, daemons) {
             (Some(rate), Some(daemons)) => self.share.accrue(now, rate, daemons),
             _ => self.share.skip_until(now),
         }
@@ -213,18 +213,21 @@
 
     /// Returns the report for the coordinator if one is due.
     pub(super) fn report(&mut self, now: Time, endpoint: IncarnationHash) -> Option<RateNote> {
-        self.news.rate?;
-        let claim_due = self.want.is_some_and(|want| want.is_due(now));
-        let pause_over = |handed| now.since(handed) >= REPORT_PAUSE.to_duration();
-        if !claim_due && !self.handed.is_none_or(pause_over) {
+        self.latest.rate?;
+        let claim_due = self.pending.is_some_and(|pending| pending.is_due(now));
+        let pause_over = |reported| now.since(reported) >= REPORT_INTERVAL.to_duration();
+        if !claim_due && !self.reported.is_none_or(pause_over) {
             return None;
         }
-        self.handed = Some(now);
+        self.reported = Some(now);
         let share_micro = tokens_to_wire(self.share.take());
-        let want = self.want.as_mut().filter(|want| want.is_recent(now));
-        let claim = want.map(|want| {
-            want.claimed = Some(now);
-            want.claim
+        let pending = self
+            .pending
+            .as_mut()
+            .filter(|pending| pending.is_recent(now));
+        let claim = pending.map(|pending| {
+            pending.sent = Some(now);
+            pending.claim
         });
         Some(RateNote {
             share_micro,
@@ -234,27 +237,31 @@
     }
 
     /// Returns the announcement for other daemons if one is due.
-    pub(super) fn telling(&mut self, now: Time, endpoint: IncarnationHash) -> Option<RateNote> {
-        if self.news.rate.is_none() && now.since(self.news.at) >= END_TOLD.to_duration() {
+    pub(super) fn announcement(&mut self, now: Time, endpoint: IncarnationHash) -> Option<RateNote> {
+        if self.latest.rate.is_none() && now.since(self.latest.at) >= END_ANNOUNCED.to_duration() {
             return None;
         }
-        let pause = if self.tellings > 0 { HEARTBEAT } else { RETELL };
-        let is_first = self.tellings == RATE_TELLINGS;
-        let told = |told| now.since(told) >= pause.to_duration();
-        if !is_first && !self.told.is_none_or(told) {
+        let pause = if self.announcements > 0 {
+            HEARTBEAT
+        } else {
+            ANNOUNCE_INTERVAL
+        };
+        let is_first = self.announcements == ANNOUNCEMENTS;
+        let pause_over = |announced| now.since(announced) >= pause.to_duration();
+        if !is_first && !self.announced.is_none_or(pause_over) {
             return None;
         }
-        self.tellings = self.tellings.saturating_sub(1);
-        self.told = Some(now);
+        self.announcements = self.announcements.saturating_sub(1);
+        self.announced = Some(now);
         Some(self.note(now, endpoint))
     }
 
     /// Returns the message entry for the known limit, without share and claim.
     pub(super) fn note(&self, now: Time, endpoint: IncarnationHash) -> RateNote {
-        let age = now.since(self.news.at).as_millis();
+        let age = now.since(self.latest.at).as_millis();
         RateNote {
             endpoint,
-            rate_milli: self.news.rate.map(rate_to_wire),
+            rate_milli: self.latest.rate.map(rate_to_wire),
             age_ms: u32::try_from(age).unwrap_or(u32::MAX),
             share_micro: 0,
             claim: None,
@@ -262,22 +269,22 @@
     }
 
     /// Records the coordinator's answer to a claim.
-    pub(super) fn granted(&mut self, now: Time, note: &PermitNote) {
-        let Some(rate) = self.news.rate else {
+    pub(super) fn record_granted(&mut self, now: Time, note: &PermitNote) {
+        let Some(rate) = self.latest.rate else {
             return;
         };
-        self.expected = Some(now + Millis(u64::from(note.wait_ms)));
-        let claim = self.want.map(|want| want.claim);
+        self.permit_expected = Some(now + Millis(u64::from(note.wait_ms)));
+        let claim = self.pending.map(|pending| pending.claim);
         for _ in 0..note.permits {
             let permit = Permit::new(now, rate, claim.unwrap_or(Claim(u32::MAX)));
             self.permits.push(permit);
-            self.want = None;
+            self.pending = None;
         }
     }
 
     /// Returns the expected time until a permit; `None` without a current answer of the coordinator.
     pub(super) fn wait(&self, now: Time) -> Option<Millis> {
-        let expected = self.expected.filter(|expected| *expected > now)?;
+        let expected = self.permit_expected.filter(|expected| *expected > now)?;
         Some(Millis(expected.since(now).as_millis() as u64))
     }
 }
--- a/lib/src/gateway/rates/store.rs
+++ b/lib/src/gateway/rates/store.rs
@@ -11,8 +11,8 @@
             dialect::AdvertisedRate,
             hashes::IncarnationHash,
             rates::{
-                note::{PermitNote, RateNote, as_told},
-                record::{RateNews, RateRecord},
+                note::{PermitNote, RateNote, at_wire_precision},
+                record::{RateRecord, RateUpdate},
             },
             rules::endpoint_choice::RateLimitState,
         },
@@ -27,9 +27,9 @@
 
 /// The rate limit that an endpoint advertises in a reply, if any.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct SeenRate {
+pub struct ObservedRate {
     /// Advertised limit; absent if the reply has none.
-    pub named: Option<AdvertisedRate>,
+    pub advertised: Option<AdvertisedRate>,
     /// When the request of the reply was sent.
     pub sent: Time,
 }
@@ -42,7 +42,7 @@
     /// Share and claim for the coordinator, if due.
     pub report: Option<RateNote>,
     /// Announcement of the limit for other daemons, if due.
-    pub telling: Option<RateNote>,
+    pub announcement: Option<RateNote>,
 }
 
 /// A coordinator's answer to one daemon: permits, or the time until the next one.
@@ -73,13 +73,13 @@
     }
 
     /// Returns the rate limit that an endpoint advertises, if any.
-    pub fn rate(&self, life: IncarnationHash) -> Option<Rate> {
-        self.records.get(&life)?.rate()
+    pub fn rate(&self, incarnation: IncarnationHash) -> Option<Rate> {
+        self.records.get(&incarnation)?.rate()
     }
 
     /// Returns whether an endpoint has a record.
-    pub fn knows(&self, life: IncarnationHash) -> bool {
-        self.records.contains_key(&life)
+    pub fn knows(&self, incarnation: IncarnationHash) -> bool {
+        self.records.contains_key(&incarnation)
     }
 
     /// Records the limit in a reply, or its absence. A reply without a limit ends the known one only if its request was
@@ -87,106 +87,108 @@
     pub fn observe(
         &mut self,
         now: Time,
-        life: IncarnationHash,
+        incarnation: IncarnationHash,
         service: &ServiceId,
-        seen: SeenRate,
+        observed: ObservedRate,
     ) -> Option<RateChange> {
-        let rate = seen.named.map(|named| as_told(named.rate));
+        let rate = observed
+            .advertised
+            .map(|advertised| at_wire_precision(advertised.rate));
         if rate.is_none() {
-            let record = self.records.get(&life)?;
+            let record = self.records.get(&incarnation)?;
             record.rate()?;
-            if !record.may_end_by(seen.sent) {
+            if !record.may_end_by(observed.sent) {
                 return None;
             }
         }
-        self.update(now, life, service, RateNews { rate, at: now })
+        self.update(now, incarnation, service, RateUpdate { rate, at: now })
     }
 
     /// Merges the report of another daemon.
     pub fn merge(&mut self, now: Time, service: &ServiceId, note: &RateNote) -> Option<RateChange> {
-        let news = RateNews {
+        let update = RateUpdate {
             rate: note.rate(),
             at: now - note.age(),
         };
-        self.update(now, note.endpoint, service, news)
+        self.update(now, note.endpoint, service, update)
     }
 
     fn update(
         &mut self,
         now: Time,
-        life: IncarnationHash,
+        incarnation: IncarnationHash,
         service: &ServiceId,
-        news: RateNews,
+        update: RateUpdate,
     ) -> Option<RateChange> {
-        if let Some(record) = self.records.get_mut(&life) {
-            return record.update(now, news);
+        if let Some(record) = self.records.get_mut(&incarnation) {
+            return record.update(now, update);
         }
-        let rate = news.rate?;
-        let record = RateRecord::new(now, service.clone(), news);
-        self.records.insert(life, record);
+        let rate = update.rate?;
+        let record = RateRecord::new(now, service.clone(), update);
+        self.records.insert(incarnation, record);
         Some(RateChange::Began(rate))
     }
 
     /// Returns whether this is the first limit of an endpoint that can't be read; further calls return false.
-    pub fn is_first_unclear(&mut self, life: IncarnationHash) -> bool {
-        let record = self.records.get_mut(&life);
-        record.is_some_and(|record| !std::mem::replace(&mut record.reported, true))
+    pub fn mark_unclear(&mut self, incarnation: IncarnationHash) -> bool {
+        let record = self.records.get_mut(&incarnation);
+        record.is_some_and(|record| !std::mem::replace(&mut record.unclear_logged, true))
     }
 
     /// Removes the record of an endpoint.
-    pub fn forget(&mut self, life: IncarnationHash) {
-        self.records.remove(&life);
+    pub fn forget(&mut self, incarnation: IncarnationHash) {
+        self.records.remove(&incarnation);
     }
 
     /// Returns whether a request of that urgency may be sent to an endpoint.
-    pub fn may_send(&self, now: Time, life: IncarnationHash, urgency: u32) -> bool {
-        let record = self.records.get(&life);
+    pub fn may_send(&self, now: Time, incarnation: IncarnationHash, urgency: u32) -> bool {
+        let record = self.records.get(&incarnation);
         record.is_none_or(|record| record.may_send(now, urgency))
     }
 
     /// Returns the state of the rate limit for an endpoint that may get a request.
-    pub fn limit(&self, now: Time, life: IncarnationHash) -> RateLimitState {
-        let record = self.records.get(&life);
+    pub fn limit(&self, now: Time, incarnation: IncarnationHash) -> RateLimitState {
+        let record = self.records.get(&incarnation);
         record.map_or(RateLimitState::None, |record| record.limit(now))
     }
 
     /// Returns the number of valid permits for an endpoint; `None` if it has no limit.
-    pub fn permits(&self, now: Time, life: IncarnationHash) -> Option<usize> {
-        self.records.get(&life)?.permits(now)
+    pub fn permits(&self, now: Time, incarnation: IncarnationHash) -> Option<usize> {
+        self.records.get(&incarnation)?.permits(now)
     }
 
     /// Uses up a permit for an endpoint that advertises a limit.
-    pub fn sent(&mut self, now: Time, life: IncarnationHash, urgency: u32) {
-        if let Some(record) = self.records.get_mut(&life) {
-            record.sent(now, urgency);
+    pub fn use_permit(&mut self, now: Time, incarnation: IncarnationHash, urgency: u32) {
+        if let Some(record) = self.records.get_mut(&incarnation) {
+            record.use_permit(now, urgency);
         }
     }
 
     /// Records that a request wasn't sent to an endpoint for lack of a permit; returns whether the claim is to be sent
     /// to the coordinator at once.
-    pub fn turned_away(&mut self, now: Time, life: IncarnationHash, urgency: u32) -> bool {
-        let record = self.records.get_mut(&life);
-        record.is_some_and(|record| record.turned_away(now, urgency))
+    pub fn record_denied(&mut self, now: Time, incarnation: IncarnationHash, urgency: u32) -> bool {
+        let record = self.records.get_mut(&incarnation);
+        record.is_some_and(|record| record.record_denied(now, urgency))
     }
 
     /// Returns the expected time until a permit for an endpoint; `None` if it isn't known.
-    pub fn wait(&self, now: Time, life: IncarnationHash) -> Option<Millis> {
-        self.records.get(&life)?.wait(now)
+    pub fn wait(&self, now: Time, incarnation: IncarnationHash) -> Option<Millis> {
+        self.records.get(&incarnation)?.wait(now)
     }
 
     /// Returns the messages that are due now, as one of `daemons`. No share is handed to coordinators while the number
     /// of daemons is unknown.
     pub fn messages(&mut self, now: Time, daemons: Option<usize>) -> Vec<RateMessages> {
-        let messages = self.records.iter_mut().map(|(life, record)| {
+        let messages = self.records.iter_mut().map(|(incarnation, record)| {
             record.count_share(now, daemons);
             RateMessages {
                 service: record.service.clone(),
-                report: record.report(now, *life),
-                telling: record.telling(now, *life),
+                report: record.report(now, *incarnation),
+                announcement: record.announcement(now, *incarnation),
             }
         });
         let something =
-            |messages: &RateMessages| messages.report.is_some() || messages.telling.is_some();
+            |messages: &RateMessages| messages.report.is_some() || messages.announcement.is_some();
         messages.filter(something).collect()
     }
 
@@ -198,8 +200,8 @@
         from: SocketAddr,
         note: &RateNote,
     ) -> Vec<PermitAnswer> {
-        let life = note.endpoint;
-        let Some(record) = self.records.get_mut(&life) else {
+        let incarnation = note.endpoint;
+        let Some(record) = self.records.get_mut(&incarnation) else {
             return Vec::new();
         };
         let Some(rate) = record.rate() else {
@@ -221,7 +223,7 @@
         let answers = granted.into_iter().map(|(to, permits)| PermitAnswer {
             to,
             note: PermitNote {
-                endpoint: life,
+                endpoint: incarnation,
                 permits,
                 wait_ms: pool.wait(now, rate, to).0 as u32,
             },
@@ -238,9 +240,9 @@
     }
 
     /// Records a coordinator's answer to a claim.
-    pub fn granted(&mut self, now: Time, note: &PermitNote) {
+    pub fn record_granted(&mut self, now: Time, note: &PermitNote) {
         if let Some(record) = self.records.get_mut(&note.endpoint) {
-            record.granted(now, note);
+            record.record_granted(now, note);
         }
     }
 }
--- a/lib/src/gateway/routing/accept.rs
+++ b/lib/src/gateway/routing/accept.rs
@@ -83,11 +83,11 @@
         let problem = Problem::not_run(Code::NotReady, "no table is known yet");
         return Err(problem.retry_after(TABLE_UNKNOWN));
     };
-    let Destination { route, customer } = find(&published, &head, &inbound)?;
-    let places = places(gateway, &route, customer.as_deref())?;
+    let Destination { route, customer } = find_destination(&published, &head, &inbound)?;
+    let data_centres = allowed_data_centres(gateway, &route, customer.as_deref())?;
     let time = caller_time(inbound.remaining, route.timeout);
     let body = read_body(body, body_limit(&published), time).await?;
-    let service = choose_backend(&route, &inbound.id);
+    let service = choose_service(&route, &inbound.id);
     let customer_rank = customer.as_ref().map(|customer| customer.rank);
     let urgency = urgency(customer_rank, route.rank);
     let digest = RequestDigest::new(&RequestContent {
@@ -102,7 +102,7 @@
         route,
         customer,
         service,
-        places,
+        data_centres,
         head,
         body,
         arrived,
@@ -130,7 +130,7 @@
     );
 }
 
-fn find(
+fn find_destination(
     published: &PublishedTable,
     head: &Parts,
     inbound: &Inbound,
@@ -159,19 +159,19 @@
 ///
 /// Returns a problem if there are none, because the regions of the route and those of the customer have no data
 /// centre in common.
-fn places<D: Dialect>(
+fn allowed_data_centres<D: Dialect>(
     gateway: &Gateway<D>,
     route: &Route,
     customer: Option<&CustomerEntry>,
 ) -> Result<AllowedDataCentres, Problem> {
     let customer_homes = customer.and_then(|customer| customer.allowed_regions.clone());
     let regions = &gateway.settings().regions;
-    let places = regions.allowed(&route.allowed_regions, &customer_homes);
-    if places.is_nowhere() {
+    let data_centres = regions.allowed(&route.allowed_regions, &customer_homes);
+    if data_centres.is_nowhere() {
         let detail = "no data centre is in a region of both its route and its customer";
         return Err(Problem::not_run(Code::NoEndpoint, detail).retry_after(TABLE_UNKNOWN));
     }
-    Ok(places)
+    Ok(data_centres)
 }
 
 /// Returns the host that the request is addressed to: that of its URI, else its `Host` header. A header that isn't text
@@ -184,7 +184,7 @@
 }
 
 /// Picks one of a route's services by weight. The same request id always gets the same service.
-fn choose_backend(route: &Route, id: &str) -> ServiceId {
+fn choose_service(route: &Route, id: &str) -> ServiceId {
     let chosen = weighted(id, &route.backends, |backend| backend.weight);
     // Validation of the table ensures that each route has a backend.
     chosen.unwrap_or(&route.backends[0]).service.clone()
--- a/lib/src/gateway/routing/named_rates.rs
+++ b/lib/src/gateway/routing/advertised_rates.rs
@@ -8,7 +8,7 @@
             hashes::incarnation_hash,
             rates::{
                 note::RateNote,
-                store::{RateChange, SeenRate},
+                store::{ObservedRate, RateChange},
             },
             state::Gateway,
         },
@@ -49,7 +49,7 @@
         // A misdirected call was answered by another endpoint at the same address.
         if status != StatusCode::MISDIRECTED_REQUEST {
             self.record_rate(endpoint, facts.rate, status == StatusCode::OK, sent);
-            self.record_notices(endpoint, status, facts);
+            self.record_signals(endpoint, status, facts);
         }
     }
 
@@ -58,29 +58,29 @@
     pub(crate) fn record_rate(
         &self,
         endpoint: &EndpointEntry,
-        named: Option<AdvertisedRate>,
+        advertised: Option<AdvertisedRate>,
         served: bool,
         sent: Time,
     ) {
-        if named.is_none() && !served {
+        if advertised.is_none() && !served {
             return;
         }
-        let (now, life) = (self.now(), incarnation_hash(endpoint));
+        let (now, incarnation) = (self.now(), incarnation_hash(endpoint));
         let mut state = self.state.borrow_mut();
-        if !state.endpoints.has_life(endpoint) {
+        if !state.endpoints.has_incarnation(endpoint) {
             return;
         }
         let rates = &mut state.endpoints.rates;
-        let seen = SeenRate { named, sent };
-        let change = rates.observe(now, life, &endpoint.service, seen);
-        let unclear = named.filter(|named| !named.valid);
-        let unclear = unclear.filter(|_| rates.is_first_unclear(life));
+        let observed = ObservedRate { advertised, sent };
+        let change = rates.observe(now, incarnation, &endpoint.service, observed);
+        let unclear = advertised.filter(|advertised| !advertised.valid);
+        let unclear = unclear.filter(|_| rates.mark_unclear(incarnation));
         drop(state);
         if let Some(change) = change {
             self.rate_changed(endpoint, change, RateSource::Reply);
         }
-        if let Some(named) = unclear {
-            log::warn!(endpoint:% = endpoint.id, rate:% = named.rate; "endpoint.limit_unclear");
+        if let Some(advertised) = unclear {
+            log::warn!(endpoint:% = endpoint.id, rate:% = advertised.rate; "endpoint.limit_unclear");
         }
     }
 
@@ -88,7 +88,7 @@
     pub(crate) fn merge_rate(&self, note: &RateNote, source: RateSource) {
         let now = self.now();
         let mut state = self.state.borrow_mut();
-        let Some(member) = state.endpoints.of_hash(note.endpoint) else {
+        let Some(member) = state.endpoints.by_incarnation(note.endpoint) else {
             return;
         };
         let entry: Arc<EndpointEntry> = member.entry.clone();
--- a/lib/src/gateway/routing/attempt.rs
+++ b/lib/src/gateway/routing/attempt.rs
@@ -34,7 +34,7 @@
 };
 
 /// Size of the largest reply that is read whole before it is passed on, in bytes.
-const WHOLE_REPLY: usize = 8 << 20;
+const WHOLE_REPLY_LIMIT: usize = 8 << 20;
 
 /// An attempt that is ready to be sent.
 pub(crate) struct PreparedAttempt {
@@ -93,7 +93,7 @@
 
 impl AttemptError {
     /// Returns whether the connection was lost after the request was sent, as when the endpoint terminates.
-    fn is_break(&self) -> bool {
+    fn is_disconnect(&self) -> bool {
         matches!(self, Self::Send(SendError::MaybeSent(_)) | Self::Body(_))
     }
 }
@@ -108,7 +108,7 @@
     let guard = AttemptGuard::new(gateway, call, prepared.choice);
     let connection = match egress::connect(guard.choice.entry.address, CONNECT_LIMIT).await {
         Ok(connection) => {
-            guard.connected();
+            guard.record_connected();
             connection
         }
         Err(error) => {
@@ -144,7 +144,7 @@
         Err(error) => {
             let entry = guard.choice.entry.clone();
             let outcome = end_unknown(call, guard, &error, progress);
-            if error.is_break() {
+            if error.is_disconnect() {
                 gateway.check_endpoint(call, &entry).await;
             }
             outcome
@@ -184,7 +184,7 @@
         HeadVerdict::NotRun(reason) => Ok(ProvenReply::NotRun(reason)),
         HeadVerdict::Stream => Ok(ProvenReply::Streaming(head, body, connection)),
         HeadVerdict::Whole => {
-            let collected = Limited::new(body, WHOLE_REPLY).collect().await;
+            let collected = Limited::new(body, WHOLE_REPLY_LIMIT).collect().await;
             drop(connection);
             let body = collected.map_err(|error| AttemptError::Body(error.to_string()))?;
             Ok(ProvenReply::Whole(WholeReply {
@@ -276,6 +276,6 @@
         // A failing component of the endpoint may reply without the rate limit that the others advertise.
         let served = facts.signed && status.is_success();
         self.record_rate(endpoint, facts.rate, served, sent);
-        self.record_notices(endpoint, status, facts);
+        self.record_signals(endpoint, status, facts);
     }
 }
--- a/lib/src/gateway/routing/call.rs
+++ b/lib/src/gateway/routing/call.rs
@@ -29,7 +29,7 @@
     /// Service of the route that serves this request.
     pub(crate) service: ServiceId,
     /// Data centres where the request may run.
-    pub(crate) places: AllowedDataCentres,
+    pub(crate) data_centres: AllowedDataCentres,
     /// Head as the caller sent it.
     pub(crate) head: Parts,
     pub(crate) body: Bytes,
@@ -52,7 +52,7 @@
     }
 
     /// Returns when the caller of a stream gives up unless an event has arrived; the deadline for other requests.
-    pub(crate) fn give_up(&self) -> Time {
+    pub(crate) fn give_up_at(&self) -> Time {
         match first_event_time(self.route.kind, self.route.objective) {
             Some(time) => self.arrived + time,
             None => self.deadline,
--- a/lib/src/gateway/routing/cold_state.rs
+++ b/lib/src/gateway/routing/cold_state.rs
@@ -45,7 +45,7 @@
     }
 
     /// Sets the cold time left that a newer entry states.
-    pub(crate) fn restate(&mut self, now: Time, cold: Millis) {
+    pub(crate) fn set_cold_time(&mut self, now: Time, cold: Millis) {
         self.until = now + cold;
     }
 
@@ -55,13 +55,13 @@
     }
 
     /// Records that this daemon sent the endpoint a request.
-    pub(crate) fn sent(&mut self, now: Time) {
+    pub(crate) fn record_sent(&mut self, now: Time) {
         self.last_sent = Some(now);
     }
 
     /// Returns whether the endpoint is cold. `start` is the usual cold time of its service after a start, for which a
     /// presumption holds.
-    pub(crate) fn at(&self, now: Time, start: Millis) -> Coldness {
+    pub(crate) fn coldness(&self, now: Time, start: Millis) -> Coldness {
         if now < self.until {
             return Coldness::Stated;
         }
@@ -73,7 +73,7 @@
     }
 
     /// Returns whether this daemon has used up its share of what a cold endpoint gets.
-    pub(crate) fn is_spent(&self, now: Time, share: ColdShare) -> bool {
+    pub(crate) fn is_share_used(&self, now: Time, share: ColdShare) -> bool {
         !share.may_send(now, self.last_sent, self.phase)
     }
 }
--- a/lib/src/gateway/routing/endpoint_check.rs
+++ b/lib/src/gateway/routing/endpoint_check.rs
@@ -17,10 +17,10 @@
 
 /// Time until the first probe whether a terminated endpoint is back; it doubles with each further probe. An entry stays
 /// for 3.6 s where endpoints renew it every 1.2 s, which allows three probes.
-const FIRST_LOOK: Duration = Duration::from_millis(400);
+const FIRST_PROBE_PAUSE: Duration = Duration::from_millis(400);
 
 /// Longest time between two probes.
-const LONGEST_LOOK: Duration = Duration::from_millis(1_600);
+const LONGEST_PROBE_PAUSE: Duration = Duration::from_millis(1_600);
 
 impl<D: Dialect> Gateway<D> {
     /// Probes whether an endpoint has terminated, after an attempt there broke off that may have run. The probe
@@ -32,46 +32,46 @@
     ) {
         let (gateway, request, digest) = (self.clone(), call.inbound.id.clone(), call.digest);
         let entry = entry.clone();
-        let look = tokio::task::spawn_local(async move {
+        let probe = tokio::task::spawn_local(async move {
             if check(entry.address).await == EndpointCheck::Ended {
                 gateway.metrics.endpoints.ended();
                 log::warn!(request = &*request, endpoint:% = entry.id, digest:%; "endpoint.ended");
-                gateway.record_ended(digest, &entry);
-                gateway.set_ended(&entry);
+                gateway.record_terminated(digest, &entry);
+                gateway.set_terminated(&entry);
             }
         });
         // The task is never aborted and doesn't panic.
-        let _ = look.await;
+        let _ = probe.await;
     }
 
     /// Records that an endpoint has terminated, and starts to probe whether it is back.
-    pub(crate) fn set_ended(self: &Rc<Self>, entry: &Arc<EndpointEntry>) {
+    pub(crate) fn set_terminated(self: &Rc<Self>, entry: &Arc<EndpointEntry>) {
         let now = self.now();
-        let is_new = self.state.borrow_mut().endpoints.refused(now, entry);
+        let is_new = self.state.borrow_mut().endpoints.record_refused(now, entry);
         if is_new {
-            self.watch_ended(entry.clone());
+            self.watch_terminated(entry.clone());
         }
     }
 
     /// Probes a terminated endpoint with growing pauses until it accepts a connection, or until this incarnation can't
     /// get work any more.
-    pub(crate) fn watch_ended(self: &Rc<Self>, entry: Arc<EndpointEntry>) {
+    pub(crate) fn watch_terminated(self: &Rc<Self>, entry: Arc<EndpointEntry>) {
         let gateway = self.clone();
         tokio::task::spawn_local(async move {
-            let mut pause = FIRST_LOOK;
+            let mut pause = FIRST_PROBE_PAUSE;
             loop {
                 tokio::time::sleep(pause).await;
                 if !gateway.state.borrow().endpoints.may_return(&entry) {
                     return;
                 }
-                if gateway.state.borrow().endpoints.is_resting(&entry) {
+                if gateway.state.borrow().endpoints.in_cooldown(&entry) {
                     continue;
                 }
                 if check(entry.address).await == EndpointCheck::Alive {
-                    gateway.state.borrow_mut().endpoints.accepted(&entry);
+                    gateway.state.borrow_mut().endpoints.record_accepted(&entry);
                     return;
                 }
-                pause = LONGEST_LOOK.min(pause * 2);
+                pause = LONGEST_PROBE_PAUSE.min(pause * 2);
             }
         });
     }
--- a/lib/src/gateway/routing/endpoint_state.rs
+++ b/lib/src/gateway/routing/endpoint_state.rs
@@ -9,7 +9,7 @@
             hashes::{EndpointHash, IncarnationHash, endpoint_hash, incarnation_hash},
             routing::{
                 cold_state::{ColdState, Coldness},
-                endpoint_notices::EndpointNotices,
+                endpoint_signals::EndpointSignals,
                 sent_parts::SentParts,
             },
             rules::{
@@ -47,7 +47,7 @@
     /// Hash of the endpoint's id, by which daemons exchange loads.
     pub(crate) hash: EndpointHash,
     /// Hash of this incarnation, by which daemons exchange rate limits.
-    pub(crate) life: IncarnationHash,
+    pub(crate) incarnation: IncarnationHash,
     /// Region of the endpoint's data centre; absent if it isn't known or there is only one region.
     pub(crate) region: Option<RegionHash>,
     /// Requests in flight from this daemon.
@@ -55,26 +55,26 @@
     /// Prompt tokens that this daemon sent and that the endpoint hasn't read yet.
     pub prefill: f64,
     /// Load from other daemons, as reported by them.
-    pub peers: PeerLoad,
+    pub peer_load: PeerLoad,
     /// Load that the endpoint reported with its last reply, and when the reply arrived; absent before the first report.
     pub reported_load: Option<(Time, ReplyLoad)>,
     /// Position among otherwise equal endpoints, different at each daemon; the lowest goes first.
     pub(crate) order: u64,
     /// Signals from the endpoint's replies: whether it leaves, and its cooldown.
-    pub(crate) notices: EndpointNotices,
+    pub(crate) signals: EndpointSignals,
     /// Whether the endpoint has reported a slowdown that can't be read.
-    is_unclear: bool,
+    unclear_slowdown: bool,
     /// Whether the endpoint's data centre is evacuated.
     evacuated: bool,
     cold: ColdState,
     health: Health,
     unreachable_until: Option<Time>,
     /// Whether the endpoint refused a connection and hasn't accepted one since.
-    has_ended: bool,
+    has_terminated: bool,
     /// When the address answered as another endpoint, or the endpoint as leaving; absent once it may be tried again.
     replaced: Option<Time>,
     call_time: CallTime,
-    pace: EngineSlowdown,
+    slowdown: EngineSlowdown,
     sent_parts: SentParts,
 }
 
@@ -84,22 +84,22 @@
             evacuated,
             cold: ColdState::new(now, entry.cold),
             hash: endpoint_hash(&entry.id),
-            life: incarnation_hash(&entry),
+            incarnation: incarnation_hash(&entry),
             region: None,
             entry,
             running: 0,
             prefill: 0.0,
-            peers: PeerLoad::default(),
+            peer_load: PeerLoad::default(),
             reported_load: None,
             order: 0,
-            notices: EndpointNotices::default(),
-            is_unclear: false,
+            signals: EndpointSignals::default(),
+            unclear_slowdown: false,
             health: Health::default(),
             unreachable_until: None,
-            has_ended: false,
+            has_terminated: false,
             replaced: None,
             call_time: CallTime::default(),
-            pace: EngineSlowdown::default(),
+            slowdown: EngineSlowdown::default(),
             sent_parts: SentParts::default(),
         }
     }
@@ -107,10 +107,10 @@
     /// Returns the conditions that keep the endpoint from getting new work.
     pub fn standing(&self) -> EndpointRestrictions {
         EndpointRestrictions {
-            draining: self.entry.draining || self.notices.leaves(),
+            draining: self.entry.draining || self.signals.leaves(),
             evacuated: self.evacuated,
             replaced: self.replaced.is_some(),
-            cooling_down: self.notices.rest().is_some(),
+            cooling_down: self.signals.cooldown_end().is_some(),
         }
     }
 
@@ -133,7 +133,7 @@
                 // A longer cold time means that the endpoint has lost its cached prompts.
                 self.sent_parts = SentParts::default();
             }
-            self.cold.restate(now, entry.cold);
+            self.cold.set_cold_time(now, entry.cold);
         }
         self.entry = entry;
     }
@@ -155,11 +155,11 @@
         placement: &Placement<'_>,
         limited: bool,
     ) -> RequestRestrictions {
-        let is_cold = self.cold.at(now, placement.cold_start) == Coldness::Stated;
+        let is_cold = self.cold.coldness(now, placement.cold_start) == Coldness::Stated;
         RequestRestrictions {
             restrictions: self.standing(),
             not_allowed: !placement.allowed.allow(&self.entry.data_centre),
-            cold: is_cold && self.cold.is_spent(now, placement.cold_share),
+            cold: is_cold && self.cold.is_share_used(now, placement.cold_share),
             limited,
             full: self.running >= placement.connection_limit,
         }
@@ -169,18 +169,19 @@
     /// slowdown that can't be read.
     pub(crate) fn record_load(&mut self, now: Time, load: ReplyLoad) -> bool {
         self.reported_load = Some((now, load));
-        load.slowdown == SlowdownReport::Invalid && !std::mem::replace(&mut self.is_unclear, true)
+        load.slowdown == SlowdownReport::Invalid && !std::mem::replace(&mut self.unclear_slowdown, true)
     }
 
     /// Returns the requests in flight from all daemons, as far as they are known.
     pub fn outstanding(&self) -> u32 {
-        self.running + self.peers.running
+        self.running + self.peer_load.running
     }
 
     /// Returns whether the endpoint is healthy, reachable and in no cooldown. After a cooldown it is available for one
     /// request at a time until it accepts one.
     pub(crate) fn is_available(&self, now: Time) -> bool {
-        if self.notices.rest().is_some() || (self.notices.is_trial() && self.running > 0) {
+        if self.signals.cooldown_end().is_some() || (self.signals.is_probing() && self.running > 0)
+        {
             return false;
         }
         let reachable = self.unreachable_until.is_none_or(|until| until <= now);
@@ -189,7 +190,7 @@
             HealthState::Ejected => false,
             HealthState::Probing => self.running == 0,
         };
-        reachable && healthy && !self.has_ended
+        reachable && healthy && !self.has_terminated
     }
 
     /// Returns the endpoint as a candidate for a request. `limit` is the state of its rate limit, `way` the round-trip
@@ -206,10 +207,10 @@
         } else {
             0
         };
-        let coldness = self.cold.at(now, placement.cold_start);
+        let coldness = self.cold.coldness(now, placement.cold_start);
         // An endpoint that is only presumed cold may exceed its share if no other endpoint is available.
         let is_spared =
-            coldness == Coldness::Presumed && self.cold.is_spent(now, placement.cold_share);
+            coldness == Coldness::Presumed && self.cold.is_share_used(now, placement.cold_share);
         EndpointCandidate {
             entry: &self.entry,
             available: self.is_available(now) && !is_spared,
@@ -217,8 +218,8 @@
             in_flight: self.outstanding(),
             call_time: self.call_time.get(),
             reported_slowdown: reported_slowdown::factor(now, self.reported_load),
-            waiting_tokens: self.prefill + self.peers.prefill,
-            slowdown: self.pace.at(now),
+            waiting_tokens: self.prefill + self.peer_load.prefill,
+            slowdown: self.slowdown.at(now),
             cached_tokens,
             limit,
             tie_break: self.order,
@@ -228,17 +229,22 @@
     }
 
     /// Records that this daemon sent a request with `uncached` prompt tokens that the endpoint has to read.
-    pub(crate) fn sent(&mut self, now: Time, prompt: &Prompt, uncached: u32) {
+    pub(crate) fn record_sent(&mut self, now: Time, prompt: &Prompt, uncached: u32) {
         self.running += 1;
-        self.cold.sent(now);
+        self.cold.record_sent(now);
         self.prefill += f64::from(uncached);
         self.sent_parts.record(now, prompt);
     }
 
     /// Records that the first event of a generation arrived after `waited`.
-    pub(crate) fn first_event(&mut self, now: Time, choice: &EndpointChoice, waited: WorkMillis) {
+    pub(crate) fn record_first_event(
+        &mut self,
+        now: Time,
+        choice: &EndpointChoice,
+        waited: WorkMillis,
+    ) {
         self.prompt_read(choice.uncached);
-        self.pace.record(now, choice.expected, waited);
+        self.slowdown.record(now, choice.expected, waited);
     }
 
     /// Removes `uncached` tokens from those that the endpoint hasn't read yet.
@@ -248,22 +254,27 @@
 
     /// Records how a request ended. `may_eject` is set if enough other endpoints of the service are available for this
     /// one to be ejected. Returns whether the outcome excludes the endpoint for a time.
-    pub(crate) fn ended(&mut self, now: Time, outcome: EndpointOutcome, may_eject: bool) -> bool {
+    pub(crate) fn record_ended(
+        &mut self,
+        now: Time,
+        outcome: EndpointOutcome,
+        may_eject: bool,
+    ) -> bool {
         self.running = self.running.saturating_sub(1);
         match outcome {
             EndpointOutcome::Served(call_time) => {
-                self.served(now, call_time);
+                self.record_served(now, call_time);
                 false
             }
             // A refusal that asks for a cooldown isn't a failure, whatever its status code.
-            EndpointOutcome::Failed if self.notices.rest().is_some() => false,
+            EndpointOutcome::Failed if self.signals.cooldown_end().is_some() => false,
             EndpointOutcome::Failed => self.health.failed(now, may_eject),
             EndpointOutcome::Unreachable => {
                 self.cold.presume(now);
                 self.unreachable_until = Some(endpoint_exclusion::available_from(now));
                 true
             }
-            EndpointOutcome::Ended => self.refused(now),
+            EndpointOutcome::Ended => self.record_refused(now),
             EndpointOutcome::Replaced => {
                 self.replaced = Some(now);
                 true
@@ -273,21 +284,21 @@
     }
 
     /// Records that the endpoint refused a connection; returns whether that is new.
-    pub(crate) fn refused(&mut self, now: Time) -> bool {
+    pub(crate) fn record_refused(&mut self, now: Time) -> bool {
         // If the endpoint comes back under the same id, it is cold.
         self.cold.presume(now);
-        !std::mem::replace(&mut self.has_ended, true)
+        !std::mem::replace(&mut self.has_terminated, true)
     }
 
     /// Records that the endpoint accepted a connection.
-    pub(crate) fn accepted(&mut self) {
-        self.has_ended = false;
+    pub(crate) fn record_accepted(&mut self) {
+        self.has_terminated = false;
     }
 
-    fn served(&mut self, now: Time, call_time: Option<WorkMillis>) {
+    fn record_served(&mut self, now: Time, call_time: Option<WorkMillis>) {
         self.health.succeeded();
         self.unreachable_until = None;
-        self.accepted();
+        self.record_accepted();
         if let Some(call_time) = call_time {
             // The reported slowdown is divided out, so that `call_time` estimates the usual time.
             let factor = reported_slowdown::factor(now, self.reported_load);
--- a/lib/src/gateway/routing/endpoint_states.rs
+++ b/lib/src/gateway/routing/endpoint_states.rs
@@ -11,7 +11,7 @@
             hashes::{DataCentreHash, EndpointHash, IncarnationHash, data_centre_hash},
             rates::store::EndpointRates,
             routing::{
-                endpoint_notices::RememberedNotices,
+                endpoint_signals::RetainedSignals,
                 endpoint_state::{EndpointState, PeerLoad},
             },
             rules::{
@@ -33,7 +33,7 @@
     xxhash_rust::xxh3::xxh3_64_with_seed,
 };
 
-mod notices;
+mod signals;
 
 /// The endpoints of all services.
 #[derive(Debug, Default)]
@@ -45,13 +45,13 @@
     /// The rate limits that endpoints advertise.
     pub(crate) rates: EndpointRates,
     /// The signals of endpoints whose entries have vanished.
-    remembered: RememberedNotices,
+    retained: RetainedSignals,
     /// Earliest time at which a cooldown may end; absent if no endpoint has one.
-    first_rest: Option<Time>,
+    first_cooldown: Option<Time>,
     /// Assignment of data centres to regions.
     regions: Regions,
     /// The region of this daemon; absent if it isn't known or there is only one region.
-    home: Option<RegionHash>,
+    local_region: Option<RegionHash>,
     /// Round-trip times to other regions, as measured by connects.
     round_trips: HashMap<RegionHash, RegionRoundTrip>,
     /// Seed of this daemon's order of otherwise equal endpoints; without one, they keep the order of their entries.
@@ -78,7 +78,7 @@
 
     /// Sets the regions of data centres, and the data centre of this daemon.
     pub fn set_regions(&mut self, here: &DataCentreId, regions: &Regions) {
-        self.home = regions.region(here);
+        self.local_region = regions.region(here);
         for member in self.members.values_mut() {
             member.region = regions.region(&member.entry.data_centre);
         }
@@ -86,13 +86,13 @@
     }
 
     /// Returns the region of this daemon; `None` if it isn't known or there is only one region.
-    pub fn home(&self) -> Option<RegionHash> {
-        self.home
+    pub fn local_region(&self) -> Option<RegionHash> {
+        self.local_region
     }
 
     /// Returns the round-trip time to another region; `None` for this daemon's own region.
     pub fn round_trip(&self, now: Time, region: Option<RegionHash>) -> Option<WorkMillis> {
-        let region = region.filter(|_| in_different_regions(self.home, region))?;
+        let region = region.filter(|_| in_different_regions(self.local_region, region))?;
         let round_trip = self.round_trips.get(&region).copied().unwrap_or_default();
         Some(round_trip.time(now))
     }
@@ -101,14 +101,18 @@
         let id = entry.id.clone();
         let ids = self.services.entry(entry.service.clone()).or_default();
         ids.push(id.clone());
-        let place = data_centre_hash(&entry.data_centre);
-        let evacuated = self.evacuated.contains(&place);
+        let data_centre = data_centre_hash(&entry.data_centre);
+        let evacuated = self.evacuated.contains(&data_centre);
         let region = self.regions.region(&entry.data_centre);
-        let notices = self.remembered.take(&entry.life());
+        let signals = self.retained.take(&entry.life());
         let mut member = EndpointState::new(now, entry, evacuated);
         member.region = region;
-        member.notices = notices;
-        self.first_rest = self.first_rest.into_iter().chain(notices.rest()).min();
+        member.signals = signals;
+        self.first_cooldown = self
+            .first_cooldown
+            .into_iter()
+            .chain(signals.cooldown_end())
+            .min();
         if let Some(seed) = self.seed {
             member.order = xxh3_64_with_seed(id.as_str().as_bytes(), seed);
         }
@@ -122,8 +126,8 @@
         data_centres: BTreeSet<DataCentreHash>,
     ) -> BTreeSet<DataCentreHash> {
         for member in self.members.values_mut() {
-            let place = data_centre_hash(&member.entry.data_centre);
-            member.set_evacuated(now, data_centres.contains(&place));
+            let data_centre = data_centre_hash(&member.entry.data_centre);
+            member.set_evacuated(now, data_centres.contains(&data_centre));
         }
         mem::replace(&mut self.evacuated, data_centres)
     }
@@ -133,8 +137,8 @@
         let Some(member) = self.members.remove(id) else {
             return;
         };
-        self.rates.forget(member.life);
-        self.remembered.keep(member.entry.life(), member.notices);
+        self.rates.forget(member.incarnation);
+        self.retained.keep(member.entry.life(), member.signals);
         if let Some(ids) = self.services.get_mut(&member.entry.service) {
             ids.retain(|other| other != id);
         }
@@ -162,8 +166,8 @@
 
     /// Returns the open endpoints of a service whose calls this daemon may schedule: those in its region, or all if the
     /// region has none.
-    pub fn planned(&self, id: &ServiceId) -> Vec<&EndpointState> {
-        let near = |member: &&EndpointState| !in_different_regions(self.home, member.region);
+    pub fn schedulable(&self, id: &ServiceId) -> Vec<&EndpointState> {
+        let near = |member: &&EndpointState| !in_different_regions(self.local_region, member.region);
         let planned: Vec<&EndpointState> = self.open(id).filter(near).collect();
         if planned.is_empty() {
             return self.open(id).collect();
@@ -191,19 +195,18 @@
         Some(self.at(id, address)?.entry.clone())
     }
 
-    /// Checks that a service has an endpoint in `places` that isn't excluded from new work.
+    /// Checks that a service has an endpoint in `data_centres` that isn't excluded from new work.
     ///
     /// # Errors
     ///
     /// Returns the number of endpoints by the reason for which they are excluded if there is none.
     pub fn any_open(
         &self,
-        id: &ServiceId,
-        places: &AllowedDataCentres,
+        id: &ServiceId, data_centres: &AllowedDataCentres,
     ) -> Result<(), ExclusionCounts> {
         let mut left_out = ExclusionCounts::default();
         for member in self.service(id) {
-            let away = !places.allow(&member.entry.data_centre);
+            let away = !data_centres.allow(&member.entry.data_centre);
             let away = away.then_some(Exclusion::NotAllowed);
             match member.standing().exclusion().or(away) {
                 Some(reason) => left_out.count(reason),
@@ -250,11 +253,13 @@
             if placement.tried.contains(&member.entry.id) {
                 continue;
             }
-            let limited = !self.rates.may_send(now, member.life, placement.urgency);
+            let limited = !self
+                .rates
+                .may_send(now, member.incarnation, placement.urgency);
             match member.standing_for(now, placement, limited).exclusion() {
                 Some(reason) => left_out.count(reason),
                 None => {
-                    let limit = self.rates.limit(now, member.life);
+                    let limit = self.rates.limit(now, member.incarnation);
                     let round_trip = self.round_trip(now, member.region);
                     candidates.push(member.candidate(now, placement, limit, round_trip));
                 }
@@ -270,28 +275,36 @@
     }
 
     /// Returns the state of the incarnation that an entry describes, or `None` if the endpoint has restarted since.
-    fn of_life(&mut self, entry: &EndpointEntry) -> Option<&mut EndpointState> {
+    fn incarnation_mut(&mut self, entry: &EndpointEntry) -> Option<&mut EndpointState> {
         let member = self.members.get_mut(&entry.id)?;
         (member.entry.born == entry.born).then_some(member)
     }
 
     /// Records that a request was sent to an endpoint.
-    pub fn sent(&mut self, now: Time, entry: &EndpointEntry, prompt: &Prompt, uncached: u32) {
-        if let Some(member) = self.of_life(entry) {
-            member.sent(now, prompt, uncached);
+    pub fn record_sent(
+        &mut self,
+        now: Time,
+        entry: &EndpointEntry,
+        prompt: &Prompt,
+        uncached: u32,
+    ) {
+        if let Some(member) = self.incarnation_mut(entry) {
+            member.record_sent(now, prompt, uncached);
         }
     }
 
     /// Uses up a permit for an endpoint that advertises a rate limit.
     pub(crate) fn use_permit(&mut self, now: Time, entry: &EndpointEntry, urgency: u32) {
-        if let Some(life) = self.of_life(entry).map(|member| member.life) {
-            self.rates.sent(now, life, urgency);
+        if let Some(incarnation) = self.incarnation_mut(entry).map(|member| member.incarnation) {
+            self.rates.use_permit(now, incarnation, urgency);
         }
     }
 
     /// Returns the endpoint whose incarnation has a hash.
-    pub(crate) fn of_hash(&self, life: IncarnationHash) -> Option<&EndpointState> {
-        self.members.values().find(|member| member.life == life)
+    pub(crate) fn by_incarnation(&self, incarnation: IncarnationHash) -> Option<&EndpointState> {
+        self.members
+            .values()
+            .find(|member| member.incarnation == incarnation)
     }
 
     /// Returns the rate limits that endpoints advertise.
@@ -301,50 +314,51 @@
 
     /// Returns the open endpoints of a service that advertise a rate limit.
     fn limited(&self, service: &ServiceId) -> impl Iterator<Item = &EndpointState> {
-        let limited = |member: &&EndpointState| self.rates.rate(member.life).is_some();
+        let limited = |member: &&EndpointState| self.rates.rate(member.incarnation).is_some();
         self.open(service).filter(limited)
     }
 
     /// Records that a request of a service needs permits for the endpoints for which this daemon has none. Returns
     /// whether a claim is to be sent to the coordinator at once.
-    pub(crate) fn turned_away(&mut self, now: Time, service: &ServiceId, urgency: u32) -> bool {
-        let limited = self.limited(service).map(|member| member.life);
-        let without = limited.filter(|life| !self.rates.may_send(now, *life, urgency));
+    pub(crate) fn record_denied(&mut self, now: Time, service: &ServiceId, urgency: u32) -> bool {
+        let limited = self.limited(service).map(|member| member.incarnation);
+        let without =
+            limited.filter(|incarnation| !self.rates.may_send(now, *incarnation, urgency));
         let without: Vec<IncarnationHash> = without.collect();
         let mut is_due = false;
-        for life in without {
-            is_due |= self.rates.turned_away(now, life, urgency);
+        for incarnation in without {
+            is_due |= self.rates.record_denied(now, incarnation, urgency);
         }
         is_due
     }
 
     /// Returns the sum of the rate limits that the endpoints of a service advertise.
-    pub(crate) fn named_rate(&self, service: &ServiceId) -> Rate {
+    pub(crate) fn total_rate(&self, service: &ServiceId) -> Rate {
         let limited = self.limited(service);
-        let rates = limited.filter_map(|member| self.rates.rate(member.life));
+        let rates = limited.filter_map(|member| self.rates.rate(member.incarnation));
         Rate(rates.map(|rate| rate.0).sum())
     }
 
     /// Returns the shortest expected time until a permit for an endpoint of a service; `None` if it isn't known.
     pub(crate) fn permit_wait(&self, now: Time, service: &ServiceId) -> Option<Millis> {
         let limited = self.limited(service);
-        let waits = limited.filter_map(|member| self.rates.wait(now, member.life));
+        let waits = limited.filter_map(|member| self.rates.wait(now, member.incarnation));
         waits.min()
     }
 
-    /// Returns the expected time until a permit if no open endpoint of a service in `places` can get a request of that
+    /// Returns the expected time until a permit if no open endpoint of a service in `data_centres` can get a request of that
     /// urgency now; `None` if one can, or if the time isn't known.
-    pub(crate) fn only_permits(
+    pub(crate) fn needed_permit_wait(
         &self,
         now: Time,
         service: &ServiceId,
-        places: &AllowedDataCentres,
+        data_centres: &AllowedDataCentres,
         urgency: u32,
     ) -> Option<Millis> {
         let mut open = self
             .open(service)
-            .filter(|member| places.allow(&member.entry.data_centre));
-        if open.any(|member| self.rates.may_send(now, member.life, urgency)) {
+            .filter(|member| data_centres.allow(&member.entry.data_centre));
+        if open.any(|member| self.rates.may_send(now, member.incarnation, urgency)) {
             return None;
         }
         self.permit_wait(now, service)
@@ -357,44 +371,49 @@
         service: &ServiceId,
     ) -> impl Iterator<Item = (EndpointLife, usize)> {
         self.limited(service).filter_map(move |member| {
-            let permits = self.rates.permits(now, member.life)?;
+            let permits = self.rates.permits(now, member.incarnation)?;
             Some((member.entry.life(), permits))
         })
     }
 
     /// Records that the first event of a generation arrived after `waited`.
-    pub fn first_event(&mut self, now: Time, choice: &EndpointChoice, waited: WorkMillis) {
-        if let Some(member) = self.of_life(&choice.entry) {
-            member.first_event(now, choice, waited);
+    pub fn record_first_event(&mut self, now: Time, choice: &EndpointChoice, waited: WorkMillis) {
+        if let Some(member) = self.incarnation_mut(&choice.entry) {
+            member.record_first_event(now, choice, waited);
         }
     }
 
     /// Removes `uncached` tokens from those that an endpoint hasn't read yet, because it will not read them any more.
-    pub fn forget_prefill(&mut self, entry: &EndpointEntry, uncached: u32) {
-        if let Some(member) = self.of_life(entry) {
+    pub fn cancel_prefill(&mut self, entry: &EndpointEntry, uncached: u32) {
+        if let Some(member) = self.incarnation_mut(entry) {
             member.prompt_read(uncached);
         }
     }
 
     /// Records how a request at an endpoint ended; returns whether the outcome excludes the endpoint for a time.
-    pub fn ended(&mut self, now: Time, entry: &EndpointEntry, outcome: EndpointOutcome) -> bool {
+    pub fn record_ended(
+        &mut self,
+        now: Time,
+        entry: &EndpointEntry,
+        outcome: EndpointOutcome,
+    ) -> bool {
         let may_eject = self.may_eject(now, &entry.id);
-        match self.of_life(entry) {
-            Some(member) => member.ended(now, outcome, may_eject),
+        match self.incarnation_mut(entry) {
+            Some(member) => member.record_ended(now, outcome, may_eject),
             None => false,
         }
     }
 
     /// Records that an endpoint refused a connection; returns whether that is new.
-    pub(crate) fn refused(&mut self, now: Time, entry: &EndpointEntry) -> bool {
-        let member = self.of_life(entry);
-        member.is_some_and(|member| member.refused(now))
+    pub(crate) fn record_refused(&mut self, now: Time, entry: &EndpointEntry) -> bool {
+        let member = self.incarnation_mut(entry);
+        member.is_some_and(|member| member.record_refused(now))
     }
 
     /// Records the time that a connect to an endpoint took. For another region this is a sample of the round-trip time.
-    pub fn connected(&mut self, now: Time, entry: &EndpointEntry, took: WorkMillis) {
-        let region = self.of_life(entry).and_then(|member| member.region);
-        if let Some(region) = region.filter(|_| in_different_regions(self.home, region)) {
+    pub fn record_connected(&mut self, now: Time, entry: &EndpointEntry, took: WorkMillis) {
+        let region = self.incarnation_mut(entry).and_then(|member| member.region);
+        if let Some(region) = region.filter(|_| in_different_regions(self.local_region, region)) {
             self.round_trips
                 .entry(region)
                 .or_default()
@@ -403,18 +422,18 @@
     }
 
     /// Records that an endpoint accepted a connection.
-    pub(crate) fn accepted(&mut self, entry: &EndpointEntry) {
-        if let Some(member) = self.of_life(entry) {
-            member.accepted();
+    pub(crate) fn record_accepted(&mut self, entry: &EndpointEntry) {
+        if let Some(member) = self.incarnation_mut(entry) {
+            member.record_accepted();
         }
     }
 
     /// Returns whether the endpoint list has the incarnation that an entry describes.
-    pub(crate) fn has_life(&self, entry: &EndpointEntry) -> bool {
-        self.life(entry).is_some()
+    pub(crate) fn has_incarnation(&self, entry: &EndpointEntry) -> bool {
+        self.incarnation(entry).is_some()
     }
 
-    fn life(&self, entry: &EndpointEntry) -> Option<&EndpointState> {
+    fn incarnation(&self, entry: &EndpointEntry) -> Option<&EndpointState> {
         let member = self.members.get(&entry.id)?;
         (member.entry.born == entry.born).then_some(member)
     }
@@ -422,14 +441,14 @@
     /// Records the load that an endpoint reported with a reply. Returns whether the report is the first with a slowdown
     /// that can't be read.
     pub fn record_load(&mut self, now: Time, entry: &EndpointEntry, load: ReplyLoad) -> bool {
-        let member = self.of_life(entry);
+        let member = self.incarnation_mut(entry);
         member.is_some_and(|member| member.record_load(now, load))
     }
 
     /// Sets the load that other daemons put on each endpoint; endpoints that `loads` lacks get none.
     pub fn set_peer_loads(&mut self, loads: &HashMap<EndpointHash, PeerLoad>) {
         for member in self.members.values_mut() {
-            member.peers = loads.get(&member.hash).copied().unwrap_or_default();
+            member.peer_load = loads.get(&member.hash).copied().unwrap_or_default();
         }
     }
 
@@ -438,7 +457,7 @@
     pub fn set_total_loads(&mut self, loads: &HashMap<EndpointHash, PeerLoad>) {
         for member in self.members.values_mut() {
             let total = loads.get(&member.hash).copied().unwrap_or_default();
-            member.peers = PeerLoad {
+            member.peer_load = PeerLoad {
                 running: total.running.saturating_sub(member.running),
                 prefill: (total.prefill - member.prefill).max(0.0),
             };
--- a/lib/src/gateway/routing/endpoint_states/notices.rs
+++ b/lib/src/gateway/routing/endpoint_states/signals.rs
@@ -6,7 +6,7 @@
     crate::{
         gateway::{
             directory::endpoint_entry::EndpointEntry,
-            routing::{endpoint_notices::EndpointNotices, endpoint_state::EndpointState},
+            routing::{endpoint_signals::EndpointSignals, endpoint_state::EndpointState},
             rules::eligibility::{AllowedDataCentres, Exclusion},
         },
         shared::{ids::ServiceId, units::Time},
@@ -17,74 +17,76 @@
     /// Returns whether the incarnation that an entry describes may get work again: the endpoint list has it, and it
     /// hasn't signalled that it leaves.
     pub(crate) fn may_return(&self, entry: &EndpointEntry) -> bool {
-        let member = self.life(entry);
-        member.is_some_and(|member| !member.notices.leaves())
+        let member = self.incarnation(entry);
+        member.is_some_and(|member| !member.signals.leaves())
     }
 
     /// Returns the signals of the incarnation that an entry describes, also if the endpoint list lacks it by now.
-    fn notices(&mut self, entry: &EndpointEntry) -> &mut EndpointNotices {
+    fn signals(&mut self, entry: &EndpointEntry) -> &mut EndpointSignals {
         match self.members.get_mut(&entry.id) {
-            Some(member) if member.entry.born == entry.born => &mut member.notices,
-            _ => self.remembered.entry(entry.life()),
+            Some(member) if member.entry.born == entry.born => &mut member.signals,
+            _ => self.retained.entry(entry.life()),
         }
     }
 
     /// Records that an endpoint leaves; returns whether that is new.
     pub(crate) fn record_leave(&mut self, entry: &EndpointEntry) -> bool {
-        self.notices(entry).record_leave()
+        self.signals(entry).record_leave()
     }
 
     /// Records that an endpoint wants no requests until a time; returns whether a cooldown begins with it.
-    pub fn record_rest(&mut self, entry: &EndpointEntry, until: Time) -> bool {
-        self.first_rest = self.first_rest.into_iter().chain([until]).min();
-        self.notices(entry).record_rest(until)
+    pub fn record_cooldown(&mut self, entry: &EndpointEntry, until: Time) -> bool {
+        self.first_cooldown = self.first_cooldown.into_iter().chain([until]).min();
+        self.signals(entry).record_cooldown(until)
     }
 
     /// Records that an endpoint replied without asking for a cooldown.
-    pub(crate) fn end_trial(&mut self, entry: &EndpointEntry) {
-        if let Some(member) = self.of_life(entry) {
-            member.notices.end_trial();
+    pub(crate) fn end_probing(&mut self, entry: &EndpointEntry) {
+        if let Some(member) = self.incarnation_mut(entry) {
+            member.signals.end_probing();
         }
     }
 
     /// Returns whether an endpoint is in a cooldown.
-    pub(crate) fn is_resting(&self, entry: &EndpointEntry) -> bool {
-        let member = self.life(entry);
+    pub(crate) fn in_cooldown(&self, entry: &EndpointEntry) -> bool {
+        let member = self.incarnation(entry);
         member.is_some_and(|member| member.standing().cooling_down)
     }
 
-    /// Returns the end of the first cooldown of a service's endpoints in `places`; `None` if one of them is open, or if
+    /// Returns the end of the first cooldown of a service's endpoints in `data_centres`; `None` if one of them is open, or if
     /// none is in a cooldown.
-    pub fn rest_end(&self, id: &ServiceId, places: &AllowedDataCentres) -> Option<Time> {
-        let near = |member: &&EndpointState| places.allow(&member.entry.data_centre);
+    pub fn cooldown_end(&self, id: &ServiceId, data_centres: &AllowedDataCentres) -> Option<Time> {
+        let near = |member: &&EndpointState| data_centres.allow(&member.entry.data_centre);
         if self.open(id).any(|member| near(&member)) {
             return None;
         }
         let members = self.service(id).filter(near);
-        let resting =
+        let in_cooldown =
             members.filter(|member| member.standing().exclusion() == Some(Exclusion::CoolingDown));
-        resting.filter_map(|member| member.notices.rest()).min()
+        in_cooldown
+            .filter_map(|member| member.signals.cooldown_end())
+            .min()
     }
 
     /// Records that an endpoint sent a signal that can't be read; returns whether that is new.
     pub(crate) fn record_unclear(&mut self, entry: &EndpointEntry) -> bool {
-        self.notices(entry).record_unclear()
+        self.signals(entry).record_unclear()
     }
 
     /// Ends the cooldowns whose time is over; returns whether there were any.
-    pub fn end_rests(&mut self, now: Time) -> bool {
-        if self.first_rest.is_none_or(|first| now < first) {
+    pub fn end_cooldowns(&mut self, now: Time) -> bool {
+        if self.first_cooldown.is_none_or(|first| now < first) {
             return false;
         }
         let mut ended = false;
         for member in self.members.values_mut() {
-            ended |= member.notices.end_rest(now);
+            ended |= member.signals.end_cooldown(now);
         }
-        let rests = self
+        let cooldowns = self
             .members
             .values()
-            .filter_map(|member| member.notices.rest());
-        self.first_rest = rests.min();
+            .filter_map(|member| member.signals.cooldown_end());
+        self.first_cooldown = cooldowns.min();
         ended
     }
 }
--- a/lib/src/gateway/routing/forward.rs
+++ b/lib/src/gateway/routing/forward.rs
@@ -108,7 +108,7 @@
     };
     let ended = tokio::select! {
         ended = run.answer(in_flight) => ended,
-        () = gateway.sleep_until(call.deadline) => Err(run.problem(TIME_OVER)),
+        () = gateway.sleep_until(call.deadline) => Err(run.problem(TIME_OVER_DETAIL)),
         // Before the daemon stops, the caller gets a problem that says whether the request may have run, not just a
         // closed connection.
         () = gateway.stop_expired.notified() => Err(run.problem("the daemon stops")),
@@ -134,11 +134,11 @@
         self.results = run_stages(self.gateway, self.call, self.region).await?;
         loop {
             if self.is_quarantined() {
-                return self.end_unanswered(QUARANTINED);
+                return self.end_unanswered(QUARANTINED_DETAIL);
             }
             if self.gateway.now() >= self.call.deadline {
                 // The host may have been suspended meanwhile. A request whose time is over is sent to no endpoint.
-                return self.end_unanswered(TIME_OVER);
+                return self.end_unanswered(TIME_OVER_DETAIL);
             }
             let choice = match self.choose().await {
                 Ok(choice) => choice,
@@ -295,9 +295,9 @@
         }
         let now = self.gateway.now();
         let state = self.gateway.state.borrow();
-        let (service, places) = (&self.call.service, &self.call.places);
-        if let Some(rested) = state.endpoints.rest_end(service, places) {
-            return retry_after::after_cooldown(now, rested);
+        let (service, data_centres) = (&self.call.service, &self.call.data_centres);
+        if let Some(cooldown_end) = state.endpoints.cooldown_end(service, data_centres) {
+            return retry_after::after_cooldown(now, cooldown_end);
         }
         let members = state.endpoints.open(service);
         retry_after::after_attempts(members.filter_map(|member| Some(member.reported_load?.1)))
@@ -325,10 +325,10 @@
 }
 
 /// Problem detail: the deadline of the request has passed.
-const TIME_OVER: &str = "the request's time is over";
+const TIME_OVER_DETAIL: &str = "the request's time is over";
 
 /// Problem detail: the request may have run and is sent to no further endpoint, because endpoints terminated under it.
-const QUARANTINED: &str = "endpoints ended under this request";
+const QUARANTINED_DETAIL: &str = "endpoints ended under this request";
 
 /// Returns the problem detail for a request that no endpoint may get.
 fn no_endpoint(left_out: ExclusionCounts) -> String {
--- a/lib/src/gateway/routing/guards.rs
+++ b/lib/src/gateway/routing/guards.rs
@@ -37,7 +37,7 @@
         let prompt = &call.inbound.prompt;
         state
             .endpoints
-            .sent(now, &choice.entry, prompt, choice.uncached);
+            .record_sent(now, &choice.entry, prompt, choice.uncached);
         state.endpoints.use_permit(now, &choice.entry, call.urgency);
         drop(state);
         Self {
@@ -50,21 +50,25 @@
     }
 
     /// Records that the endpoint has read the prompt; later calls have no effect.
-    pub(crate) fn first_event(&mut self) {
+    pub(crate) fn record_first_event(&mut self) {
         if std::mem::take(&mut self.prefill_pending) {
             let now = self.gateway.now();
             let waited = WorkMillis(now.millis_since(self.sent_at));
             let mut state = self.gateway.state.borrow_mut();
-            state.endpoints.first_event(now, &self.choice, waited);
+            state
+                .endpoints
+                .record_first_event(now, &self.choice, waited);
         }
     }
 
     /// Records that the connection of the attempt was established.
-    pub(crate) fn connected(&self) {
+    pub(crate) fn record_connected(&self) {
         let now = self.gateway.now();
         let mut state = self.gateway.state.borrow_mut();
         let took = self.took();
-        state.endpoints.connected(now, &self.choice.entry, took);
+        state
+            .endpoints
+            .record_connected(now, &self.choice.entry, took);
     }
 
     /// Ends the attempt and records its outcome for the endpoint.
@@ -85,16 +89,16 @@
         let entry = &self.choice.entry;
         let mut state = self.gateway.state.borrow_mut();
         if self.prefill_pending {
-            state.endpoints.forget_prefill(entry, self.choice.uncached);
+            state.endpoints.cancel_prefill(entry, self.choice.uncached);
         }
-        let set_aside = state.endpoints.ended(now, entry, outcome);
+        let excluded = state.endpoints.record_ended(now, entry, outcome);
         drop(state);
-        if set_aside {
+        if excluded {
             // The key of `EndpointOutcome` in this event is `ending`.
             log::info!(endpoint:% = entry.id, ending:? = outcome; "endpoint.set_aside");
         }
-        if set_aside && outcome == EndpointOutcome::Ended {
-            self.gateway.watch_ended(entry.clone());
+        if excluded && outcome == EndpointOutcome::Ended {
+            self.gateway.watch_terminated(entry.clone());
         }
     }
 }
--- a/lib/src/gateway/routing/outbound.rs
+++ b/lib/src/gateway/routing/outbound.rs
@@ -31,7 +31,7 @@
     tried: &[EndpointId],
     results: Option<&Results<D>>,
 ) -> Result<EndpointChoice, ExclusionCounts> {
-    choose_endpoint_in(gateway, call, &call.places, tried, results)
+    choose_endpoint_in(gateway, call, &call.data_centres, tried, results)
 }
 
 /// Chooses an endpoint for a request like [`choose_endpoint`], but only in the data centres `places`.
--- a/lib/src/gateway/routing/permits.rs
+++ b/lib/src/gateway/routing/permits.rs
@@ -48,7 +48,7 @@
         loop {
             // Created before the choice, so that a permit that arrives after it ends the wait.
             let permits = self.permits.notified();
-            self.end_rests();
+            self.end_cooldowns();
             let choice = choose_endpoint(self, call, tried, results);
             let left_out = match &choice {
                 Ok(choice) => choice.excluded,
@@ -57,13 +57,13 @@
             if left_out.of(Exclusion::Limited) == 0 {
                 return choice;
             }
-            self.want_permits(&call.service, call.urgency);
-            if choice.is_ok() || !self.is_permit_near(call, end) {
+            self.claim_permits(&call.service, call.urgency);
+            if choice.is_ok() || !self.may_expect_permit(call, end) {
                 return choice;
             }
             let place =
                 place.get_or_insert_with(|| self.permit_queue.join(&call.service, call.urgency));
-            let rate = self.state.borrow().endpoints.named_rate(&call.service);
+            let rate = self.state.borrow().endpoints.total_rate(&call.service);
             if !may_wait(place.ahead(), rate, longest) {
                 return choice;
             }
@@ -77,20 +77,20 @@
     }
 
     /// Claims permits for the endpoints of a service that got no request for lack of one.
-    fn want_permits(&self, service: &ServiceId, urgency: u32) {
+    fn claim_permits(&self, service: &ServiceId, urgency: u32) {
         let now = self.now();
         let is_due = self
             .state
             .borrow_mut()
             .endpoints
-            .turned_away(now, service, urgency);
+            .record_denied(now, service, urgency);
         if is_due {
             self.rate_reports.notify_one();
         }
     }
 
     /// Returns whether a permit may arrive before `end`; true if the time isn't known.
-    fn is_permit_near(&self, call: &ForwardedCall, end: Time) -> bool {
+    fn may_expect_permit(&self, call: &ForwardedCall, end: Time) -> bool {
         let now = self.now();
         let wait = self.permit_wait(&call.service);
         now < end && wait.is_none_or(|wait| now + wait < end)
@@ -111,7 +111,7 @@
         let now = self.now();
         let mut state = self.state.borrow_mut();
         for note in notes {
-            state.endpoints.rates.granted(now, note);
+            state.endpoints.rates.record_granted(now, note);
         }
         drop(state);
         self.permits.notify_waiters();
@@ -130,7 +130,7 @@
         let mut allowed = HashMap::default();
         let mut is_due = false;
         for service in &services {
-            is_due |= state.endpoints.turned_away(now, service, PIECES_URGENCY);
+            is_due |= state.endpoints.record_denied(now, service, PIECES_URGENCY);
             allowed.extend(state.endpoints.permits(now, service));
         }
         drop(state);
--- a/lib/src/gateway/routing/quarantine.rs
+++ b/lib/src/gateway/routing/quarantine.rs
@@ -15,11 +15,11 @@
 impl GatewayState {
     /// Returns the id of the endpoint with an incarnation, or the hash in hexadecimal if this daemon doesn't know the
     /// endpoint any more.
-    pub(crate) fn life_name(&self, life: IncarnationHash) -> String {
+    pub(crate) fn incarnation_name(&self, incarnation: IncarnationHash) -> String {
         let mut members = self.endpoints.members();
-        let member = members.find(|member| incarnation_hash(&member.entry) == life);
+        let member = members.find(|member| incarnation_hash(&member.entry) == incarnation);
         member.map_or_else(
-            || format!("{:08x}", life.0),
+            || format!("{:08x}", incarnation.0),
             |member| member.entry.id.to_string(),
         )
     }
@@ -27,12 +27,12 @@
 
 impl<D: Dialect> Gateway<D> {
     /// Records that an endpoint terminated while it ran a request of this daemon.
-    pub(crate) fn record_ended(&self, digest: RequestDigest, entry: &EndpointEntry) {
+    pub(crate) fn record_terminated(&self, digest: RequestDigest, entry: &EndpointEntry) {
         let now = self.now();
         let mut state = self.state.borrow_mut();
         let change = state
             .quarantine
-            .endpoint_ended(now, digest, incarnation_hash(entry));
+            .endpoint_terminated(now, digest, incarnation_hash(entry));
         drop(state);
         self.quarantine_reports.notify_one();
         self.apply_quarantine(change, "own request");
@@ -54,7 +54,7 @@
     /// Returns a problem for a quarantined request, with the time left as the time after which to retry.
     pub(crate) fn check_quarantine(&self, digest: &RequestDigest) -> Result<(), Problem> {
         let now = self.now();
-        match self.state.borrow().quarantine.left(now, digest) {
+        match self.state.borrow().quarantine.time_left(now, digest) {
             None => Ok(()),
             Some(left) => {
                 let detail = format!("{TERMINATED_LIMIT} endpoints ended under this request");
--- a/lib/src/gateway/routing/region_choice.rs
+++ b/lib/src/gateway/routing/region_choice.rs
@@ -24,27 +24,29 @@
     gateway: &Gateway<D>,
     call: &ForwardedCall,
 ) -> RegionDecision {
-    let home = gateway.state.borrow().endpoints.home();
+    let home = gateway.state.borrow().endpoints.local_region();
     let others = gateway.settings().regions.others(home);
-    let own = decide_in(gateway, call, None);
+    let own = decide_in_region(gateway, call, None);
     let others = others
         .into_iter()
-        .filter_map(|region| decide_in(gateway, call, Some(region)));
+        .filter_map(|region| decide_in_region(gateway, call, Some(region)));
     request_region::choose(own, others).unwrap_or_else(|| RegionDecision {
         region: None,
-        decision: admit(gateway, &stages_of(call)),
+        decision: admit(gateway, &chain_request(call)),
     })
 }
 
 /// Decides whether a request is admitted in another region, or in this daemon's own if `region` is absent. Returns
 /// `None` if it can't run there.
-fn decide_in<D: Dialect>(
+fn decide_in_region<D: Dialect>(
     gateway: &Gateway<D>,
     call: &ForwardedCall,
     region: Option<RegionHash>,
 ) -> Option<RegionDecision> {
-    let places = places_in(gateway, call, region)?;
-    let request = stages_of(call).within(places).coordinated_in(region);
+    let data_centres = data_centres_in(gateway, call, region)?;
+    let request = chain_request(call)
+        .within(data_centres)
+        .coordinated_in(region);
     if let Some(region) = region {
         let now = gateway.now();
         let state = gateway.state.borrow();
@@ -58,28 +60,31 @@
 
 /// Returns the data centres where a request may run in another region, or in this daemon's own if `region` is absent.
 /// Returns `None` if a service that it needs has no open endpoint there.
-fn places_in<D: Dialect>(
+fn data_centres_in<D: Dialect>(
     gateway: &Gateway<D>,
     call: &ForwardedCall,
     region: Option<RegionHash>,
 ) -> Option<AllowedDataCentres> {
     let state = gateway.state.borrow();
-    let region = region.or(state.endpoints.home());
-    let inside = gateway.settings().regions.within(&call.places, region);
+    let region = region.or(state.endpoints.local_region());
+    let inside = gateway
+        .settings()
+        .regions
+        .within(&call.data_centres, region);
     let has_all = |service| state.endpoints.any_open(service, &inside).is_ok();
     needed_services(call).all(has_all).then_some(inside)
 }
 
 /// Returns the data of a request for its stages if they run in another region, or in this daemon's own if `region` is
 /// absent. If a needed service has no open endpoint in the region, the stages may run wherever the request may.
-pub(crate) fn stages_in<D: Dialect>(
+pub(crate) fn chain_request_in<D: Dialect>(
     gateway: &Gateway<D>,
     call: &ForwardedCall,
     region: Option<RegionHash>,
 ) -> ChainRequest {
-    let request = stages_of(call).coordinated_in(region);
-    match places_in(gateway, call, region) {
-        Some(places) => request.within(places),
+    let request = chain_request(call).coordinated_in(region);
+    match data_centres_in(gateway, call, region) {
+        Some(data_centres) => request.within(data_centres),
         None => request,
     }
 }
@@ -87,7 +92,7 @@
 /// Returns the stages for which a request has pieces.
 pub(crate) fn needed_stages(call: &ForwardedCall) -> impl Iterator<Item = &RouteStage> {
     let stages = call.route.stages.iter().enumerate();
-    let needed = stages.filter(|(place, _)| piece_count(&call.inbound.pieces, *place) > 0);
+    let needed = stages.filter(|(index, _)| piece_count(&call.inbound.pieces, *index) > 0);
     needed.map(|(_, stage)| stage)
 }
 
@@ -98,14 +103,14 @@
 }
 
 /// Returns the data of a request for its stages.
-fn stages_of(call: &ForwardedCall) -> ChainRequest {
+fn chain_request(call: &ForwardedCall) -> ChainRequest {
     ChainRequest::new(
         &call.inbound,
         &call.route,
-        call.deadline.min(call.give_up()),
+        call.deadline.min(call.give_up_at()),
         call.arrived + call.route.objective,
         call.urgency,
     )
     .identified(call.digest)
-    .within(call.places.clone())
+    .within(call.data_centres.clone())
 }
--- a/lib/src/gateway/routing/reply_notices.rs
+++ b/lib/src/gateway/routing/reply_signals.rs
@@ -15,7 +15,7 @@
 
 impl<D: Dialect> Gateway<D> {
     /// Records the signals in a reply: whether its endpoint leaves, and whether it asks for a cooldown.
-    pub(crate) fn record_notices(
+    pub(crate) fn record_signals(
         &self,
         endpoint: &EndpointEntry,
         status: StatusCode,
@@ -25,8 +25,8 @@
             self.record_leave(endpoint);
         }
         match requested_cooldown(status, facts.retry_after) {
-            Some(rest) => self.record_rest(endpoint, rest),
-            None => self.state.borrow_mut().endpoints.end_trial(endpoint),
+            Some(cooldown) => self.record_cooldown(endpoint, cooldown),
+            None => self.state.borrow_mut().endpoints.end_probing(endpoint),
         }
         if facts.leave == LeaveSignal::Invalid || facts.retry_after == RetryAfter::Invalid {
             self.record_unclear(endpoint);
@@ -34,9 +34,9 @@
     }
 
     /// Admits new work again at endpoints whose cooldown is over.
-    pub(crate) fn end_rests(&self) {
+    pub(crate) fn end_cooldowns(&self) {
         let now = self.now();
-        if self.state.borrow_mut().endpoints.end_rests(now) {
+        if self.state.borrow_mut().endpoints.end_cooldowns(now) {
             self.invalidate_stage_queues();
         }
     }
@@ -50,13 +50,13 @@
         }
     }
 
-    fn record_rest(&self, endpoint: &EndpointEntry, rest: Millis) {
-        let until = self.now() + rest;
+    fn record_cooldown(&self, endpoint: &EndpointEntry, cooldown: Millis) {
+        let until = self.now() + cooldown;
         let mut state = self.state.borrow_mut();
-        let is_new = state.endpoints.record_rest(endpoint, until);
+        let is_new = state.endpoints.record_cooldown(endpoint, until);
         drop(state);
         if is_new {
-            log::info!(endpoint:% = endpoint.id, rest_ms = rest.0; "endpoint.resting");
+            log::info!(endpoint:% = endpoint.id, rest_ms = cooldown.0; "endpoint.resting");
             self.metrics.endpoints.resting();
             self.invalidate_stage_queues();
         }
--- a/lib/src/gateway/routing/reply_stream.rs
+++ b/lib/src/gateway/routing/reply_stream.rs
@@ -24,7 +24,7 @@
 
 /// Number of stream parts that may wait for the caller to read them. It is small because parts may be large and many
 /// callers may read slowly.
-const QUEUE: usize = 1;
+const QUEUED_PARTS: usize = 1;
 
 struct StreamRelay<D: Dialect> {
     request: StreamedRequest<D>,
@@ -83,7 +83,7 @@
     request: StreamedRequest<D>,
     source: StreamSource<D>,
 ) -> mpsc::Receiver<StreamPart> {
-    let (sink, receiver) = mpsc::channel(QUEUE);
+    let (sink, receiver) = mpsc::channel(QUEUED_PARTS);
     let splitter = EventSplitter::after(request.call.inbound.last_event);
     let relay = StreamRelay {
         request,
@@ -219,7 +219,7 @@
                 // With its first event the endpoint has fetched its inputs and read the prompt.
                 self.request.results = None;
             }
-            guard.first_event();
+            guard.record_first_event();
             self.send(events).await?;
         }
         if self.splitter.is_broken() {
--- a/lib/src/gateway/routing/sent_parts.rs
+++ b/lib/src/gateway/routing/sent_parts.rs
@@ -9,11 +9,11 @@
 };
 
 /// Time for which a part is assumed to stay cached at the endpoint after it was last sent.
-const LIFETIME: Millis = Millis(20_000);
+const CACHE_TIME: Millis = Millis(20_000);
 
 /// Largest number of parts that are kept for one endpoint; if there are more, all are discarded. At 16 bytes per part
 /// this limits the memory per endpoint to about 100 KB.
-const MOST_PARTS: usize = 4_096;
+const PART_LIMIT: usize = 4_096;
 
 /// Ids of prompt parts that were sent to one endpoint, each with the time at which it was last sent.
 #[derive(Debug, Default)]
@@ -24,7 +24,7 @@
 impl SentParts {
     /// Records that a prompt was sent.
     pub(crate) fn record(&mut self, now: Time, prompt: &Prompt) {
-        if self.sent.len() > MOST_PARTS {
+        if self.sent.len() > PART_LIMIT {
             self.sent.clear();
         }
         for part in &prompt.parts {
@@ -37,7 +37,7 @@
         let is_cached = |id: &u64| {
             self.sent
                 .get(id)
-                .is_some_and(|sent| now.since(*sent) < LIFETIME.to_duration())
+                .is_some_and(|sent| now.since(*sent) < CACHE_TIME.to_duration())
         };
         prompt
             .parts
--- a/lib/src/gateway/routing/stage_load.rs
+++ b/lib/src/gateway/routing/stage_load.rs
@@ -36,7 +36,7 @@
         .borrow()
         .endpoints
         .round_trip(now, request.region);
-    let stages = (0..route.stages.len()).map(|place| planned_stage(gateway, request, place));
+    let stages = (0..route.stages.len()).map(|index| planned_stage(gateway, request, index));
     admission::decide(&AdmissionRequest {
         stages: stages.collect(),
         objective: route.objective,
@@ -51,17 +51,17 @@
 fn planned_stage<D: Dialect>(
     gateway: &Gateway<D>,
     request: &ChainRequest,
-    place: usize,
+    index: usize,
 ) -> PlannedStage {
-    let stage = &request.route.stages[place];
+    let stage = &request.route.stages[index];
     let now = gateway.now();
     let backlog = backlog(&gateway.state.borrow(), now, &stage.service, request.region);
-    let PieceRank { objective, rank } = request.piece_rank(place);
-    let band = DeadlineBucket::of(now, due_time(now, objective, rank));
+    let PieceRank { objective, rank } = request.piece_rank(index);
+    let bucket = DeadlineBucket::of(now, due_time(now, objective, rank));
     PlannedStage {
         service: stage_service(gateway, request, stage, backlog.total()),
-        ahead: PieceCount(f64::from(backlog.ahead(band))),
-        pieces: request.count(place),
+        ahead: PieceCount(f64::from(backlog.ahead(bucket))),
+        pieces: request.count(index),
         after: stage.after.clone(),
     }
 }
@@ -132,10 +132,10 @@
     let open = state.endpoints.open(service);
     let listed = open.filter(|member| request.places.allow(&member.entry.data_centre));
     if let Some(region) = request.region {
-        let far = state.peers.far_service(now, service, region);
+        let remote = state.peers.far_service(now, service, region);
         return EndpointCounts {
             local_queue: None,
-            peers: far.map(|far| far.endpoints),
+            peers: remote.map(|remote| remote.endpoints),
             listed: listed.count(),
         };
     }
@@ -156,8 +156,8 @@
     region: Option<RegionHash>,
 ) -> Backlog {
     if let Some(region) = region {
-        let far = state.peers.far_service(now, service, region);
-        return far.map(|far| far.backlog).unwrap_or_default();
+        let remote = state.peers.far_service(now, service, region);
+        return remote.map(|remote| remote.backlog).unwrap_or_default();
     }
     // This daemon is taken as ready: if it would then be the coordinator, it adds up the others' reports itself.
     let coordinator = state.peers.coordinator(now, service, true, &[]);
--- a/lib/src/gateway/routing/stages.rs
+++ b/lib/src/gateway/routing/stages.rs
@@ -10,7 +10,7 @@
             routing::{
                 call::ForwardedCall,
                 outbound::choose_endpoint_in,
-                region_choice::{choose_region, needed_services, stages_in},
+                region_choice::{chain_request_in, choose_region, needed_services},
             },
             rules::{
                 admission::AdmissionDecision,
@@ -74,14 +74,15 @@
 
 /// Refuses a request if its service, or that of a stage with pieces, has no endpoint that may get work.
 fn check_endpoints<D: Dialect>(gateway: &Gateway<D>, call: &ForwardedCall) -> Result<(), Problem> {
-    gateway.end_rests();
+    gateway.end_cooldowns();
     let now = gateway.now();
     let endpoints = &gateway.state.borrow().endpoints;
     for service in needed_services(call) {
-        if let Err(left_out) = endpoints.any_open(service, &call.places) {
+        if let Err(left_out) = endpoints.any_open(service, &call.data_centres) {
             let detail = format!("no endpoint of {service} may get work; left out: {left_out}");
-            let rested = endpoints.rest_end(service, &call.places);
-            let wait = rested.map_or(NO_ENDPOINT, |rested| after_cooldown(now, rested));
+            let cooldown_end = endpoints.cooldown_end(service, &call.data_centres);
+            let wait =
+                cooldown_end.map_or(NO_ENDPOINT, |cooldown_end| after_cooldown(now, cooldown_end));
             return Err(Problem::not_run(Code::NoEndpoint, detail).retry_after(wait));
         }
     }
@@ -94,7 +95,7 @@
     let now = gateway.now();
     let state = gateway.state.borrow();
     let endpoints = &state.endpoints;
-    let wait = endpoints.only_permits(now, &call.service, &call.places, call.urgency);
+    let wait = endpoints.needed_permit_wait(now, &call.service, &call.data_centres, call.urgency);
     match wait {
         Some(wait) if wait > call.route.objective => {
             let detail = format!(
@@ -116,7 +117,7 @@
     if !call.has_stages() {
         return Ok(None);
     }
-    let request = stages_in(gateway, call, region);
+    let request = chain_request_in(gateway, call, region);
     // If no endpoint may get the request now, the stages have no preferred data centre. The request is refused later if
     // that is still so.
     let probable = choose_endpoint_in(gateway, call, &request.places, &[], None).ok();
--- a/lib/src/gateway/routing/stream_resume.rs
+++ b/lib/src/gateway/routing/stream_resume.rs
@@ -215,7 +215,7 @@
             guard.end(outcome);
             return Err(SourceError::Failed);
         }
-        guard.first_event();
+        guard.record_first_event();
         Ok(StreamSource {
             body,
             connection,
--- a/lib/src/gateway/serving/status.rs
+++ b/lib/src/gateway/serving/status.rs
@@ -99,7 +99,7 @@
 
 /// Returns the regions, the daemon's own first; none if the installation has one alone.
 fn regions<D: Dialect>(gateway: &Gateway<D>, state: &GatewayState) -> Vec<RegionStatus> {
-    let home = state.endpoints.home();
+    let home = state.endpoints.local_region();
     if home.is_none() {
         return Vec::new();
     }
--- a/lib/src/gateway/stages/queues.rs
+++ b/lib/src/gateway/stages/queues.rs
@@ -103,10 +103,10 @@
                 BatchQueue::new(*limits, WindowBudget::new(budget, Time::default()))
             });
             queue.set_limits(*limits, budget, daemons);
-            let eligible = endpoints.planned(service).into_iter();
+            let eligible = endpoints.schedulable(service).into_iter();
             let entries: Vec<_> = eligible.map(|member| member.entry.clone()).collect();
             queue.set_endpoints(&entries);
-            queue.set_cooldown_end(endpoints.rest_end(service, &AllowedDataCentres::Anywhere));
+            queue.set_cooldown_end(endpoints.cooldown_end(service, &AllowedDataCentres::Anywhere));
         }
     }
 
--- a/lib/src/gateway/stages/release.rs
+++ b/lib/src/gateway/stages/release.rs
@@ -51,7 +51,7 @@
     let state = gateway.state.borrow();
     let endpoints = &state.endpoints;
     let mut by_region: BTreeMap<Option<RegionHash>, Vec<ResultHandle>> = BTreeMap::new();
-    if endpoints.home().is_none() && !handles.is_empty() {
+    if endpoints.local_region().is_none() && !handles.is_empty() {
         by_region.insert(None, handles);
         return by_region;
     }
@@ -59,7 +59,7 @@
         let region = handle
             .address()
             .and_then(|at| endpoints.region_at(service, at));
-        let remote = region.filter(|_| in_different_regions(endpoints.home(), region));
+        let remote = region.filter(|_| in_different_regions(endpoints.local_region(), region));
         by_region.entry(remote).or_default().push(handle);
     }
     by_region
@@ -171,7 +171,7 @@
         let releases = gateway.state.borrow_mut().stage_queues.take_releases();
         for (service, handles) in releases {
             for (address, handles) in by_address(handles) {
-                if is_cooling_down(&gateway, &service, address) {
+                if in_cooldown(&gateway, &service, address) {
                     let mut state = gateway.state.borrow_mut();
                     state.stage_queues.release(&service, handles);
                     continue;
@@ -187,14 +187,14 @@
 }
 
 /// Returns whether the endpoint of a service at an address is cooling down, so that releases to it have to wait.
-fn is_cooling_down<D: Dialect>(
+fn in_cooldown<D: Dialect>(
     gateway: &Gateway<D>,
     service: &ServiceId,
     address: SocketAddr,
 ) -> bool {
     let endpoints = &gateway.state.borrow().endpoints;
     let entry = endpoints.entry_at(service, address);
-    entry.is_some_and(|entry| endpoints.is_resting(&entry))
+    entry.is_some_and(|entry| endpoints.in_cooldown(&entry))
 }
 
 /// Groups results by the addresses of the endpoints that store them. Skips handles without an address, whose
@@ -227,7 +227,7 @@
     let entry = gateway.state.borrow().endpoints.entry_at(service, address);
     let record = |status, facts: &ReplyFacts| {
         if let Some(entry) = &entry {
-            gateway.record_notices(entry, status, facts);
+            gateway.record_signals(entry, status, facts);
         }
     };
     let reply = post::<D>(message, record).await;
--- a/lib/tests/rates/mod.rs
+++ b/lib/tests/rates/mod.rs
@@ -11,7 +11,7 @@
             hashes::IncarnationHash,
             rates::{
                 note::RateNote,
-                store::{EndpointRates, PermitAnswer, SeenRate},
+                store::{EndpointRates, ObservedRate, PermitAnswer},
             },
             rules::cold_share::ColdShare,
         },
@@ -256,7 +256,7 @@
                     self.send(now, message.to, number(answer.to), Content::Answer(answer));
                 }
             }
-            Content::Answer(answer) => rates.granted(clock(now), &answer.note),
+            Content::Answer(answer) => rates.record_granted(clock(now), &answer.note),
         }
     }
 
@@ -298,18 +298,21 @@
         let time = clock(now);
         let one = &mut self.daemons[daemon];
         if !one.rates.may_send(time, INCARNATION, URGENCY) {
-            if one.rates.turned_away(time, INCARNATION, URGENCY) {
+            if one.rates.record_denied(time, INCARNATION, URGENCY) {
                 one.round = one.round.min(now + EARLY_ROUND_MS);
             }
             return false;
         }
         let knows = one.rates.knows(INCARNATION);
-        one.rates.sent(time, INCARNATION, URGENCY);
-        let named = Some(AdvertisedRate {
+        one.rates.use_permit(time, INCARNATION, URGENCY);
+        let advertised = Some(AdvertisedRate {
             rate: Rate(self.plan.rate),
             valid: true,
         });
-        let seen = SeenRate { named, sent: time };
+        let seen = ObservedRate {
+            advertised,
+            sent: time,
+        };
         one.rates.observe(time, INCARNATION, &self.service, seen);
         if knows {
             self.sent.push(now);
@@ -346,9 +349,9 @@
                 if let Some(report) = message.report {
                     self.send(now, daemon, coordinator, Content::Note(daemon, report));
                 }
-                if let Some(telling) = message.telling {
+                if let Some(announcement) = message.announcement {
                     for to in self.recipients(daemon, coordinator) {
-                        self.send(now, daemon, to, Content::Note(daemon, telling));
+                        self.send(now, daemon, to, Content::Note(daemon, announcement));
                     }
                 }
             }
--- a/lib/tests/test_accusations.rs
+++ b/lib/tests/test_accusations.rs
@@ -151,8 +151,8 @@
         let now = self.now;
         let mut notes: Vec<EvidenceNote> = Vec::new();
         for daemon in &mut self.daemons {
-            notes.extend(daemon.take_own_news(now));
-            notes.extend(daemon.common_news(now));
+            notes.extend(daemon.take_local_reports(now));
+            notes.extend(daemon.common_reports(now));
         }
         for daemon in &mut self.daemons {
             daemon.merge(now, &notes);
@@ -190,7 +190,7 @@
 
     fn attempt(&mut self, request: Request) {
         let now = self.now;
-        let is_refused = self.daemons[request.daemon].left(now, &digest(request.number));
+        let is_refused = self.daemons[request.daemon].time_left(now, &digest(request.number));
         if is_refused.is_some() {
             self.outcome.accused += usize::from(request.number != HARMFUL);
             return;
@@ -242,7 +242,7 @@
             self.endpoints[place].back = now + BACK;
             self.endpoints[place].life = self.next_life();
             for (_, request) in std::mem::take(&mut self.endpoints[place].running) {
-                self.daemons[request.daemon].endpoint_ended(now, digest(request.number), life);
+                self.daemons[request.daemon].endpoint_terminated(now, digest(request.number), life);
                 broken.push(request);
             }
         }
--- a/lib/tests/test_distance.rs
+++ b/lib/tests/test_distance.rs
@@ -188,8 +188,8 @@
 #[test]
 fn ways_of_regions() {
     let mut states = seen_from("n1");
-    states.connected(NOW, &entry("s1", 1), WorkMillis(41.0));
-    states.connected(NOW, &entry("n2", 1), WorkMillis(1.0));
+    states.record_connected(NOW, &entry("s1", 1), WorkMillis(41.0));
+    states.record_connected(NOW, &entry("n2", 1), WorkMillis(1.0));
     let round_trip = |name| states.round_trip(NOW, Some(region(name)));
     assert_eq!(round_trip("south"), Some(WorkMillis(41.0)));
     assert_eq!(round_trip("north"), None);
--- a/lib/tests/test_eligibility.rs
+++ b/lib/tests/test_eligibility.rs
@@ -215,12 +215,12 @@
     cold.cold = COLD;
     let mut states = states([cold.clone()]);
     assert_eq!(chosen(&states, NOW), "e1");
-    states.sent(NOW, &cold, &Prompt::default(), 0);
-    states.ended(NOW, &cold, EndpointOutcome::Served(None));
+    states.record_sent(NOW, &cold, &Prompt::default(), 0);
+    states.record_ended(NOW, &cold, EndpointOutcome::Served(None));
     let left_out = choose(&states, NOW + Millis(500), &AllowedDataCentres::Anywhere).unwrap_err();
     assert_eq!(left_out.of(Exclusion::Cold), 1);
     assert_eq!(chosen(&states, NOW + Millis(1_200)), "e1");
-    states.sent(NOW + Millis(1_200), &cold, &Prompt::default(), 0);
+    states.record_sent(NOW + Millis(1_200), &cold, &Prompt::default(), 0);
     assert_eq!(chosen(&states, NOW + COLD), "e1");
 }
 
@@ -245,9 +245,9 @@
     };
     let first = choose(&states, NOW);
     assert_eq!(first.uncached, 100);
-    states.sent(NOW, &first.entry, &prompt, first.uncached);
-    states.first_event(NOW, &first, first.expected);
-    states.ended(NOW, &first.entry, EndpointOutcome::Served(None));
+    states.record_sent(NOW, &first.entry, &prompt, first.uncached);
+    states.record_first_event(NOW, &first, first.expected);
+    states.record_ended(NOW, &first.entry, EndpointOutcome::Served(None));
     let mut cold = (*first.entry).clone();
     cold.cold = COLD;
     cold.revision = 11.into();
@@ -266,8 +266,8 @@
     let mut states = states([one.clone(), two]);
     states.set_evacuated(NOW, evacuated(&["near"]));
     states.set_evacuated(NOW, BTreeSet::new());
-    states.sent(NOW, &one, &Prompt::default(), 0);
-    states.ended(NOW, &one, EndpointOutcome::Served(None));
+    states.record_sent(NOW, &one, &Prompt::default(), 0);
+    states.record_ended(NOW, &one, EndpointOutcome::Served(None));
     for _ in 0..2 {
         assert_eq!(chosen(&states, NOW + Millis(500)), "e2");
     }
@@ -289,7 +289,7 @@
     let former = entry(1, "near");
     let mut states = states([former.clone()]);
     for _ in 0..2 {
-        states.sent(NOW, &former, &Prompt::default(), 0);
+        states.record_sent(NOW, &former, &Prompt::default(), 0);
     }
     assert!(choose(&states, NOW, &AllowedDataCentres::Anywhere).is_err());
     let next = EndpointEntry {
@@ -299,9 +299,9 @@
     };
     states.upsert(NOW, Arc::new(next.clone()));
     assert_eq!(chosen(&states, NOW), "e1");
-    states.sent(NOW, &next, &Prompt::default(), 0);
-    states.ended(NOW, &former, EndpointOutcome::Failed);
-    states.ended(NOW, &former, EndpointOutcome::Replaced);
+    states.record_sent(NOW, &next, &Prompt::default(), 0);
+    states.record_ended(NOW, &former, EndpointOutcome::Failed);
+    states.record_ended(NOW, &former, EndpointOutcome::Replaced);
     let load = ReplyLoad {
         running: 4,
         waiting: 9,
--- a/lib/tests/test_endpoint_rate.rs
+++ b/lib/tests/test_endpoint_rate.rs
@@ -11,7 +11,7 @@
             hashes::IncarnationHash,
             rates::{
                 note::RateNote,
-                store::{EndpointRates, RateChange, SeenRate},
+                store::{EndpointRates, ObservedRate, RateChange},
             },
             rules::endpoint_rate::{
                 Claim, MIN_RATE, Permit, PermitPool, RateShare, Tokens, effective_rate,
@@ -216,12 +216,12 @@
     assert_eq!(pool.wait(NOW, RATE, address(2)), Millis(500));
 }
 
-fn seen(rate: Option<f64>, sent: Time) -> SeenRate {
-    let named = rate.map(|rate| AdvertisedRate {
+fn seen(rate: Option<f64>, sent: Time) -> ObservedRate {
+    let advertised = rate.map(|rate| AdvertisedRate {
         rate: Rate(rate),
         valid: true,
     });
-    SeenRate { named, sent }
+    ObservedRate { advertised, sent }
 }
 
 /// A reported rate equals the observed one, whatever its digits, so that observing it again is no change.
@@ -233,7 +233,7 @@
     let began = rates.observe(NOW, incarnation, &service, seen(Some(0.333_333), NOW));
     assert!(matches!(began, Some(RateChange::Began(_))));
     let messages = rates.messages(NOW, Some(6));
-    let report = messages[0].telling.unwrap();
+    let report = messages[0].announcement.unwrap();
     let later = NOW + Millis(50);
     let newer = RateNote {
         age_ms: 0,
@@ -252,7 +252,7 @@
     let incarnation = IncarnationHash(7);
     let mut rates = EndpointRates::default();
     rates.observe(NOW, incarnation, &service, seen(Some(2.0), NOW));
-    let named = rates.messages(NOW, Some(6))[0].telling.unwrap();
+    let named = rates.messages(NOW, Some(6))[0].announcement.unwrap();
     let later = NOW + Millis(500);
     assert_eq!(
         rates.observe(later, incarnation, &service, seen(None, NOW)),
--- a/lib/tests/test_endpoint_rest.rs
+++ b/lib/tests/test_endpoint_rest.rs
@@ -78,23 +78,23 @@
     let mut states = EndpointStates::default();
     let entry = entry("a");
     states.upsert(START, Arc::new(entry.clone()));
-    assert!(states.record_rest(&entry, after(3_000)));
-    assert!(!states.record_rest(&entry, after(1_000)));
-    assert!(!states.end_rests(after(2_999)));
+    assert!(states.record_cooldown(&entry, after(3_000)));
+    assert!(!states.record_cooldown(&entry, after(1_000)));
+    assert!(!states.end_cooldowns(after(2_999)));
     assert!(
         states
             .any_open(&service(), &AllowedDataCentres::Anywhere)
             .is_err()
     );
-    assert!(!states.record_rest(&entry, after(4_000)));
-    assert!(!states.end_rests(after(3_999)));
-    assert!(states.end_rests(after(4_000)));
+    assert!(!states.record_cooldown(&entry, after(4_000)));
+    assert!(!states.end_cooldowns(after(3_999)));
+    assert!(states.end_cooldowns(after(4_000)));
     assert!(
         states
             .any_open(&service(), &AllowedDataCentres::Anywhere)
             .is_ok()
     );
-    assert!(!states.end_rests(after(5_000)));
+    assert!(!states.end_cooldowns(after(5_000)));
 }
 
 /// The end of the first cooldown is returned only if no other endpoint takes requests. A cooldown outlasts the removal
@@ -107,9 +107,9 @@
         states.upsert(START, Arc::new(entry.clone()));
     }
     let first_end =
-        |states: &EndpointStates| states.rest_end(&service(), &AllowedDataCentres::Anywhere);
-    states.record_rest(&entries[0], after(3_000));
-    states.record_rest(&entries[1], after(2_000));
+        |states: &EndpointStates| states.cooldown_end(&service(), &AllowedDataCentres::Anywhere);
+    states.record_cooldown(&entries[0], after(3_000));
+    states.record_cooldown(&entries[1], after(2_000));
     assert_eq!(first_end(&states), None);
     states.remove(&entries[2].id);
     assert_eq!(first_end(&states), Some(after(2_000)));
@@ -117,6 +117,6 @@
     assert_eq!(first_end(&states), Some(after(3_000)));
     states.upsert(after(500), Arc::new(entries[1].clone()));
     assert_eq!(first_end(&states), Some(after(2_000)));
-    assert!(states.end_rests(after(2_000)));
+    assert!(states.end_cooldowns(after(2_000)));
     assert_eq!(first_end(&states), None);
 }
--- a/lib/tests/test_fleet_choice.rs
+++ b/lib/tests/test_fleet_choice.rs
@@ -126,8 +126,8 @@
 fn replaced_endpoint_avoided() {
     let mut endpoints = endpoints(2);
     let prompt = Prompt::default();
-    endpoints.sent(NOW, &entry(1, "near", false), &prompt, 0);
-    endpoints.ended(NOW, &entry(1, "near", false), EndpointOutcome::Replaced);
+    endpoints.record_sent(NOW, &entry(1, "near", false), &prompt, 0);
+    endpoints.record_ended(NOW, &entry(1, "near", false), EndpointOutcome::Replaced);
     for _ in 0..4 {
         assert_eq!(choose(&endpoints, &plain(&prompt)).unwrap().entry.id, id(2));
     }
@@ -138,8 +138,8 @@
 fn unreachable_last_resort() {
     let mut endpoints = endpoints(2);
     let prompt = Prompt::default();
-    endpoints.sent(NOW, &entry(1, "near", false), &prompt, 0);
-    endpoints.ended(NOW, &entry(1, "near", false), EndpointOutcome::Unreachable);
+    endpoints.record_sent(NOW, &entry(1, "near", false), &prompt, 0);
+    endpoints.record_ended(NOW, &entry(1, "near", false), EndpointOutcome::Unreachable);
     assert_eq!(choose(&endpoints, &plain(&prompt)).unwrap().entry.id, id(2));
     let placement = Placement {
         tried: &[id(2)],
@@ -155,8 +155,8 @@
     let prompt = Prompt::default();
     for number in 1..=4 {
         for _ in 0..3 {
-            endpoints.sent(NOW, &entry(number, "near", false), &prompt, 0);
-            endpoints.ended(NOW, &entry(number, "near", false), EndpointOutcome::Failed);
+            endpoints.record_sent(NOW, &entry(number, "near", false), &prompt, 0);
+            endpoints.record_ended(NOW, &entry(number, "near", false), EndpointOutcome::Failed);
         }
     }
     let choice = choose(&endpoints, &plain(&prompt)).unwrap();
@@ -191,7 +191,7 @@
     };
     let first = choose(&endpoints, &placement).unwrap();
     for _ in 0..30 {
-        endpoints.sent(NOW, &first.entry, &prompt, 2_000);
+        endpoints.record_sent(NOW, &first.entry, &prompt, 2_000);
     }
     assert_ne!(
         choose(&endpoints, &placement).unwrap().entry.id,
@@ -226,7 +226,7 @@
     let placement = plain(&prompt);
     let first = choose(&endpoints, &placement).unwrap();
     for _ in 0..20 {
-        endpoints.first_event(NOW, &first, WorkMillis(2_000.0));
+        endpoints.record_first_event(NOW, &first, WorkMillis(2_000.0));
     }
     assert_ne!(
         choose(&endpoints, &placement).unwrap().entry.id,
@@ -248,11 +248,11 @@
         connection_limit: 2,
         ..plain(&prompt)
     };
-    endpoints.sent(NOW, &entry(1, "near", false), &prompt, 0);
+    endpoints.record_sent(NOW, &entry(1, "near", false), &prompt, 0);
     assert!(choose(&endpoints, &placement).is_some());
-    endpoints.sent(NOW, &entry(1, "near", false), &prompt, 0);
+    endpoints.record_sent(NOW, &entry(1, "near", false), &prompt, 0);
     assert!(choose(&endpoints, &placement).is_none());
-    endpoints.ended(
+    endpoints.record_ended(
         NOW,
         &entry(1, "near", false),
         EndpointOutcome::Served(Some(WorkMillis(5.0))),
@@ -265,8 +265,8 @@
 #[test]
 fn replaced_endpoint_reopens() {
     let mut endpoints = endpoints(1);
-    endpoints.sent(NOW, &entry(1, "near", false), &Prompt::default(), 0);
-    endpoints.ended(NOW, &entry(1, "near", false), EndpointOutcome::Replaced);
+    endpoints.record_sent(NOW, &entry(1, "near", false), &Prompt::default(), 0);
+    endpoints.record_ended(NOW, &entry(1, "near", false), EndpointOutcome::Replaced);
     assert!(!endpoints.reopen_replaced(NOW + Millis(4_000)));
     assert!(choose(&endpoints, &plain(&Prompt::default())).is_none());
     assert!(endpoints.reopen_replaced(NOW + Millis(5_000)));
@@ -291,8 +291,8 @@
             let choice = choose(&states, &plain(&prompt)).unwrap();
             let number: usize = choice.entry.id.as_str()[1..].parse().unwrap();
             calls[number - 1] += 1;
-            states.sent(NOW, &choice.entry, &prompt, 0);
-            states.ended(
+            states.record_sent(NOW, &choice.entry, &prompt, 0);
+            states.record_ended(
                 NOW,
                 &choice.entry,
                 EndpointOutcome::Served(Some(WorkMillis(20.0))),
--- a/lib/tests/test_fleet_pins.rs
+++ b/lib/tests/test_fleet_pins.rs
@@ -171,7 +171,8 @@
             "{id} {ms:.3}ms, {uncached} uncached, {outstanding} outstanding, of {among}"
         )
         .unwrap();
-        self.fleet.sent(self.now, &choice.entry, &prompt, uncached);
+        self.fleet
+            .record_sent(self.now, &choice.entry, &prompt, uncached);
         self.sent.push(Sent {
             choice,
             is_read: false,
@@ -194,7 +195,8 @@
         if !sent.is_read {
             let factor = *self.draws.pick(&[0.2, 0.9, 1.0, 1.4, 6.0, 50.0]);
             let waited = WorkMillis(sent.choice.expected.0 * factor);
-            self.fleet.first_event(self.now, &sent.choice, waited);
+            self.fleet
+                .record_first_event(self.now, &sent.choice, waited);
             sent.is_read = true;
         }
         self.sent.push(sent);
@@ -207,7 +209,7 @@
         let entry = &sent.choice.entry;
         let id = &entry.id;
         if !sent.is_read {
-            self.fleet.forget_prefill(entry, sent.choice.uncached);
+            self.fleet.cancel_prefill(entry, sent.choice.uncached);
         }
         let call_ms = 5.0 + self.draws.below(40) as f64;
         let (name, ending) = match self.draws.below(16) {
@@ -219,7 +221,7 @@
             14 => ("unreachable", EndpointOutcome::Unreachable),
             _ => ("neutral", EndpointOutcome::Neutral),
         };
-        let ejected = self.fleet.ended(self.now, entry, ending);
+        let ejected = self.fleet.record_ended(self.now, entry, ending);
         writeln!(self.lines, "  {id} {name}: {ejected}").unwrap();
     }
 
--- a/lib/tests/test_quarantine.rs
+++ b/lib/tests/test_quarantine.rs
@@ -14,7 +14,7 @@
                 quarantine_news::gather,
             },
             quarantine::{
-                evidence::{EndedRun, Evidence},
+                evidence::{Evidence, TerminatedRun},
                 note::{EndedNote, EvidenceNote},
                 store::{Quarantine, QuarantineChange},
             },
@@ -44,8 +44,8 @@
     Time::default() + Millis(count * 1_000)
 }
 
-fn run(endpoint: u32, second: u64) -> EndedRun {
-    EndedRun {
+fn run(endpoint: u32, second: u64) -> TerminatedRun {
+    TerminatedRun {
         endpoint: IncarnationHash(endpoint),
         at: seconds(second),
     }
@@ -55,7 +55,7 @@
 fn end(quarantine: &mut Quarantine, request: u64, endpoints: u32) -> Vec<QuarantineChange> {
     let ended = (1..=endpoints).filter_map(|number| {
         let at = seconds(100 + u64::from(number));
-        quarantine.endpoint_ended(at, digest(request), IncarnationHash(number))
+        quarantine.endpoint_terminated(at, digest(request), IncarnationHash(number))
     });
     ended.collect()
 }
@@ -78,12 +78,12 @@
 #[test]
 fn distinct_lives() {
     let now = seconds(110);
-    let evidence = |runs: &[EndedRun]| Evidence::new(runs.iter().copied(), None);
+    let evidence = |runs: &[TerminatedRun]| Evidence::new(runs.iter().copied(), None);
     assert!(!evidence(&[run(1, 100), run(2, 101)]).is_quarantined(now));
     assert!(!evidence(&[run(1, 100), run(2, 101), run(1, 102)]).is_quarantined(now));
     let three = evidence(&[run(1, 100), run(2, 101), run(3, 102)]);
     assert!(three.is_quarantined(now));
-    assert_eq!(three.left(now), Millis(EVIDENCE_LIFETIME.0 - 10_000));
+    assert_eq!(three.time_left(now), Millis(EVIDENCE_LIFETIME.0 - 10_000));
     assert!(!three.is_quarantined(seconds(100) + EVIDENCE_LIFETIME));
 }
 
@@ -96,11 +96,11 @@
         let mut parts: Vec<Evidence> = (0..6)
             .map(|_| {
                 let count = draw.below(3);
-                let runs: Vec<EndedRun> = (0..count)
+                let runs: Vec<TerminatedRun> = (0..count)
                     .map(|_| {
                         let endpoint = draw.below(6);
                         let at = seconds(endpoint * 11) + Millis(draw.below(1_000));
-                        EndedRun {
+                        TerminatedRun {
                             endpoint: IncarnationHash(endpoint as u32),
                             at,
                         }
@@ -139,15 +139,15 @@
     };
     assert_eq!(began, [expected]);
     let now = seconds(110);
-    assert!(quarantine.left(now, &digest(7)).is_some());
-    assert_eq!(quarantine.left(now, &digest(8)), None);
+    assert!(quarantine.time_left(now, &digest(7)).is_some());
+    assert_eq!(quarantine.time_left(now, &digest(8)), None);
     assert_eq!(quarantine.digests(now).collect::<Vec<_>>(), [digest(7)]);
     let over = seconds(101) + EVIDENCE_LIFETIME;
     assert_eq!(
         quarantine.expire(over),
         [QuarantineChange::Ended(digest(7))]
     );
-    assert_eq!(quarantine.left(over, &digest(7)), None);
+    assert_eq!(quarantine.time_left(over, &digest(7)), None);
 }
 
 /// What a daemon served a moment ago doesn't end endpoints, however many of them end while they run it.
@@ -156,7 +156,7 @@
     let mut quarantine = Quarantine::default();
     quarantine.request_served(seconds(100), digest(7));
     assert_eq!(end(&mut quarantine, 7, 8), []);
-    assert!(!quarantine.has_news(seconds(110)));
+    assert!(!quarantine.has_reports(seconds(110)));
 }
 
 /// A request that other daemons refuse and this one has served isn't refused by any of them, once they are told.
@@ -166,9 +166,9 @@
     serving.request_served(seconds(104), digest(7));
     end(&mut accusing, 7, 3);
     let now = seconds(105);
-    assert!(serving.merge(now, &accusing.common_news(now)).is_empty());
-    assert_eq!(serving.left(now, &digest(7)), None);
-    let told = serving.common_news(now);
+    assert!(serving.merge(now, &accusing.common_reports(now)).is_empty());
+    assert_eq!(serving.time_left(now, &digest(7)), None);
+    let told = serving.common_reports(now);
     assert_eq!(
         accusing.merge(now, &told),
         [QuarantineChange::Ended(digest(7))]
@@ -185,7 +185,7 @@
         served_ms: None,
     };
     assert!(accusing.merge(now, &[old]).is_empty());
-    assert_eq!(accusing.left(now, &digest(7)), None);
+    assert_eq!(accusing.time_left(now, &digest(7)), None);
 }
 
 /// A process that starts later has no earlier time on its clock than its start; what happened before it keeps its
@@ -205,9 +205,9 @@
     };
     let now = Time::default() + Millis(300);
     quarantine.merge(now, &[note(Some(200_000))]);
-    assert!(quarantine.left(now, &digest(7)).is_some());
+    assert!(quarantine.time_left(now, &digest(7)).is_some());
     quarantine.merge(now, &[note(Some(30_000))]);
-    assert_eq!(quarantine.left(now, &digest(7)), None);
+    assert_eq!(quarantine.time_left(now, &digest(7)), None);
 }
 
 /// Hostile callers that vary the request make a daemon keep a bounded number of records, and lose it none of those
@@ -218,11 +218,11 @@
     end(&mut quarantine, 1, 3);
     for request in 10..10_010 {
         let at = seconds(200) + Millis(request);
-        quarantine.endpoint_ended(at, digest(request), IncarnationHash(request as u32));
+        quarantine.endpoint_terminated(at, digest(request), IncarnationHash(request as u32));
     }
     let now = seconds(300);
-    assert!(quarantine.left(now, &digest(1)).is_some());
-    assert_eq!(quarantine.take_own_news(now).len(), 2_048);
+    assert!(quarantine.time_left(now, &digest(1)).is_some());
+    assert_eq!(quarantine.take_local_reports(now).len(), 2_048);
 }
 
 /// A daemon tells the keepers a few times, and a day without such requests costs no datagram.
@@ -230,14 +230,14 @@
 fn tellings() {
     let mut quarantine = Quarantine::default();
     let now = seconds(102);
-    assert!(!quarantine.has_news(now));
+    assert!(!quarantine.has_reports(now));
     end(&mut quarantine, 7, 1);
     for _ in 0..EVIDENCE_REPORTS {
-        assert!(quarantine.has_news(now));
-        assert_eq!(quarantine.take_own_news(now).len(), 1);
+        assert!(quarantine.has_reports(now));
+        assert_eq!(quarantine.take_local_reports(now).len(), 1);
     }
-    assert!(!quarantine.has_news(now));
-    assert_eq!(quarantine.take_own_news(now), []);
+    assert!(!quarantine.has_reports(now));
+    assert_eq!(quarantine.take_local_reports(now), []);
 }
 
 /// The fullest datagram isn't split on its way.
@@ -318,7 +318,7 @@
         living
             .filter(|daemon| {
                 self.quarantines[*daemon]
-                    .left(now, &digest(request))
+                    .time_left(now, &digest(request))
                     .is_some()
             })
             .count()
@@ -326,7 +326,7 @@
 
     fn ended(&mut self, daemon: usize, request: u64, endpoint: u32) {
         let now = self.fleet.now;
-        self.quarantines[daemon].endpoint_ended(now, digest(request), IncarnationHash(endpoint));
+        self.quarantines[daemon].endpoint_terminated(now, digest(request), IncarnationHash(endpoint));
     }
 }
 
--- a/lib/tests/test_reported_pace.rs
+++ b/lib/tests/test_reported_pace.rs
@@ -137,9 +137,9 @@
     let mut states = endpoints(1);
     let one = entry(0);
     for _ in 0..60 {
-        states.sent(NOW, &one, &Prompt::default(), 0);
+        states.record_sent(NOW, &one, &Prompt::default(), 0);
         states.record_load(NOW, &one, load(pace(250)));
-        states.ended(
+        states.record_ended(
             NOW,
             &one,
             EndpointOutcome::Served(Some(WorkMillis(CALL_MS * 2.5))),
@@ -166,12 +166,12 @@
         let entry = chosen(&states, now);
         let number: usize = entry.id.as_str()[1..].parse().unwrap();
         let hundredths = if slow[number] { 250 } else { 100 };
-        states.sent(now, &entry, &Prompt::default(), 0);
+        states.record_sent(now, &entry, &Prompt::default(), 0);
         if reports {
             states.record_load(now, &entry, load(pace(hundredths)));
         }
         let took = WorkMillis(CALL_MS * f64::from(hundredths) / 100.0);
-        states.ended(now, &entry, EndpointOutcome::Served(Some(took)));
+        states.record_ended(now, &entry, EndpointOutcome::Served(Some(took)));
         late += usize::from(slow[number]);
     }
     late
