--- a/lib/tests/test_accusations.rs
+++ b/lib/tests/test_accusations.rs
@@ -1,5 +1,5 @@
-//! Who is refused although it does no harm, whatever ends endpoints, and how many a harmful request ends: in virtual
-//! time, with what each daemon knows of its own.
+//! Runs daemons' quarantines against endpoints that terminate, in virtual time: how many harmless requests are refused,
+//! and how many endpoints a harmful request terminates.
 
 #![allow(clippy::unwrap_used, reason = "a failed unwrap fails the test")]
 
@@ -18,40 +18,40 @@
 
 const DAEMONS: usize = 7;
 
-/// Step of the model, and its length in steps: a minute.
+/// Time of a step of the model, and the number of steps: a minute.
 const STEP: Millis = Millis(10);
 const STEPS: u64 = 6_000;
 
-/// Requests that arrive in a hundred steps.
+/// Number of requests that arrive in 100 steps.
 const ARRIVALS: u64 = 60;
 
-/// Shortest time of a run and the span above it, in milliseconds.
+/// Shortest time of a run, and the width of the range above it, in milliseconds.
 const RUN_MS: (u64, u64) = (800, 1_700);
 
-/// Time after which an endpoint is back, as another life.
+/// Time after which a terminated endpoint is back, as a new incarnation.
 const BACK: Millis = Millis(2_500);
 
-/// Runs of one request, and of the one that its caller sends again.
+/// Number of attempts of a request, and of times that its caller sends it.
 const ATTEMPTS: u32 = 2;
 const SENDS: u32 = 2;
 
-/// The request that many callers send, and the harmful one.
+/// Numbers of the request that many callers send, and of the harmful one.
 const POPULAR: u64 = 1;
 const HARMFUL: u64 = 2;
 
-/// Number of the first request that nobody else sends.
+/// Number below all requests that only one caller sends.
 const FIRST_OWN: u64 = 1_000;
 
-/// What happens to endpoints.
+/// Reason why endpoints terminate.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Trouble {
-    /// A request ends each that begins to run it, and comes twice a second.
+    /// A request terminates each endpoint that runs it, and is sent twice a second.
     Harmful,
-    /// Half of them end at once, twice.
+    /// Half of the endpoints terminate at once, twice.
     Half,
-    /// One after the other ends, one each two seconds.
+    /// One endpoint after the other terminates, every two seconds.
     Rolling,
-    /// A quarter of them ends each three seconds.
+    /// A quarter of the endpoints terminates every three seconds.
     Flapping,
 }
 
@@ -67,20 +67,20 @@
 struct Endpoint {
     life: u32,
     back: Time,
-    /// Runs with their ends.
+    /// Requests that the endpoint runs, each with the time at which its run ends.
     running: Vec<(Time, Request)>,
 }
 
-/// What became of the requests.
+/// Counts of requests and endpoints at the end of a model.
 #[derive(Debug, Default, Clone, PartialEq, Eq)]
 struct Outcome {
-    /// Harmless ones that were served.
+    /// Harmless requests that were served.
     served: usize,
-    /// Harmless ones that were refused.
+    /// Harmless requests that were refused.
     accused: usize,
-    /// Harmless ones that broke off too often.
+    /// Harmless requests that broke off in every attempt.
     cut: usize,
-    /// Endpoints that ended under the harmful one.
+    /// Endpoints that terminated because of the harmful request.
     ended: usize,
 }
 
@@ -146,7 +146,7 @@
         }
     }
 
-    /// Each daemon tells all others what there is to tell.
+    /// Sends the evidence of each daemon to all daemons.
     fn tell(&mut self) {
         let now = self.now;
         let mut notes: Vec<EvidenceNote> = Vec::new();
@@ -230,7 +230,7 @@
         }
     }
 
-    /// Ends endpoints at one moment; what ran there goes on elsewhere after that.
+    /// Terminates endpoints at the same moment; then each request that ran there is tried again elsewhere.
     fn end_endpoints(&mut self, places: Vec<usize>) {
         let now = self.now;
         let mut broken = Vec::new();
@@ -266,7 +266,7 @@
     }
 }
 
-/// Sums over some seeds.
+/// Adds up the outcomes of several seeds.
 fn sums(endpoints: usize, trouble: Trouble) -> Outcome {
     let mut sum = Outcome::default();
     for seed in 0..10 {
@@ -285,8 +285,9 @@
     sum
 }
 
-/// Endpoints that end together for other reasons make nobody refused, whatever many callers ask for. Where one of
-/// eight ends every two seconds, few requests of thousands meet three such ends, and only their last try is refused.
+/// When endpoints terminate for other reasons, no request is refused, even one that many callers send. An exception is
+/// one of eight endpoints terminating every two seconds: a few of thousands of requests meet three terminations, and
+/// only their last try is refused.
 #[test]
 fn harmless_served() {
     for trouble in [Trouble::Half, Trouble::Rolling, Trouble::Flapping] {
@@ -306,12 +307,12 @@
     }
 }
 
-/// A harmful request ends few endpoints, and what ran beside it is served all the same.
+/// A harmful request terminates few endpoints, and the requests that ran beside it are served.
 #[test]
 fn harmful_refused() {
     for endpoints in [8, 90] {
         let outcome = sums(endpoints, Trouble::Harmful);
-        // Three, and what was on its way when the third ended.
+        // Three endpoints, and one that was already running the request when the third terminated.
         assert!(outcome.ended <= 10 * 4, "{outcome:?}");
         assert_eq!(outcome.accused, 0, "{outcome:?}");
     }
--- a/lib/tests/test_quarantine.rs
+++ b/lib/tests/test_quarantine.rs
@@ -1,4 +1,4 @@
-//! Which requests are refused because endpoints ended under them, and how daemons learn of it.
+//! Which requests are refused because endpoints terminated under them, and how daemons exchange the evidence.
 
 #![allow(clippy::unwrap_used, reason = "a failed unwrap fails the test")]
 
@@ -33,7 +33,7 @@
     std::collections::BTreeSet,
 };
 
-/// Largest datagram that any network passes on whole, in bytes.
+/// Largest datagram that no network fragments, in bytes.
 const UNSPLIT: usize = 1_400;
 
 fn digest(number: u64) -> RequestDigest {
@@ -51,7 +51,7 @@
     }
 }
 
-/// Ends endpoints 1, 2 and so on under a request, one a second from second 100 on.
+/// Records that endpoints 1, 2 and so on terminate under a request, one per second from second 101 on.
 fn end(quarantine: &mut Quarantine, request: u64, endpoints: u32) -> Vec<QuarantineChange> {
     let ended = (1..=endpoints).filter_map(|number| {
         let at = seconds(100 + u64::from(number));
@@ -60,8 +60,8 @@
     ended.collect()
 }
 
-/// An endpoint speaks against a request for the time of the memory, unless the request was served shortly before it or
-/// at any time after it.
+/// A terminated endpoint counts against a request for `MEMORY`, unless the request was served shortly before the
+/// termination or at any time after it.
 #[test]
 fn bounds_of_evidence() {
     let ended = seconds(1_000);
@@ -74,7 +74,7 @@
     assert!(!counts_against(last, ended, Some(ended + Millis(1))));
 }
 
-/// Three lives that ended are enough, and a life that several daemons report counts once.
+/// Three terminated incarnations are enough, and an incarnation that several daemons report counts once.
 #[test]
 fn distinct_lives() {
     let now = seconds(110);
@@ -87,8 +87,8 @@
     assert!(!three.is_quarantined(seconds(100) + EVIDENCE_LIFETIME));
 }
 
-/// Merged in any order, evidence says the same, also if parts of it are merged twice. A life ends once; daemons that
-/// report it differ by less than a second.
+/// Merging evidence gives the same result in any order, also if some of it is merged twice. An incarnation terminates
+/// once; the times that daemons report for it differ by less than a second.
 #[test]
 fn merged_in_any_order() {
     for seed in 0..50 {
@@ -106,7 +106,7 @@
                         }
                     })
                     .collect();
-                // Good ends that are told apart.
+                // Successful ends that are far enough apart to count as different ones.
                 let served = (draw.below(2) == 0).then(|| seconds(draw.below(6) * 10));
                 Evidence::new(runs, served)
             })
@@ -128,7 +128,8 @@
     }
 }
 
-/// The daemon that has seen three endpoints end refuses the request, says so once, and forgets it in time.
+/// A daemon that has seen three endpoints terminate quarantines the request, reports the change once, and drops the
+/// evidence after its time.
 #[test]
 fn began_and_ended() {
     let mut quarantine = Quarantine::default();
@@ -150,7 +151,7 @@
     assert_eq!(quarantine.time_left(over, &digest(7)), None);
 }
 
-/// What a daemon served a moment ago doesn't end endpoints, however many of them end while they run it.
+/// A request that the daemon served a moment ago isn't quarantined, however many endpoints terminate while they run it.
 #[test]
 fn served_just_before() {
     let mut quarantine = Quarantine::default();
@@ -159,7 +160,7 @@
     assert!(!quarantine.has_reports(seconds(110)));
 }
 
-/// A request that other daemons refuse and this one has served isn't refused by any of them, once they are told.
+/// A request that other daemons quarantine and this one has served is released by all of them, once they receive that.
 #[test]
 fn cleared_by_others() {
     let (mut accusing, mut serving) = (Quarantine::default(), Quarantine::default());
@@ -173,7 +174,7 @@
         accusing.merge(now, &told),
         [QuarantineChange::Ended(digest(7))]
     );
-    // What it hears of the old evidence later changes nothing.
+    // Old evidence that it receives later changes nothing.
     let old = EvidenceNote {
         digest: digest(7),
         ended: (1..=3)
@@ -188,8 +189,7 @@
     assert_eq!(accusing.time_left(now, &digest(7)), None);
 }
 
-/// A process that starts later has no earlier time on its clock than its start; what happened before it keeps its
-/// order all the same.
+/// The clock of a process starts with the process. Evidence from before the start keeps its order all the same.
 #[test]
 fn before_the_start() {
     let mut quarantine = Quarantine::default();
@@ -210,8 +210,8 @@
     assert_eq!(quarantine.time_left(now, &digest(7)), None);
 }
 
-/// Hostile callers that vary the request make a daemon keep a bounded number of records, and lose it none of those
-/// that are refused.
+/// Callers that vary a harmful request on purpose can't make a daemon keep an unbounded number of records, nor drop the
+/// records of quarantined requests.
 #[test]
 fn bounded_records() {
     let mut quarantine = Quarantine::default();
@@ -225,7 +225,7 @@
     assert_eq!(quarantine.take_local_reports(now).len(), 2_048);
 }
 
-/// A daemon tells the keepers a few times, and a day without such requests costs no datagram.
+/// A daemon sends evidence to the evidence holders a few times, and none for a day without terminated endpoints.
 #[test]
 fn tellings() {
     let mut quarantine = Quarantine::default();
@@ -240,7 +240,7 @@
     assert_eq!(quarantine.take_local_reports(now), []);
 }
 
-/// The fullest datagram isn't split on its way.
+/// The largest datagram isn't fragmented.
 #[test]
 fn datagram_size() {
     let ended = (0..TERMINATED_LIMIT).map(|_| EndedNote {
@@ -259,7 +259,7 @@
     assert!(encode(&datagram).len() <= UNSPLIT);
 }
 
-/// Daemons that know each other choose the same keepers, and different ones for different requests.
+/// Daemons that know each other choose the same evidence holders, and different ones for different requests.
 #[test]
 fn agreed_keepers() {
     let all: Vec<_> = (0..40).map(fleet::address).collect();
@@ -275,7 +275,7 @@
     );
 }
 
-/// What each daemon of a fleet knows of requests, beside what it knows of the others.
+/// A fleet of daemons, each with a quarantine.
 struct Watch {
     fleet: Fleet,
     quarantines: Vec<Quarantine>,
@@ -289,8 +289,8 @@
         Self { fleet, quarantines }
     }
 
-    /// One heartbeat's time: each living daemon tells what there is to tell; `lost` tells which datagrams don't
-    /// arrive. Returns the bytes sent.
+    /// Runs one heartbeat interval, in which each living daemon sends its evidence. `lost` decides for each datagram
+    /// whether it is lost. Returns the number of bytes sent.
     fn round(&mut self, mut lost: impl FnMut() -> bool) -> usize {
         self.fleet.now = self.fleet.now + HEARTBEAT;
         let now = self.fleet.now;
@@ -330,8 +330,8 @@
     }
 }
 
-/// Three daemons see one endpoint end each; all of hundreds refuse the request within two seconds, though a datagram
-/// in ten is lost, and a daemon that starts later does a second later.
+/// Three daemons see one endpoint terminate each. All 150 daemons quarantine the request within two seconds, although
+/// one datagram in ten is lost, and so does a daemon within a second of its start.
 #[test]
 fn spread_in_fleet() {
     let mut watch = Watch::new(150);
@@ -353,7 +353,8 @@
     }
 }
 
-/// A daemon that saw endpoints end, or that keeps what others saw, is lost; the next endpoint counts all the same.
+/// A daemon that saw an endpoint terminate is lost, and with it its evidence or that of others; the next endpoint
+/// counts all the same.
 #[test]
 fn lost_daemons() {
     for lost in [2, 5] {
@@ -371,8 +372,8 @@
     }
 }
 
-/// A third of the endpoints of a large service end at once, each with thirty requests: no request is refused, and what
-/// daemons tell each other stays small.
+/// A third of the endpoints of a large service terminates at once, each with 30 requests: no request is refused, and
+/// the amount of evidence that daemons send stays small.
 #[test]
 fn endpoints_end_together() {
     let mut watch = Watch::new(60);
@@ -391,6 +392,6 @@
         .map(|one| one.digests(now).count())
         .sum();
     assert_eq!(refused, 0);
-    // Each of 900 notes goes to three keepers three times.
+    // Each of 900 entries is sent to three evidence holders three times.
     assert!(bytes < 300_000, "{bytes}");
 }
