--- a/lib/tests/test_accusations.rs
+++ b/lib/tests/test_accusations.rs
@@ -29,18 +29,18 @@
 const RUN_MS: (u64, u64) = (800, 1_700);
 
 /// Time after which a terminated endpoint is back, as a new incarnation.
-const BACK: Millis = Millis(2_500);
+const RESTART_TIME: Millis = Millis(2_500);
 
 /// Number of attempts of a request, and of times that its caller sends it.
-const ATTEMPTS: u32 = 2;
-const SENDS: u32 = 2;
+const MAX_ATTEMPTS: u32 = 2;
+const MAX_SENDS: u32 = 2;
 
 /// Numbers of the request that many callers send, and of the harmful one.
 const POPULAR: u64 = 1;
 const HARMFUL: u64 = 2;
 
 /// Number below all requests that only one caller sends.
-const FIRST_OWN: u64 = 1_000;
+const FIRST_UNIQUE: u64 = 1_000;
 
 /// Reason why endpoints terminate.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -65,8 +65,8 @@
 
 #[derive(Debug)]
 struct Endpoint {
-    life: u32,
-    back: Time,
+    incarnation: u32,
+    available_from: Time,
     /// Requests that the endpoint runs, each with the time at which its run ends.
     running: Vec<(Time, Request)>,
 }
@@ -77,7 +77,7 @@
     /// Harmless requests that were served.
     served: usize,
     /// Harmless requests that were refused.
-    accused: usize,
+    refused: usize,
     /// Harmless requests that broke off in every attempt.
     cut: usize,
     /// Endpoints that terminated because of the harmful request.
@@ -89,7 +89,7 @@
     now: Time,
     daemons: Vec<Quarantine>,
     endpoints: Vec<Endpoint>,
-    lives: u32,
+    incarnations: u32,
     requests: u64,
     outcome: Outcome,
 }
@@ -105,15 +105,15 @@
             now: Time::default(),
             daemons: (0..DAEMONS).map(|_| Quarantine::default()).collect(),
             endpoints: Vec::new(),
-            lives: 0,
-            requests: FIRST_OWN,
+            incarnations: 0,
+            requests: FIRST_UNIQUE,
             outcome: Outcome::default(),
         };
         for _ in 0..endpoints {
-            let life = model.next_life();
+            let incarnation = model.next_incarnation();
             model.endpoints.push(Endpoint {
-                life,
-                back: Time::default(),
+                incarnation,
+                available_from: Time::default(),
                 running: Vec::new(),
             });
         }
@@ -123,9 +123,9 @@
         model.outcome
     }
 
-    fn next_life(&mut self) -> u32 {
-        self.lives += 1;
-        self.lives
+    fn next_incarnation(&mut self) -> u32 {
+        self.incarnations += 1;
+        self.incarnations
     }
 
     fn step(&mut self, step: u64, trouble: Trouble) {
@@ -139,15 +139,15 @@
                 self.requests += 1;
                 self.requests
             };
-            self.arrive(number, SENDS);
+            self.arrive(number, MAX_SENDS);
         }
         if step.is_multiple_of(HEARTBEAT.0 / STEP.0) {
-            self.tell();
+            self.exchange_evidence();
         }
     }
 
     /// Sends the evidence of each daemon to all daemons.
-    fn tell(&mut self) {
+    fn exchange_evidence(&mut self) {
         let now = self.now;
         let mut notes: Vec<EvidenceNote> = Vec::new();
         for daemon in &mut self.daemons {
@@ -164,15 +164,15 @@
         match trouble {
             Trouble::Harmful if step.is_multiple_of(50) => self.arrive(HARMFUL, 1),
             Trouble::Half if step == 1_000 || step == 3_000 => {
-                self.end_endpoints((0..all / 2).collect());
+                self.terminate_endpoints((0..all / 2).collect());
             }
             Trouble::Rolling if step.is_multiple_of(200) => {
-                self.end_endpoints(vec![(step / 200) as usize % all]);
+                self.terminate_endpoints(vec![(step / 200) as usize % all]);
             }
             Trouble::Flapping if step.is_multiple_of(300) => {
                 let first = self.draw.below(all as u64) as usize;
                 let places = first..first + all.div_ceil(4);
-                self.end_endpoints(places.map(|place| place % all).collect());
+                self.terminate_endpoints(places.map(|place| place % all).collect());
             }
             _ => {}
         }
@@ -183,7 +183,7 @@
         self.attempt(Request {
             number,
             daemon,
-            attempts: ATTEMPTS,
+            attempts: MAX_ATTEMPTS,
             sends,
         });
     }
@@ -192,10 +192,11 @@
         let now = self.now;
         let is_refused = self.daemons[request.daemon].time_left(now, &digest(request.number));
         if is_refused.is_some() {
-            self.outcome.accused += usize::from(request.number != HARMFUL);
+            self.outcome.refused += usize::from(request.number != HARMFUL);
             return;
         }
-        let up = (0..self.endpoints.len()).filter(|place| self.endpoints[*place].back <= now);
+        let up =
+            (0..self.endpoints.len()).filter(|place| self.endpoints[*place].available_from <= now);
         let up: Vec<usize> = up.collect();
         if up.is_empty() {
             self.outcome.cut += 1;
@@ -221,7 +222,7 @@
             if let Some(harmful) = harmful.copied() {
                 self.outcome.ended += 1;
                 self.endpoints[place].running.push(harmful);
-                self.end_endpoints(vec![place]);
+                self.terminate_endpoints(vec![place]);
             }
             for (_, request) in over.iter().filter(|(_, request)| request.number != HARMFUL) {
                 self.outcome.served += 1;
@@ -231,27 +232,31 @@
     }
 
     /// Terminates endpoints at the same moment; then each request that ran there is tried again elsewhere.
-    fn end_endpoints(&mut self, places: Vec<usize>) {
+    fn terminate_endpoints(&mut self, places: Vec<usize>) {
         let now = self.now;
         let mut broken = Vec::new();
         for place in places {
-            if self.endpoints[place].back > now {
+            if self.endpoints[place].available_from > now {
                 continue;
             }
-            let life = IncarnationHash(self.endpoints[place].life);
-            self.endpoints[place].back = now + BACK;
-            self.endpoints[place].life = self.next_life();
+            let incarnation = IncarnationHash(self.endpoints[place].incarnation);
+            self.endpoints[place].available_from = now + RESTART_TIME;
+            self.endpoints[place].incarnation = self.next_incarnation();
             for (_, request) in std::mem::take(&mut self.endpoints[place].running) {
-                self.daemons[request.daemon].endpoint_terminated(now, digest(request.number), life);
+                self.daemons[request.daemon].endpoint_terminated(
+                    now,
+                    digest(request.number),
+                    incarnation,
+                );
                 broken.push(request);
             }
         }
         for request in broken {
-            self.again(request);
+            self.retry(request);
         }
     }
 
-    fn again(&mut self, request: Request) {
+    fn retry(&mut self, request: Request) {
         if request.attempts > 1 {
             let attempts = request.attempts - 1;
             return self.attempt(Request {
@@ -272,12 +277,12 @@
     for seed in 0..10 {
         let Outcome {
             served,
-            accused,
+            refused,
             cut,
             ended,
         } = Model::run(seed, endpoints, trouble);
         sum.served += served;
-        sum.accused += accused;
+        sum.refused += refused;
         sum.cut += cut;
         sum.ended += ended;
     }
@@ -296,7 +301,7 @@
             let is_tight = trouble == Trouble::Rolling && endpoints == 8;
             let most = if is_tight { outcome.served / 2_000 } else { 0 };
             assert!(
-                outcome.accused <= most,
+                outcome.refused <= most,
                 "{trouble:?}, {endpoints}: {outcome:?}"
             );
             assert!(
@@ -314,6 +319,6 @@
         let outcome = sums(endpoints, Trouble::Harmful);
         // Three endpoints, and one that was already running the request when the third terminated.
         assert!(outcome.ended <= 10 * 4, "{outcome:?}");
-        assert_eq!(outcome.accused, 0, "{outcome:?}");
+        assert_eq!(outcome.refused, 0, "{outcome:?}");
     }
 }
--- a/lib/tests/test_quarantine.rs
+++ b/lib/tests/test_quarantine.rs
@@ -34,7 +34,7 @@
 };
 
 /// Largest datagram that no network fragments, in bytes.
-const UNSPLIT: usize = 1_400;
+const MAX_DATAGRAM_SIZE: usize = 1_400;
 
 fn digest(number: u64) -> RequestDigest {
     format!("{number:032x}").parse().unwrap()
@@ -256,7 +256,7 @@
         protocol: PROTOCOL,
         notes: vec![note; 16],
     });
-    assert!(encode(&datagram).len() <= UNSPLIT);
+    assert!(encode(&datagram).len() <= MAX_DATAGRAM_SIZE);
 }
 
 /// Daemons that know each other choose the same evidence holders, and different ones for different requests.
