--- a/lib/src/gateway/routing/endpoint_check.rs
+++ b/lib/src/gateway/routing/endpoint_check.rs
@@ -40,7 +40,7 @@
                 gateway.set_terminated(&entry);
             }
         });
-        // The task is never aborted and doesn't panic.
+        // The task can only fail if the process ends.
         let _ = probe.await;
     }
 
