--- a/lib/src/gateway/routing/endpoint_states.rs
+++ b/lib/src/gateway/routing/endpoint_states.rs
@@ -168,11 +168,11 @@
     /// region has none.
     pub fn schedulable(&self, id: &ServiceId) -> Vec<&EndpointState> {
         let near = |member: &&EndpointState| !in_different_regions(self.local_region, member.region);
-        let planned: Vec<&EndpointState> = self.open(id).filter(near).collect();
-        if planned.is_empty() {
+        let schedulable: Vec<&EndpointState> = self.open(id).filter(near).collect();
+        if schedulable.is_empty() {
             return self.open(id).collect();
         }
-        planned
+        schedulable
     }
 
     /// Returns the endpoint of a service at an address.
