--- a/lib/src/gateway/routing/endpoint_states.rs
+++ b/lib/src/gateway/routing/endpoint_states.rs
@@ -346,8 +346,8 @@
         waits.min()
     }
 
-    /// Returns the expected time until a permit if no open endpoint of a service in `data_centres` can get a request of that
-    /// urgency now; `None` if one can, or if the time isn't known.
+    /// Returns the expected time until a permit if no open endpoint of a service in `data_centres` can get a request of
+    /// that urgency now; `None` if one can, or if the time isn't known.
     pub(crate) fn needed_permit_wait(
         &self,
         now: Time,
--- a/lib/src/gateway/routing/endpoint_states/signals.rs
+++ b/lib/src/gateway/routing/endpoint_states/signals.rs
@@ -53,8 +53,8 @@
         member.is_some_and(|member| member.standing().cooling_down)
     }
 
-    /// Returns the end of the first cooldown of a service's endpoints in `data_centres`; `None` if one of them is open, or if
-    /// none is in a cooldown.
+    /// Returns the end of the first cooldown of a service's endpoints in `data_centres`; `None` if one of them is open,
+    /// or if none is in a cooldown.
     pub fn cooldown_end(&self, id: &ServiceId, data_centres: &AllowedDataCentres) -> Option<Time> {
         let near = |member: &&EndpointState| data_centres.allow(&member.entry.data_centre);
         if self.open(id).any(|member| near(&member)) {
