--- a/lib/src/gateway/rates/record.rs
+++ b/lib/src/gateway/rates/record.rs
@@ -48,6 +48,7 @@
 pub(super) struct RateUpdate {
     /// Rate limit that the endpoint advertises, if any.
     pub(super) rate: Option<Rate>,
+    /// When the reply arrived.
     pub(super) at: Time,
 }
 
@@ -55,6 +56,7 @@
 #[derive(Debug, Clone, Copy)]
 struct PendingClaim {
     claim: Claim,
+    /// When a request was last denied for lack of a permit.
     at: Time,
     /// When the claim was last sent to the coordinator; absent if it has to be sent at once.
     sent: Option<Time>,
@@ -71,17 +73,21 @@
     }
 }
 
+/// What this daemon knows of the rate limit of one endpoint.
 #[derive(Debug)]
 pub(super) struct RateRecord {
     pub(super) service: ServiceId,
     latest: RateUpdate,
-    /// When this daemon learned that the endpoint advertises a limit.
+    /// When this daemon learned that the limit began, or that it ended.
     since: Time,
     /// Whether an advertised limit that can't be read has been logged.
     pub(super) unclear_logged: bool,
+    /// Number of announcements that are sent at the interval of a heartbeat before the longer one applies.
     announcements: u32,
+    /// When the limit was last announced; absent before the first announcement.
     announced: Option<Time>,
     share: RateShare,
+    /// When share and claim were last reported to the coordinator; absent before the first report.
     reported: Option<Time>,
     pending: Option<PendingClaim>,
     permits: Vec<Permit>,
@@ -237,7 +243,11 @@
     }
 
     /// Returns the announcement for other daemons if one is due.
-    pub(super) fn announcement(&mut self, now: Time, endpoint: IncarnationHash) -> Option<RateNote> {
+    pub(super) fn announcement(
+        &mut self,
+        now: Time,
+        endpoint: IncarnationHash,
+    ) -> Option<RateNote> {
         if self.latest.rate.is_none() && now.since(self.latest.at) >= END_ANNOUNCED.to_duration() {
             return None;
         }
--- a/lib/src/gateway/routing/endpoint_state.rs
+++ b/lib/src/gateway/routing/endpoint_state.rs
@@ -169,7 +169,8 @@
     /// slowdown that can't be read.
     pub(crate) fn record_load(&mut self, now: Time, load: ReplyLoad) -> bool {
         self.reported_load = Some((now, load));
-        load.slowdown == SlowdownReport::Invalid && !std::mem::replace(&mut self.unclear_slowdown, true)
+        load.slowdown == SlowdownReport::Invalid
+            && !std::mem::replace(&mut self.unclear_slowdown, true)
     }
 
     /// Returns the requests in flight from all daemons, as far as they are known.
--- a/lib/src/gateway/routing/endpoint_states.rs
+++ b/lib/src/gateway/routing/endpoint_states.rs
@@ -167,7 +167,8 @@
     /// Returns the open endpoints of a service whose calls this daemon may schedule: those in its region, or all if the
     /// region has none.
     pub fn schedulable(&self, id: &ServiceId) -> Vec<&EndpointState> {
-        let near = |member: &&EndpointState| !in_different_regions(self.local_region, member.region);
+        let near =
+            |member: &&EndpointState| !in_different_regions(self.local_region, member.region);
         let schedulable: Vec<&EndpointState> = self.open(id).filter(near).collect();
         if schedulable.is_empty() {
             return self.open(id).collect();
@@ -202,7 +203,8 @@
     /// Returns the number of endpoints by the reason for which they are excluded if there is none.
     pub fn any_open(
         &self,
-        id: &ServiceId, data_centres: &AllowedDataCentres,
+        id: &ServiceId,
+        data_centres: &AllowedDataCentres,
     ) -> Result<(), ExclusionCounts> {
         let mut left_out = ExclusionCounts::default();
         for member in self.service(id) {
--- a/lib/src/gateway/routing/stages.rs
+++ b/lib/src/gateway/routing/stages.rs
@@ -81,8 +81,9 @@
         if let Err(left_out) = endpoints.any_open(service, &call.data_centres) {
             let detail = format!("no endpoint of {service} may get work; left out: {left_out}");
             let cooldown_end = endpoints.cooldown_end(service, &call.data_centres);
-            let wait =
-                cooldown_end.map_or(NO_ENDPOINT, |cooldown_end| after_cooldown(now, cooldown_end));
+            let wait = cooldown_end.map_or(NO_ENDPOINT, |cooldown_end| {
+                after_cooldown(now, cooldown_end)
+            });
             return Err(Problem::not_run(Code::NoEndpoint, detail).retry_after(wait));
         }
     }
--- a/lib/src/gateway/stages/release.rs
+++ b/lib/src/gateway/stages/release.rs
@@ -187,11 +187,7 @@
 }
 
 /// Returns whether the endpoint of a service at an address is cooling down, so that releases to it have to wait.
-fn in_cooldown<D: Dialect>(
-    gateway: &Gateway<D>,
-    service: &ServiceId,
-    address: SocketAddr,
-) -> bool {
+fn in_cooldown<D: Dialect>(gateway: &Gateway<D>, service: &ServiceId, address: SocketAddr) -> bool {
     let endpoints = &gateway.state.borrow().endpoints;
     let entry = endpoints.entry_at(service, address);
     entry.is_some_and(|entry| endpoints.in_cooldown(&entry))
--- a/lib/tests/test_quarantine.rs
+++ b/lib/tests/test_quarantine.rs
@@ -326,7 +326,11 @@
 
     fn ended(&mut self, daemon: usize, request: u64, endpoint: u32) {
         let now = self.fleet.now;
-        self.quarantines[daemon].endpoint_terminated(now, digest(request), IncarnationHash(endpoint));
+        self.quarantines[daemon].endpoint_terminated(
+            now,
+            digest(request),
+            IncarnationHash(endpoint),
+        );
     }
 }
 
