--- a/lib/src/pipeline/node/calls.rs
+++ b/lib/src/pipeline/node/calls.rs
@@ -1,7 +1,7 @@
-//! The tasks that run endpoint calls.
+//! The tasks that run calls of endpoints: start, trace span and cancellation of each call.
 //!
-//! Owns the start, the trace span and the abort of each call; the transport carries it out. Relies on
-//! the node's lock: a call is registered before its task can end.
+//! The transport carries out the call. A call is registered under the node's lock before its task can report the end,
+//! which needs the same lock.
 
 use {
     crate::{
@@ -19,15 +19,15 @@
     tokio::task::AbortHandle,
 };
 
-/// A call in flight, kept so that it can be cancelled.
+/// A call in flight, with what is needed to cancel it.
 #[derive(Debug)]
 pub(super) struct CallTask {
     abort: AbortHandle,
-    /// The call as it was sent; an engine's cancel message repeats its ids.
+    /// The call as it was sent. The message that cancels it at an engine carries the same ids.
     call: EndpointCall,
 }
 
-/// Passes the tokens of one attempt to the core.
+/// Passes the tokens received for one attempt to the core.
 struct CoreTokenSink<T: Transport> {
     node: Node<T>,
     attempt: AttemptId,
@@ -44,7 +44,7 @@
 }
 
 impl<T: Transport> Node<T> {
-    /// Starts the task of one call; its end comes back to the core as an event.
+    /// Starts the task of one call. The core receives the end of the call as an event.
     pub(super) fn spawn_call(&self, state: &mut NodeState, mut call: EndpointCall) {
         let attempt = call.ids.attempt;
         let parent = call.trace_parent.as_deref();
@@ -71,8 +71,8 @@
         state.calls.insert(attempt, CallTask { abort, call: sent });
     }
 
-    /// Aborts a call's task; nothing to do if the call has ended. An engine is also sent a cancel
-    /// message, since its batch goes on while it doesn't notice the closed connection.
+    /// Aborts a call's task, unless the call has ended. An engine is also sent a message, because it goes on
+    /// generating until it notices that the connection is closed.
     pub(super) fn cancel_call(&self, state: &mut NodeState, attempt: AttemptId) {
         let Some(task) = state.calls.remove(&attempt) else {
             return;
@@ -85,7 +85,7 @@
     }
 }
 
-/// Returns the text of an attempt's end for its span.
+/// Returns the text that describes an attempt's end in its trace span.
 fn describe_end(end: &AttemptEnd) -> String {
     match end {
         AttemptEnd::Answered(reply) => format!("answered {}", reply.status),
--- a/lib/src/pipeline/node/mod.rs
+++ b/lib/src/pipeline/node/mod.rs
@@ -1,9 +1,8 @@
-//! The shell around the decision core: turns requests, timers and endpoints' replies into events, and
-//! the core's actions into calls and deliveries.
+//! Runs the decision core: turns requests, timers and endpoints' replies into events for the core, and carries out
+//! the actions that the core returns.
 //!
-//! Owns the core with its lock, the clock, the tasks of the calls in flight and the channels to the
-//! callers; decides nothing itself. Relies on `decision::core` for the decisions, on a
-//! [`Transport`] for the calls and on Tokio for tasks and timers.
+//! Holds the core behind a lock, the clock, the tasks of the calls in flight and the channels to the callers. All
+//! decisions are made in `decision::core`. A [`Transport`] sends the calls; Tokio runs tasks and timers.
 
 mod calls;
 mod reports;
@@ -42,8 +41,7 @@
     },
 };
 
-/// One daemon's decision core together with the code that carries out its actions. Clones share the
-/// same core.
+/// A daemon's decision core, with what is needed to carry out its actions. Clones share the same core.
 #[derive(Debug)]
 pub struct Node<T> {
     inner: Arc<NodeInner<T>>,
@@ -74,7 +72,7 @@
 }
 
 impl<T: Transport> Node<T> {
-    /// Builds a node without a tree, so that it refuses every request until one is adopted.
+    /// Builds a node without a settings tree. It refuses every request until a tree is adopted.
     pub fn new(config: CoreConfig, transport: T, tracing: Tracing) -> Self {
         let state = NodeState {
             core: Core::new(config),
@@ -92,17 +90,17 @@
         }
     }
 
-    /// Returns the tracing that the node's spans go to.
+    /// Returns the tracing that starts the node's spans.
     pub fn tracing(&self) -> &Tracing {
         &self.inner.tracing
     }
 
-    /// Returns fresh random bits, for a request's id.
+    /// Returns new random bits, from which a request's id is made.
     pub fn random_bits(&self) -> u128 {
         self.lock().core.random_bits()
     }
 
-    /// Submits a request; its deliveries come by the returned handle.
+    /// Submits a request. Its deliveries are received through the returned handle.
     pub fn submit(&self, arrival: Arrival) -> RequestHandle<T> {
         let id = arrival.id;
         let (sender, deliveries) = mpsc::unbounded_channel();
@@ -118,25 +116,25 @@
         }
     }
 
-    /// Removes a caller that left before its final answer, for which the core finishes nothing, and
-    /// reports it to the core.
+    /// Removes a caller that left before its final answer, and reports this to the core. The core sends no
+    /// [`Action::Finish`] for such a request, so the entry has to be removed here.
     fn caller_left(&self, id: RequestId) {
         let mut state = self.lock();
         state.callers.remove(&id);
         self.step(&mut state, Event::Left(id));
     }
 
-    /// Returns the number of callers that wait for deliveries, for reports and tests.
+    /// Returns the number of callers whose final answer hasn't been delivered.
     pub fn waiting_callers(&self) -> usize {
         self.lock().callers.len()
     }
 
-    /// Puts a checked tree in force.
+    /// Adopts a checked settings tree: it applies from now on.
     pub fn adopt(&self, tree: Arc<Tree>) {
         self.apply(Event::Adopt(tree));
     }
 
-    /// Returns the tree in force.
+    /// Returns the current settings tree.
     pub fn tree(&self) -> Arc<Tree> {
         self.lock().core.tree().clone()
     }
@@ -146,7 +144,7 @@
         self.lock().core.in_flight()
     }
 
-    /// Fires the core's timers until the task that awaits this is dropped.
+    /// Sends the core a tick whenever one of its timers is due. Runs until the task that awaits this is dropped.
     pub async fn run_timers(self) {
         loop {
             let next = self.lock().core.next_timer();
@@ -154,7 +152,7 @@
             match next {
                 None => changed.await,
                 Some(due) => {
-                    // The core's clock starts at zero together with the node.
+                    // The core's time is zero at the node's start.
                     let due = self.inner.start + Time::since(due, Time::default());
                     tokio::select! {
                         () = tokio::time::sleep_until(due) => self.apply(Event::Tick),
@@ -171,8 +169,8 @@
         self.step(&mut state, event);
     }
 
-    /// Like [`Self::apply`], with the lock held: actions are carried out under it, so that a cancel
-    /// can't overtake its send.
+    /// Does the same as [`Self::apply`] for a caller that holds the lock. Actions are carried out under the lock, so
+    /// that a cancellation can't overtake the send of the same call.
     fn step(&self, state: &mut NodeState, event: Event) {
         let before = state.core.next_timer();
         let actions = state.core.step(self.now(), event);
@@ -195,27 +193,30 @@
                 text,
             } => {
                 if let Some(caller) = state.callers.get(&request) {
-                    // Fails only if the handle was dropped, which reports that itself.
+                    // Fails only if the handle was dropped; dropping it reports that the caller has left.
                     let _ = caller.send(Delivery::Token { index, text });
                 }
             }
             Action::Finish { request, result } => {
                 if let Some(caller) = state.callers.remove(&request) {
-                    // As above: nobody waits any more.
+                    // Fails only if the handle was dropped, as above.
                     let _ = caller.send(Delivery::Finished(result));
                 }
             }
         }
     }
 
-    /// Returns the core's time: microseconds since the node's start.
+    /// Returns the time for the core: microseconds since the node's start.
     fn now(&self) -> Time {
         Time(self.inner.start.elapsed().as_micros() as u64)
     }
 
     fn lock(&self) -> MutexGuard<'_, NodeState> {
-        // A panic under the lock means a broken invariant: no later decision could be trusted, so
-        // every user panics too.
-        self.inner.state.lock().expect("core is intact")
+        // A panic under the lock may have left the core in an inconsistent state. Its decisions can't be relied
+        // on after that, so every later user panics as well.
+        self.inner
+            .state
+            .lock()
+            .expect("no thread panicked while it held the core's lock")
     }
 }
--- a/lib/src/pipeline/node/reports.rs
+++ b/lib/src/pipeline/node/reports.rs
@@ -1,7 +1,7 @@
-//! Polling of the endpoints' load reports and the engines' cache events.
+//! Polling of the endpoints' load reports and of the engines' cache events.
 //!
-//! Owns, for each engine, the number from which its cache events are read next. A report that can't be
-//! read is skipped: the core keeps the last one until it is stale, and the next round tries again.
+//! Keeps the number of the last cache event read from each engine. A report that can't be read is skipped: the core
+//! uses the previous one until that is stale, and the next round reads again.
 
 use {
     crate::{
@@ -17,12 +17,12 @@
     tokio::time::MissedTickBehavior,
 };
 
-/// Number before an engine's first cache event: reads all that the engine still knows.
+/// Number below that of an engine's first cache event. Reading from here returns all events that the engine still has.
 const ALL_EVENTS: u64 = 0;
 
 impl<T: Transport> Node<T> {
-    /// Reads all endpoints' load reports, and engines' cache events, once every `interval` until the
-    /// task that awaits this is dropped.
+    /// Reads the load reports of all endpoints and the cache events of all engines, once every `interval`. Runs until
+    /// the task that awaits this is dropped.
     pub async fn run_reports(self, interval: Millis) {
         let mut ticks = tokio::time::interval(interval.to_duration());
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
@@ -39,12 +39,13 @@
                 self.read_reports(spec, kind, after)
             });
             let read = join_all(reads).await;
-            // Built anew, so that endpoints that have left the tree don't pile up.
+            // Replaced as a whole, so that entries of endpoints that have left the tree are dropped.
             next_events = read.into_iter().flatten().collect();
         }
     }
 
-    /// Reads one endpoint's reports; returns the number of its next cache event, if it is an engine.
+    /// Reads the reports of one endpoint and applies them to the core. For an engine, returns the number after which
+    /// its cache events are to be read next time.
     async fn read_reports(
         &self,
         spec: &EndpointSpec,
--- a/lib/src/pipeline/node/request_handle.rs
+++ b/lib/src/pipeline/node/request_handle.rs
@@ -1,6 +1,6 @@
-//! The caller's side of one request: the deliveries that its handler receives.
+//! The handle by which an HTTP handler receives the tokens and the final answer of one request.
 //!
-//! Owns the receiving end of the request's deliveries; the node owns the sending end.
+//! The handle has the receiving end of a channel; the node has the sending end.
 
 use {
     crate::{
@@ -13,22 +13,21 @@
     tokio::sync::mpsc,
 };
 
-/// One delivery to a caller's handler.
+/// What the node sends to the handler of a request.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Delivery {
     /// One token of a streamed answer.
     Token {
-        /// Its position in the whole generation, from 0.
+        /// Position in the whole generation, from 0.
         index: u32,
-        /// Its text.
+        /// Text of the token.
         text: String,
     },
-    /// The final answer; nothing follows.
+    /// The final answer. No delivery follows.
     Finished(Result<Answer, Problem>),
 }
 
-/// A caller's request in progress; dropping it before the final answer reports to the core that the
-/// caller has left.
+/// A request in progress. Dropping the handle before the final answer reports to the core that the caller has left.
 #[derive(Debug)]
 pub struct RequestHandle<T: Transport> {
     pub(super) node: Node<T>,
@@ -40,7 +39,7 @@
 impl<T: Transport> RequestHandle<T> {
     /// Waits for the next delivery.
     ///
-    /// Returns nothing after the final one, or when the node itself is gone.
+    /// Returns `None` after the final one, or if the node was dropped.
     pub async fn next(&mut self) -> Option<Delivery> {
         if self.finished {
             return None;
@@ -50,7 +49,7 @@
         Some(delivery)
     }
 
-    /// Waits for the final answer and skips tokens; nothing when the node is gone.
+    /// Waits for the final answer and ignores tokens. Returns `None` if the node was dropped.
     pub async fn finish(mut self) -> Option<Result<Answer, Problem>> {
         while let Some(delivery) = self.next().await {
             if let Delivery::Finished(result) = delivery {
--- a/lib/src/pipeline/node/snapshot.rs
+++ b/lib/src/pipeline/node/snapshot.rs
@@ -1,6 +1,6 @@
-//! A daemon's state at one moment, for status and metrics.
+//! Snapshots of a daemon's state, for the status report and the metrics.
 //!
-//! Snapshots are values: they are taken under the node's lock and read without it.
+//! A snapshot is a copy that is taken under the node's lock and read without it.
 
 use {
     crate::{
@@ -20,47 +20,47 @@
     std::sync::Arc,
 };
 
-/// A daemon's state for reports, taken at one moment.
+/// A copy of a daemon's state at one moment.
 #[derive(Debug, Clone)]
 pub struct Snapshot {
-    /// The tree in force.
+    /// Current settings tree.
     pub tree: Arc<Tree>,
-    /// Requests without a final answer.
+    /// Number of requests without a final answer.
     pub in_flight: usize,
-    /// Counts since the start.
+    /// Counters since the daemon's start.
     pub counters: Counters,
-    /// Cost of each stage since the start, in no order.
+    /// Cost of each stage since the daemon's start, in no particular order.
     pub costs: Vec<StageCostView>,
-    /// Endpoints as this daemon sees them, by service and name.
+    /// State of each endpoint as this daemon sees it, ordered by service and name.
     pub endpoints: Vec<EndpointView>,
 }
 
-/// Endpoint time that one stage has used.
+/// Endpoint time spent on one stage.
 #[derive(Debug, Clone)]
 pub struct StageCostView {
     /// Pipeline that the stage belongs to.
     pub pipeline: PipelineId,
-    /// The stage.
+    /// Name of the stage.
     pub stage: StageId,
-    /// Its cost since the start.
+    /// Endpoint time since the daemon's start, by whether its result was used.
     pub cost: StageCost,
 }
 
-/// One endpoint in a snapshot.
+/// State of one endpoint.
 #[derive(Debug, Clone)]
 pub struct EndpointView {
-    /// Its service.
+    /// Name of the service that it belongs to.
     pub service: String,
-    /// Its name.
+    /// Name of the endpoint.
     pub endpoint: String,
-    /// True if it may get new work.
+    /// True if it may be sent new calls.
     pub open: bool,
-    /// This daemon's calls in flight.
+    /// Number of calls in flight from this daemon.
     pub in_flight: u32,
 }
 
 impl<T: Transport> Node<T> {
-    /// Takes a snapshot of the state.
+    /// Returns a snapshot of the current state.
     pub fn snapshot(&self) -> Snapshot {
         let now = self.now();
         let state = self.lock();
--- a/lib/src/pipeline/node/task_guard.rs
+++ b/lib/src/pipeline/node/task_guard.rs
@@ -1,8 +1,8 @@
-//! Tasks that end together with their owner, so that dropping a daemon leaves nothing running.
+//! Background tasks that are aborted when their owner is dropped, so that a dropped daemon leaves no task running.
 
 use {std::future::Future, tokio::task::AbortHandle};
 
-/// Starts a task that ends together with the returned guard.
+/// Starts a task that is aborted when the returned guard is dropped.
 ///
 /// # Panics
 ///
@@ -11,7 +11,7 @@
     TaskGuard(tokio::spawn(task).abort_handle())
 }
 
-/// Aborts its task when it is dropped.
+/// Aborts a task when dropped.
 #[derive(Debug)]
 pub struct TaskGuard(AbortHandle);
 
