--- a/lib/src/pipeline/endpoints/dispatch.rs
+++ b/lib/src/pipeline/endpoints/dispatch.rs
@@ -1,6 +1,4 @@
-//! The core's transport: passes each call to the client of its kind of service.
-//!
-//! Owns nothing; the connections are those of `http_transport`.
+//! Implements the core's [`Transport`] over HTTP: passes each call to the client for its kind of service.
 
 use {
     crate::{
@@ -17,10 +15,10 @@
     std::net::SocketAddr,
 };
 
-/// Largest load report. Far above its five numbers.
+/// Size of the largest load report accepted. A report holds five numbers, which take far less.
 const LOAD_SIZE: ByteSize = ByteSize(4096);
 
-/// Largest reply with cache events.
+/// Size of the largest list of cache events accepted.
 const EVENTS_SIZE: ByteSize = ByteSize(256 * 1024);
 
 impl Transport for HttpTransport {
@@ -39,14 +37,14 @@
 
     async fn cache_events(&self, address: SocketAddr, after: u64) -> Option<CacheEvents> {
         let uri = format!("http://{address}{}?after={after}", wire::CACHE_PATH);
-        // No event of its own for a failed read: the next round reads from the same number again.
+        // A failed read isn't logged: the next round reads from the same number again.
         self.get_json(uri, EVENTS_SIZE).await.ok()
     }
 
     async fn load(&self, address: SocketAddr, _kind: &ServiceKind) -> Option<LoadReport> {
         let uri = format!("http://{address}{}", wire::LOAD_PATH);
-        // No event of its own for a failed read: the core goes on with the last report until that is
-        // stale, and calls show whether the endpoint is healthy.
+        // A failed read isn't logged: the core uses the previous report until that is stale, and the outcome of
+        // calls shows whether the endpoint is healthy.
         self.get_json(uri, LOAD_SIZE).await.ok()
     }
 }
--- a/lib/src/pipeline/endpoints/engine_client.rs
+++ b/lib/src/pipeline/endpoints/engine_client.rs
@@ -1,7 +1,7 @@
-//! Client of model engines: a generation is a stream of events with an explicit end.
+//! Client for model engines, which answer with a stream of server-sent events.
 //!
-//! Owns the reading of a stream and its limits: silence, size and number of tokens. Relies on
-//! `http_call` for the call and its head, and on `shared::sse` for events.
+//! A stream is complete only with its `done` event. It is bounded in the time without data, in its bytes and in its
+//! number of tokens.
 
 use {
     crate::{
@@ -24,13 +24,13 @@
     std::time::Duration,
 };
 
-/// Longest silence within a stream; an engine sends tokens far more often.
+/// Longest time without data within a stream. An engine sends tokens far more often.
 const SILENCE_LIMIT: Duration = Duration::from_secs(10);
 
-/// Longest time to send an engine a cancel message.
+/// Longest time to send a cancellation and receive the head of its reply.
 const CANCEL_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Runs one generation and passes each token to `sink`; returns the attempt's end.
+/// Runs one generation and passes each token to `sink`. Returns the end of the attempt.
 pub async fn generate(
     transport: &HttpTransport,
     call: EndpointCall,
@@ -47,7 +47,7 @@
     sink: impl TokenSink,
 ) -> Result<AttemptEnd, AttemptEnd> {
     let garbage = AttemptEnd::Failed(FailCause::Garbage);
-    // Neither fails for a call of the core, which checked its parts and the input's JSON.
+    // Neither step fails for a call from the core, which has checked the ids and the input's JSON.
     let body = generate_body(call).ok_or_else(|| garbage.clone())?;
     let request = call_request(call, wire::GENERATE_PATH)
         .body(body)
@@ -60,7 +60,7 @@
     Ok(read_stream(response.into_body(), call, sink).await)
 }
 
-/// Returns the body of a generation; none if the call isn't an engine's or its input isn't JSON.
+/// Returns the request body of a generation, or `None` if the call isn't for an engine or its input isn't JSON.
 fn generate_body(call: &EndpointCall) -> Option<CallBody> {
     let ServiceKind::Engine { model } = &call.kind else {
         return None;
@@ -87,11 +87,11 @@
     loop {
         let frame = match tokio::time::timeout(SILENCE_LIMIT, body.frame()).await {
             Ok(Some(Ok(frame))) => frame,
-            // An end without a `done` event is a stream that broke off.
+            // The stream ended or failed before its `done` event.
             Ok(Some(Err(_)) | None) => return AttemptEnd::Failed(FailCause::Broken),
             Err(_) => return AttemptEnd::Failed(FailCause::Timeout),
         };
-        // Trailers carry nothing of the protocol.
+        // The protocol doesn't use trailers.
         let Ok(data) = frame.into_data() else {
             continue;
         };
@@ -107,7 +107,7 @@
     }
 }
 
-/// Handles one event; returns the attempt's end if this was the last.
+/// Handles one event. Returns the end of the attempt if no event is expected after this one.
 fn handle_event(event: &[u8], max_tokens: u32, sink: &mut impl TokenSink) -> Option<AttemptEnd> {
     match serde_json::from_slice::<StreamEvent>(event) {
         Ok(StreamEvent::Token { index, .. }) if index >= max_tokens => {
@@ -130,12 +130,12 @@
     }
 }
 
-/// Sends an engine the message that nobody waits for a generation any more.
+/// Asks an engine to cancel a generation, since its result isn't needed any more.
 pub async fn cancel(transport: &HttpTransport, call: EndpointCall) {
     let Ok(request) = call_request(&call, wire::CANCEL_PATH).body(CallBody::default()) else {
-        // Can't happen: the call itself was sent with the same headers.
+        // Can't happen: the call was sent with the same headers.
         return;
     };
-    // Best effort: an engine that the message doesn't reach notices the closed connection.
+    // Best effort: an engine that doesn't receive the message notices the closed connection.
     let _ = tokio::time::timeout(CANCEL_TIMEOUT, transport.send(request)).await;
 }
--- a/lib/src/pipeline/endpoints/http_call.rs
+++ b/lib/src/pipeline/endpoints/http_call.rs
@@ -1,6 +1,6 @@
-//! One call of an endpoint over HTTP: its request, and the bounded reading of its reply's body.
+//! Builds the HTTP request of a call, and reads the body of its reply up to a limit.
 //!
-//! Owns the headers of a call; `reply_head` judges the reply. Relies on `wire` for names.
+//! `wire` defines the headers; `reply_head` checks the head of the reply.
 
 use {
     crate::{
@@ -16,10 +16,10 @@
     hyper::body::Incoming,
 };
 
-/// Body of a call's request.
+/// Request body of a call.
 pub type CallBody = Full<Bytes>;
 
-/// Starts the request of a call, with all of its headers.
+/// Returns a builder of a call's request, with the headers set and the body missing.
 pub fn call_request(call: &EndpointCall, path: &str) -> Builder {
     let mut builder = Request::builder()
         .method(Method::POST)
@@ -39,11 +39,11 @@
     builder
 }
 
-/// Reads a whole body of at most `limit` bytes.
+/// Reads a complete body of at most `limit` bytes.
 ///
 /// # Errors
 ///
-/// Returns the cause when the body is too large or breaks off.
+/// Returns the cause if the body is too large or the connection fails before its end.
 pub async fn read_body(body: Incoming, limit: ByteSize) -> Result<Bytes, FailCause> {
     let limited = Limited::new(body, limit.0 as usize);
     match limited.collect().await {
--- a/lib/src/pipeline/endpoints/http_get.rs
+++ b/lib/src/pipeline/endpoints/http_get.rs
@@ -1,9 +1,8 @@
-//! Reading of one resource of an outside system over HTTP: a value of the configuration service, an
-//! endpoint's report, another daemon's status.
+//! Reads one resource by HTTP GET: a value of the configuration service, an endpoint's report, or another daemon's
+//! status.
 //!
-//! Owns the bounds in time and size of one read; the callers own their clients. Relies on
-//! `shared::http_body` for bodies, which may take as long as their bytes keep coming: a value of 1 MB
-//! takes longer than any bound that notices a silent service soon.
+//! The body is bounded in size. The timeout covers the wait for the head and for each next part of the body, not the
+//! whole read: a value of 1 MB takes longer than a timeout short enough to detect an unresponsive service soon.
 
 use {
     crate::{
@@ -21,63 +20,63 @@
     thiserror::Error,
 };
 
-/// A resource can't be read; the text begins with its URI, so that people know the place.
+/// Why a resource can't be read. Each text names the URI, except for a URI that can't be parsed.
 #[derive(Debug, Error)]
 pub enum HttpGetError {
-    /// The URI is malformed; the text says at which part.
+    /// The URI can't be parsed. The text says which part of it.
     #[error(transparent)]
     Uri(#[from] http::Error),
-    /// No head of a response came.
+    /// The request failed before the head of a response arrived.
     #[error("{uri}: {error}")]
     NoResponse {
         /// URI that was read.
         uri: String,
-        /// Cause from the client.
+        /// Error of the HTTP client.
         #[source]
         error: ClientError,
     },
-    /// The body broke off or is too large.
+    /// The connection failed before the end of the body, or the body is too large.
     #[error("{uri}: {cause}")]
     Body {
         /// URI that was read.
         uri: String,
-        /// Cause in the body.
+        /// Which of these happened.
         cause: FailCause,
     },
-    /// No head of a response came in time, or its body fell silent for so long.
+    /// No head of a response, or no next part of its body, arrived within the timeout.
     #[error("{uri}: no answer within {timeout}")]
     Timeout {
         /// URI that was read.
         uri: String,
-        /// Time that it had.
+        /// The timeout.
         timeout: Millis,
     },
-    /// The body isn't the JSON that was expected.
+    /// The body isn't JSON of the expected type.
     #[error("{uri}: {error}")]
     Json {
         /// URI that was read.
         uri: String,
-        /// Place and cause within the JSON.
+        /// Position in the JSON and cause.
         #[source]
         error: serde_json::Error,
     },
 }
 
-/// A resource as it was read; any status counts as read.
+/// A complete response, with any status.
 #[derive(Debug, Clone)]
 pub struct HttpReply {
-    /// HTTP status.
+    /// HTTP status of the response.
     pub status: StatusCode,
-    /// Whole body.
+    /// Complete body.
     pub body: Bytes,
 }
 
-/// Reads the resource at `uri`: at most `limit` bytes of body; the head, and each next byte of the body,
-/// have to come within `timeout`.
+/// Reads the resource at `uri`, with at most `limit` bytes of body. The head, and then each next part of the body,
+/// must arrive within `timeout`.
 ///
 /// # Errors
 ///
-/// Returns an error when there is no whole response within these bounds, whatever its status.
+/// Returns an error if no complete response arrives within these bounds. Its status doesn't matter.
 pub async fn get<B>(
     client: &Client<HttpConnector, B>,
     uri: &str,
--- a/lib/src/pipeline/endpoints/http_transport.rs
+++ b/lib/src/pipeline/endpoints/http_transport.rs
@@ -1,7 +1,6 @@
-//! The connections to endpoints over HTTP.
+//! Pooled HTTP/1.1 connections to endpoints.
 //!
-//! Owns the connection pool and its limits. Sends nothing twice by itself: retries are the core's
-//! decision. Relies on `hyper_util` for pooled HTTP/1.1 connections.
+//! The client never retries a request, because the core decides on retries.
 
 use {
     crate::{
@@ -27,14 +26,14 @@
 /// Longest time to set up a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Idle time after which a pooled connection is closed; shorter than servers' usual ones, so that a call rarely meets a
-/// connection that its endpoint is closing.
+/// Idle time after which a pooled connection is closed. Shorter than the usual idle timeout of servers, so that a call
+/// is rarely sent on a connection that its endpoint is closing.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// Most idle connections kept for one endpoint.
+/// Largest number of idle connections kept for one endpoint.
 const IDLE_CONNECTIONS: usize = 64;
 
-/// Longest time to read a report of an endpoint.
+/// Longest wait for the head of an endpoint's report, and for each next part of its body.
 const REPORT_TIMEOUT: Millis = Millis(500);
 
 /// Calls endpoints over HTTP/1.1.
@@ -50,7 +49,7 @@
 }
 
 impl HttpTransport {
-    /// Builds the client; it connects when it is first used.
+    /// Builds a transport without connections; each is set up when a call needs it.
     pub fn new() -> Self {
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
@@ -66,11 +65,11 @@
 
     /// Sends one request and waits for the head of its response.
     ///
-    /// Sets no time limit: the core cancels the call when the request's deadline is over.
+    /// There is no time limit here: the core cancels the call at the request's deadline.
     ///
     /// # Errors
     ///
-    /// Returns the attempt's end when there is no head.
+    /// Returns the end of the attempt if no head arrives.
     pub async fn send(&self, request: Request<CallBody>) -> Result<Response<Incoming>, AttemptEnd> {
         self.client
             .request(request)
@@ -80,7 +79,7 @@
 }
 
 impl HttpTransport {
-    /// Reads what an endpoint reports of itself, within [`REPORT_TIMEOUT`].
+    /// Reads a JSON report of an endpoint, with [`REPORT_TIMEOUT`].
     pub(crate) async fn get_json<R: DeserializeOwned>(
         &self,
         uri: String,
@@ -91,8 +90,8 @@
     }
 }
 
-/// Returns the end of an attempt without a reply: a connection that wasn't set up carried no byte of
-/// the call; anything else may have reached the endpoint.
+/// Returns the end of an attempt that got no reply. If the connection wasn't set up, no byte of the call was sent;
+/// after any other error the call may have reached the endpoint.
 fn end_without_reply(error: &ClientError) -> AttemptEnd {
     if error.is_connect() {
         AttemptEnd::NotRun(NotRunCause::Unreachable)
--- a/lib/src/pipeline/endpoints/mod.rs
+++ b/lib/src/pipeline/endpoints/mod.rs
@@ -1,8 +1,8 @@
-//! Clients for the endpoints of pipelines.
+//! HTTP clients for the endpoints of pipelines.
 //!
-//! `dispatch` carries out the core's calls: by `plain_client` or `engine_client`, which share
-//! `http_call`, the connections of `http_transport` and the rule in `reply_head`. `wire` holds the
-//! protocol's names and forms, `http_get` reads single resources.
+//! `dispatch` passes each call to `plain_client` or `engine_client`. Both use `http_call` for requests and bodies,
+//! `http_transport` for connections and `reply_head` to check the head of a reply. `wire` defines the headers, paths
+//! and bodies of the protocol. `http_get` reads reports and values by GET.
 
 mod dispatch;
 pub(crate) mod engine_client;
--- a/lib/src/pipeline/endpoints/plain_client.rs
+++ b/lib/src/pipeline/endpoints/plain_client.rs
@@ -1,6 +1,4 @@
-//! Client of plain services: one POST, one whole reply.
-//!
-//! Owns the check of a plain reply's status and body; `http_call` owns the rest.
+//! Client for plain services: one POST, answered by one complete JSON reply.
 
 use crate::{
     pipeline::{
@@ -15,7 +13,7 @@
     shared::json,
 };
 
-/// Runs one call of a plain service.
+/// Runs one call of a plain service. Returns the end of the attempt.
 pub async fn call(transport: &HttpTransport, call: EndpointCall) -> AttemptEnd {
     match exchange(transport, &call).await {
         Ok(reply) => AttemptEnd::Answered(reply),
@@ -29,7 +27,7 @@
 ) -> Result<EndpointReply, AttemptEnd> {
     let request = call_request(call, wire::CALL_PATH)
         .body(CallBody::new(call.input.clone()))
-        // Can't fail: ids, address and key were checked when they were parsed.
+        // Can't fail: ids, address and idempotency key were checked when they were parsed.
         .map_err(|_| AttemptEnd::Failed(FailCause::Garbage))?;
     let response = transport.send(request).await?;
     check_head(&call.ids, &response)?;
--- a/lib/src/pipeline/endpoints/reply_head.rs
+++ b/lib/src/pipeline/endpoints/reply_head.rs
@@ -1,18 +1,20 @@
-//! The proof in the head of an endpoint's reply: whose it is, and whether the attempt ran.
+//! What the head of an endpoint's reply proves: whether it belongs to the call, and whether the call ran.
 //!
-//! Inputs: the ids of the call, the reply's status and headers. Output: the attempt's end, or nothing
-//! if the body decides.
+//! Inputs: the ids of the call, and the status and headers of the reply. Output: the end of the attempt, or nothing if
+//! the body has to be read first.
 //!
-//! The rule: a reply with other ids than the call's says nothing about this call, so it may have run.
-//! A server error with the header `x-not-run` proves that the call didn't run, because the endpoint is
-//! leaving or, for every other value, has no room; without that header it may have run. Any other
-//! status leaves the decision to the body: a plain service answers with a success or a client error, an
-//! engine streams after a success only.
+//! The rule:
+//! - A reply whose ids differ from the call's proves nothing about the call, which may have run.
+//! - A server error with the header `x-not-run` proves that the call didn't run. With the value `leaving` the endpoint
+//!   is shutting down; any other value counts as a lack of capacity.
+//! - After a server error without this header, the call may have run.
+//! - With any other status the body decides. A plain service answers with a success or a client error; an engine
+//!   streams only after a success.
 //!
-//! The reason: an attempt that certainly did not run may be sent elsewhere even if the call must not run
-//! twice, so nothing but the endpoint's own word counts as proof.
+//! The reason: a call that certainly didn't run may be sent to another endpoint even if it must not run twice. So only
+//! the endpoint's explicit statement counts as proof.
 //!
-//! No constants; `docs/PROTOCOLS.md` states the headers. `test_reply_head.rs` pins the rule.
+//! `docs/PROTOCOLS.md` describes the headers.
 
 use {
     crate::{
@@ -25,11 +27,11 @@
     http::{HeaderValue, Response, StatusCode},
 };
 
-/// Checks the head of a reply before its body is read.
+/// Checks the head of a reply, before its body is read.
 ///
 /// # Errors
 ///
-/// Returns the attempt's end when the body doesn't matter any more.
+/// Returns the end of the attempt if the head alone decides it.
 pub fn check_head<B>(ids: &CallIds, response: &Response<B>) -> Result<(), AttemptEnd> {
     let headers = response.headers();
     if !wire::ids_match(headers, ids) {
@@ -48,13 +50,13 @@
     Ok(())
 }
 
-/// Returns true if a reply with this status can be a plain service's answer. A client error is one:
-/// another replica would refuse the same input as well.
+/// Returns true if a plain service's reply with this status is an answer. A client error is one, since another
+/// endpoint would refuse the same input as well.
 pub fn is_answer(status: StatusCode) -> bool {
     status.is_success() || status.is_client_error()
 }
 
-/// Returns true if an engine's stream follows a head with this status.
+/// Returns true if an engine's reply with this status has a stream as its body.
 pub fn is_stream(status: StatusCode) -> bool {
     status.is_success()
 }
--- a/lib/src/pipeline/endpoints/wire.rs
+++ b/lib/src/pipeline/endpoints/wire.rs
@@ -1,6 +1,4 @@
-//! Names and forms of the endpoints' protocol; `docs/PROTOCOLS.md` states each assumption.
-//!
-//! Owns the headers, paths and bodies that both clients use; holds no rule and does no I/O.
+//! Headers, paths and bodies of the protocol between daemon and endpoints, as `docs/PROTOCOLS.md` describes it.
 
 use {
     crate::{
@@ -18,48 +16,48 @@
 pub const STAGE_HEADER: &str = "x-stage-id";
 /// Header with the attempt's id, echoed by the endpoint.
 pub const ATTEMPT_HEADER: &str = "x-attempt-id";
-/// Header with the milliseconds left.
+/// Header with the milliseconds left until the request's deadline.
 pub const DEADLINE_HEADER: &str = "x-deadline-ms";
-/// Header with the priority.
+/// Header with the request's priority: `low`, `normal` or `high`.
 pub const PRIORITY_HEADER: &str = "x-priority";
 /// Header with the caller's idempotency key.
 pub const KEY_HEADER: &str = "idempotency-key";
-/// Header with the trace context.
+/// Header with the W3C trace context.
 pub const TRACE_HEADER: &str = "traceparent";
-/// Header by which an endpoint says that it did not run a call, and why.
+/// Header by which an endpoint states that it didn't run a call; its value is the cause.
 pub const NOT_RUN_HEADER: &str = "x-not-run";
-/// Header with the milliseconds that the endpoint spent.
+/// Header with the milliseconds that the endpoint spent on the call.
 pub const SERVED_HEADER: &str = "x-served-ms";
 
-/// Value of [`NOT_RUN_HEADER`] of an endpoint that is leaving.
+/// Value of [`NOT_RUN_HEADER`] if the endpoint is shutting down.
 pub const LEAVING: &str = "leaving";
-/// Value of [`NOT_RUN_HEADER`] of an endpoint without room.
+/// Value of [`NOT_RUN_HEADER`] if the endpoint has no capacity for the call.
 pub const BUSY: &str = "busy";
 
-/// Path of a plain service's call.
+/// Path of a call of a plain service.
 pub const CALL_PATH: &str = "/v1/call";
 /// Path of an engine's generation.
 pub const GENERATE_PATH: &str = "/v1/generate";
-/// Path of the message to an engine that nobody waits any more.
+/// Path at an engine that cancels a generation.
 pub const CANCEL_PATH: &str = "/v1/cancel";
-/// Path of an engine's cache events; `?after=` and the number of the last known one follow.
+/// Path of an engine's cache events. The query `after` is the number of the last one that was read.
 pub const CACHE_PATH: &str = "/v1/cache-events";
 /// Path of an endpoint's load report.
 pub const LOAD_PATH: &str = "/v1/load";
 
-/// Body of a generation.
+/// Request body of a generation.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct GenerateBody<'a> {
-    /// Model that generates.
+    /// Name of the model.
     pub model: &'a str,
-    /// Input of the stage.
+    /// Input of the stage: a JSON value.
     #[serde(borrow)]
     pub input: &'a RawValue,
-    /// Most tokens to generate in all.
+    /// Largest number of tokens of the whole generation, `resume_tokens` included.
     pub max_tokens: u32,
-    /// Tokens that another replica has generated already.
+    /// Number of tokens that another endpoint has already generated; 0 for a new generation.
     pub resume_tokens: u32,
-    /// Their text.
+    /// Text of these tokens.
     pub resume_text: &'a str,
 }
 
@@ -69,24 +67,24 @@
 pub enum StreamEvent {
     /// One token.
     Token {
-        /// Position from the start of the whole generation.
+        /// Position in the whole generation, from 0.
         index: u32,
-        /// Its text.
+        /// Text of the token.
         text: String,
     },
     /// The end of the stream.
     Done {
-        /// Tokens of the whole generation.
+        /// Number of tokens of the whole generation, those before a resume included.
         tokens: u32,
-        /// Milliseconds that the engine spent.
+        /// Milliseconds that the engine spent on the call, if it reports them.
         served_ms: Option<WorkMillis>,
-        /// Time and cached bytes of its prefill, if the engine reports them.
+        /// Time and cached bytes of the prefill, if the engine reports them.
         #[serde(default)]
         prefill: Option<Prefill>,
     },
 }
 
-/// Returns whether a reply carries the ids of the call.
+/// Returns true if a reply carries the ids of the call.
 pub fn ids_match(headers: &HeaderMap, ids: &CallIds) -> bool {
     let is = |name: &str, expected: &str| {
         headers
@@ -98,16 +96,16 @@
         && is(ATTEMPT_HEADER, &ids.attempt.to_string())
 }
 
-/// Returns the endpoint time that a reply states.
+/// Returns the time that the endpoint spent on the call, as the reply states it.
 ///
-/// The header is optional; an unusable value counts as none, and the core measures the time itself.
+/// Returns `None` if the header is missing or isn't a finite number from 0 on; the core then measures the time itself.
 pub fn served(headers: &HeaderMap) -> Option<WorkMillis> {
     let text = headers.get(SERVED_HEADER).and_then(header_text)?;
     let ms: f64 = text.parse().ok()?;
     (ms.is_finite() && ms >= 0.0).then_some(WorkMillis(ms))
 }
 
-/// Returns a header's value as text; none if it isn't visible ASCII.
+/// Returns a header's value as text, or `None` if it has other characters than visible ASCII.
 pub fn header_text(value: &HeaderValue) -> Option<&str> {
     value.to_str().ok()
 }
