--- a/lib/src/pipeline/api/body.rs
+++ b/lib/src/pipeline/api/body.rs
@@ -1,7 +1,6 @@
-//! Reading of a caller's body.
+//! Reads the body of a caller's request, and checks its size and that it is JSON.
 //!
-//! Owns the cap on a body's size and its form as JSON; the tree's own limit on size is checked by the
-//! core, which knows the pipeline.
+//! The smaller size limit from the settings tree is checked by the core, which knows the pipeline.
 
 use {
     crate::{
@@ -17,10 +16,11 @@
     futures_util::TryStreamExt,
 };
 
-/// Largest body that is read at all, in bytes; settings can only allow less.
+/// Size of the largest body accepted, in bytes. The settings tree can only lower it.
 pub const BODY_CAP: usize = 16 * 1024 * 1024;
 
-/// Cap of `dropshot` itself, in bytes: above ours, since its refusal doesn't say what is wrong.
+/// Size of the largest body that `dropshot` itself accepts, in bytes. Above [`BODY_CAP`], since its error doesn't state
+/// the cause.
 pub const DROPSHOT_CAP: usize = 2 * BODY_CAP;
 
 fn check_body_size(size: usize) -> Result<(), ApiProblem> {
@@ -31,11 +31,11 @@
     Err(Problem::not_run(Code::BodyTooLarge, detail).into())
 }
 
-/// Reads a whole JSON body within its time.
+/// Reads a complete JSON body, which must arrive within `limit`.
 ///
 /// # Errors
 ///
-/// Returns a problem when the body breaks off, is too large, comes too slowly or isn't JSON.
+/// Returns a problem if the body is incomplete, too large, late or not JSON.
 pub(super) async fn read_request(body: StreamingBody, limit: Millis) -> Result<Bytes, ApiProblem> {
     let chunks = body.into_stream().map_err(ApiProblem::from);
     let read = chunks.try_fold(BytesMut::new(), |mut whole, chunk| async move {
--- a/lib/src/pipeline/api/call.rs
+++ b/lib/src/pipeline/api/call.rs
@@ -1,7 +1,6 @@
-//! One call of a caller: from its head to its answer or the start of its stream.
+//! Serves one request of a caller, from its head to the whole answer or the start of the stream.
 //!
-//! Owns the order of the checks, the spans and the log line of a call. Relies on the node for the
-//! decisions.
+//! Sets the order of the checks, starts the trace spans and writes the log line. The node makes the decisions.
 
 use {
     crate::{
@@ -30,11 +29,12 @@
     tokio::sync::OwnedSemaphorePermit,
 };
 
-/// Serves one call: permit and checks first, since they cost least, then the body, then the node.
+/// Serves one request. The permit and the headers are checked first, since this costs least; then the body is read
+/// and the request is submitted to the node.
 ///
 /// # Errors
 ///
-/// Returns the problem that ends the call, with its request's id once it has one.
+/// Returns the problem for the caller. It has the request's id if the request was submitted.
 pub(super) async fn serve(
     context: RequestContext<Arc<ApiContext>>,
     target: Result<Target, ApiProblem>,
@@ -72,7 +72,7 @@
     answer
 }
 
-/// Submits a request to the node within the span of its admission.
+/// Submits a request to the node, within the trace span `admit`.
 fn submit(
     node: &Node<HttpTransport>,
     arrival: Arrival,
@@ -86,8 +86,8 @@
     node.submit(arrival)
 }
 
-/// Waits for the first delivery and builds the response from it: the whole answer, or the start of
-/// the stream.
+/// Waits for the first delivery and builds the response from it: the whole answer, or the start of the
+/// stream.
 async fn respond_to(
     mut handle: RequestHandle<HttpTransport>,
     id: RequestId,
@@ -111,8 +111,8 @@
     }
 }
 
-/// Returns the problem of a request without a final delivery: the node ends every request, so this
-/// only happens while it is torn down.
+/// Returns the problem for a request that gets no final delivery. The node sends one for every request, so this
+/// happens only while the daemon is being dropped.
 fn node_gone() -> Problem {
     Problem {
         code: Code::Internal,
@@ -122,7 +122,7 @@
     }
 }
 
-/// Logs the end of a call, or the start of its stream.
+/// Logs how a request was answered. A streamed answer is logged at its start.
 fn log_request(id: RequestId, started: Instant, answer: &Result<Response<Body>, ApiProblem>) {
     let ms = started.elapsed().as_millis() as u64;
     let request = id.to_string();
@@ -132,7 +132,7 @@
         }
         Err(problem) => {
             let body = problem.body();
-            log::info!(request, code = body.code, outcome = body.outcome, ms; "request refused or failed");
+            log::info!(request, code = body.code, outcome = body.outcome, ms; "request answered with a problem");
         }
     }
 }
--- a/lib/src/pipeline/api/context.rs
+++ b/lib/src/pipeline/api/context.rs
@@ -1,7 +1,5 @@
-//! State that the interface's handlers share.
-//!
-//! Owns the limits, the readiness and the permits that bound the requests in flight; relies on the
-//! node for the rest.
+//! State that all handlers of the interface share: the node, the limits, the readiness and the permits that limit the
+//! requests in progress.
 
 use {
     crate::{
@@ -21,40 +19,40 @@
     tokio::sync::{OwnedSemaphorePermit, Semaphore},
 };
 
-/// Wait suggested to callers that a full daemon refuses.
+/// Value of `retry_after` for requests refused because the daemon has no free permit.
 const BUSY_WAIT: Millis = Millis(1_000);
 
-/// Limits of the interface, from the daemon's settings.
+/// Limits on callers' requests, from the daemon's settings.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ApiLimits {
-    /// Most requests in flight at the same time.
+    /// Largest number of requests in progress at the same time.
     pub requests: Count,
-    /// Largest size of all headers of one request.
+    /// Largest total size of the headers of one request.
     pub headers: ByteSize,
-    /// Longest time for a request's body to arrive.
+    /// Longest time in which a request's body must arrive.
     pub receive: Millis,
 }
 
-/// State that all handlers share.
+/// State shared by all handlers.
 #[derive(Debug)]
 pub struct ApiContext {
     /// The node that runs the requests.
     pub node: Node<HttpTransport>,
-    /// Name of the host, for reports.
+    /// Name of the host, for the status report.
     pub host: String,
-    /// Limits of the interface.
+    /// Limits on callers' requests.
     pub limits: ApiLimits,
-    /// Metrics that outlive a request.
+    /// Metrics that aren't part of a [`Snapshot`](crate::pipeline::node::Snapshot).
     pub metrics: Metrics,
-    /// True once a tree is in force.
+    /// True once a settings tree has been adopted.
     pub ready: AtomicBool,
-    /// True once a planned stop has begun.
+    /// True once the daemon has begun to stop.
     pub stopping: AtomicBool,
     permits: Arc<Semaphore>,
 }
 
 impl ApiContext {
-    /// Builds the context of a daemon that isn't ready yet.
+    /// Builds the state of a daemon that isn't ready yet.
     pub fn new(node: Node<HttpTransport>, host: String, limits: ApiLimits) -> Self {
         Self {
             node,
@@ -67,19 +65,19 @@
         }
     }
 
-    /// Returns true if the balancer may send requests here.
+    /// Returns true if the load balancer may send requests to this daemon.
     pub fn is_ready(&self) -> bool {
         self.ready.load(Ordering::Acquire) && !self.stopping.load(Ordering::Acquire)
     }
 
-    /// Takes the permit of one request; it counts as in flight until the permit is dropped.
+    /// Takes the permit of one request. The request counts as in progress until its permit is dropped.
     ///
     /// # Errors
     ///
-    /// Returns a `too_busy` problem when all permits are taken.
+    /// Returns a `too_busy` problem if all permits are taken.
     pub(super) fn permit(&self) -> Result<OwnedSemaphorePermit, ApiProblem> {
         self.permits.clone().try_acquire_owned().map_err(|_| {
-            // The semaphore is never closed, so it is out of permits.
+            // The semaphore is never closed, so the only error is a lack of permits.
             let detail = format!("{} requests are in hand already", self.limits.requests);
             let problem = Problem::not_run(Code::TooBusy, detail);
             problem.retry_after(BUSY_WAIT).into()
--- a/lib/src/pipeline/api/headers.rs
+++ b/lib/src/pipeline/api/headers.rs
@@ -1,7 +1,7 @@
-//! Headers of a caller's request: as they come, and as they are checked.
+//! Reads and checks the headers of a caller's request. A header with an invalid value leads to a problem that names
+//! it.
 //!
-//! Owns their names, their limits and the problem of each that is wrong. The comments of
-//! [`CallHeaders`] are published in `docs/openapi.json`.
+//! The doc comments of [`CallHeaders`] are published in `docs/openapi.json`.
 
 use {
     crate::{
@@ -27,13 +27,13 @@
     std::{fmt::Display, str::FromStr},
 };
 
-/// Longest time left that a caller may name: one hour.
+/// Largest value of the deadline header: one hour.
 const MAX_DEADLINE: Millis = Millis(3_600_000);
 
-/// Header with the customer; only callers use it, so it isn't among the endpoints' headers.
+/// Header with the customer. Not in [`wire`], since it isn't sent to endpoints.
 const CUSTOMER_HEADER: &str = "x-customer";
 
-/// Media type that a caller accepts to receive tokens as they come.
+/// Media type that a caller lists in `accept` to receive the answer as a stream of tokens.
 const EVENT_STREAM: &str = "text/event-stream";
 
 /// Headers of a caller's request as they come.
@@ -58,8 +58,8 @@
 }
 
 impl CallHeaders {
-    /// Header values that aren't text are kept with replacement characters, so that the check of
-    /// that header refuses them as a problem.
+    /// Takes the headers from a request, without any check. Bytes that aren't UTF-8 become replacement characters,
+    /// so that the check of that header refuses the value with a problem.
     fn new(headers: &HeaderMap) -> Self {
         let text = |name: &str| {
             let value = headers.get(name)?;
@@ -76,8 +76,8 @@
     }
 }
 
-/// Documented like `dropshot`'s own `Header`, but never refuses: that refusal would not be
-/// `application/problem+json`.
+/// Has the same documentation as `dropshot`'s extractor `Header`, but never refuses a request, because that refusal
+/// would not be `application/problem+json`.
 #[async_trait]
 impl SharedExtractor for CallHeaders {
     async fn from_request<C: ServerContext>(
@@ -91,18 +91,18 @@
     }
 }
 
-/// Headers of a caller's request, checked.
+/// Checked headers of a caller's request.
 #[derive(Debug)]
 pub struct CallOptions {
     /// Customer that the request belongs to.
     pub customer: CustomerId,
-    /// Time left, if the caller names one.
+    /// Time left until the deadline, if the caller sets one.
     pub remaining: Option<Millis>,
-    /// Priority, if the caller names one.
+    /// Priority, if the caller sets one.
     pub priority: Option<Priority>,
     /// Key under which the request may be repeated.
     pub key: Option<IdempotencyKey>,
-    /// True if tokens are passed on as they come.
+    /// True if the answer is streamed token by token.
     pub stream: bool,
 }
 
@@ -114,7 +114,7 @@
             return Err(bad_request(format!("{CUSTOMER_HEADER} is missing")));
         };
         let remaining = headers.deadline.as_deref().map(parse_deadline);
-        // No `accept` accepts anything, and a whole answer is the usual form.
+        // Without `accept`, any media type is accepted; a whole answer is the default.
         let accept = headers.accept.as_deref().unwrap_or_default();
         Ok(Self {
             customer: parse_header(CUSTOMER_HEADER, customer)?,
@@ -126,11 +126,11 @@
     }
 }
 
-/// Parses a text from a path or header.
+/// Parses the text of a path segment or header; `name` is its name in the problem.
 ///
 /// # Errors
 ///
-/// Returns a bad-request problem that names the part.
+/// Returns a `bad_request` problem that begins with `name`.
 pub fn parse_header<T: FromStr<Err: Display>>(name: &str, text: &str) -> Result<T, ApiProblem> {
     text.parse()
         .map_err(|error| bad_request(format!("{name}: {error}")))
--- a/lib/src/pipeline/api/mod.rs
+++ b/lib/src/pipeline/api/mod.rs
@@ -1,8 +1,9 @@
 //! The pipeline daemon's HTTP interface for callers and operators.
 //!
-//! `server` describes the paths; `call` carries one call through `headers`, `body`, the node, and
-//! `problem` or `stream`; `context` holds what all calls share. The documentation of the handlers and
-//! bodies is published in `docs/openapi.json`.
+//! `server` defines the paths. `call` runs one request: it checks the `headers`, reads the `body`, submits the request
+//! to the node, and returns a whole answer, a `stream` or a `problem`. `context` is the state shared by all handlers.
+//! `status_client` reads another daemon's status. The doc comments of handlers and bodies are published in
+//! `docs/openapi.json`.
 
 pub(crate) mod body;
 pub(crate) mod call;
--- a/lib/src/pipeline/api/problem.rs
+++ b/lib/src/pipeline/api/problem.rs
@@ -1,7 +1,6 @@
-//! Problems as callers see them: `application/problem+json` (RFC 9457).
+//! Builds the HTTP responses of problems, as `application/problem+json` (RFC 9457), and of whole answers.
 //!
-//! Owns the form of problems and of whole answers as responses; `shared::problem` owns the codes and
-//! outcomes.
+//! `shared::problem` defines the codes and outcomes.
 
 use {
     crate::{
@@ -20,10 +19,10 @@
     std::fmt,
 };
 
-/// Media type of problems.
+/// Media type of problem responses.
 pub const PROBLEM_TYPE: &str = "application/problem+json";
 
-/// Milliseconds of the unit of `retry-after` (RFC 9110, section 10.2.3).
+/// Milliseconds in a second, the unit of the header `retry-after` (RFC 9110, section 10.2.3).
 const MILLIS_PER_SECOND: u64 = 1_000;
 
 /// Body of a problem.
@@ -48,7 +47,7 @@
     pub retry_after_ms: Option<u64>,
 }
 
-/// A problem on its way to a caller.
+/// A problem to send to a caller, with the id of its request if it has one.
 #[derive(Debug, Clone)]
 pub struct ApiProblem {
     problem: Problem,
@@ -56,12 +55,12 @@
 }
 
 impl ApiProblem {
-    /// Wraps a problem of one request.
+    /// Builds the problem of the request with the id `request`, if it has one.
     pub fn new(problem: Problem, request: Option<RequestId>) -> Self {
         Self { problem, request }
     }
 
-    /// Returns the body that callers receive.
+    /// Returns the body of the problem response.
     pub fn body(&self) -> ProblemBody {
         let code = self.problem.code.as_str();
         ProblemBody {
@@ -89,7 +88,7 @@
     }
 }
 
-/// `dropshot` refuses in its extractors, before any of the work could run.
+/// Converts an error of a `dropshot` extractor. The outcome is `not_run`, since extractors run before the handler.
 impl From<HttpError> for ApiProblem {
     fn from(error: HttpError) -> Self {
         let code = match error.status_code.as_status() {
@@ -114,20 +113,20 @@
     }
 }
 
-/// The form that `dropshot` documents; it would send it as plain JSON, so handlers send problems
-/// by [`respond`] themselves.
+/// Used by `dropshot` for the interface's document. It would send a problem with the media type of plain JSON, so
+/// handlers build the response by [`respond`] instead.
 impl HttpResponseError for ProblemBody {
     fn status_code(&self) -> ErrorStatusCode {
-        // Every code has a status from 400 on, so the fallback never counts.
+        // Every code has a status of 400 or above, so the fallback is never used.
         ErrorStatusCode::from_u16(self.status).unwrap_or(ErrorStatusCode::INTERNAL_SERVER_ERROR)
     }
 }
 
-/// Turns a problem into its response, with the media type that `dropshot` doesn't give it.
+/// Turns a problem into a response with its media type, which `dropshot` wouldn't set.
 ///
 /// # Errors
 ///
-/// Returns the problem itself if its response can't be built.
+/// Returns the problem's body if the response can't be built.
 #[expect(
     clippy::result_large_err,
     reason = "dropshot takes the error type itself, unboxed"
@@ -148,14 +147,14 @@
     builder.body(json.into()).map_err(|_| body)
 }
 
-/// Builds a bad-request problem.
+/// Builds a `bad_request` problem.
 pub fn bad_request(detail: impl Into<String>) -> ApiProblem {
     Problem::not_run(Code::BadRequest, detail).into()
 }
 
 /// Builds the response of a whole answer.
 pub fn json_response(status: u16, request: RequestId, body: Bytes) -> Response<Body> {
-    // An answer's status came from a response, so it is valid.
+    // The status was received from an endpoint, so it is valid.
     let status = StatusCode::from_u16(status).unwrap_or(StatusCode::OK);
     Response::builder()
         .status(status)
--- a/lib/src/pipeline/api/server.rs
+++ b/lib/src/pipeline/api/server.rs
@@ -1,7 +1,7 @@
-//! The description of the HTTP interface: its paths, with a handler for each.
+//! The paths of the HTTP interface, with a handler for each.
 //!
-//! Owns the paths and their documentation, which is published in `docs/openapi.json`. The handlers
-//! only translate; `call` carries out the work.
+//! The doc comments of the handlers are published in `docs/openapi.json`. Handlers convert between HTTP and the types
+//! of the daemon; `call` runs the requests.
 
 use {
     crate::{
@@ -31,7 +31,7 @@
     std::sync::Arc,
 };
 
-/// Version of the interface in its document; the paths begin with its major number.
+/// Version of the interface in its OpenAPI document. Paths begin with the major version.
 const INTERFACE_VERSION: semver::Version = semver::Version::new(1, 0, 0);
 
 #[derive(Debug, Deserialize, JsonSchema)]
@@ -46,11 +46,11 @@
     service: String,
 }
 
-/// Builds the description of the interface, from which its OpenAPI document is generated.
+/// Returns the description of the interface, which is served and from which the OpenAPI document is generated.
 ///
 /// # Errors
 ///
-/// Returns an error when two handlers contradict each other.
+/// Returns an error if handlers conflict, such as two for the same method and path.
 pub fn describe() -> Result<ApiDescription<Arc<ApiContext>>, ApiDescriptionRegisterError> {
     let mut api = ApiDescription::new();
     api.register(run_pipeline)?;
@@ -66,11 +66,11 @@
 ///
 /// # Panics
 ///
-/// Panics if the handlers contradict each other, which a test rules out.
+/// Panics if handlers conflict. A test builds the document, so such a conflict is found there.
 pub fn openapi() -> serde_json::Value {
     let version = INTERFACE_VERSION;
     describe()
-        .expect("handlers agree with each other")
+        .expect("no two handlers conflict")
         .openapi("hazelyoke", version)
         .json()
         .expect("document is JSON")
--- a/lib/src/pipeline/api/status_client.rs
+++ b/lib/src/pipeline/api/status_client.rs
@@ -1,6 +1,4 @@
-//! Client of a daemon's status report, for the command line and tests.
-//!
-//! It owns the limits on size and time of one read, and relies on `endpoints::http_get` for HTTP.
+//! Client for a daemon's status report, for the command line and tests.
 
 use {
     crate::{
@@ -18,24 +16,24 @@
     thiserror::Error,
 };
 
-/// Largest status report accepted: 4 MiB.
+/// Size of the largest status report accepted: 4 MiB.
 const MAX_STATUS: ByteSize = ByteSize(4 << 20);
 
-/// Longest wait for a whole report.
+/// Longest wait for the head of the reply, and for each next part of its body.
 const STATUS_TIMEOUT: Millis = Millis(5_000);
 
-/// Reports why a daemon's status can't be read; each text begins with the URI that was read.
+/// Why a daemon's status can't be read. Each text begins with the URI that was read.
 #[derive(Debug, Error)]
 pub enum StatusError {
-    /// The daemon doesn't answer, or not in time.
+    /// No complete reply arrived in time.
     #[error("{0}")]
     Unreachable(HttpGetError),
-    /// The daemon answers with a status other than success.
+    /// The daemon answered with a status other than success.
     #[error("{uri}: status {status}")]
     Refused {
         /// The URI that was read.
         uri: String,
-        /// The status of the reply.
+        /// HTTP status of the reply.
         status: StatusCode,
     },
     /// The reply isn't a status report.
@@ -43,7 +41,7 @@
     Malformed {
         /// The URI that was read.
         uri: String,
-        /// Says where the JSON differs.
+        /// Position in the JSON and cause.
         #[source]
         error: serde_json::Error,
     },
@@ -53,7 +51,7 @@
 ///
 /// # Errors
 ///
-/// Returns an error when the daemon doesn't answer within five seconds, or not with a report.
+/// Returns an error if nothing arrives for five seconds, or if the reply isn't a status report.
 pub async fn fetch(address: SocketAddr) -> Result<StatusBody, StatusError> {
     let client = Client::builder(TokioExecutor::new()).build_http();
     let uri = format!("http://{address}/v1/status");
--- a/lib/src/pipeline/api/stream.rs
+++ b/lib/src/pipeline/api/stream.rs
@@ -1,7 +1,6 @@
-//! Streamed answers: tokens as they come, then exactly one final event.
+//! Streamed answers as server-sent events: one for each token, then exactly one `done` or `problem`.
 //!
-//! Owns the names and data of the events, and a stream's hold on its request. Relies on the node's
-//! promise that one final delivery follows the tokens.
+//! The node guarantees that exactly one final delivery follows the tokens.
 
 use {
     crate::{
@@ -28,7 +27,7 @@
 pub const TOKEN_EVENT: &str = "token";
 /// Name of the event that ends a complete answer.
 pub const DONE_EVENT: &str = "done";
-/// Name of the event that ends an answer that can't be completed.
+/// Name of the event that ends an incomplete answer.
 pub const PROBLEM_EVENT: &str = "problem";
 
 #[derive(Debug, Serialize)]
@@ -43,12 +42,12 @@
     request_id: String,
 }
 
-/// An answer that is being streamed; dropping it early reports to the core that the caller has left.
+/// State of a streamed answer. Dropping it before its end reports to the core that the caller has left.
 struct Streaming {
     handle: RequestHandle<HttpTransport>,
     id: RequestId,
     first: Option<Delivery>,
-    // Held until the stream ends: the request counts as in flight, and its span goes on.
+    // Both are held until the stream ends: the request counts as in progress, and its span is open.
     _permit: OwnedSemaphorePermit,
     _forward: TraceSpan,
 }
@@ -87,7 +86,7 @@
     }
 }
 
-/// Builds the response of a streamed answer that starts with `first`.
+/// Builds the response of a streamed answer whose first delivery is `first`.
 pub fn stream_response(
     handle: RequestHandle<HttpTransport>,
     id: RequestId,
