--- a/lib/src/pipeline/config_service.rs
+++ b/lib/src/pipeline/config_service.rs
@@ -1,7 +1,8 @@
-//! Client of the configuration service, which can only be read.
+//! Read-only client for the configuration service.
 //!
-//! Owns the bounds of one read and of one tree, and the rounds in which the values of a tree are
-//! fetched. Relies on `settings` to check a tree and on `http_get` for HTTP.
+//! A settings tree spans several values of the service, because a value can include others. The client fetches the root
+//! value, and then in rounds all included values that it doesn't have yet. Each read is bounded in size and time, and
+//! each tree in its number of values. `settings` checks the tree.
 
 use {
     crate::{
@@ -31,74 +32,72 @@
     xxhash_rust::xxh3::Xxh3,
 };
 
-/// Largest value that the service holds.
+/// Size of the largest value that the service stores.
 const VALUE_SIZE: ByteSize = ByteSize(1 << 20);
 
-/// Longest time for one read; the service answers in milliseconds.
+/// Longest wait for the head of a response, and for each next part of its body. The service answers in milliseconds.
 const READ_TIMEOUT: Millis = Millis(2_000);
 
-/// Longest name of a value, in bytes.
+/// Length of the longest name of a value, in bytes.
 const MAX_VALUE_NAME: usize = 256;
 
-/// Most values that one tree may span.
+/// Largest number of values of one tree.
 const MAX_VALUES: usize = 64;
 
-/// A tree can't be read.
+/// Why a settings tree can't be read.
 #[derive(Debug, Error)]
 pub enum ConfigError {
-    /// The service doesn't answer, or not within the bounds of a read.
-    #[error("the configuration service can't be read: {0}")]
+    /// No complete response arrived, or not within the bounds of a read.
+    #[error("can't read from the configuration service: {0}")]
     Unreadable(#[source] HttpGetError),
-    /// The service answers with another status than 200: mostly, it doesn't have the value.
-    #[error("the configuration service can't be read: {uri}: status {status}")]
+    /// The service answered with another status than 200, usually because it doesn't have the value.
+    #[error("can't read from the configuration service: {uri}: status {status}")]
     Refused {
         /// URI of the value.
         uri: String,
         /// Status of the response.
         status: StatusCode,
     },
-    /// The tree names too many values.
-    #[error(
-        "the configuration service can't be read: the tree spans more than {MAX_VALUES} values"
-    )]
+    /// The tree includes too many values.
+    #[error("can't read the settings tree: it has more than {MAX_VALUES} values")]
     TooManyValues,
-    /// The tree is invalid; the last good one stays.
+    /// The tree is invalid. The daemon keeps the last valid one.
     #[error("the settings tree is invalid:\n{0}")]
     Invalid(Findings),
 }
 
-/// Byte after each name and value in the hash, so that their borders count: neither a name nor
-/// JSON contains it.
+/// Byte that separates names and values in the hash, so that moving bytes from one to the next changes the hash.
+/// Neither names nor JSON contain this byte.
 const VALUE_END: u8 = 0;
 
-/// A tree together with the fingerprint of the values it was read from.
+/// A settings tree, with a hash of the values that it was read from.
 #[derive(Debug)]
 pub struct FetchedTree {
     /// The checked tree.
     pub tree: Tree,
-    /// Its root value, as it was read.
+    /// Root value, as it was read.
     pub root: Bytes,
-    /// Hash over all of its values.
+    /// Hash of the names and contents of all its values.
     pub hash: u64,
 }
 
-/// Reads values of the configuration service.
+/// Reads values from the configuration service.
 #[derive(Debug, Clone)]
 pub struct ConfigClient {
     client: Client<HttpConnector, Empty<Bytes>>,
     address: SocketAddr,
 }
 
-/// Values fetched so far; names that are missing are noted for the next round of fetches.
+/// Values fetched so far, and the names of those to fetch in the next round.
 #[derive(Debug, Default)]
 struct FetchedValues {
     values: BTreeMap<String, Bytes>,
     missing: RefCell<BTreeSet<String>>,
 }
 
-/// Reports a value that the next round has to fetch.
+/// The value has to be fetched in the next round.
 #[derive(Debug, Error)]
-#[error("not fetched yet")]
+#[error("the value isn't fetched yet")]
 struct NotFetched;
 
 impl ValueSource for FetchedValues {
@@ -116,7 +115,7 @@
 }
 
 impl ConfigClient {
-    /// Builds a client; it connects when it is first used.
+    /// Builds a client of the service at `address`, without a connection yet.
     pub fn new(address: SocketAddr) -> Self {
         let client = Client::builder(TokioExecutor::new())
             .retry_canceled_requests(false)
@@ -128,7 +127,7 @@
     ///
     /// # Errors
     ///
-    /// Returns an error when the service can't be reached or doesn't have the value.
+    /// Returns an error if the service doesn't answer in time or doesn't have the value.
     pub async fn value(&self, name: &str) -> Result<Bytes, ConfigError> {
         let uri = format!("http://{}/v1/values/{name}", self.address);
         let reply = get(&self.client, &uri, VALUE_SIZE, READ_TIMEOUT)
@@ -141,12 +140,12 @@
         Ok(reply.body)
     }
 
-    /// Reads a tree with all the values it spans, and checks it; nothing if its root value is
-    /// still `last`.
+    /// Reads and checks the tree with the root value named `root`. Returns `None` if the root value still equals
+    /// `last`; then nothing else is read.
     ///
     /// # Errors
     ///
-    /// Returns an error when a value can't be read or the tree is invalid.
+    /// Returns an error if a value can't be read or the tree is invalid.
     pub async fn changed_tree(
         &self,
         root: &str,
@@ -203,7 +202,7 @@
     })
 }
 
-/// Returns whether a name can be a value's: letters, digits and `._-/`, not absolute.
+/// Returns true if `name` is valid for a value: letters, digits and `._-/`, no leading `/` and no `..`.
 pub fn is_value_name(name: &str) -> bool {
     let allowed = |c: char| c.is_ascii_alphanumeric() || matches!(c, '.' | '_' | '-' | '/');
     !name.is_empty()
--- a/lib/src/pipeline/daemon.rs
+++ b/lib/src/pipeline/daemon.rs
@@ -1,7 +1,7 @@
-//! Assembles a daemon from its settings, and stops it without cutting requests.
+//! Starts a pipeline daemon from its settings, and stops it after its requests in progress have ended.
 //!
-//! Owns the server, the node and the background tasks, among them the one that follows the settings
-//! tree. Relies on `shared::adoption` to judge a tree's version.
+//! A daemon has the HTTP server, the node and the background tasks. One of these polls the configuration service for a
+//! new settings tree; `shared::adoption` decides by its version whether it is adopted.
 
 use {
     crate::{
@@ -29,48 +29,50 @@
     thiserror::Error,
 };
 
-/// A daemon can't start.
+/// Why a daemon can't start.
 #[derive(Debug, Error)]
 pub enum DaemonStartError {
-    /// The interface for callers can't be served.
-    #[error("can't serve on {address}: {reason}; is the address free and this host's own?")]
+    /// The HTTP server can't be started.
+    #[error(
+        "can't serve on {address}: {reason}; is the address free and one of this host's addresses?"
+    )]
     Serve {
         /// Address from the settings.
         address: SocketAddr,
-        /// Cause of the failure; not a `source`, since the text already has it.
+        /// Cause. Not a `source`, since the text already includes it.
         reason: ServeError,
     },
-    /// Traces can't be exported.
+    /// The export of traces can't be started.
     #[error(transparent)]
     Trace(#[from] TraceError),
 }
 
-/// The server of the interface can't start.
+/// Why the HTTP server can't be started.
 #[derive(Debug, Error)]
 pub enum ServeError {
-    /// Two handlers contradict each other, which a test rules out.
+    /// Two handlers conflict. A test builds the interface, so this doesn't happen in a release.
     #[error(transparent)]
     Interface(#[from] ApiDescriptionRegisterError),
-    /// The address can't be bound.
+    /// The address can't be bound, or the server can't be set up.
     #[error(transparent)]
     Server(#[from] BuildError),
 }
 
-/// A running daemon; dropping it ends its background tasks.
+/// A running daemon. Dropping it aborts its background tasks.
 pub struct Daemon {
     server: HttpServer<Arc<ApiContext>>,
     node: Node<HttpTransport>,
     settings: DaemonSettings,
-    // Held so that the daemon's tasks end together with it.
+    // Held so that the tasks are aborted when the daemon is dropped.
     _tasks: Vec<TaskGuard>,
 }
 
 impl Daemon {
-    /// Starts a daemon; it is ready for callers once it has a tree.
+    /// Starts a daemon. It is ready for callers once it has a settings tree.
     ///
     /// # Errors
     ///
-    /// Returns an error when the address can't be served or traces can't be exported.
+    /// Returns an error if the server or the export of traces can't be started.
     ///
     /// # Panics
     ///
@@ -106,25 +108,25 @@
         })
     }
 
-    /// Returns the address that is served.
+    /// Returns the address on which the daemon listens.
     pub fn address(&self) -> SocketAddr {
         self.server.local_addr()
     }
 
-    /// Returns the daemon's node, for reports and tests.
+    /// Returns the node that runs the daemon's requests.
     pub fn node(&self) -> &Node<HttpTransport> {
         &self.node
     }
 
-    /// Stops without cutting a request: the daemon reports that it isn't ready, waits the grace period
-    /// in which the balancer notices, and then waits for the requests in flight.
+    /// Stops the daemon. It reports that it isn't ready, waits the grace period so that the load balancer notices, and
+    /// then closes the server, which waits for the requests in progress.
     pub async fn stop(self) {
         let context = self.server.app_private();
         context.stopping.store(true, Ordering::Release);
-        log::info!(in_flight = self.node.in_flight(); "stopping: not ready any more");
+        log::info!(in_flight = self.node.in_flight(); "daemon stopping, no longer ready");
         tokio::time::sleep(self.settings.stop_grace.to_duration()).await;
         if let Err(error) = self.server.close().await {
-            log::warn!(error; "the server didn't close cleanly");
+            log::warn!(error; "HTTP server reported an error while closing");
         }
         log::info!("stopped");
     }
@@ -149,7 +151,7 @@
     let config = ConfigDropshot {
         bind_address: settings.listen,
         default_request_body_max_bytes: DROPSHOT_CAP,
-        // A caller that vanishes drops its handler, and with it the request's handle.
+        // When a caller disconnects, its handler is dropped, and with it the request's handle.
         default_handler_task_mode: HandlerTaskMode::CancelOnDisconnect,
         ..Default::default()
     };
@@ -159,8 +161,8 @@
         .map_err(|error| failed(error.into()))
 }
 
-/// Polls the configuration service for a new tree until the task that awaits this is dropped. The tree
-/// in force stays while the service doesn't answer or its tree is invalid.
+/// Polls the configuration service for a new settings tree. Runs until the task that awaits this is dropped. The
+/// current tree stays while the service doesn't answer or its tree is invalid.
 async fn watch_tree(context: Arc<ApiContext>, settings: ConfigSettings) {
     let client = ConfigClient::new(settings.address);
     let mut current = None;
@@ -169,8 +171,8 @@
     ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     loop {
         ticks.tick().await;
-        // Every change raises the version in the root value; while that is the same as in the
-        // last tree that was valid, nothing else has to be read or checked.
+        // Every change raises the version, which is in the root value. While the root value equals that of the
+        // last valid tree, nothing else has to be read or checked.
         match client.changed_tree(&settings.tree, root.as_ref()).await {
             Ok(None) => {}
             Ok(Some(fetched)) => {
@@ -181,13 +183,14 @@
                 if matches!(error, ConfigError::Invalid(_)) {
                     context.metrics.tree_refused();
                 }
-                log::warn!(error:%; "no new settings tree");
+                log::warn!(error:%; "can't read a new settings tree");
             }
         }
     }
 }
 
-/// Adopts a valid tree if its version is newer than the `current` one.
+/// Adopts a valid settings tree if its version is newer than that in `current`, which marks the tree
+/// adopted last.
 fn adopt_newer(
     context: &ApiContext,
     current: &mut Option<ContentMark<TreeVersion>>,
@@ -202,15 +205,15 @@
             context.node.adopt(Arc::new(fetched.tree));
             *current = Some(read);
             context.ready.store(true, Ordering::Release);
-            log::info!(version = read.version.0; "settings tree in force");
+            log::info!(version = read.version.0; "settings tree adopted");
         }
         VersionVerdict::Same => {}
         VersionVerdict::Older => {
-            log::warn!(version = read.version.0; "the configuration service is stale");
+            log::warn!(version = read.version.0; "the configuration service is stale: its settings tree is older than the current one");
         }
         VersionVerdict::Conflict => {
             context.metrics.tree_refused();
-            log::error!(version = read.version.0; "this version came with other content before");
+            log::error!(version = read.version.0; "refused a settings tree whose version was adopted before with other content");
         }
     }
 }
--- a/lib/src/pipeline/daemon_settings.rs
+++ b/lib/src/pipeline/daemon_settings.rs
@@ -1,7 +1,7 @@
-//! Settings of one daemon: its name and place, its address, and where it reads the settings tree.
+//! Settings of one pipeline daemon: host, data centre, address, limits, and where it reads the settings tree.
 //!
-//! Owns the fields' names, their defaults and the checks across fields. Relies on
-//! `settings::document` for JSON with comments and the places of findings.
+//! Defines the names of the fields, their defaults and their checks. `settings::document` parses the JSON with comments
+//! and locates findings.
 
 use {
     crate::{
@@ -16,28 +16,28 @@
     std::net::SocketAddr,
 };
 
-/// Default cost of a call into another data centre.
+/// Default of `hop`: extra time that a call into another data centre is expected to take.
 const DEFAULT_HOP: Millis = Millis(1);
 
-/// Default time between two reads of an endpoint's load.
+/// Default interval between reads of the endpoints' load reports.
 const DEFAULT_LOAD_INTERVAL: Millis = Millis(100);
 
-/// Default time between two reads of the tree.
+/// Default interval between reads of the settings tree.
 const DEFAULT_POLL: Millis = Millis(1_000);
 
-/// Default of the most requests in flight.
+/// Default of the largest number of requests in progress.
 const DEFAULT_REQUESTS: Count = Count(2_000);
 
-/// Default size of all headers of a request.
+/// Default of the largest total size of a request's headers.
 const DEFAULT_HEADERS: ByteSize = ByteSize(16 * 1024);
 
-/// Default time for a request's body to arrive.
+/// Default of the longest time in which a request's body must arrive.
 const DEFAULT_RECEIVE: Millis = Millis(5_000);
 
-/// Default time that the balancer has to notice a stop.
+/// Default time for the load balancer to notice that the daemon is stopping.
 const DEFAULT_GRACE: Millis = Millis(5_000);
 
-/// Default share of new traces that is kept.
+/// Default share of new traces that is sampled.
 const DEFAULT_SAMPLE: Share = Share(0.01);
 
 /// Checked settings of one daemon.
@@ -45,45 +45,45 @@
 pub struct DaemonSettings {
     /// Name of the host.
     pub host: HostId,
-    /// Data centre it stands in.
+    /// Data centre of the host.
     pub data_centre: DataCentreId,
     /// Address for callers and operators.
     pub listen: SocketAddr,
-    /// Where the tree is read.
+    /// Where the settings tree is read from.
     pub config: ConfigSettings,
-    /// Cost of a call into another data centre.
+    /// Extra time that a call into another data centre is expected to take.
     pub hop: Millis,
-    /// Time between two reads of an endpoint's load.
+    /// Interval between reads of the endpoints' load reports.
     pub load_interval: Millis,
-    /// Limits towards callers.
+    /// Limits on callers' requests.
     pub limits: ApiLimits,
-    /// Time that the balancer has to notice a stop, during which requests are still accepted.
+    /// Time for the load balancer to notice that the daemon is stopping. Requests are still accepted until then.
     pub stop_grace: Millis,
-    /// Where traces go, if anywhere.
+    /// Where traces are exported to; `None` if they aren't.
     pub traces: Option<TraceSettings>,
 }
 
-/// Where the settings tree is read.
+/// Where the settings tree is read from.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ConfigSettings {
     /// Address of the configuration service.
     pub address: SocketAddr,
-    /// Name of the tree's root value.
+    /// Name of the root value of the tree.
     pub tree: String,
-    /// Time between two reads.
+    /// Interval between reads.
     pub poll: Millis,
 }
 
-/// Where traces go.
+/// Where traces are exported to.
 #[derive(Debug, Clone, PartialEq)]
 pub struct TraceSettings {
     /// URL of the OTLP collector.
     pub collector: String,
-    /// Share of new traces that is kept.
+    /// Share of new traces that is sampled.
     pub sample: Share,
 }
 
-/// A daemon's settings as written.
+/// A daemon's settings as parsed, before they are checked.
 #[derive(Debug, Clone)]
 pub struct RawDaemonSettings {
     value: document::Value,
@@ -94,7 +94,7 @@
     ///
     /// # Errors
     ///
-    /// Returns syntax errors with their places.
+    /// Returns the syntax errors, each with its position.
     pub fn parse(file: &str, bytes: &[u8]) -> Result<Self, Findings> {
         let value = document::parse_bytes(file, bytes)?;
         Ok(Self { value })
--- a/lib/src/pipeline/metrics.rs
+++ b/lib/src/pipeline/metrics.rs
@@ -1,7 +1,7 @@
-//! Metrics in the OpenMetrics text form.
+//! The daemon's metrics, in the OpenMetrics text format.
 //!
-//! Owns the metrics' names, help texts and labels, which `docs/OPERATIONS.md` lists. Most values come
-//! from a snapshot when they are read; only those that a snapshot doesn't hold are kept here.
+//! `docs/OPERATIONS.md` lists their names and labels. Most values are taken from a snapshot at the time of the read;
+//! [`Metrics`] holds those that a snapshot doesn't have.
 
 use {
     crate::pipeline::node::Snapshot,
@@ -21,16 +21,16 @@
     },
 };
 
-/// Media type of the text form.
+/// Media type of the text format.
 pub const CONTENT_TYPE: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
 
-/// Upper bound of the request time's first bucket, in seconds.
+/// Upper bound of the first bucket of request times, in seconds.
 const FIRST_BUCKET: f64 = 0.002;
 
-/// Factor from each bucket's bound to the next.
+/// Ratio of each bucket's upper bound to the previous one.
 const BUCKET_FACTOR: f64 = 2.0;
 
-/// Number of buckets: the last bound is 16.384 s.
+/// Number of buckets with an upper bound, the last of which is 16.384 s.
 const BUCKETS: u16 = 14;
 
 /// Milliseconds in a second, the base unit of times in OpenMetrics.
@@ -38,7 +38,7 @@
 
 type FloatCounter = Counter<f64, AtomicU64>;
 
-/// Metrics that can't be derived from a snapshot.
+/// Metrics that a snapshot doesn't contain.
 #[derive(Debug)]
 pub struct Metrics {
     request_seconds: Histogram,
@@ -79,13 +79,13 @@
         self.request_seconds.observe(took.as_secs_f64());
     }
 
-    /// Counts a tree that was refused.
+    /// Counts a settings tree that was refused.
     pub fn tree_refused(&self) {
         self.refused_trees.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Writes all metrics. Labels are names of the tree's pipelines, stages and services, never of
-    /// customers, so their number stays bounded.
+    /// Returns all metrics as text. Labels are names of pipelines, stages and services of the settings tree, never of
+    /// customers, so the number of series is bounded.
     pub fn encode(&self, snapshot: &Snapshot, dropped_spans: u64) -> String {
         let mut registry = Registry::with_prefix("hazelyoke");
         registry.register_with_unit(
--- a/lib/src/pipeline/mod.rs
+++ b/lib/src/pipeline/mod.rs
@@ -1,4 +1,4 @@
-//! The daemon that runs a settings tree's pipelines: its interface, decisions, and endpoint clients.
+//! The daemon that runs the pipelines of a settings tree: its HTTP interface, decisions and clients of endpoints.
 
 pub mod api;
 pub mod config_service;
--- a/lib/src/pipeline/status_view.rs
+++ b/lib/src/pipeline/status_view.rs
@@ -1,13 +1,11 @@
-//! The pipeline daemon's status report, built from a snapshot of its state.
-//!
-//! It owns the conversion only: `node` takes the snapshot, `shared::status` defines the report.
+//! Converts a snapshot of the pipeline daemon's state into its status report, which `shared::status` defines.
 
 use crate::{
     pipeline::node::{EndpointView, Snapshot},
     shared::status::{EndpointStatus, ProblemCount, StatusBody},
 };
 
-/// Builds the report of the daemon named `host`; `ready` is its readiness for the balancer.
+/// Returns the status report of the daemon on `host`; `ready` tells whether it is ready for requests.
 pub fn status_body(host: &str, ready: bool, snapshot: &Snapshot) -> StatusBody {
     let counters = &snapshot.counters;
     StatusBody {
--- a/lib/src/pipeline/trace.rs
+++ b/lib/src/pipeline/trace.rs
@@ -1,8 +1,8 @@
-//! Trace spans, exported over OTLP without anything waiting for the collector.
+//! Trace spans and their export over OTLP.
 //!
-//! Owns the queue of ended spans and the task that exports them: a full queue or a collector that
-//! fails costs spans, which are counted, and never a request's time. Relies on `opentelemetry` for
-//! sampling and on `docs/PROTOCOLS.md`, section Traces, for the form.
+//! Ended spans are queued, and a background task exports them, so requests never wait for the collector. If the queue
+//! is full or the export fails, spans are dropped and counted. `docs/PROTOCOLS.md`, section Traces, describes the
+//! spans; `opentelemetry` samples them.
 
 use {
     crate::pipeline::trace_collector::{AnswerError, CollectorClient},
@@ -32,31 +32,31 @@
     tokio::sync::mpsc,
 };
 
-/// Ended spans that wait for export; more are dropped and counted.
+/// Largest number of ended spans that wait for export. Further ones are dropped and counted.
 const QUEUE: usize = 2_048;
 
-/// Most spans of one export.
+/// Largest number of spans in one export.
 const BATCH: usize = 256;
 
-/// Longest time that one export may take.
+/// Longest time for one export, its retries included.
 const EXPORT_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Version of the `traceparent` that is written (W3C Trace Context, as the formats below).
+/// Version of the `traceparent` headers that are written. W3C Trace Context defines it and the formats below.
 const TRACE_VERSION: &str = "00";
 
-/// Version that no `traceparent` may have.
+/// Version that is invalid in a `traceparent` header.
 const INVALID_VERSION: &str = "ff";
 
-/// Hexadecimal digits of a trace's id.
+/// Number of hexadecimal digits of a trace id.
 const TRACE_ID_DIGITS: usize = 32;
 
-/// Hexadecimal digits of a span's id.
+/// Number of hexadecimal digits of a span id.
 const SPAN_ID_DIGITS: usize = 16;
 
-/// Hexadecimal digits of one byte: the version, or the flags.
+/// Number of hexadecimal digits of the version, and of the flags.
 const BYTE_DIGITS: usize = 2;
 
-/// Base of the digits.
+/// Base of hexadecimal numbers.
 const HEX: u32 = 16;
 
 /// The collector's URL can't be used.
@@ -67,7 +67,7 @@
     reason: String,
 }
 
-/// Spans couldn't be exported.
+/// Why an export failed.
 #[derive(Debug, Error)]
 enum ExportError {
     #[error("the collector didn't answer within {EXPORT_TIMEOUT:?}")]
@@ -78,14 +78,14 @@
     Exporter(#[from] OTelSdkError),
 }
 
-/// Starts spans; without a collector it starts none.
+/// Starts spans. Without a collector no span is recorded.
 #[derive(Debug, Clone, Default)]
 pub struct Tracing {
     tracer: Option<SdkTracer>,
     dropped: Arc<AtomicU64>,
 }
 
-/// A span, or only its parent when nothing is traced; the span ends when it is dropped.
+/// A span that ends when it is dropped. Without a collector, only the context of its parent.
 #[derive(Debug, Default)]
 pub struct TraceSpan {
     span: Option<Span>,
@@ -93,12 +93,12 @@
 }
 
 impl Tracing {
-    /// Starts exporting to the collector at an `http://` URL; `share`, from 0 to 1, of the new
-    /// traces are sampled.
+    /// Starts the export to the collector at an `http://` URL. `share` is the share of new traces that is sampled, from
+    /// 0 to 1; `host` is the value of the resource attribute `host.name`.
     ///
     /// # Errors
     ///
-    /// Returns an error when the collector's address can't be used.
+    /// Returns an error if the collector's URL can't be used.
     ///
     /// # Panics
     ///
@@ -141,14 +141,14 @@
         })
     }
 
-    /// Returns the number of spans dropped since the start.
+    /// Returns the number of spans dropped since the daemon's start.
     pub fn dropped(&self) -> u64 {
         self.dropped.load(Ordering::Relaxed)
     }
 
-    /// Starts a span under a parent's `traceparent`.
+    /// Starts a span; `parent` is the `traceparent` of its parent.
     ///
-    /// A parent that can't be parsed counts as none, as W3C Trace Context requires.
+    /// A parent that can't be parsed is ignored, as W3C Trace Context requires.
     pub fn span(&self, name: &'static str, kind: SpanKind, parent: Option<&str>) -> TraceSpan {
         let parent = parent.and_then(parse_parent);
         let Some(tracer) = &self.tracer else {
@@ -168,7 +168,7 @@
 }
 
 impl TraceSpan {
-    /// Adds an attribute.
+    /// Sets an attribute, if the span is recorded.
     pub fn set(&mut self, key: &'static str, value: impl ToString) {
         if let Some(span) = &mut self.span
             && span.is_recording()
@@ -177,7 +177,7 @@
         }
     }
 
-    /// Returns the `traceparent` for what follows: this span, or its parent if there is no span.
+    /// Returns the `traceparent` for child spans: that of this span or, if there is none, of its parent.
     pub fn trace_parent(&self) -> Option<String> {
         match (&self.span, &self.parent) {
             (Some(span), _) => Some(write_parent(span.span_context())),
@@ -196,8 +196,8 @@
     )
 }
 
-/// Parses a W3C `traceparent`. The caller's header is optional and unchecked, so anything else is
-/// no parent and the trace starts here.
+/// Parses a W3C `traceparent`. The caller's header hasn't been checked, so any other text returns `None` and a new
+/// trace starts.
 fn parse_parent(text: &str) -> Option<SpanContext> {
     let mut parts = text.split('-');
     let version = parts.next()?;
@@ -207,7 +207,7 @@
     if version.len() != BYTE_DIGITS || version == INVALID_VERSION {
         return None;
     }
-    // Only later versions may append fields.
+    // Only versions after this one may append fields.
     if version == TRACE_VERSION && parts.next().is_some() {
         return None;
     }
@@ -222,7 +222,7 @@
     context.is_valid().then_some(context)
 }
 
-/// Queues ended spans for the exporting task, and counts those that don't fit.
+/// Queues ended spans for the export task, and counts those for which the queue is full.
 #[derive(Debug)]
 struct QueueProcessor {
     queue: mpsc::Sender<SpanData>,
@@ -247,27 +247,27 @@
     }
 }
 
-/// The way to a collector.
+/// An exporter, and its HTTP client, which has the result of the last response.
 struct Export {
     exporter: SpanExporter,
     client: CollectorClient,
 }
 
 impl Export {
-    /// Exports spans and returns how many of them the collector refused. The exporter sends them up to four times
-    /// within its timeout if there is no answer, or one that asks for it.
+    /// Exports spans and returns the number of those that the collector refused. If there is no response, or one that
+    /// asks for a retry, the exporter sends the spans up to four times within its timeout.
     async fn send(&self, spans: Vec<SpanData>) -> Result<u64, ExportError> {
         let sent = tokio::time::timeout(EXPORT_TIMEOUT, self.exporter.export(spans)).await;
         let result = sent.map_err(|_elapsed| ExportError::Late)?;
-        // Its verdict says more than the exporter's error.
+        // The client's error states the cause, which the exporter's doesn't.
         let refused = self.client.verdict()?;
         result?;
         Ok(refused)
     }
 }
 
-/// Exports ended spans until all tracers are dropped. Spans that no collector took are counted as dropped, which
-/// `/metrics` reports, so that the queue keeps draining.
+/// Exports ended spans until all tracers are dropped. Spans that couldn't be exported are counted as dropped, which
+/// `/metrics` reports, rather than sent again, so that the queue doesn't fill up.
 async fn export_all(export: Export, mut ended: mpsc::Receiver<SpanData>, dropped: Arc<AtomicU64>) {
     let mut batch = Vec::with_capacity(BATCH);
     while ended.recv_many(&mut batch, BATCH).await > 0 {
@@ -276,11 +276,11 @@
         let lost = match export.send(spans).await {
             Ok(0) => continue,
             Ok(refused) => {
-                log::info!(spans = count, refused; "spans refused by the collector");
+                log::info!(spans = count, refused; "the collector refused some of the exported spans");
                 refused.min(count)
             }
             Err(error) => {
-                log::info!(spans = count, error:%; "spans not exported");
+                log::info!(spans = count, error:%; "can't export spans to the collector");
                 count
             }
         };
--- a/lib/src/pipeline/trace_collector.rs
+++ b/lib/src/pipeline/trace_collector.rs
@@ -1,10 +1,10 @@
-//! HTTP client of the trace exporter, which says what became of an export.
+//! HTTP client for the trace exporter, which checks the collector's response.
 //!
-//! The exporter takes any answer of status 200 for success, and names no reason for a failure. This client judges the
-//! answer by OTLP: it has the type of the request and counts the spans that the collector refused. Without it, spans
-//! that another server answered with 200 counted as received: 3 of 300 runs of the test `absent_collector`, beside
-//! tests whose servers got the collector's port. Owns the verdict on the last answer; relies on `opentelemetry-http`
-//! for the transport.
+//! The exporter treats every response with status 200 as a success, and doesn't state the cause of a failure. This
+//! client checks the response as OTLP defines it: it must have the content type of the request, and may count spans
+//! that the collector refused. Without this check, spans sent to another server that answers 200 would count as
+//! exported. This happened in 3 of 300 runs of the test `absent_collector`, when a server of another test had been
+//! given the collector's port.
 
 use {
     async_trait::async_trait,
@@ -23,30 +23,32 @@
     thiserror::Error,
 };
 
-/// Type of OTLP's requests and answers in OTLP_JSON.
+/// Content type of OTLP requests and responses in JSON.
 const OTLP_JSON: &str = "application/json";
 
-/// Why the spans of an export didn't reach a collector.
+/// Why an export request wasn't answered by a collector with success.
 #[derive(Debug, Clone, Error)]
 pub(super) enum AnswerError {
-    /// There was no whole answer.
-    #[error("{0}")]
+    /// There was no complete response, or one with a status other than success.
+    #[error("the export request failed: {0}")]
     Transport(String),
-    /// The answer has another type than OTLP asks for.
-    #[error("the answer's type is {kind:?}, not {OTLP_JSON}; not a collector")]
+    /// The response has another content type than OTLP requires.
+    #[error(
+        "the response has the content type {kind:?} instead of {OTLP_JSON}; the server isn't an OTLP collector"
+    )]
     Kind {
-        /// The type; empty if there is none.
+        /// Content type of the response; empty if it has none.
         kind: String,
     },
-    /// The answer isn't one of OTLP.
-    #[error("the answer isn't one of a collector: {0}")]
+    /// The body of the response isn't one that OTLP defines.
+    #[error("the response isn't an OTLP export response: {0}")]
     Form(String),
 }
 
-/// Spans that the collector refused in the last answer, or why that wasn't a collector's.
+/// Number of spans that the collector refused, or why the export failed.
 type Verdict = Result<u64, AnswerError>;
 
-/// A client that keeps the verdict on its last answer; clones share it.
+/// HTTP client that keeps the result of its last export request. Clones share the result.
 #[derive(Debug, Clone)]
 pub(super) struct CollectorClient {
     http: HyperClient,
@@ -54,7 +56,7 @@
 }
 
 impl CollectorClient {
-    /// Builds a client whose calls take at most `limit`.
+    /// Builds a client whose requests take at most `limit`.
     pub(super) fn new(limit: Duration) -> Self {
         Self {
             http: HyperClient::with_default_connector(limit, None),
@@ -62,7 +64,7 @@
         }
     }
 
-    /// Returns the verdict on the last answer.
+    /// Returns the result of the last export request.
     pub(super) fn verdict(&self) -> Verdict {
         self.last.lock().expect("no panic while held").clone()
     }
@@ -85,7 +87,7 @@
     }
 }
 
-/// Returns an error's text with those of its causes: the first alone says only that a request failed.
+/// Returns the texts of an error and its causes. The first alone states only that a request failed.
 fn reason(error: &HttpError) -> String {
     let mut text = error.to_string();
     let mut cause = error.source();
@@ -96,24 +98,24 @@
     text
 }
 
-/// Judges an answer of success. One without a body, as some collectors send it, refuses nothing.
+/// Checks a response with a success status. An empty body, which some collectors send, means that no span was refused.
 fn judge(response: &Response<Bytes>) -> Verdict {
     check_kind(response.headers())?;
     if response.body().is_empty() {
         return Ok(0);
     }
     let form = |error: serde_json::Error| AnswerError::Form(error.to_string());
-    // Read as an object first: a list would pass for an answer whose fields are all missing.
+    // Parsed as an object first, because an empty array would be accepted as a response without fields.
     let object: Map<String, Value> = serde_json::from_slice(response.body()).map_err(form)?;
     let answer = ExportAnswer::deserialize(Value::Object(object)).map_err(form)?;
     Ok(answer.partial_success.rejected_spans)
 }
 
-/// An answer has the type of its request (OTLP, section "OTLP/HTTP Response").
+/// Checks that the response has the content type of the request (OTLP, section "OTLP/HTTP Response").
 fn check_kind(headers: &HeaderMap) -> Result<(), AnswerError> {
     let kind = headers.get(CONTENT_TYPE).map(HeaderValue::as_bytes);
     let kind = String::from_utf8_lossy(kind.unwrap_or_default());
-    // Parameters, such as a character set, may follow.
+    // Parameters, such as a character set, may follow the type.
     let essence = kind.split(';').next().unwrap_or_default().trim();
     if essence.eq_ignore_ascii_case(OTLP_JSON) {
         return Ok(());
@@ -122,7 +124,7 @@
     Err(AnswerError::Kind { kind })
 }
 
-/// `ExportTraceServiceResponse` of OTLP; fields that aren't known are ignored, as OTLP asks.
+/// `ExportTraceServiceResponse` of OTLP. Unknown fields are ignored, as OTLP requires.
 #[derive(Debug, Default, Deserialize)]
 #[serde(default, rename_all = "camelCase")]
 struct ExportAnswer {
@@ -137,7 +139,7 @@
     rejected_spans: u64,
 }
 
-/// Reads a 64-bit number, which OTLP_JSON of Protocol Buffers writes as text, and some servers as a number.
+/// Reads a 64-bit number. The JSON format of Protocol Buffers writes it as a string; some servers write a number.
 fn read_count<'de, D: Deserializer<'de>>(deserializer: D) -> Result<u64, D::Error> {
     #[derive(Deserialize)]
     #[serde(untagged)]
