--- a/lib/tests/test_api.rs
+++ b/lib/tests/test_api.rs
@@ -1,4 +1,4 @@
-//! The interface's document, health, metrics and status.
+//! The OpenAPI document of the interface, and its paths for liveness, readiness, metrics and status.
 
 #![allow(clippy::unwrap_used, reason = "a failed unwrap fails the test")]
 
@@ -10,7 +10,7 @@
     },
 };
 
-/// Set to write the document anew.
+/// Environment variable that makes the test write the document instead of comparing it.
 const UPDATE: &str = "HAZELYOKE_UPDATE_OPENAPI";
 
 #[test]
@@ -23,7 +23,7 @@
     let committed = std::fs::read_to_string(path).unwrap_or_default();
     assert!(
         committed == current,
-        "docs/openapi.json is old; run with {UPDATE}=1"
+        "docs/openapi.json is outdated; run with {UPDATE}=1"
     );
 }
 
@@ -64,7 +64,10 @@
     ] {
         assert!(text.contains(line), "{line} isn't in {text}");
     }
-    assert!(!text.contains("market"), "customers are no labels");
+    assert!(
+        !text.contains("market"),
+        "a customer's name is used as a label"
+    );
 }
 
 #[tokio::test]
--- a/lib/tests/test_bad_callers.rs
+++ b/lib/tests/test_bad_callers.rs
@@ -1,4 +1,4 @@
-//! Callers that send what they shouldn't: a clear problem each, and nothing runs.
+//! Invalid requests, and callers that stall or disconnect. An invalid request gets a problem, and no endpoint runs it.
 
 #![allow(clippy::unwrap_used, reason = "a failed unwrap fails the test")]
 
@@ -201,7 +201,7 @@
     socket.write_all(head.as_bytes()).await.unwrap();
     socket.shutdown().await.unwrap();
     let mut rest = Vec::new();
-    // Whatever comes back, it is no answer.
+    // The daemon may send a problem or nothing, but no answer.
     let _ = tokio::time::timeout(Duration::from_secs(10), socket.read_to_end(&mut rest)).await;
     assert!(!rest.starts_with(b"HTTP/1.1 200"));
     assert_eq!(runs(&fixture), 0);
--- a/lib/tests/test_bad_endpoints.rs
+++ b/lib/tests/test_bad_endpoints.rs
@@ -1,4 +1,4 @@
-//! Endpoints that misbehave: another one takes over, or the caller hears the truth.
+//! Faulty endpoints: another endpoint of the service runs the call, or the caller gets a problem with the true outcome.
 
 #![allow(clippy::unwrap_used, reason = "a failed unwrap fails the test")]
 
@@ -44,7 +44,7 @@
     servers.flat_map(|server| server.endpoint.runs()).collect()
 }
 
-/// One endpoint of a service damages every reply in each way; the other one takes over.
+/// Checks that the second endpoint of a service answers if the first damages every reply, for each kind of damage.
 async fn assert_taken_over(service: &str) {
     for damage in DAMAGES {
         let fixture = Fixture::start().await;
@@ -94,7 +94,7 @@
     let runs: Vec<Run> = engines.flat_map(|server| server.endpoint.runs()).collect();
     let mut resumed: Vec<u32> = runs.iter().map(|run| run.resumed).collect();
     resumed.sort_unstable();
-    // Both engines break off once; no token that the caller has is generated again.
+    // Each engine's stream breaks off once. Tokens that the caller has received aren't generated again.
     assert_eq!(resumed, [0, 3, 3], "{runs:?}");
 }
 
@@ -116,7 +116,7 @@
     fixture.endpoints.get_mut("encoder").unwrap().clear();
     let reply = summary(&caller, 1).await;
     assert_eq!(reply.code(), "no_endpoint");
-    // The first stage was never reached, so nothing ran.
+    // No endpoint of the first stage could be reached, so nothing ran.
     assert_eq!(reply.outcome(), "not_run");
 }
 
@@ -127,7 +127,7 @@
     fixture.endpoints.get_mut("reranker").unwrap().clear();
     let reply = summary(&caller, 1).await;
     assert_eq!(reply.code(), "no_endpoint");
-    // Earlier stages ran.
+    // The stages before it ran.
     assert_eq!(reply.outcome(), "unknown");
 }
 
@@ -144,7 +144,7 @@
     for server in &fixture.endpoints["pay"] {
         server.endpoint.faults.damage(Damage::Nothing, 0.0);
     }
-    // The endpoint checks the key, so the repeat gets the first answer and doesn't run.
+    // The endpoint recognises the idempotency key, so the retry gets the first answer and doesn't run.
     let reply = checkout(&caller, "sale-1").await;
     assert_eq!(reply.status, 200);
     assert_eq!(payments(&fixture).len(), 1);
--- a/lib/tests/test_caller_left.rs
+++ b/lib/tests/test_caller_left.rs
@@ -1,4 +1,4 @@
-//! A caller that leaves before its answer leaves nothing behind.
+//! The node drops the entry of a caller that leaves before its answer.
 
 #![allow(clippy::unwrap_used, reason = "a failed unwrap fails the test")]
 
@@ -27,8 +27,8 @@
     }
 }
 
-/// Found by reading: the entry of a caller that had left stayed for the life of the daemon, since the
-/// core finishes nothing for it.
+/// Guards against a leak: the core sends no final answer for a caller that has left, so its entry stayed until the
+/// daemon ended.
 #[tokio::test]
 async fn entries_removed() {
     let fixture = Fixture::start().await;
--- a/lib/tests/test_config_watch.rs
+++ b/lib/tests/test_config_watch.rs
@@ -1,4 +1,5 @@
-//! The tree in force: upward only, whole only, and unchanged by a silent or stale service.
+//! Adoption of settings trees: only complete ones with a newer version. An unresponsive or stale service changes
+//! nothing.
 
 #![allow(clippy::unwrap_used, reason = "a failed unwrap fails the test")]
 
@@ -26,7 +27,7 @@
     assert_eq!(judge(current, mark(5, 1)), VersionVerdict::Same);
     assert_eq!(judge(current, mark(4, 1)), VersionVerdict::Older);
     assert_eq!(judge(current, mark(5, 2)), VersionVerdict::Conflict);
-    // Versions decide before content does.
+    // The version counts before the fingerprint.
     assert_eq!(judge(current, mark(6, 1)), VersionVerdict::Adopt);
     assert_eq!(judge(current, mark(4, 2)), VersionVerdict::Older);
     assert_eq!(judge(None, mark(0, 0)), VersionVerdict::Adopt);
@@ -44,7 +45,7 @@
         customer.settings.priority.value.to_string() == "low"
     };
     wait_for("the change", low).await;
-    // A stale service and an invalid version change nothing.
+    // An older tree and an invalid one change nothing.
     let reads = fixture.config.reads();
     fixture.config.publish(TREE, fixture.tree(1));
     wait_for("reads of the stale tree", async || {
@@ -97,7 +98,8 @@
 #[tokio::test]
 async fn late_part() {
     let fixture = Fixture::start().await;
-    // The root was published before its part: that is refused, and read again until it is whole.
+    // The root is published before the value that it includes. The tree is refused and read again until it is
+    // complete.
     let root = r#"{ "version": 1, "name": "top", "groups": { "g": { "include": "part" } } }"#;
     fixture.config.publish(TREE, root);
     let daemon = hazelyoke_lib::pipeline::daemon::Daemon::start(fixture.daemon_settings("entry-1"));
--- a/lib/tests/test_daemon_settings.rs
+++ b/lib/tests/test_daemon_settings.rs
@@ -1,4 +1,4 @@
-//! Settings of one daemon.
+//! Parsing and checks of the settings of one pipeline daemon.
 
 #![allow(clippy::unwrap_used, reason = "a failed unwrap fails the test")]
 
@@ -26,7 +26,7 @@
 
 #[test]
 fn shown_defaults() {
-    // The example says that it shows the defaults; here they are left out.
+    // The example file sets each optional field to its default; these settings leave them out.
     let short = r#"{
         "host": "entry-1", "data_centre": "ikeja", "listen": "127.0.0.1:8080",
         "config": { "address": "127.0.0.1:7000", "tree": "tree.jsonc" },
--- a/lib/tests/test_reply_head.rs
+++ b/lib/tests/test_reply_head.rs
@@ -1,4 +1,4 @@
-//! The head of an endpoint's reply: the end of the attempt that it proves, if any.
+//! Which end of an attempt the head of an endpoint's reply proves, if any.
 
 #![allow(clippy::unwrap_used, reason = "a failed unwrap fails the test")]
 
@@ -41,7 +41,7 @@
     ]
 }
 
-/// Builds a head; an id header without a value is left out.
+/// Builds the head of a reply, without the id headers whose value is `None`.
 fn head(status: u16, values: &[Option<String>], not_run: Option<&str>) -> Response<()> {
     let mut builder = Response::builder().status(status);
     for (name, value) in ID_HEADERS.iter().zip(values) {
--- a/lib/tests/test_traces.rs
+++ b/lib/tests/test_traces.rs
@@ -1,4 +1,4 @@
-//! A span for each hop, under the caller's parent, without waiting for the collector.
+//! Trace spans of a request under the caller's parent span, and their export without waiting for the collector.
 
 #![allow(clippy::unwrap_used, reason = "a failed unwrap fails the test")]
 
@@ -59,8 +59,8 @@
     wait_for("dropped spans", async || tracing.dropped() >= 4).await;
 }
 
-/// Another server has the collector's address and answers 200, as happened where a test's collector had ended and
-/// another test's endpoint had got its port: three of four spans were neither received nor counted as dropped.
+/// Another server has the collector's address and answers 200. This happened when a test's collector had ended and an
+/// endpoint of another test had been given its port: three of four spans were neither received nor counted as dropped.
 #[tokio::test]
 async fn other_server() {
     let answers = [
@@ -77,8 +77,8 @@
     }
 }
 
-/// A collector takes a part of the spans, and says how many it refused: as a number or, as OTLP writes 64-bit
-/// numbers in JSON, in a string.
+/// A collector refuses some of the spans and reports how many: as a number or, as OTLP writes 64-bit numbers in JSON,
+/// as a string.
 #[tokio::test]
 async fn refused_spans() {
     for refused in ["1", r#""1""#] {
@@ -91,7 +91,7 @@
     }
 }
 
-/// Answers of a collector that took everything.
+/// Responses of a collector that accepts all spans.
 #[tokio::test]
 async fn taken_spans() {
     for body in ["{}", r#"{"partialSuccess":{}}"#, ""] {
@@ -103,7 +103,7 @@
     }
 }
 
-/// A daemon that has answered one request, of four spans.
+/// A daemon that has answered one request, which has four spans.
 struct Traced {
     daemon: Daemon,
     _fixture: Fixture,
@@ -122,12 +122,12 @@
     }
 }
 
-/// Starts a server that gives each request the same answer.
+/// Starts a server that sends the same response to each request.
 async fn answering(kind: Option<&'static str>, body: &str) -> Server {
     counting(Arc::default(), kind, body).await
 }
 
-/// Starts a server that gives each request the same answer, and counts them.
+/// Starts a server that sends the same response to each request, and counts the requests in `served`.
 async fn counting(served: Arc<AtomicUsize>, kind: Option<&'static str>, body: &str) -> Server {
     let body = body.to_owned();
     let answer = move |_request| {
--- a/lib/tests/test_whole_path.rs
+++ b/lib/tests/test_whole_path.rs
@@ -1,4 +1,4 @@
-//! A request from a caller through every stage and back, over real sockets.
+//! Requests through all stages of a pipeline, over real sockets.
 
 #![allow(clippy::unwrap_used, reason = "a failed unwrap fails the test")]
 
