--- a/bench/src/caller.rs
+++ b/bench/src/caller.rs
@@ -5,7 +5,9 @@
 
 use {
     bytes::Bytes,
-    hazelyoke_lib::pipeline::endpoints::wire::{DEADLINE_HEADER, KEY_HEADER, REQUEST_HEADER},
+    hazelyoke_lib::pipeline::endpoints::wire::{
+        DEADLINE_HEADER, IDEMPOTENCY_KEY_HEADER, REQUEST_ID_HEADER,
+    },
     hazelyoke_testutils::{
         expect::{self, Step},
         http_client::{Caller, CallerReply, CallerRequest},
@@ -133,7 +135,7 @@
         let request = CallerRequest::new(&*self.path, &self.customer, body.clone())
             .header(DEADLINE_HEADER, left.max(1));
         if self.keyed {
-            request.header(KEY_HEADER, format!("order-{}", self.number))
+            request.header(IDEMPOTENCY_KEY_HEADER, format!("order-{}", self.number))
         } else {
             request
         }
@@ -141,7 +143,7 @@
 }
 
 fn judge(reply: &CallerReply, expected: &Bytes) -> Attempt {
-    let header = reply.headers.get(REQUEST_HEADER);
+    let header = reply.headers.get(REQUEST_ID_HEADER);
     let request = header
         .and_then(|value| value.to_str().ok())
         .map(str::to_owned)
--- a/bench/src/report.rs
+++ b/bench/src/report.rs
@@ -133,7 +133,7 @@
 fn stage_times(installation: &Installation) -> BTreeMap<String, StageTime> {
     let mut stages: BTreeMap<String, StageTime> = BTreeMap::new();
     let daemons = installation.daemons.iter();
-    for view in daemons.flat_map(|daemon| daemon.node().snapshot().costs) {
+    for view in daemons.flat_map(|daemon| daemon.node().snapshot().stage_costs) {
         let sum = stages
             .entry(format!("{}/{}", view.pipeline, view.stage))
             .or_default();
--- a/lib/src/pipeline/api/headers.rs
+++ b/lib/src/pipeline/api/headers.rs
@@ -69,8 +69,8 @@
             customer: text(CUSTOMER_HEADER),
             deadline: text(wire::DEADLINE_HEADER),
             priority: text(wire::PRIORITY_HEADER),
-            key: text(wire::KEY_HEADER),
-            traceparent: text(wire::TRACE_HEADER),
+            key: text(wire::IDEMPOTENCY_KEY_HEADER),
+            traceparent: text(wire::TRACEPARENT_HEADER),
             accept: text(header::ACCEPT.as_str()),
         }
     }
@@ -120,7 +120,7 @@
             customer: parse_header(CUSTOMER_HEADER, customer)?,
             remaining: remaining.transpose()?,
             priority: parse_optional(wire::PRIORITY_HEADER, headers.priority.as_deref())?,
-            key: parse_optional(wire::KEY_HEADER, headers.key.as_deref())?,
+            key: parse_optional(wire::IDEMPOTENCY_KEY_HEADER, headers.key.as_deref())?,
             stream: accept.contains(EVENT_STREAM),
         })
     }
--- a/lib/src/pipeline/api/problem.rs
+++ b/lib/src/pipeline/api/problem.rs
@@ -159,7 +159,7 @@
     Response::builder()
         .status(status)
         .header(header::CONTENT_TYPE, "application/json")
-        .header(wire::REQUEST_HEADER, request.to_string())
+        .header(wire::REQUEST_ID_HEADER, request.to_string())
         .body(body.into())
         .expect("fixed headers and an id are valid")
 }
--- a/lib/src/pipeline/api/stream.rs
+++ b/lib/src/pipeline/api/stream.rs
@@ -105,7 +105,7 @@
     Response::builder()
         .header(header::CONTENT_TYPE, "text/event-stream")
         .header(header::CACHE_CONTROL, "no-store")
-        .header(wire::REQUEST_HEADER, id.to_string())
+        .header(wire::REQUEST_ID_HEADER, id.to_string())
         .body(Body::wrap(StreamBody::new(events)))
         .expect("fixed headers and an id are valid")
 }
--- a/lib/src/pipeline/daemon.rs
+++ b/lib/src/pipeline/daemon.rs
@@ -93,7 +93,7 @@
         let server = serve(&settings, &node)?;
         let tasks = vec![
             spawn_guarded(node.clone().run_timers()),
-            spawn_guarded(node.clone().run_reports(settings.load_interval)),
+            spawn_guarded(node.clone().poll_reports(settings.load_interval)),
             spawn_guarded(watch_tree(
                 server.app_private().clone(),
                 settings.config.clone(),
--- a/lib/src/pipeline/endpoints/dispatch.rs
+++ b/lib/src/pipeline/endpoints/dispatch.rs
@@ -16,10 +16,10 @@
 };
 
 /// Size of the largest load report accepted. A report holds five numbers, which take far less.
-const LOAD_SIZE: ByteSize = ByteSize(4096);
+const MAX_LOAD_REPORT: ByteSize = ByteSize(4096);
 
 /// Size of the largest list of cache events accepted.
-const EVENTS_SIZE: ByteSize = ByteSize(256 * 1024);
+const MAX_CACHE_EVENTS: ByteSize = ByteSize(256 * 1024);
 
 impl Transport for HttpTransport {
     async fn call(&self, call: EndpointCall, sink: impl TokenSink + 'static) -> AttemptEnd {
@@ -36,15 +36,15 @@
     }
 
     async fn cache_events(&self, address: SocketAddr, after: u64) -> Option<CacheEvents> {
-        let uri = format!("http://{address}{}?after={after}", wire::CACHE_PATH);
+        let uri = format!("http://{address}{}?after={after}", wire::CACHE_EVENTS_PATH);
         // A failed read isn't logged: the next round reads from the same number again.
-        self.get_json(uri, EVENTS_SIZE).await.ok()
+        self.get_json(uri, MAX_CACHE_EVENTS).await.ok()
     }
 
     async fn load(&self, address: SocketAddr, _kind: &ServiceKind) -> Option<LoadReport> {
         let uri = format!("http://{address}{}", wire::LOAD_PATH);
         // A failed read isn't logged: the core uses the previous report until that is stale, and the outcome of
         // calls shows whether the endpoint is healthy.
-        self.get_json(uri, LOAD_SIZE).await.ok()
+        self.get_json(uri, MAX_LOAD_REPORT).await.ok()
     }
 }
--- a/lib/src/pipeline/endpoints/engine_client.rs
+++ b/lib/src/pipeline/endpoints/engine_client.rs
@@ -10,7 +10,7 @@
             endpoints::{
                 http_call::{CallBody, call_request},
                 http_transport::HttpTransport,
-                reply_head::{check_head, is_stream},
+                reply_head::{check_head, is_stream_status},
                 wire::{self, GenerateBody, StreamEvent},
             },
         },
@@ -25,7 +25,7 @@
 };
 
 /// Longest time without data within a stream. An engine sends tokens far more often.
-const SILENCE_LIMIT: Duration = Duration::from_secs(10);
+const STREAM_READ_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Longest time to send a cancellation and receive the head of its reply.
 const CANCEL_TIMEOUT: Duration = Duration::from_millis(500);
@@ -54,7 +54,7 @@
         .map_err(|_| garbage.clone())?;
     let response = transport.send(request).await?;
     check_head(&call.ids, &response)?;
-    if !is_stream(response.status()) {
+    if !is_stream_status(response.status()) {
         return Err(garbage);
     }
     Ok(read_stream(response.into_body(), call, sink).await)
@@ -85,7 +85,7 @@
     let mut events = EventReader::default();
     let mut size = 0u64;
     loop {
-        let frame = match tokio::time::timeout(SILENCE_LIMIT, body.frame()).await {
+        let frame = match tokio::time::timeout(STREAM_READ_TIMEOUT, body.frame()).await {
             Ok(Some(Ok(frame))) => frame,
             // The stream ended or failed before its `done` event.
             Ok(Some(Err(_)) | None) => return AttemptEnd::Failed(FailCause::Broken),
--- a/lib/src/pipeline/endpoints/http_call.rs
+++ b/lib/src/pipeline/endpoints/http_call.rs
@@ -25,16 +25,16 @@
         .method(Method::POST)
         .uri(format!("http://{}{path}", call.address))
         .header(http::header::CONTENT_TYPE, "application/json")
-        .header(wire::REQUEST_HEADER, call.ids.request.to_string())
-        .header(wire::STAGE_HEADER, call.ids.stage.as_str())
-        .header(wire::ATTEMPT_HEADER, call.ids.attempt.to_string())
+        .header(wire::REQUEST_ID_HEADER, call.ids.request.to_string())
+        .header(wire::STAGE_ID_HEADER, call.ids.stage.as_str())
+        .header(wire::ATTEMPT_ID_HEADER, call.ids.attempt.to_string())
         .header(wire::DEADLINE_HEADER, call.remaining.0)
         .header(wire::PRIORITY_HEADER, call.priority.to_string());
     if let Some(key) = &call.key {
-        builder = builder.header(wire::KEY_HEADER, key.as_str());
+        builder = builder.header(wire::IDEMPOTENCY_KEY_HEADER, key.as_str());
     }
     if let Some(parent) = &call.trace_parent {
-        builder = builder.header(wire::TRACE_HEADER, parent);
+        builder = builder.header(wire::TRACEPARENT_HEADER, parent);
     }
     builder
 }
--- a/lib/src/pipeline/endpoints/http_get.rs
+++ b/lib/src/pipeline/endpoints/http_get.rs
@@ -91,28 +91,28 @@
         + 'static,
 {
     let request = Request::get(uri).body(B::default())?;
-    let late = || HttpGetError::Timeout {
+    let timed_out = || HttpGetError::Timeout {
         uri: uri.to_owned(),
         timeout,
     };
-    let silence = timeout.to_duration();
-    let response = tokio::time::timeout(silence, client.request(request))
+    let read_timeout = timeout.to_duration();
+    let response = tokio::time::timeout(read_timeout, client.request(request))
         .await
-        .map_err(|_| late())?
+        .map_err(|_| timed_out())?
         .map_err(|error| HttpGetError::NoResponse {
             uri: uri.to_owned(),
             error,
         })?;
     let status = response.status();
-    let broken = |cause| HttpGetError::Body {
+    let body_error = |cause| HttpGetError::Body {
         uri: uri.to_owned(),
         cause,
     };
-    let body = read_whole(response.into_body(), limit, silence).await;
+    let body = read_whole(response.into_body(), limit, read_timeout).await;
     let body = body.map_err(|error| match error {
-        BodyError::TooLarge(_) => broken(FailCause::TooLarge),
-        BodyError::Broken(_) => broken(FailCause::Broken),
-        BodyError::Silent(_) => late(),
+        BodyError::TooLarge(_) => body_error(FailCause::TooLarge),
+        BodyError::Broken(_) => body_error(FailCause::Broken),
+        BodyError::Silent(_) => timed_out(),
     })?;
     Ok(HttpReply { status, body })
 }
--- a/lib/src/pipeline/endpoints/http_transport.rs
+++ b/lib/src/pipeline/endpoints/http_transport.rs
@@ -28,10 +28,10 @@
 
 /// Idle time after which a pooled connection is closed. Shorter than the usual idle timeout of servers, so that a call
 /// is rarely sent on a connection that its endpoint is closing.
-const IDLE_TIMEOUT: Duration = Duration::from_secs(4);
+const POOL_IDLE_TIMEOUT: Duration = Duration::from_secs(4);
 
 /// Largest number of idle connections kept for one endpoint.
-const IDLE_CONNECTIONS: usize = 64;
+const MAX_IDLE_CONNECTIONS: usize = 64;
 
 /// Longest wait for the head of an endpoint's report, and for each next part of its body.
 const REPORT_TIMEOUT: Millis = Millis(500);
@@ -56,8 +56,8 @@
         connector.set_connect_timeout(Some(CONNECT_TIMEOUT));
         let client = Client::builder(TokioExecutor::new())
             .pool_timer(TokioTimer::new())
-            .pool_idle_timeout(IDLE_TIMEOUT)
-            .pool_max_idle_per_host(IDLE_CONNECTIONS)
+            .pool_idle_timeout(POOL_IDLE_TIMEOUT)
+            .pool_max_idle_per_host(MAX_IDLE_CONNECTIONS)
             .retry_canceled_requests(false)
             .build(connector);
         Self { client }
--- a/lib/src/pipeline/endpoints/plain_client.rs
+++ b/lib/src/pipeline/endpoints/plain_client.rs
@@ -6,7 +6,7 @@
         endpoints::{
             http_call::{CallBody, call_request, read_body},
             http_transport::HttpTransport,
-            reply_head::{check_head, is_answer},
+            reply_head::{check_head, is_answer_status},
             wire,
         },
     },
@@ -32,12 +32,12 @@
     let response = transport.send(request).await?;
     check_head(&call.ids, &response)?;
     let status = response.status();
-    let served = wire::served(response.headers());
+    let served = wire::served_time(response.headers());
     let body = read_body(response.into_body(), call.max_reply)
         .await
         .map_err(AttemptEnd::Failed)?;
     let is_json = json::check(&body).is_ok();
-    if !is_json || !is_answer(status) {
+    if !is_json || !is_answer_status(status) {
         return Err(AttemptEnd::Failed(FailCause::Garbage));
     }
     Ok(EndpointReply {
--- a/lib/src/pipeline/endpoints/reply_head.rs
+++ b/lib/src/pipeline/endpoints/reply_head.rs
@@ -40,7 +40,7 @@
     if response.status().is_server_error() {
         let not_run = headers.get(wire::NOT_RUN_HEADER).map(HeaderValue::as_bytes);
         return Err(match not_run {
-            Some(cause) if cause == wire::LEAVING.as_bytes() => {
+            Some(cause) if cause == wire::NOT_RUN_LEAVING.as_bytes() => {
                 AttemptEnd::NotRun(NotRunCause::Leaving)
             }
             Some(_) => AttemptEnd::NotRun(NotRunCause::Busy),
@@ -52,11 +52,11 @@
 
 /// Returns true if a plain service's reply with this status is an answer. A client error is one, since another
 /// endpoint would refuse the same input as well.
-pub fn is_answer(status: StatusCode) -> bool {
+pub fn is_answer_status(status: StatusCode) -> bool {
     status.is_success() || status.is_client_error()
 }
 
 /// Returns true if an engine's reply with this status has a stream as its body.
-pub fn is_stream(status: StatusCode) -> bool {
+pub fn is_stream_status(status: StatusCode) -> bool {
     status.is_success()
 }
--- a/lib/src/pipeline/metrics.rs
+++ b/lib/src/pipeline/metrics.rs
@@ -166,7 +166,7 @@
 
 fn register_costs(registry: &mut Registry, snapshot: &Snapshot) {
     let costs = Family::<StageLabels, FloatCounter>::default();
-    for view in &snapshot.costs {
+    for view in &snapshot.stage_costs {
         let cost = &view.cost;
         for (result, spent) in [("useful", cost.useful), ("wasted", cost.wasted)] {
             let labels = StageLabels {
--- a/lib/src/pipeline/node/calls.rs
+++ b/lib/src/pipeline/node/calls.rs
@@ -65,7 +65,7 @@
             drop(span);
             let mut state = node.lock();
             state.calls.remove(&attempt);
-            node.step(&mut state, Event::Ended { attempt, end });
+            node.apply_locked(&mut state, Event::Ended { attempt, end });
         };
         let abort = tokio::spawn(task).abort_handle();
         state.calls.insert(attempt, CallTask { abort, call: sent });
--- a/lib/src/pipeline/node/mod.rs
+++ b/lib/src/pipeline/node/mod.rs
@@ -106,7 +106,7 @@
         let (sender, deliveries) = mpsc::unbounded_channel();
         let mut state = self.lock();
         state.callers.insert(id, sender);
-        self.step(&mut state, Event::Arrived(arrival));
+        self.apply_locked(&mut state, Event::Arrived(arrival));
         drop(state);
         RequestHandle {
             node: self.clone(),
@@ -121,7 +121,7 @@
     fn caller_left(&self, id: RequestId) {
         let mut state = self.lock();
         state.callers.remove(&id);
-        self.step(&mut state, Event::Left(id));
+        self.apply_locked(&mut state, Event::Left(id));
     }
 
     /// Returns the number of callers whose final answer hasn't been delivered.
@@ -166,16 +166,16 @@
     /// Applies one event to the core and carries out the actions that follow.
     fn apply(&self, event: Event) {
         let mut state = self.lock();
-        self.step(&mut state, event);
+        self.apply_locked(&mut state, event);
     }
 
     /// Does the same as [`Self::apply`] for a caller that holds the lock. Actions are carried out under the lock, so
     /// that a cancellation can't overtake the send of the same call.
-    fn step(&self, state: &mut NodeState, event: Event) {
+    fn apply_locked(&self, state: &mut NodeState, event: Event) {
         let before = state.core.next_timer();
         let actions = state.core.step(self.now(), event);
         for action in actions {
-            self.perform(state, action);
+            self.run_action(state, action);
         }
         let after = state.core.next_timer();
         if after.is_some() && (before.is_none() || after < before) {
@@ -183,7 +183,7 @@
         }
     }
 
-    fn perform(&self, state: &mut NodeState, action: Action) {
+    fn run_action(&self, state: &mut NodeState, action: Action) {
         match action {
             Action::Send(call) => self.spawn_call(state, *call),
             Action::Cancel(attempt) => self.cancel_call(state, attempt),
--- a/lib/src/pipeline/node/reports.rs
+++ b/lib/src/pipeline/node/reports.rs
@@ -18,15 +18,15 @@
 };
 
 /// Number below that of an engine's first cache event. Reading from here returns all events that the engine still has.
-const ALL_EVENTS: u64 = 0;
+const BEFORE_FIRST_EVENT: u64 = 0;
 
 impl<T: Transport> Node<T> {
     /// Reads the load reports of all endpoints and the cache events of all engines, once every `interval`. Runs until
     /// the task that awaits this is dropped.
-    pub async fn run_reports(self, interval: Millis) {
+    pub async fn poll_reports(self, interval: Millis) {
         let mut ticks = tokio::time::interval(interval.to_duration());
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
-        let mut next_events: HashMap<EndpointId, u64> = HashMap::default();
+        let mut last_events: HashMap<EndpointId, u64> = HashMap::default();
         loop {
             ticks.tick().await;
             let tree = self.tree();
@@ -35,12 +35,15 @@
                 service.endpoints.iter().map(move |spec| (spec, kind))
             });
             let reads = specs.map(|(spec, kind)| {
-                let after = next_events.get(&spec.id).copied().unwrap_or(ALL_EVENTS);
+                let after = last_events
+                    .get(&spec.id)
+                    .copied()
+                    .unwrap_or(BEFORE_FIRST_EVENT);
                 self.read_reports(spec, kind, after)
             });
             let read = join_all(reads).await;
             // Replaced as a whole, so that entries of endpoints that have left the tree are dropped.
-            next_events = read.into_iter().flatten().collect();
+            last_events = read.into_iter().flatten().collect();
         }
     }
 
--- a/lib/src/pipeline/node/request_handle.rs
+++ b/lib/src/pipeline/node/request_handle.rs
@@ -50,7 +50,7 @@
     }
 
     /// Waits for the final answer and ignores tokens. Returns `None` if the node was dropped.
-    pub async fn finish(mut self) -> Option<Result<Answer, Problem>> {
+    pub async fn final_answer(mut self) -> Option<Result<Answer, Problem>> {
         while let Some(delivery) = self.next().await {
             if let Delivery::Finished(result) = delivery {
                 return Some(result);
--- a/lib/src/pipeline/node/snapshot.rs
+++ b/lib/src/pipeline/node/snapshot.rs
@@ -30,7 +30,7 @@
     /// Counters since the daemon's start.
     pub counters: Counters,
     /// Cost of each stage since the daemon's start, in no particular order.
-    pub costs: Vec<StageCostView>,
+    pub stage_costs: Vec<StageCostView>,
     /// State of each endpoint as this daemon sees it, ordered by service and name.
     pub endpoints: Vec<EndpointView>,
 }
@@ -69,13 +69,13 @@
             tree: core.tree().clone(),
             in_flight: core.in_flight(),
             counters: core.counters().clone(),
-            costs: cost_views(core),
+            stage_costs: stage_cost_views(core),
             endpoints: endpoint_views(core, now),
         }
     }
 }
 
-fn cost_views(core: &Core) -> Vec<StageCostView> {
+fn stage_cost_views(core: &Core) -> Vec<StageCostView> {
     let stages = core.costs().stages();
     stages
         .map(|(pipeline, stage, cost)| StageCostView {
--- a/lib/tests/test_reply_head.rs
+++ b/lib/tests/test_reply_head.rs
@@ -7,7 +7,7 @@
         pipeline::{
             decision::endpoint::{AttemptEnd, FailCause, NotRunCause},
             endpoints::{
-                reply_head::{check_head, is_answer, is_stream},
+                reply_head::{check_head, is_answer_status, is_stream_status},
                 wire,
             },
         },
@@ -18,9 +18,9 @@
 
 /// Names of the headers that carry a call's ids.
 const ID_HEADERS: [&str; 3] = [
-    wire::REQUEST_HEADER,
-    wire::STAGE_HEADER,
-    wire::ATTEMPT_HEADER,
+    wire::REQUEST_ID_HEADER,
+    wire::STAGE_ID_HEADER,
+    wire::ATTEMPT_ID_HEADER,
 ];
 
 fn ids() -> CallIds {
@@ -96,7 +96,11 @@
     for code in 100..600 {
         let status = StatusCode::from_u16(code).unwrap();
         let answer = (200..300).contains(&code) || (400..500).contains(&code);
-        assert_eq!(is_answer(status), answer, "{code}");
-        assert_eq!(is_stream(status), (200..300).contains(&code), "{code}");
+        assert_eq!(is_answer_status(status), answer, "{code}");
+        assert_eq!(
+            is_stream_status(status),
+            (200..300).contains(&code),
+            "{code}"
+        );
     }
 }
--- a/lib/testutils/src/endpoint.rs
+++ b/lib/testutils/src/endpoint.rs
@@ -203,10 +203,10 @@
                 .map(str::to_owned)
         };
         let run = Run {
-            request: text(wire::REQUEST_HEADER).unwrap_or_default(),
-            stage: text(wire::STAGE_HEADER).unwrap_or_default(),
-            attempt: text(wire::ATTEMPT_HEADER).unwrap_or_default(),
-            key: text(wire::KEY_HEADER),
+            request: text(wire::REQUEST_ID_HEADER).unwrap_or_default(),
+            stage: text(wire::STAGE_ID_HEADER).unwrap_or_default(),
+            attempt: text(wire::ATTEMPT_ID_HEADER).unwrap_or_default(),
+            key: text(wire::IDEMPOTENCY_KEY_HEADER),
             resumed,
         };
         self.runs.lock().expect("no panic while held").push(run);
@@ -253,9 +253,9 @@
     pub fn reply_head(&self, headers: &HeaderMap, started: Instant) -> Builder {
         let mut builder = Response::builder();
         for name in [
-            wire::REQUEST_HEADER,
-            wire::STAGE_HEADER,
-            wire::ATTEMPT_HEADER,
+            wire::REQUEST_ID_HEADER,
+            wire::STAGE_ID_HEADER,
+            wire::ATTEMPT_ID_HEADER,
         ] {
             if let Some(value) = headers.get(name) {
                 builder = builder.header(name, value);
@@ -287,11 +287,14 @@
             Damage::Garbage => head.body(whole_body(&b"\xff\xfe{not json"[..])).ok(),
             Damage::TooMuch => head.body(whole_body(vec![b' '; TOO_MUCH])).ok(),
             Damage::Nothing => None,
-            Damage::NotRun => self.refusal(headers, wire::BUSY),
+            Damage::NotRun => self.refusal(headers, wire::NOT_RUN_BUSY),
             Damage::WrongIds => Response::builder()
-                .header(wire::REQUEST_HEADER, "00000000-0000-0000-0000-000000000000")
-                .header(wire::STAGE_HEADER, "other")
-                .header(wire::ATTEMPT_HEADER, "0")
+                .header(
+                    wire::REQUEST_ID_HEADER,
+                    "00000000-0000-0000-0000-000000000000",
+                )
+                .header(wire::STAGE_ID_HEADER, "other")
+                .header(wire::ATTEMPT_ID_HEADER, "0")
                 .body(whole_body(body.clone()))
                 .ok(),
             Damage::ServerError => head
--- a/lib/testutils/src/engine.rs
+++ b/lib/testutils/src/engine.rs
@@ -146,7 +146,7 @@
 async fn handle(engine: Arc<Engine>, request: Request<Incoming>) -> Option<Response<ReplyBody>> {
     let endpoint = &engine.endpoint;
     match request.uri().path() {
-        wire::CACHE_PATH => Some(engine.cache_events(request.uri().query())),
+        wire::CACHE_EVENTS_PATH => Some(engine.cache_events(request.uri().query())),
         wire::LOAD_PATH => Some(endpoint.report_reply()),
         wire::CANCEL_PATH => {
             endpoint.cancel();
@@ -168,7 +168,7 @@
     let body = body.collect().await.ok()?.to_bytes();
     let headers = head.headers;
     if endpoint.faults.is_leaving() {
-        return endpoint.refusal(&headers, wire::LEAVING);
+        return endpoint.refusal(&headers, wire::NOT_RUN_LEAVING);
     }
     let call: GenerateBody<'_> = serde_json::from_slice(&body).ok()?;
     let wrong_model = call.model != &*endpoint.name;
--- a/lib/testutils/src/plain.rs
+++ b/lib/testutils/src/plain.rs
@@ -92,11 +92,11 @@
     let (head, body) = request.into_parts();
     let input = body.collect().await.ok()?.to_bytes();
     if endpoint.faults.is_leaving() {
-        return endpoint.refusal(&head.headers, wire::LEAVING);
+        return endpoint.refusal(&head.headers, wire::NOT_RUN_LEAVING);
     }
     let damage = endpoint.faults.draw();
     if damage == Some(Damage::NotRun) {
-        return endpoint.refusal(&head.headers, wire::BUSY);
+        return endpoint.refusal(&head.headers, wire::NOT_RUN_BUSY);
     }
     let _present = endpoint.enter();
     let _slot = endpoint.slot().await;
@@ -118,7 +118,7 @@
     input: &Bytes,
 ) -> Bytes {
     let key = headers
-        .get(wire::KEY_HEADER)
+        .get(wire::IDEMPOTENCY_KEY_HEADER)
         .and_then(|value| value.to_str().ok())
         .map(str::to_owned);
     let known = answers.zip(key);
