--- a/bench/src/installation.rs
+++ b/bench/src/installation.rs
@@ -41,9 +41,9 @@
 
 /// Limits of the callers' interface: so that no experiment meets them.
 const LIMITS: ApiLimits = ApiLimits {
-    requests: Count(5_000),
-    headers: ByteSize(16 << 10),
-    receive: Millis(5_000),
+    max_requests: Count(5_000),
+    max_headers: ByteSize(16 << 10),
+    receive_timeout: Millis(5_000),
 };
 
 /// A running installation.
--- a/lib/src/pipeline/api/body.rs
+++ b/lib/src/pipeline/api/body.rs
@@ -17,36 +17,39 @@
 };
 
 /// Size of the largest body accepted, in bytes. The settings tree can only lower it.
-pub const BODY_CAP: usize = 16 * 1024 * 1024;
+pub const MAX_BODY_SIZE: usize = 16 * 1024 * 1024;
 
-/// Size of the largest body that `dropshot` itself accepts, in bytes. Above [`BODY_CAP`], since its error doesn't state
-/// the cause.
-pub const DROPSHOT_CAP: usize = 2 * BODY_CAP;
+/// Size of the largest body that `dropshot` itself accepts, in bytes. Above [`MAX_BODY_SIZE`], since its error doesn't
+/// state the cause.
+pub const DROPSHOT_MAX_BODY_SIZE: usize = 2 * MAX_BODY_SIZE;
 
 fn check_body_size(size: usize) -> Result<(), ApiProblem> {
-    if size <= BODY_CAP {
+    if size <= MAX_BODY_SIZE {
         return Ok(());
     }
-    let detail = format!("the body has more than {BODY_CAP} bytes");
+    let detail = format!("the body has more than {MAX_BODY_SIZE} bytes");
     Err(Problem::not_run(Code::BodyTooLarge, detail).into())
 }
 
-/// Reads a complete JSON body, which must arrive within `limit`.
+/// Reads a complete JSON body, which must arrive within `timeout`.
 ///
 /// # Errors
 ///
 /// Returns a problem if the body is incomplete, too large, late or not JSON.
-pub(super) async fn read_request(body: StreamingBody, limit: Millis) -> Result<Bytes, ApiProblem> {
+pub(super) async fn read_json_body(
+    body: StreamingBody,
+    timeout: Millis,
+) -> Result<Bytes, ApiProblem> {
     let chunks = body.into_stream().map_err(ApiProblem::from);
     let read = chunks.try_fold(BytesMut::new(), |mut whole, chunk| async move {
         whole.extend_from_slice(&chunk);
         check_body_size(whole.len())?;
         Ok(whole)
     });
-    let body = match tokio::time::timeout(limit.to_duration(), read).await {
+    let body = match tokio::time::timeout(timeout.to_duration(), read).await {
         Ok(read) => read?.freeze(),
         Err(_) => {
-            let detail = format!("the body didn't arrive within {limit}");
+            let detail = format!("the body didn't arrive within {timeout}");
             return Err(Problem::not_run(Code::ReceiveTimeout, detail).into());
         }
     };
--- a/lib/src/pipeline/api/call.rs
+++ b/lib/src/pipeline/api/call.rs
@@ -6,7 +6,7 @@
     crate::{
         pipeline::{
             api::{
-                body::read_request,
+                body::read_json_body,
                 context::ApiContext,
                 headers::{CallHeaders, CallOptions, check_header_size},
                 problem::{ApiProblem, json_response},
@@ -35,7 +35,7 @@
 /// # Errors
 ///
 /// Returns the problem for the caller. It has the request's id if the request was submitted.
-pub(super) async fn serve(
+pub(super) async fn serve_request(
     context: RequestContext<Arc<ApiContext>>,
     target: Result<Target, ApiProblem>,
     headers: CallHeaders,
@@ -45,14 +45,16 @@
     let target = target?;
     let api = context.context();
     let node = api.node.clone();
-    let permit = api.permit()?;
-    check_header_size(context.request.headers(), api.limits.headers)?;
+    let permit = api.take_permit()?;
+    check_header_size(context.request.headers(), api.limits.max_headers)?;
     let options = CallOptions::try_from(&headers)?;
     let parent = headers.traceparent.as_deref();
-    let mut receive = node.tracing().span("receive", SpanKind::Server, parent);
+    let mut receive_span = node
+        .tracing()
+        .start_span("receive", SpanKind::Server, parent);
     let id = RequestId::from_random(node.random_bits());
-    receive.set("request", id);
-    let body = read_request(body, api.limits.receive).await?;
+    receive_span.set_attribute("request", id);
+    let body = read_json_body(body, api.limits.receive_timeout).await?;
     let stream = options.stream;
     let arrival = Arrival {
         id,
@@ -63,11 +65,11 @@
         key: options.key,
         stream,
         body,
-        trace_parent: receive.trace_parent(),
+        trace_parent: receive_span.trace_parent(),
     };
-    let handle = submit(&node, arrival, &receive);
-    let answer = respond_to(handle, id, stream, permit, &receive, &node).await;
-    api.metrics.observe(started.elapsed());
+    let handle = submit(&node, arrival, &receive_span);
+    let answer = await_response(handle, id, stream, permit, &receive_span, &node).await;
+    api.metrics.observe_request(started.elapsed());
     log_request(id, started, &answer);
     answer
 }
@@ -76,44 +78,44 @@
 fn submit(
     node: &Node<HttpTransport>,
     arrival: Arrival,
-    receive: &TraceSpan,
+    receive_span: &TraceSpan,
 ) -> RequestHandle<HttpTransport> {
-    let parent = receive.trace_parent();
-    let mut admit = node
+    let parent = receive_span.trace_parent();
+    let mut admit_span = node
         .tracing()
-        .span("admit", SpanKind::Internal, parent.as_deref());
-    admit.set("customer", &arrival.customer);
+        .start_span("admit", SpanKind::Internal, parent.as_deref());
+    admit_span.set_attribute("customer", &arrival.customer);
     node.submit(arrival)
 }
 
 /// Waits for the first delivery and builds the response from it: the whole answer, or the start of the
 /// stream.
-async fn respond_to(
+async fn await_response(
     mut handle: RequestHandle<HttpTransport>,
     id: RequestId,
     stream: bool,
     permit: OwnedSemaphorePermit,
-    receive: &TraceSpan,
+    receive_span: &TraceSpan,
     node: &Node<HttpTransport>,
 ) -> Result<Response<Body>, ApiProblem> {
     let first = handle.next().await;
-    let parent = receive.trace_parent();
-    let forward = node
+    let parent = receive_span.trace_parent();
+    let forward_span = node
         .tracing()
-        .span("forward", SpanKind::Internal, parent.as_deref());
+        .start_span("forward", SpanKind::Internal, parent.as_deref());
     match first {
         Some(Delivery::Finished(Ok(answer))) if !stream => {
             Ok(json_response(answer.status, id, answer.body))
         }
         Some(Delivery::Finished(Err(problem))) => Err(ApiProblem::new(problem, Some(id))),
-        Some(first) => Ok(stream_response(handle, id, first, permit, forward)),
-        None => Err(ApiProblem::new(node_gone(), Some(id))),
+        Some(first) => Ok(stream_response(handle, id, first, permit, forward_span)),
+        None => Err(ApiProblem::new(daemon_stopped(), Some(id))),
     }
 }
 
 /// Returns the problem for a request that gets no final delivery. The node sends one for every request, so this
 /// happens only while the daemon is being dropped.
-fn node_gone() -> Problem {
+fn daemon_stopped() -> Problem {
     Problem {
         code: Code::Internal,
         outcome: Outcome::Unknown,
--- a/lib/src/pipeline/api/context.rs
+++ b/lib/src/pipeline/api/context.rs
@@ -20,17 +20,17 @@
 };
 
 /// Value of `retry_after` for requests refused because the daemon has no free permit.
-const BUSY_WAIT: Millis = Millis(1_000);
+const TOO_BUSY_RETRY_AFTER: Millis = Millis(1_000);
 
 /// Limits on callers' requests, from the daemon's settings.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ApiLimits {
     /// Largest number of requests in progress at the same time.
-    pub requests: Count,
+    pub max_requests: Count,
     /// Largest total size of the headers of one request.
-    pub headers: ByteSize,
+    pub max_headers: ByteSize,
     /// Longest time in which a request's body must arrive.
-    pub receive: Millis,
+    pub receive_timeout: Millis,
 }
 
 /// State shared by all handlers.
@@ -61,7 +61,7 @@
             metrics: Metrics::default(),
             ready: AtomicBool::new(false),
             stopping: AtomicBool::new(false),
-            permits: Arc::new(Semaphore::new(limits.requests.0 as usize)),
+            permits: Arc::new(Semaphore::new(limits.max_requests.0 as usize)),
         }
     }
 
@@ -75,12 +75,12 @@
     /// # Errors
     ///
     /// Returns a `too_busy` problem if all permits are taken.
-    pub(super) fn permit(&self) -> Result<OwnedSemaphorePermit, ApiProblem> {
+    pub(super) fn take_permit(&self) -> Result<OwnedSemaphorePermit, ApiProblem> {
         self.permits.clone().try_acquire_owned().map_err(|_| {
             // The semaphore is never closed, so the only error is a lack of permits.
-            let detail = format!("{} requests are in hand already", self.limits.requests);
+            let detail = format!("{} requests are in hand already", self.limits.max_requests);
             let problem = Problem::not_run(Code::TooBusy, detail);
-            problem.retry_after(BUSY_WAIT).into()
+            problem.retry_after(TOO_BUSY_RETRY_AFTER).into()
         })
     }
 }
--- a/lib/src/pipeline/api/headers.rs
+++ b/lib/src/pipeline/api/headers.rs
@@ -34,7 +34,7 @@
 const CUSTOMER_HEADER: &str = "x-customer";
 
 /// Media type that a caller lists in `accept` to receive the answer as a stream of tokens.
-const EVENT_STREAM: &str = "text/event-stream";
+const EVENT_STREAM_TYPE: &str = "text/event-stream";
 
 /// Headers of a caller's request as they come.
 #[derive(Debug, Deserialize, JsonSchema)]
@@ -117,11 +117,11 @@
         // Without `accept`, any media type is accepted; a whole answer is the default.
         let accept = headers.accept.as_deref().unwrap_or_default();
         Ok(Self {
-            customer: parse_header(CUSTOMER_HEADER, customer)?,
+            customer: parse_parameter(CUSTOMER_HEADER, customer)?,
             remaining: remaining.transpose()?,
-            priority: parse_optional(wire::PRIORITY_HEADER, headers.priority.as_deref())?,
-            key: parse_optional(wire::IDEMPOTENCY_KEY_HEADER, headers.key.as_deref())?,
-            stream: accept.contains(EVENT_STREAM),
+            priority: parse_optional_header(wire::PRIORITY_HEADER, headers.priority.as_deref())?,
+            key: parse_optional_header(wire::IDEMPOTENCY_KEY_HEADER, headers.key.as_deref())?,
+            stream: accept.contains(EVENT_STREAM_TYPE),
         })
     }
 }
@@ -131,16 +131,16 @@
 /// # Errors
 ///
 /// Returns a `bad_request` problem that begins with `name`.
-pub fn parse_header<T: FromStr<Err: Display>>(name: &str, text: &str) -> Result<T, ApiProblem> {
+pub fn parse_parameter<T: FromStr<Err: Display>>(name: &str, text: &str) -> Result<T, ApiProblem> {
     text.parse()
         .map_err(|error| bad_request(format!("{name}: {error}")))
 }
 
-fn parse_optional<T: FromStr<Err: Display>>(
+fn parse_optional_header<T: FromStr<Err: Display>>(
     name: &str,
     text: Option<&str>,
 ) -> Result<Option<T>, ApiProblem> {
-    text.map(|text| parse_header(name, text)).transpose()
+    text.map(|text| parse_parameter(name, text)).transpose()
 }
 
 fn parse_deadline(text: &str) -> Result<Millis, ApiProblem> {
--- a/lib/src/pipeline/api/problem.rs
+++ b/lib/src/pipeline/api/problem.rs
@@ -20,7 +20,7 @@
 };
 
 /// Media type of problem responses.
-pub const PROBLEM_TYPE: &str = "application/problem+json";
+pub const PROBLEM_MEDIA_TYPE: &str = "application/problem+json";
 
 /// Milliseconds in a second, the unit of the header `retry-after` (RFC 9110, section 10.2.3).
 const MILLIS_PER_SECOND: u64 = 1_000;
@@ -140,7 +140,7 @@
     let json = serde_json::to_string(&body).expect("texts and numbers are JSON");
     let mut builder = Response::builder()
         .status(body.status)
-        .header(header::CONTENT_TYPE, PROBLEM_TYPE);
+        .header(header::CONTENT_TYPE, PROBLEM_MEDIA_TYPE);
     if let Some(wait) = problem.problem.retry_after {
         builder = builder.header(header::RETRY_AFTER, wait.0.div_ceil(MILLIS_PER_SECOND));
     }
--- a/lib/src/pipeline/api/server.rs
+++ b/lib/src/pipeline/api/server.rs
@@ -7,9 +7,9 @@
     crate::{
         pipeline::{
             api::{
-                call::serve,
+                call::serve_request,
                 context::ApiContext,
-                headers::{CallHeaders, parse_header},
+                headers::{CallHeaders, parse_parameter},
                 problem::{ProblemBody, respond},
             },
             decision::request::Target,
@@ -88,8 +88,8 @@
     headers: CallHeaders,
     body: StreamingBody,
 ) -> Result<Response<Body>, ProblemBody> {
-    let target = parse_header("pipeline", &path.into_inner().pipeline).map(Target::Pipeline);
-    respond(serve(context, target, headers, body).await)
+    let target = parse_parameter("pipeline", &path.into_inner().pipeline).map(Target::Pipeline);
+    respond(serve_request(context, target, headers, body).await)
 }
 
 /// Call a plain service
@@ -102,8 +102,8 @@
     headers: CallHeaders,
     body: StreamingBody,
 ) -> Result<Response<Body>, ProblemBody> {
-    let target = parse_header("service", &path.into_inner().service).map(Target::Service);
-    respond(serve(context, target, headers, body).await)
+    let target = parse_parameter("service", &path.into_inner().service).map(Target::Service);
+    respond(serve_request(context, target, headers, body).await)
 }
 
 /// Tell whether the process is alive
--- a/lib/src/pipeline/api/status_client.rs
+++ b/lib/src/pipeline/api/status_client.rs
@@ -17,7 +17,7 @@
 };
 
 /// Size of the largest status report accepted: 4 MiB.
-const MAX_STATUS: ByteSize = ByteSize(4 << 20);
+const MAX_STATUS_SIZE: ByteSize = ByteSize(4 << 20);
 
 /// Longest wait for the head of the reply, and for each next part of its body.
 const STATUS_TIMEOUT: Millis = Millis(5_000);
@@ -55,7 +55,7 @@
 pub async fn fetch(address: SocketAddr) -> Result<StatusBody, StatusError> {
     let client = Client::builder(TokioExecutor::new()).build_http();
     let uri = format!("http://{address}/v1/status");
-    let reply = get::<Empty<Bytes>>(&client, &uri, MAX_STATUS, STATUS_TIMEOUT)
+    let reply = get::<Empty<Bytes>>(&client, &uri, MAX_STATUS_SIZE, STATUS_TIMEOUT)
         .await
         .map_err(StatusError::Unreachable)?;
     let status = reply.status;
--- a/lib/src/pipeline/api/stream.rs
+++ b/lib/src/pipeline/api/stream.rs
@@ -43,7 +43,7 @@
 }
 
 /// State of a streamed answer. Dropping it before its end reports to the core that the caller has left.
-struct Streaming {
+struct AnswerStream {
     handle: RequestHandle<HttpTransport>,
     id: RequestId,
     first: Option<Delivery>,
@@ -52,18 +52,18 @@
     _forward: TraceSpan,
 }
 
-impl Streaming {
+impl AnswerStream {
     async fn next_event(mut self) -> Option<(Result<Frame<Bytes>, Infallible>, Self)> {
         let delivery = match self.first.take() {
             Some(first) => first,
             None => self.handle.next().await?,
         };
-        let event = event(&delivery, self.id);
+        let event = encode_delivery(&delivery, self.id);
         Some((Ok(Frame::data(event)), self))
     }
 }
 
-fn event(delivery: &Delivery, id: RequestId) -> Bytes {
+fn encode_delivery(delivery: &Delivery, id: RequestId) -> Bytes {
     match delivery {
         Delivery::Token { index, text } => write_event(
             TOKEN_EVENT,
@@ -94,14 +94,14 @@
     permit: OwnedSemaphorePermit,
     forward: TraceSpan,
 ) -> Response<Body> {
-    let streaming = Streaming {
+    let state = AnswerStream {
         handle,
         id,
         first: Some(first),
         _permit: permit,
         _forward: forward,
     };
-    let events = stream::unfold(streaming, Streaming::next_event);
+    let events = stream::unfold(state, AnswerStream::next_event);
     Response::builder()
         .header(header::CONTENT_TYPE, "text/event-stream")
         .header(header::CACHE_CONTROL, "no-store")
--- a/lib/src/pipeline/config_service.rs
+++ b/lib/src/pipeline/config_service.rs
@@ -33,16 +33,16 @@
 };
 
 /// Size of the largest value that the service stores.
-const VALUE_SIZE: ByteSize = ByteSize(1 << 20);
+const MAX_VALUE_SIZE: ByteSize = ByteSize(1 << 20);
 
 /// Longest wait for the head of a response, and for each next part of its body. The service answers in milliseconds.
 const READ_TIMEOUT: Millis = Millis(2_000);
 
 /// Length of the longest name of a value, in bytes.
-const MAX_VALUE_NAME: usize = 256;
+const MAX_VALUE_NAME_LENGTH: usize = 256;
 
 /// Largest number of values of one tree.
-const MAX_VALUES: usize = 64;
+const MAX_TREE_VALUES: usize = 64;
 
 /// Why a settings tree can't be read.
 #[derive(Debug, Error)]
@@ -59,7 +59,7 @@
         status: StatusCode,
     },
     /// The tree includes too many values.
-    #[error("can't read the settings tree: it has more than {MAX_VALUES} values")]
+    #[error("can't read the settings tree: it has more than {MAX_TREE_VALUES} values")]
     TooManyValues,
     /// The tree is invalid. The daemon keeps the last valid one.
     #[error("the settings tree is invalid:\n{0}")]
@@ -68,7 +68,7 @@
 
 /// Byte that separates names and values in the hash, so that moving bytes from one to the next changes the hash.
 /// Neither names nor JSON contain this byte.
-const VALUE_END: u8 = 0;
+const HASH_SEPARATOR: u8 = 0;
 
 /// A settings tree, with a hash of the values that it was read from.
 #[derive(Debug)]
@@ -78,7 +78,7 @@
     /// Root value, as it was read.
     pub root: Bytes,
     /// Hash of the names and contents of all its values.
-    pub hash: u64,
+    pub fingerprint: u64,
 }
 
 /// Reads values from the configuration service.
@@ -128,9 +128,9 @@
     /// # Errors
     ///
     /// Returns an error if the service doesn't answer in time or doesn't have the value.
-    pub async fn value(&self, name: &str) -> Result<Bytes, ConfigError> {
+    pub async fn fetch_value(&self, name: &str) -> Result<Bytes, ConfigError> {
         let uri = format!("http://{}/v1/values/{name}", self.address);
-        let reply = get(&self.client, &uri, VALUE_SIZE, READ_TIMEOUT)
+        let reply = get(&self.client, &uri, MAX_VALUE_SIZE, READ_TIMEOUT)
             .await
             .map_err(ConfigError::Unreadable)?;
         if reply.status != StatusCode::OK {
@@ -146,39 +146,39 @@
     /// # Errors
     ///
     /// Returns an error if a value can't be read or the tree is invalid.
-    pub async fn changed_tree(
+    pub async fn fetch_changed_tree(
         &self,
         root: &str,
         last: Option<&Bytes>,
     ) -> Result<Option<FetchedTree>, ConfigError> {
-        let value = self.value(root).await?;
+        let value = self.fetch_value(root).await?;
         if last == Some(&value) {
             return Ok(None);
         }
-        self.read_tree(root, value).await.map(Some)
+        self.fetch_tree(root, value).await.map(Some)
     }
 
-    async fn read_tree(&self, root: &str, value: Bytes) -> Result<FetchedTree, ConfigError> {
+    async fn fetch_tree(&self, root: &str, value: Bytes) -> Result<FetchedTree, ConfigError> {
         let mut fetched = FetchedValues::default();
         fetched.values.insert(root.to_owned(), value);
         loop {
             let raw = RawTree::read(&fetched, root);
             let wanted = fetched.missing.take();
             if wanted.is_empty() {
-                return finish_tree(raw, root, &fetched);
+                return check_tree(raw, root, &fetched);
             }
-            if fetched.values.len() + wanted.len() > MAX_VALUES {
+            if fetched.values.len() + wanted.len() > MAX_TREE_VALUES {
                 return Err(ConfigError::TooManyValues);
             }
             for name in wanted {
-                let value = self.value(&name).await?;
+                let value = self.fetch_value(&name).await?;
                 fetched.values.insert(name, value);
             }
         }
     }
 }
 
-fn finish_tree(
+fn check_tree(
     raw: Result<RawTree, Findings>,
     root: &str,
     fetched: &FetchedValues,
@@ -187,9 +187,9 @@
     let mut hash = Xxh3::new();
     for (name, value) in &fetched.values {
         hash.update(name.as_bytes());
-        hash.update(&[VALUE_END]);
+        hash.update(&[HASH_SEPARATOR]);
         hash.update(value);
-        hash.update(&[VALUE_END]);
+        hash.update(&[HASH_SEPARATOR]);
     }
     Ok(FetchedTree {
         tree,
@@ -198,7 +198,7 @@
             .get(root)
             .expect("the root value was fetched first")
             .clone(),
-        hash: hash.digest(),
+        fingerprint: hash.digest(),
     })
 }
 
@@ -206,7 +206,7 @@
 pub fn is_value_name(name: &str) -> bool {
     let allowed = |c: char| c.is_ascii_alphanumeric() || matches!(c, '.' | '_' | '-' | '/');
     !name.is_empty()
-        && name.len() <= MAX_VALUE_NAME
+        && name.len() <= MAX_VALUE_NAME_LENGTH
         && !name.starts_with('/')
         && !name.contains("..")
         && name.chars().all(allowed)
--- a/lib/src/pipeline/daemon.rs
+++ b/lib/src/pipeline/daemon.rs
@@ -6,7 +6,7 @@
 use {
     crate::{
         pipeline::{
-            api::{body::DROPSHOT_CAP, context::ApiContext, server},
+            api::{body::DROPSHOT_MAX_BODY_SIZE, context::ApiContext, server},
             config_service::{ConfigClient, ConfigError, FetchedTree},
             daemon_settings::{ConfigSettings, DaemonSettings},
             decision::core::CoreConfig,
@@ -90,7 +90,7 @@
             seed: random_seed(),
         };
         let node = Node::new(config, HttpTransport::new(), tracing);
-        let server = serve(&settings, &node)?;
+        let server = start_server(&settings, &node)?;
         let tasks = vec![
             spawn_guarded(node.clone().run_timers()),
             spawn_guarded(node.clone().poll_reports(settings.load_interval)),
@@ -136,7 +136,7 @@
     rand::random()
 }
 
-fn serve(
+fn start_server(
     settings: &DaemonSettings,
     node: &Node<HttpTransport>,
 ) -> Result<HttpServer<Arc<ApiContext>>, DaemonStartError> {
@@ -150,7 +150,7 @@
     let log = slog::Logger::root(slog_stdlog::StdLog.fuse(), slog::o!());
     let config = ConfigDropshot {
         bind_address: settings.listen,
-        default_request_body_max_bytes: DROPSHOT_CAP,
+        default_request_body_max_bytes: DROPSHOT_MAX_BODY_SIZE,
         // When a caller disconnects, its handler is dropped, and with it the request's handle.
         default_handler_task_mode: HandlerTaskMode::CancelOnDisconnect,
         ..Default::default()
@@ -173,7 +173,10 @@
         ticks.tick().await;
         // Every change raises the version, which is in the root value. While the root value equals that of the
         // last valid tree, nothing else has to be read or checked.
-        match client.changed_tree(&settings.tree, root.as_ref()).await {
+        match client
+            .fetch_changed_tree(&settings.tree, root.as_ref())
+            .await
+        {
             Ok(None) => {}
             Ok(Some(fetched)) => {
                 root = Some(fetched.root.clone());
@@ -181,7 +184,7 @@
             }
             Err(error) => {
                 if matches!(error, ConfigError::Invalid(_)) {
-                    context.metrics.tree_refused();
+                    context.metrics.count_refused_tree();
                 }
                 log::warn!(error:%; "can't read a new settings tree");
             }
@@ -198,7 +201,7 @@
 ) {
     let read = ContentMark {
         version: fetched.tree.version,
-        fingerprint: fetched.hash,
+        fingerprint: fetched.fingerprint,
     };
     match judge(*current, read) {
         VersionVerdict::Adopt => {
@@ -212,7 +215,7 @@
             log::warn!(version = read.version.0; "the configuration service is stale: its settings tree is older than the current one");
         }
         VersionVerdict::Conflict => {
-            context.metrics.tree_refused();
+            context.metrics.count_refused_tree();
             log::error!(version = read.version.0; "refused a settings tree whose version was adopted before with other content");
         }
     }
--- a/lib/src/pipeline/daemon_settings.rs
+++ b/lib/src/pipeline/daemon_settings.rs
@@ -26,16 +26,16 @@
 const DEFAULT_POLL: Millis = Millis(1_000);
 
 /// Default of the largest number of requests in progress.
-const DEFAULT_REQUESTS: Count = Count(2_000);
+const DEFAULT_MAX_REQUESTS: Count = Count(2_000);
 
 /// Default of the largest total size of a request's headers.
-const DEFAULT_HEADERS: ByteSize = ByteSize(16 * 1024);
+const DEFAULT_MAX_HEADERS: ByteSize = ByteSize(16 * 1024);
 
 /// Default of the longest time in which a request's body must arrive.
-const DEFAULT_RECEIVE: Millis = Millis(5_000);
+const DEFAULT_RECEIVE_TIMEOUT: Millis = Millis(5_000);
 
 /// Default time for the load balancer to notice that the daemon is stopping.
-const DEFAULT_GRACE: Millis = Millis(5_000);
+const DEFAULT_STOP_GRACE: Millis = Millis(5_000);
 
 /// Default share of new traces that is sampled.
 const DEFAULT_SAMPLE: Share = Share(0.01);
@@ -112,11 +112,11 @@
         let listen = root.take_required::<SocketAddr>("listen");
         let hop = take_or(&mut root, "hop", DEFAULT_HOP);
         let load_interval = take_or(&mut root, "load_interval", DEFAULT_LOAD_INTERVAL);
-        let stop_grace = take_or(&mut root, "stop_grace", DEFAULT_GRACE);
+        let stop_grace = take_or(&mut root, "stop_grace", DEFAULT_STOP_GRACE);
         let limits = ApiLimits {
-            requests: take_or(&mut root, "max_requests", DEFAULT_REQUESTS),
-            headers: take_or(&mut root, "max_headers", DEFAULT_HEADERS),
-            receive: take_or(&mut root, "receive_timeout", DEFAULT_RECEIVE),
+            max_requests: take_or(&mut root, "max_requests", DEFAULT_MAX_REQUESTS),
+            max_headers: take_or(&mut root, "max_headers", DEFAULT_MAX_HEADERS),
+            receive_timeout: take_or(&mut root, "receive_timeout", DEFAULT_RECEIVE_TIMEOUT),
         };
         let config = take_config(&mut root);
         let traces = take_traces(&mut root);
--- a/lib/src/pipeline/metrics.rs
+++ b/lib/src/pipeline/metrics.rs
@@ -25,13 +25,13 @@
 pub const CONTENT_TYPE: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
 
 /// Upper bound of the first bucket of request times, in seconds.
-const FIRST_BUCKET: f64 = 0.002;
+const FIRST_BUCKET_SECONDS: f64 = 0.002;
 
 /// Ratio of each bucket's upper bound to the previous one.
 const BUCKET_FACTOR: f64 = 2.0;
 
 /// Number of buckets with an upper bound, the last of which is 16.384 s.
-const BUCKETS: u16 = 14;
+const BUCKET_COUNT: u16 = 14;
 
 /// Milliseconds in a second, the base unit of times in OpenMetrics.
 const MILLIS_PER_SECOND: f64 = 1_000.0;
@@ -47,7 +47,7 @@
 
 impl Default for Metrics {
     fn default() -> Self {
-        let buckets = exponential_buckets(FIRST_BUCKET, BUCKET_FACTOR, BUCKETS);
+        let buckets = exponential_buckets(FIRST_BUCKET_SECONDS, BUCKET_FACTOR, BUCKET_COUNT);
         Self {
             request_seconds: Histogram::new(buckets),
             refused_trees: AtomicU64::new(0),
@@ -75,12 +75,12 @@
 
 impl Metrics {
     /// Records the time from a request's head to its answer or the start of its stream.
-    pub fn observe(&self, took: Duration) {
+    pub fn observe_request(&self, took: Duration) {
         self.request_seconds.observe(took.as_secs_f64());
     }
 
     /// Counts a settings tree that was refused.
-    pub fn tree_refused(&self) {
+    pub fn count_refused_tree(&self) {
         self.refused_trees.fetch_add(1, Ordering::Relaxed);
     }
 
--- a/lib/src/pipeline/node/calls.rs
+++ b/lib/src/pipeline/node/calls.rs
@@ -48,10 +48,12 @@
     pub(super) fn spawn_call(&self, state: &mut NodeState, mut call: EndpointCall) {
         let attempt = call.ids.attempt;
         let parent = call.trace_parent.as_deref();
-        let mut span = self.tracing().span("attempt", SpanKind::Client, parent);
-        span.set("request", call.ids.request);
-        span.set("stage", &call.ids.stage);
-        span.set("endpoint", &call.endpoint);
+        let mut span = self
+            .tracing()
+            .start_span("attempt", SpanKind::Client, parent);
+        span.set_attribute("request", call.ids.request);
+        span.set_attribute("stage", &call.ids.stage);
+        span.set_attribute("endpoint", &call.endpoint);
         call.trace_parent = span.trace_parent();
         let sent = call.clone();
         let node = self.clone();
@@ -61,7 +63,7 @@
                 attempt,
             };
             let end = node.inner.transport.call(call, sink).await;
-            span.set("end", describe_end(&end));
+            span.set_attribute("end", describe_end(&end));
             drop(span);
             let mut state = node.lock();
             state.calls.remove(&attempt);
--- a/lib/src/pipeline/trace.rs
+++ b/lib/src/pipeline/trace.rs
@@ -5,7 +5,7 @@
 //! spans; `opentelemetry` samples them.
 
 use {
-    crate::pipeline::trace_collector::{AnswerError, CollectorClient},
+    crate::pipeline::trace_collector::{CollectorClient, ExportResponseError},
     opentelemetry::{
         Context, KeyValue,
         trace::{
@@ -33,10 +33,10 @@
 };
 
 /// Largest number of ended spans that wait for export. Further ones are dropped and counted.
-const QUEUE: usize = 2_048;
+const SPAN_QUEUE_SIZE: usize = 2_048;
 
 /// Largest number of spans in one export.
-const BATCH: usize = 256;
+const MAX_EXPORT_SPANS: usize = 256;
 
 /// Longest time for one export, its retries included.
 const EXPORT_TIMEOUT: Duration = Duration::from_secs(5);
@@ -57,7 +57,7 @@
 const BYTE_DIGITS: usize = 2;
 
 /// Base of hexadecimal numbers.
-const HEX: u32 = 16;
+const HEX_RADIX: u32 = 16;
 
 /// The collector's URL can't be used.
 #[derive(Debug, Error)]
@@ -71,9 +71,9 @@
 #[derive(Debug, Error)]
 enum ExportError {
     #[error("the collector didn't answer within {EXPORT_TIMEOUT:?}")]
-    Late,
+    Timeout,
     #[error(transparent)]
-    Answer(#[from] AnswerError),
+    Response(#[from] ExportResponseError),
     #[error(transparent)]
     Exporter(#[from] OTelSdkError),
 }
@@ -118,9 +118,9 @@
                 reason: error.to_string(),
             })?;
         let dropped = Arc::new(AtomicU64::new(0));
-        let (queue, ended) = mpsc::channel(QUEUE);
-        let export = Export { exporter, client };
-        tokio::spawn(export_all(export, ended, dropped.clone()));
+        let (queue, ended) = mpsc::channel(SPAN_QUEUE_SIZE);
+        let export = TraceExport { exporter, client };
+        tokio::spawn(export_spans(export, ended, dropped.clone()));
         let processor = QueueProcessor {
             queue,
             dropped: dropped.clone(),
@@ -149,8 +149,13 @@
     /// Starts a span; `parent` is the `traceparent` of its parent.
     ///
     /// A parent that can't be parsed is ignored, as W3C Trace Context requires.
-    pub fn span(&self, name: &'static str, kind: SpanKind, parent: Option<&str>) -> TraceSpan {
-        let parent = parent.and_then(parse_parent);
+    pub fn start_span(
+        &self,
+        name: &'static str,
+        kind: SpanKind,
+        parent: Option<&str>,
+    ) -> TraceSpan {
+        let parent = parent.and_then(parse_traceparent);
         let Some(tracer) = &self.tracer else {
             return TraceSpan { span: None, parent };
         };
@@ -169,7 +174,7 @@
 
 impl TraceSpan {
     /// Sets an attribute, if the span is recorded.
-    pub fn set(&mut self, key: &'static str, value: impl ToString) {
+    pub fn set_attribute(&mut self, key: &'static str, value: impl ToString) {
         if let Some(span) = &mut self.span
             && span.is_recording()
         {
@@ -180,14 +185,14 @@
     /// Returns the `traceparent` for child spans: that of this span or, if there is none, of its parent.
     pub fn trace_parent(&self) -> Option<String> {
         match (&self.span, &self.parent) {
-            (Some(span), _) => Some(write_parent(span.span_context())),
-            (None, Some(parent)) => Some(write_parent(parent)),
+            (Some(span), _) => Some(format_traceparent(span.span_context())),
+            (None, Some(parent)) => Some(format_traceparent(parent)),
             (None, None) => None,
         }
     }
 }
 
-fn write_parent(context: &SpanContext) -> String {
+fn format_traceparent(context: &SpanContext) -> String {
     format!(
         "{TRACE_VERSION}-{}-{}-{:02x}",
         context.trace_id(),
@@ -198,7 +203,7 @@
 
 /// Parses a W3C `traceparent`. The caller's header hasn't been checked, so any other text returns `None` and a new
 /// trace starts.
-fn parse_parent(text: &str) -> Option<SpanContext> {
+fn parse_traceparent(text: &str) -> Option<SpanContext> {
     let mut parts = text.split('-');
     let version = parts.next()?;
     let trace = parts.next().filter(|part| part.len() == TRACE_ID_DIGITS)?;
@@ -211,7 +216,7 @@
     if version == TRACE_VERSION && parts.next().is_some() {
         return None;
     }
-    let flags = u8::from_str_radix(flags, HEX).ok()?;
+    let flags = u8::from_str_radix(flags, HEX_RADIX).ok()?;
     let context = SpanContext::new(
         TraceId::from_hex(trace).ok()?,
         SpanId::from_hex(span).ok()?,
@@ -248,19 +253,19 @@
 }
 
 /// An exporter, and its HTTP client, which has the result of the last response.
-struct Export {
+struct TraceExport {
     exporter: SpanExporter,
     client: CollectorClient,
 }
 
-impl Export {
+impl TraceExport {
     /// Exports spans and returns the number of those that the collector refused. If there is no response, or one that
     /// asks for a retry, the exporter sends the spans up to four times within its timeout.
     async fn send(&self, spans: Vec<SpanData>) -> Result<u64, ExportError> {
         let sent = tokio::time::timeout(EXPORT_TIMEOUT, self.exporter.export(spans)).await;
-        let result = sent.map_err(|_elapsed| ExportError::Late)?;
+        let result = sent.map_err(|_elapsed| ExportError::Timeout)?;
         // The client's error states the cause, which the exporter's doesn't.
-        let refused = self.client.verdict()?;
+        let refused = self.client.last_result()?;
         result?;
         Ok(refused)
     }
@@ -268,9 +273,13 @@
 
 /// Exports ended spans until all tracers are dropped. Spans that couldn't be exported are counted as dropped, which
 /// `/metrics` reports, rather than sent again, so that the queue doesn't fill up.
-async fn export_all(export: Export, mut ended: mpsc::Receiver<SpanData>, dropped: Arc<AtomicU64>) {
-    let mut batch = Vec::with_capacity(BATCH);
-    while ended.recv_many(&mut batch, BATCH).await > 0 {
+async fn export_spans(
+    export: TraceExport,
+    mut ended: mpsc::Receiver<SpanData>,
+    dropped: Arc<AtomicU64>,
+) {
+    let mut batch = Vec::with_capacity(MAX_EXPORT_SPANS);
+    while ended.recv_many(&mut batch, MAX_EXPORT_SPANS).await > 0 {
         let spans = std::mem::take(&mut batch);
         let count = spans.len() as u64;
         let lost = match export.send(spans).await {
--- a/lib/src/pipeline/trace_collector.rs
+++ b/lib/src/pipeline/trace_collector.rs
@@ -28,31 +28,31 @@
 
 /// Why an export request wasn't answered by a collector with success.
 #[derive(Debug, Clone, Error)]
-pub(super) enum AnswerError {
+pub(super) enum ExportResponseError {
     /// There was no complete response, or one with a status other than success.
     #[error("the export request failed: {0}")]
     Transport(String),
     /// The response has another content type than OTLP requires.
     #[error(
-        "the response has the content type {kind:?} instead of {OTLP_JSON}; the server isn't an OTLP collector"
+        "the response has the content type {content_type:?} instead of {OTLP_JSON}; the server isn't an OTLP collector"
     )]
-    Kind {
+    ContentType {
         /// Content type of the response; empty if it has none.
-        kind: String,
+        content_type: String,
     },
     /// The body of the response isn't one that OTLP defines.
     #[error("the response isn't an OTLP export response: {0}")]
-    Form(String),
+    Malformed(String),
 }
 
 /// Number of spans that the collector refused, or why the export failed.
-type Verdict = Result<u64, AnswerError>;
+type ExportResult = Result<u64, ExportResponseError>;
 
 /// HTTP client that keeps the result of its last export request. Clones share the result.
 #[derive(Debug, Clone)]
 pub(super) struct CollectorClient {
     http: HyperClient,
-    last: Arc<Mutex<Verdict>>,
+    last_result: Arc<Mutex<ExportResult>>,
 }
 
 impl CollectorClient {
@@ -60,17 +60,20 @@
     pub(super) fn new(limit: Duration) -> Self {
         Self {
             http: HyperClient::with_default_connector(limit, None),
-            last: Arc::new(Mutex::new(Ok(0))),
+            last_result: Arc::new(Mutex::new(Ok(0))),
         }
     }
 
     /// Returns the result of the last export request.
-    pub(super) fn verdict(&self) -> Verdict {
-        self.last.lock().expect("no panic while held").clone()
+    pub(super) fn last_result(&self) -> ExportResult {
+        self.last_result
+            .lock()
+            .expect("no panic while held")
+            .clone()
     }
 
-    fn keep(&self, verdict: Verdict) {
-        *self.last.lock().expect("no panic while held") = verdict;
+    fn set_last_result(&self, result: ExportResult) {
+        *self.last_result.lock().expect("no panic while held") = result;
     }
 }
 
@@ -78,17 +81,19 @@
 impl HttpClient for CollectorClient {
     async fn send_bytes(&self, request: Request<Bytes>) -> Result<Response<Bytes>, HttpError> {
         let sent = self.http.send_bytes(request).await;
-        self.keep(match &sent {
-            Ok(response) if response.status().is_success() => judge(response),
-            Ok(response) => Err(AnswerError::Transport(response.status().to_string())),
-            Err(error) => Err(AnswerError::Transport(reason(error))),
+        self.set_last_result(match &sent {
+            Ok(response) if response.status().is_success() => check_response(response),
+            Ok(response) => Err(ExportResponseError::Transport(
+                response.status().to_string(),
+            )),
+            Err(error) => Err(ExportResponseError::Transport(error_chain(error))),
         });
         sent
     }
 }
 
 /// Returns the texts of an error and its causes. The first alone states only that a request failed.
-fn reason(error: &HttpError) -> String {
+fn error_chain(error: &HttpError) -> String {
     let mut text = error.to_string();
     let mut cause = error.source();
     while let Some(error) = cause {
@@ -99,35 +104,35 @@
 }
 
 /// Checks a response with a success status. An empty body, which some collectors send, means that no span was refused.
-fn judge(response: &Response<Bytes>) -> Verdict {
-    check_kind(response.headers())?;
+fn check_response(response: &Response<Bytes>) -> ExportResult {
+    check_content_type(response.headers())?;
     if response.body().is_empty() {
         return Ok(0);
     }
-    let form = |error: serde_json::Error| AnswerError::Form(error.to_string());
+    let malformed = |error: serde_json::Error| ExportResponseError::Malformed(error.to_string());
     // Parsed as an object first, because an empty array would be accepted as a response without fields.
-    let object: Map<String, Value> = serde_json::from_slice(response.body()).map_err(form)?;
-    let answer = ExportAnswer::deserialize(Value::Object(object)).map_err(form)?;
-    Ok(answer.partial_success.rejected_spans)
+    let object: Map<String, Value> = serde_json::from_slice(response.body()).map_err(malformed)?;
+    let parsed = ExportResponse::deserialize(Value::Object(object)).map_err(malformed)?;
+    Ok(parsed.partial_success.rejected_spans)
 }
 
 /// Checks that the response has the content type of the request (OTLP, section "OTLP/HTTP Response").
-fn check_kind(headers: &HeaderMap) -> Result<(), AnswerError> {
-    let kind = headers.get(CONTENT_TYPE).map(HeaderValue::as_bytes);
-    let kind = String::from_utf8_lossy(kind.unwrap_or_default());
+fn check_content_type(headers: &HeaderMap) -> Result<(), ExportResponseError> {
+    let content_type = headers.get(CONTENT_TYPE).map(HeaderValue::as_bytes);
+    let content_type = String::from_utf8_lossy(content_type.unwrap_or_default());
     // Parameters, such as a character set, may follow the type.
-    let essence = kind.split(';').next().unwrap_or_default().trim();
+    let essence = content_type.split(';').next().unwrap_or_default().trim();
     if essence.eq_ignore_ascii_case(OTLP_JSON) {
         return Ok(());
     }
-    let kind = kind.into_owned();
-    Err(AnswerError::Kind { kind })
+    let content_type = content_type.into_owned();
+    Err(ExportResponseError::ContentType { content_type })
 }
 
 /// `ExportTraceServiceResponse` of OTLP. Unknown fields are ignored, as OTLP requires.
 #[derive(Debug, Default, Deserialize)]
 #[serde(default, rename_all = "camelCase")]
-struct ExportAnswer {
+struct ExportResponse {
     partial_success: PartialSuccess,
 }
 
--- a/lib/tests/test_bad_callers.rs
+++ b/lib/tests/test_bad_callers.rs
@@ -173,7 +173,7 @@
 async fn too_busy() {
     let fixture = Fixture::start().await;
     let mut settings = fixture.daemon_settings("entry-1");
-    settings.limits.requests = "1".parse().unwrap();
+    settings.limits.max_requests = "1".parse().unwrap();
     let (daemon, caller) = start_daemon(settings).await;
     for server in &fixture.endpoints["encoder"] {
         server.endpoint.faults.slow_down(200.0);
@@ -211,7 +211,7 @@
 async fn slow_body() {
     let fixture = Fixture::start().await;
     let mut settings = fixture.daemon_settings("entry-1");
-    settings.limits.receive = "100ms".parse().unwrap();
+    settings.limits.receive_timeout = "100ms".parse().unwrap();
     let (daemon, _caller) = start_daemon(settings).await;
     let mut socket = TcpStream::connect(daemon.address()).await.unwrap();
     let head = "POST /v1/pipelines/summary HTTP/1.1\r\nhost: h\r\nx-customer: market\r\n\
--- a/lib/testutils/src/fixture.rs
+++ b/lib/testutils/src/fixture.rs
@@ -146,9 +146,9 @@
             hop: Millis(1),
             load_interval: Millis(50),
             limits: ApiLimits {
-                requests: Count(1_000),
-                headers: ByteSize(16 << 10),
-                receive: Millis(2_000),
+                max_requests: Count(1_000),
+                max_headers: ByteSize(16 << 10),
+                receive_timeout: Millis(2_000),
             },
             stop_grace: Millis(50),
             traces: None,
