--- a/lib/src/pipeline/daemon.rs
+++ b/lib/src/pipeline/daemon.rs
@@ -212,11 +212,12 @@
         }
         VersionVerdict::Same => {}
         VersionVerdict::Older => {
-            log::warn!(version = read.version.0; "the configuration service is stale: its settings tree is older than the current one");
+            // The configuration service is stale.
+            log::warn!(version = read.version.0; "ignored an older settings tree");
         }
         VersionVerdict::Conflict => {
             context.metrics.count_refused_tree();
-            log::error!(version = read.version.0; "refused a settings tree whose version was adopted before with other content");
+            log::error!(version = read.version.0; "refused other content with the current version");
         }
     }
 }
