--- a/lib/tests/test_api.rs
+++ b/lib/tests/test_api.rs
@@ -11,19 +11,19 @@
 };
 
 /// Environment variable that makes the test write the document instead of comparing it.
-const UPDATE: &str = "HAZELYOKE_UPDATE_OPENAPI";
+const UPDATE_VARIABLE: &str = "HAZELYOKE_UPDATE_OPENAPI";
 
 #[test]
 fn current_document() {
     let path = concat!(env!("CARGO_MANIFEST_DIR"), "/../docs/openapi.json");
-    let current = serde_json::to_string_pretty(&server::openapi()).unwrap() + "\n";
-    if std::env::var_os(UPDATE).is_some() {
-        std::fs::write(path, &current).unwrap();
+    let generated = serde_json::to_string_pretty(&server::openapi()).unwrap() + "\n";
+    if std::env::var_os(UPDATE_VARIABLE).is_some() {
+        std::fs::write(path, &generated).unwrap();
     }
     let committed = std::fs::read_to_string(path).unwrap_or_default();
     assert!(
-        committed == current,
-        "docs/openapi.json is outdated; run with {UPDATE}=1"
+        committed == generated,
+        "docs/openapi.json is outdated; run with {UPDATE_VARIABLE}=1"
     );
 }
 
--- a/lib/tests/test_bad_callers.rs
+++ b/lib/tests/test_bad_callers.rs
@@ -15,7 +15,7 @@
     },
 };
 
-const SUMMARY: &str = "/v1/pipelines/summary";
+const SUMMARY_PATH: &str = "/v1/pipelines/summary";
 
 async fn start() -> (Fixture, Daemon, Caller) {
     let fixture = Fixture::start().await;
@@ -30,7 +30,7 @@
     assert_eq!(reply.outcome(), "not_run");
 }
 
-fn runs(fixture: &Fixture) -> usize {
+fn count_runs(fixture: &Fixture) -> usize {
     let servers = fixture.endpoints.values().flatten();
     servers.map(|server| server.endpoint.runs().len()).sum()
 }
@@ -47,11 +47,11 @@
         b"[1] 2",
     ] {
         let reply = caller
-            .post(CallerRequest::new(SUMMARY, "market", body))
+            .post(CallerRequest::new(SUMMARY_PATH, "market", body))
             .await;
         assert_problem(&reply.unwrap(), 400, "bad_request");
     }
-    assert_eq!(runs(&fixture), 0);
+    assert_eq!(count_runs(&fixture), 0);
 }
 
 #[tokio::test]
@@ -59,25 +59,25 @@
     let (fixture, _daemon, caller) = start().await;
     let body = format!("\"{}\"", "x".repeat(300 << 10));
     let reply = caller
-        .post(CallerRequest::new(SUMMARY, "market", body))
+        .post(CallerRequest::new(SUMMARY_PATH, "market", body))
         .await;
     assert_problem(&reply.unwrap(), 413, "body_too_large");
     let body = format!("\"{}\"", "x".repeat(17 << 20));
     // The daemon may close the connection before it has read all of this one.
     if let Ok(reply) = caller
-        .post(CallerRequest::new(SUMMARY, "market", body))
+        .post(CallerRequest::new(SUMMARY_PATH, "market", body))
         .await
     {
         assert_problem(&reply, 413, "body_too_large");
     }
-    assert_eq!(runs(&fixture), 0);
+    assert_eq!(count_runs(&fixture), 0);
 }
 
 #[tokio::test]
 async fn oversized_headers() {
     let (_fixture, _daemon, caller) = start().await;
     let request =
-        CallerRequest::new(SUMMARY, "market", "{}").header("x-junk", "j".repeat(20 << 10));
+        CallerRequest::new(SUMMARY_PATH, "market", "{}").header("x-junk", "j".repeat(20 << 10));
     let reply = caller.post(request).await.unwrap();
     assert_problem(&reply, 431, "headers_too_large");
 }
@@ -94,13 +94,13 @@
         ("idempotency-key", "a b"),
     ];
     for (name, value) in cases {
-        let request = CallerRequest::new(SUMMARY, "market", "{}").header(name, value);
+        let request = CallerRequest::new(SUMMARY_PATH, "market", "{}").header(name, value);
         let reply = caller.post(request).await.unwrap();
         assert_problem(&reply, 400, "bad_request");
         let detail = reply.json()["detail"].to_string();
         assert!(detail.contains(name), "{detail}");
     }
-    assert_eq!(runs(&fixture), 0);
+    assert_eq!(count_runs(&fixture), 0);
 }
 
 #[tokio::test]
@@ -110,7 +110,7 @@
         let request = CallerRequest::new(path, customer, "{}");
         caller.post(request).await.unwrap()
     };
-    assert_problem(&post(SUMMARY, "nobody").await, 403, "unknown_customer");
+    assert_problem(&post(SUMMARY_PATH, "nobody").await, 403, "unknown_customer");
     assert_problem(
         &post("/v1/pipelines/none", "market").await,
         404,
@@ -126,12 +126,12 @@
         400,
         "bad_request",
     );
-    assert_problem(&post(SUMMARY, "mar\u{e9}").await, 400, "bad_request");
-    let mut request = CallerRequest::new(SUMMARY, "market", "{}");
+    assert_problem(&post(SUMMARY_PATH, "mar\u{e9}").await, 400, "bad_request");
+    let mut request = CallerRequest::new(SUMMARY_PATH, "market", "{}");
     request.headers.clear();
     let reply = caller.post(request).await.unwrap();
     assert_problem(&reply, 400, "bad_request");
-    assert_eq!(runs(&fixture), 0);
+    assert_eq!(count_runs(&fixture), 0);
 }
 
 #[tokio::test]
@@ -139,7 +139,7 @@
     let (fixture, _daemon, caller) = start().await;
     let request = CallerRequest::new("/v1/pipelines/checkout", "market", "{}");
     assert_problem(&caller.post(request).await.unwrap(), 400, "key_missing");
-    assert_eq!(runs(&fixture), 0);
+    assert_eq!(count_runs(&fixture), 0);
 }
 
 #[tokio::test]
@@ -148,7 +148,7 @@
     let request = CallerRequest::new("/v1/services/encoder", "market", "{}")
         .header("accept", "text/event-stream");
     assert_problem(&caller.post(request).await.unwrap(), 400, "bad_request");
-    assert_eq!(runs(&fixture), 0);
+    assert_eq!(count_runs(&fixture), 0);
 }
 
 #[tokio::test]
@@ -200,11 +200,11 @@
                 content-length: 100\r\n\r\n{\"half\":";
     socket.write_all(head.as_bytes()).await.unwrap();
     socket.shutdown().await.unwrap();
-    let mut rest = Vec::new();
+    let mut received = Vec::new();
     // The daemon may send a problem or nothing, but no answer.
-    let _ = tokio::time::timeout(Duration::from_secs(10), socket.read_to_end(&mut rest)).await;
-    assert!(!rest.starts_with(b"HTTP/1.1 200"));
-    assert_eq!(runs(&fixture), 0);
+    let _ = tokio::time::timeout(Duration::from_secs(10), socket.read_to_end(&mut received)).await;
+    assert!(!received.starts_with(b"HTTP/1.1 200"));
+    assert_eq!(count_runs(&fixture), 0);
 }
 
 #[tokio::test]
@@ -222,7 +222,7 @@
     let read = tokio::time::timeout(Duration::from_secs(10), read).await;
     read.unwrap().unwrap();
     assert_eq!(&reply, b"HTTP/1.1 408");
-    assert_eq!(runs(&fixture), 0);
+    assert_eq!(count_runs(&fixture), 0);
 }
 
 #[tokio::test]
@@ -231,7 +231,8 @@
     for server in &fixture.endpoints["llm"] {
         server.endpoint.faults.slow_down(50.0);
     }
-    let request = CallerRequest::new(SUMMARY, "market", "{}").header("accept", "text/event-stream");
+    let request =
+        CallerRequest::new(SUMMARY_PATH, "market", "{}").header("accept", "text/event-stream");
     let response = caller.open(request).await.unwrap();
     assert_eq!(daemon.node().in_flight(), 1);
     drop(response);
--- a/lib/tests/test_bad_endpoints.rs
+++ b/lib/tests/test_bad_endpoints.rs
@@ -39,13 +39,13 @@
     caller.post(request).await.unwrap()
 }
 
-fn payments(fixture: &Fixture) -> Vec<Run> {
+fn payment_runs(fixture: &Fixture) -> Vec<Run> {
     let servers = fixture.endpoints["pay"].iter();
     servers.flat_map(|server| server.endpoint.runs()).collect()
 }
 
 /// Checks that the second endpoint of a service answers if the first damages every reply, for each kind of damage.
-async fn assert_taken_over(service: &str) {
+async fn assert_second_answers(service: &str) {
     for damage in DAMAGES {
         let fixture = Fixture::start().await;
         let (_daemon, caller) = fixture.daemon().await;
@@ -61,12 +61,12 @@
 
 #[tokio::test]
 async fn damaged_plain_replies() {
-    assert_taken_over("encoder").await;
+    assert_second_answers("encoder").await;
 }
 
 #[tokio::test]
 async fn damaged_streams() {
-    assert_taken_over("llm").await;
+    assert_second_answers("llm").await;
 }
 
 #[tokio::test]
@@ -140,14 +140,14 @@
     }
     let reply = checkout(&caller, "sale-1").await;
     assert_eq!(reply.outcome(), "unknown");
-    assert_eq!(payments(&fixture).len(), 1);
+    assert_eq!(payment_runs(&fixture).len(), 1);
     for server in &fixture.endpoints["pay"] {
         server.endpoint.faults.damage(Damage::Nothing, 0.0);
     }
     // The endpoint recognises the idempotency key, so the retry gets the first answer and doesn't run.
     let reply = checkout(&caller, "sale-1").await;
     assert_eq!(reply.status, 200);
-    assert_eq!(payments(&fixture).len(), 1);
+    assert_eq!(payment_runs(&fixture).len(), 1);
 }
 
 #[tokio::test]
@@ -162,7 +162,7 @@
         let reply = checkout(&caller, &format!("sale-{i}")).await;
         assert_eq!(reply.status, 200, "{:?}", reply.body);
     }
-    assert_eq!(payments(&fixture).len(), 6);
+    assert_eq!(payment_runs(&fixture).len(), 6);
 }
 
 #[tokio::test]
--- a/lib/tests/test_reply_head.rs
+++ b/lib/tests/test_reply_head.rs
@@ -32,7 +32,7 @@
 }
 
 /// Returns the values of the id headers, in the order of their names.
-fn values() -> [String; 3] {
+fn id_values() -> [String; 3] {
     let ids = ids();
     [
         ids.request.to_string(),
@@ -57,7 +57,7 @@
 
 #[test]
 fn statuses() {
-    let values = values().map(Some);
+    let values = id_values().map(Some);
     for status in 100..600 {
         let ends = [
             (None, AttemptEnd::Failed(FailCause::ServerError)),
@@ -81,7 +81,7 @@
         for not_run in [None, Some("leaving"), Some("busy")] {
             for position in 0..ID_HEADERS.len() {
                 for value in [None, Some("other".to_owned()), Some(String::new())] {
-                    let mut values = values().map(Some);
+                    let mut values = id_values().map(Some);
                     values[position] = value;
                     let checked = check_head(&ids(), &head(status, &values, not_run));
                     assert_eq!(checked, wrong, "{status} {not_run:?} {values:?}");
--- a/lib/tests/test_traces.rs
+++ b/lib/tests/test_traces.rs
@@ -22,20 +22,20 @@
     },
 };
 
-const TRACE: &str = "0af7651916cd43dd8448eb211c80319c";
-const PARENT: &str = "00-0af7651916cd43dd8448eb211c80319c-b7ad6b7169203331-01";
+const TRACE_ID: &str = "0af7651916cd43dd8448eb211c80319c";
+const PARENT_HEADER: &str = "00-0af7651916cd43dd8448eb211c80319c-b7ad6b7169203331-01";
 
 #[tokio::test]
 async fn span_tree() {
     let fixture = Fixture::start().await;
     let collector = Collector::start().await.unwrap();
     let (_daemon, caller) = fixture.traced_daemon(collector.address()).await;
-    let request =
-        CallerRequest::new("/v1/pipelines/summary", "market", "{}").header("traceparent", PARENT);
+    let request = CallerRequest::new("/v1/pipelines/summary", "market", "{}")
+        .header("traceparent", PARENT_HEADER);
     assert_eq!(caller.post(request).await.unwrap().status, 200);
     wait_for("seven spans", async || collector.spans().len() >= 7).await;
     let spans = collector.spans();
-    assert!(spans.iter().all(|span| span.trace == TRACE));
+    assert!(spans.iter().all(|span| span.trace == TRACE_ID));
     let receive = spans.iter().find(|span| span.name == "receive").unwrap();
     assert_eq!(receive.parent, "b7ad6b7169203331");
     let count = |name: &str| spans.iter().filter(|span| span.name == name).count();
@@ -68,9 +68,9 @@
         (Some("text/html"), "<p>Welcome</p>"),
         (Some("application/json"), "[]"),
     ];
-    for (kind, body) in answers {
-        let server = answering(kind, body).await;
-        let traced = Traced::start(server.address()).await;
+    for (content_type, body) in answers {
+        let server = fixed_server(content_type, body).await;
+        let traced = TracedDaemon::start(server.address()).await;
         let tracing = traced.daemon.node().tracing();
         wait_for("dropped spans", async || tracing.dropped() >= 4).await;
         assert_eq!(tracing.dropped(), 4, "{body}");
@@ -84,8 +84,8 @@
     for refused in ["1", r#""1""#] {
         let body =
             format!(r#"{{"partialSuccess":{{"rejectedSpans":{refused},"errorMessage":"full"}}}}"#);
-        let server = answering(Some("application/json"), &body).await;
-        let traced = Traced::start(server.address()).await;
+        let server = fixed_server(Some("application/json"), &body).await;
+        let traced = TracedDaemon::start(server.address()).await;
         let tracing = traced.daemon.node().tracing();
         wait_for("a refused span", async || tracing.dropped() >= 1).await;
     }
@@ -96,20 +96,20 @@
 async fn taken_spans() {
     for body in ["{}", r#"{"partialSuccess":{}}"#, ""] {
         let served = Arc::new(AtomicUsize::new(0));
-        let server = counting(served.clone(), Some("application/json"), body).await;
-        let traced = Traced::start(server.address()).await;
+        let server = counting_server(served.clone(), Some("application/json"), body).await;
+        let traced = TracedDaemon::start(server.address()).await;
         wait_for("an export", async || served.load(Ordering::Relaxed) >= 1).await;
         assert_eq!(traced.daemon.node().tracing().dropped(), 0, "{body}");
     }
 }
 
 /// A daemon that has answered one request, which has four spans.
-struct Traced {
+struct TracedDaemon {
     daemon: Daemon,
     _fixture: Fixture,
 }
 
-impl Traced {
+impl TracedDaemon {
     async fn start(collector: SocketAddr) -> Self {
         let fixture = Fixture::start().await;
         let (daemon, caller) = fixture.traced_daemon(collector).await;
@@ -123,19 +123,23 @@
 }
 
 /// Starts a server that sends the same response to each request.
-async fn answering(kind: Option<&'static str>, body: &str) -> Server {
-    counting(Arc::default(), kind, body).await
+async fn fixed_server(content_type: Option<&'static str>, body: &str) -> Server {
+    counting_server(Arc::default(), content_type, body).await
 }
 
 /// Starts a server that sends the same response to each request, and counts the requests in `served`.
-async fn counting(served: Arc<AtomicUsize>, kind: Option<&'static str>, body: &str) -> Server {
+async fn counting_server(
+    served: Arc<AtomicUsize>,
+    content_type: Option<&'static str>,
+    body: &str,
+) -> Server {
     let body = body.to_owned();
     let answer = move |_request| {
         served.fetch_add(1, Ordering::Relaxed);
         let mut response = Response::new(whole_body(body.clone()));
-        if let Some(kind) = kind {
-            let kind = HeaderValue::from_static(kind);
-            response.headers_mut().insert(CONTENT_TYPE, kind);
+        if let Some(content_type) = content_type {
+            let content_type = HeaderValue::from_static(content_type);
+            response.headers_mut().insert(CONTENT_TYPE, content_type);
         }
         async move { Some(response) }
     };
--- a/lib/tests/test_whole_path.rs
+++ b/lib/tests/test_whole_path.rs
@@ -11,10 +11,14 @@
     },
 };
 
-const SUMMARY: &str = "/v1/pipelines/summary";
+const SUMMARY_PATH: &str = "/v1/pipelines/summary";
 
 fn summary(body: &str) -> CallerRequest {
-    CallerRequest::new(SUMMARY, "market", Bytes::copy_from_slice(body.as_bytes()))
+    CallerRequest::new(
+        SUMMARY_PATH,
+        "market",
+        Bytes::copy_from_slice(body.as_bytes()),
+    )
 }
 
 #[tokio::test]
