--- a/lib/src/pipeline/daemon.rs
+++ b/lib/src/pipeline/daemon.rs
@@ -186,7 +186,7 @@
                 if matches!(error, ConfigError::Invalid(_)) {
                     context.metrics.count_refused_tree();
                 }
-                log::warn!(error:%; "can't read a new settings tree");
+                log::warn!(error:%; "can't adopt a new settings tree");
             }
         }
     }
