--- a/lib/src/gateway/serving/endpoint_metrics.rs
+++ b/lib/src/gateway/serving/endpoint_metrics.rs
@@ -1,4 +1,4 @@
-//! Counters of endpoints that ended, and of the requests that are refused for it.
+//! Metrics about endpoints: failed connections, terminated endpoints, quarantined requests, rate limits, signals.
 
 use {
     crate::gateway::serving::labels::KindLabels,
@@ -8,15 +8,15 @@
     },
 };
 
-/// Values of the label `kind` of connections that didn't come up.
+/// Values of the label `kind` of failed connections: refused by the endpoint's host, or failed in any other way.
 const REFUSED: &str = "refused";
 const SILENT: &str = "silent";
 
-/// Values of the label `kind` of what endpoints say of the service that they will give.
+/// Values of the label `kind` of endpoint signals: the endpoint is leaving, or asked for a cooldown.
 const LEAVING: &str = "leaving";
 const RESTING: &str = "resting";
 
-/// Counters of endpoints that ended.
+/// Metrics about endpoints.
 #[derive(Debug, Default)]
 pub(crate) struct EndpointMetrics {
     ended: Counter,
@@ -27,7 +27,7 @@
 }
 
 impl EndpointMetrics {
-    /// Adds the counters to a registry.
+    /// Registers the metrics.
     pub(crate) fn register(&self, registry: &mut Registry) {
         registry.register(
             "endpoints_ended",
@@ -56,39 +56,39 @@
         );
     }
 
-    /// Counts an attempt that broke off because its endpoint ended.
+    /// Counts an attempt that failed because its endpoint terminated.
     pub(crate) fn ended(&self) {
         self.ended.inc();
     }
 
-    /// Counts a connection to an endpoint that didn't come up; `refused` if the endpoint refused it.
+    /// Counts a failed connection to an endpoint; `refused` tells whether the connection was refused.
     pub(crate) fn connect_failed(&self, refused: bool) {
         self.connect_counter(refused).inc();
     }
 
-    /// Returns how many connections endpoints refused.
+    /// Returns the number of refused connections.
     pub(crate) fn refused_connects(&self) -> u64 {
         self.connect_counter(true).get()
     }
 
-    /// Records how many requests are refused because endpoints ended under them.
+    /// Sets the number of quarantined requests, which are refused because endpoints terminated while running them.
     pub(crate) fn quarantined(&self, requests: usize) {
         self.quarantined.set(requests as i64);
     }
 
-    /// Records how many endpoints name the rate that they take.
+    /// Sets the number of endpoints that advertise a rate limit.
     pub(crate) fn limited(&self, endpoints: usize) {
         self.limited.set(endpoints as i64);
     }
 
-    /// Counts an endpoint that said that it leaves.
+    /// Counts an endpoint that signalled that it is leaving.
     pub(crate) fn leaving(&self) {
         self.notices
             .get_or_create(&KindLabels { kind: LEAVING })
             .inc();
     }
 
-    /// Counts an endpoint that asked for rest.
+    /// Counts an endpoint that asked for a cooldown.
     pub(crate) fn resting(&self) {
         self.notices
             .get_or_create(&KindLabels { kind: RESTING })
--- a/lib/src/gateway/serving/ingress.rs
+++ b/lib/src/gateway/serving/ingress.rs
@@ -1,8 +1,8 @@
-//! Accepts callers' connections, and passes their requests on to routing.
+//! Accepts callers' connections and passes their requests to routing.
 //!
-//! Owns each connection and its limits, which it reads from the table when the connection begins. Where
-//! no further connection can be accepted, for example for lack of descriptors, those that are open
-//! close as soon as they have no request: a caller that keeps one must not keep others out.
+//! Each connection takes its limits from the table that is in force when it is accepted. If a connection can't be
+//! accepted, for example because the process is out of file descriptors, all open connections close as soon as they
+//! have no request, so that idle connections don't keep other callers out.
 
 use {
     crate::gateway::{
@@ -22,30 +22,30 @@
     },
 };
 
-/// Longest time until a head has arrived while there is no table.
+/// Maximum time until the head of a request has arrived, used while there is no table.
 const HEAD_TIME: Duration = Duration::from_secs(15);
 
-/// Largest head while there is no table, in bytes.
+/// Maximum size of a request's head in bytes, used while there is no table.
 const HEAD_SIZE: usize = 16 * 1024;
 
-/// Smallest buffer of a connection, in bytes: `hyper` panics below it.
+/// Minimum size of a connection's buffer, in bytes. `hyper` panics below it.
 const LEAST_BUFFER: usize = 8 * 1024;
 
-/// State of the listener for callers, as its connections have to know it.
+/// State of the listener for callers; its connections watch it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ListenerState {
-    /// Connections are accepted and kept.
+    /// Connections are accepted and kept open between requests.
     Open,
-    /// No connection is accepted; idle ones are closed.
+    /// No connection is accepted, and idle ones are closed.
     Closing,
 }
 
-/// Limits of one connection.
+/// Limits of one connection of a caller.
 #[derive(Debug, Clone, Copy)]
 struct ConnectionLimits {
-    /// Longest time until a head has arrived, the idle time before it included.
+    /// Maximum time until the head of the next request has arrived, including the idle time before it.
     head_time: Duration,
-    /// Size of the buffer, in bytes; it bounds the size of a head.
+    /// Size of the connection's buffer in bytes, which limits the size of a head.
     buffer: usize,
 }
 
@@ -62,7 +62,7 @@
     }
 }
 
-/// Accepts callers until the listener closes.
+/// Accepts callers' connections until the listener closes.
 pub async fn serve<D: Dialect>(
     gateway: Rc<Gateway<D>>,
     listener: TcpListener,
@@ -82,11 +82,10 @@
     }
 }
 
-/// Waits until a connection has to close once it has no request: the listener closes, or connections
-/// can't be accepted.
+/// Waits until idle connections have to close: the listener is closing, or a connection couldn't be accepted.
 async fn wait_closing(mut admission: watch::Receiver<ListenerState>, full: Rc<Notify>) {
     tokio::select! {
-        // It fails only when the sender is dropped, which lives as long as the daemon.
+        // Fails only if the sender is dropped, which lives as long as the daemon.
         _ = admission.wait_for(|state| *state == ListenerState::Closing) => {}
         () = full.notified() => {}
     }
@@ -97,7 +96,7 @@
     stream: TcpStream,
     closing: impl Future<Output = ()>,
 ) {
-    // The option only shortens latency; a stream without it works.
+    // The option only reduces latency; the stream works without it.
     let _ = stream.set_nodelay(true);
     let limits = gateway
         .published()
@@ -110,8 +109,8 @@
         .max_buf_size(limits.buffer)
         .serve_connection(TokioIo::new(stream), service);
     let mut connection = std::pin::pin!(connection);
-    // A connection ends with an error when the caller leaves or sends no HTTP; the request that it
-    // concerned has been counted where it was handled.
+    // A connection fails if the caller leaves or doesn't send valid HTTP. A request that was affected has been counted
+    // where it was handled.
     tokio::select! {
         _ = connection.as_mut() => return,
         () = closing => {}
--- a/lib/src/gateway/serving/labels.rs
+++ b/lib/src/gateway/serving/labels.rs
@@ -1,8 +1,8 @@
-//! Labels that several groups of metrics share.
+//! Metric labels that several modules use.
 
 use prometheus_client::encoding::EncodeLabelSet;
 
-/// Labels of something that is counted by its kind.
+/// Label set of a metric that is counted by `kind`.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub(crate) struct KindLabels {
     pub(crate) kind: &'static str,
--- a/lib/src/gateway/serving/metrics.rs
+++ b/lib/src/gateway/serving/metrics.rs
@@ -1,8 +1,7 @@
 //! Counters and latency histograms of a forwarding daemon.
 //!
-//! Owns the registry. The names of metrics and the values of labels are read by dashboards
-//! (`docs/OPERATIONS.md`), so they stay also where the code uses another word: a retry is a
-//! `repeat` there.
+//! Dashboards use the names of metrics and the values of labels (see `docs/OPERATIONS.md`), so these stay as they are
+//! even if the code uses another word. For example, retries are `repeats` there.
 
 use {
     crate::{
@@ -29,13 +28,13 @@
     std::{cell::RefCell, collections::BTreeMap, fmt, time::Duration},
 };
 
-/// Labels of a request's end.
+/// Label set of completed requests; `end` is how the request ended.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 struct EndLabels {
     end: &'static str,
 }
 
-/// All reasons of retries.
+/// All reasons for retries.
 const RETRY_REASONS: [RetryReason; 3] = [
     RetryReason::NotRun,
     RetryReason::Failed,
@@ -51,7 +50,7 @@
     }
 }
 
-/// Values of the label `end` beside the codes of problems.
+/// Values of the label `end` other than problem codes: answered by an endpoint, left by the caller, answer interrupted.
 const ANSWERED: &str = "answered";
 const CALLER_LEFT: &str = "caller_left";
 const BROKEN_OFF: &str = "broken_off";
@@ -60,7 +59,7 @@
 const FIRST: &str = "first";
 const REPEATED: &str = "repeated";
 
-/// Where a table's bytes come from.
+/// Source that bytes of a table were received from.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TableSource {
     /// The directory.
@@ -70,7 +69,7 @@
 }
 
 impl TableSource {
-    /// Returns the value of the label `kind` of a table's bytes.
+    /// Returns the value of the label `kind` of received table bytes.
     fn label(self) -> &'static str {
         match self {
             Self::Directory => "directory",
@@ -79,7 +78,7 @@
     }
 }
 
-/// Counters and histograms of a daemon.
+/// Metrics of a forwarding daemon.
 pub struct GatewayMetrics {
     registry: Registry,
     ends: Family<EndLabels, Counter>,
@@ -92,7 +91,7 @@
     entries_refused: Counter,
     evacuations: Gauge,
     elsewhere: Counter,
-    /// What endpoints did that ended.
+    /// Metrics about endpoints.
     pub(crate) endpoints: EndpointMetrics,
     pieces: Family<KindLabels, Counter>,
     calls: Counter,
@@ -109,7 +108,7 @@
     }
 }
 
-/// Bounds of the latency histograms: 13 buckets from 5 ms, each twice the one before, up to 20.48 s.
+/// Buckets of the latency histograms: 13 upper bounds from 5 ms to 20.48 s, each twice the previous one.
 const FIRST_BUCKET_S: f64 = 0.005;
 const BUCKET_FACTOR: f64 = 2.0;
 const BUCKETS: u16 = 13;
@@ -216,23 +215,23 @@
         self
     }
 
-    /// Counts an answer that came from an endpoint.
+    /// Counts an answer that came from an endpoint, and observes the time until its end.
     pub fn answered(&self, took: Duration) {
         self.count_end(ANSWERED);
         self.duration.observe(took.as_secs_f64());
     }
 
-    /// Counts a caller that left before its answer.
+    /// Counts a request whose caller left before the answer.
     pub fn caller_left(&self) {
         self.count_end(CALLER_LEFT);
     }
 
-    /// Counts an answer broken off midway.
+    /// Counts an answer that was interrupted before its end.
     pub fn broken_off(&self) {
         self.count_end(BROKEN_OFF);
     }
 
-    /// Counts a problem that a caller got as its answer.
+    /// Counts a problem that was sent to a caller as the answer.
     pub fn problem(&self, code: Code, outcome: Outcome) {
         self.count_end(code.as_str());
         *self
@@ -242,7 +241,7 @@
             .or_default() += 1;
     }
 
-    /// Counts an attempt that is sent.
+    /// Counts a request that is sent to an endpoint.
     pub fn attempt(&self) {
         self.attempts.inc();
     }
@@ -252,7 +251,7 @@
         self.ends.get_or_create(&EndLabels { end: ANSWERED }).get()
     }
 
-    /// Returns the number of attempts.
+    /// Returns the number of requests that were sent to endpoints.
     pub fn attempts(&self) -> u64 {
         self.attempts.get()
     }
@@ -263,7 +262,7 @@
         RETRY_REASONS.into_iter().map(count).sum()
     }
 
-    /// Returns the problems that callers got, by code and outcome.
+    /// Returns the number of problems sent to callers, by code and outcome.
     pub fn problems(&self) -> Vec<ProblemCount> {
         let problems = self.problems.borrow();
         let count = |((code, outcome), count): (&(Code, Outcome), &u64)| ProblemCount {
@@ -278,17 +277,17 @@
         self.ends.get_or_create(&EndLabels { end }).inc();
     }
 
-    /// Observes the time to the head of an answer.
+    /// Observes the time until the head of an answer arrived.
     pub fn head(&self, took: Duration) {
         self.first_event.observe(took.as_secs_f64());
     }
 
-    /// Observes the time of one stage.
+    /// Observes the duration of one stage of a request.
     pub fn stage(&self, took: Duration) {
         self.stage.observe(took.as_secs_f64());
     }
 
-    /// Counts a call, and its pieces that are sent for the first time and again.
+    /// Counts a call and its pieces: those sent for the first time, and those sent again.
     pub fn call(&self, firsts: usize, repeated: usize) {
         self.calls.inc();
         let kind = |kind| self.pieces.get_or_create(&KindLabels { kind }).clone();
@@ -311,17 +310,17 @@
         self.tables_refused.inc();
     }
 
-    /// Records the version of the table in force.
+    /// Sets the version of the table in force.
     pub fn table_adopted(&self, version: Version) {
         self.table_version.set(version as i64);
     }
 
-    /// Counts bytes of a table that were received.
+    /// Counts received bytes of a table.
     pub fn table_bytes(&self, source: TableSource, bytes: usize) {
         self.table_counter(source).inc_by(bytes as u64);
     }
 
-    /// Returns the bytes of tables that were received from a source.
+    /// Returns the number of table bytes that were received from a source.
     pub fn received_table_bytes(&self, source: TableSource) -> u64 {
         self.table_counter(source).get()
     }
@@ -331,7 +330,7 @@
         self.table_bytes.get_or_create(&KindLabels { kind }).clone()
     }
 
-    /// Counts a fetch of a table from another daemon that failed.
+    /// Counts a failed fetch of a table from another daemon.
     pub fn table_fetch_failed(&self) {
         self.fetch_failures.inc();
     }
@@ -341,12 +340,12 @@
         self.directory_failures.inc();
     }
 
-    /// Counts an endpoint's entry that can't be read.
+    /// Counts an endpoint's entry that was refused because it is invalid.
     pub fn entry_refused(&self) {
         self.entries_refused.inc();
     }
 
-    /// Records how many data centres are evacuated.
+    /// Sets the number of evacuated data centres.
     pub fn evacuated(&self, data_centres: usize) {
         self.evacuations.set(data_centres as i64);
     }
@@ -356,12 +355,12 @@
         self.elsewhere.inc();
     }
 
-    /// Returns how many connections endpoints refused.
+    /// Returns the number of connections that endpoints refused.
     pub fn refused_connects(&self) -> u64 {
         self.endpoints.refused_connects()
     }
 
-    /// Writes everything in the text format of Prometheus.
+    /// Returns all metrics in the text format of Prometheus.
     pub fn text(&self) -> String {
         let mut text = String::new();
         encode(&mut text, &self.registry).expect("writing into a string doesn't fail");
--- a/lib/src/gateway/serving/mod.rs
+++ b/lib/src/gateway/serving/mod.rs
@@ -1,4 +1,4 @@
-//! Starts and stops the forwarding daemon, and its listeners, settings and metrics.
+//! Start and stop of the forwarding daemon, and its listeners, settings, metrics and status report.
 
 pub(crate) mod endpoint_metrics;
 pub mod ingress;
--- a/lib/src/gateway/serving/operator.rs
+++ b/lib/src/gateway/serving/operator.rs
@@ -1,7 +1,6 @@
-//! Interfaces for operators: readiness, metrics and state, read-only.
+//! Read-only HTTP interface for operators: readiness, metrics and status.
 //!
-//! Each of the addresses for readiness, operators and metrics serves all three. Relies on
-//! `GatewayStatus` and on the daemon's metrics; owns nothing.
+//! The addresses for readiness, operators and metrics each serve all three paths.
 
 use {
     crate::gateway::{
@@ -18,21 +17,21 @@
     tokio::net::{TcpListener, TcpStream},
 };
 
-/// Longest time for a head to arrive.
+/// Maximum time until the head of a request has arrived.
 const HEAD_TIME: Duration = Duration::from_secs(10);
 
 /// Path of the metrics.
 const METRICS_PATH: &str = "/metrics";
 
-/// Path of the daemon's state.
+/// Path of the daemon's status.
 const STATUS_PATH: &str = "/v1/status";
 
-/// Kinds of bodies.
+/// Content types of replies: readiness and errors, metrics in the text format of Prometheus, and status.
 const TEXT: &str = "text/plain";
 const METRICS: &str = "text/plain; version=0.0.4";
 const JSON: &str = "application/json";
 
-/// Serves readiness, metrics and state on one address for good.
+/// Serves readiness, metrics and status on one address until the task is aborted.
 pub async fn serve<D: Dialect>(gateway: Rc<Gateway<D>>, listener: TcpListener) {
     accept_each(listener, "operator.accept_failed", |stream, _| {
         tokio::task::spawn_local(serve_connection(gateway.clone(), stream));
@@ -45,7 +44,7 @@
         let response = answer(&gateway, &request);
         async move { Ok::<_, Infallible>(response) }
     });
-    // A client that left or sent no HTTP needs no answer, and no request of a caller depends on it.
+    // A connection fails if the client leaves or doesn't send valid HTTP. No caller's request depends on it.
     let _ = http1::Builder::new()
         .timer(TokioTimer::new())
         .header_read_timeout(HEAD_TIME)
--- a/lib/src/gateway/serving/reload.rs
+++ b/lib/src/gateway/serving/reload.rs
@@ -1,44 +1,44 @@
-//! Which changes of the settings take effect while the daemon runs?
+//! Determines which changed settings take effect while the daemon runs.
 //!
-//! Owns nothing: compares the settings in force with those that were read again, and returns the
-//! settings to go on with. Fields that a running process can't change (its name, its data centre, the
-//! addresses that it has bound, the capacity that others were told) keep their value until a restart.
+//! Compares the settings in force with those that were read again, and returns the settings to use from then on.
+//! Fields that can't change in a running process keep their value until a restart: host name, data centre, bound
+//! addresses, and the capacity that was reported to other daemons.
 
 use {
     crate::gateway::serving::settings::GatewaySettings,
     std::{fmt, net::SocketAddr},
 };
 
-/// A field of the settings, as reports of a reload name it.
+/// A field of the settings. Log entries about a reload contain its display form.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SettingField {
-    /// Name of the host.
+    /// Name of the host that the daemon runs on.
     Host,
-    /// Data centre of the host.
+    /// Data centre that the host is in.
     DataCentre,
-    /// Regions of the data centres.
+    /// Region of each data centre.
     Regions,
     /// Address for callers.
     Listen,
-    /// Address on which readiness is asked.
+    /// Address for readiness checks.
     Ready,
     /// Address for operators.
     Operator,
-    /// Second address for operators.
+    /// Additional address for metrics.
     Metrics,
     /// Address for other daemons.
     Peer,
     /// Processing capacity.
     Capacity,
-    /// Daemons that are contacted first.
+    /// Addresses of the daemons that this one contacts first.
     Seeds,
     /// Grace period of a stop.
     Grace,
-    /// Budget of retries.
+    /// Retry budget.
     Budget,
-    /// Times that the installation promises or allows.
+    /// Times and rates that the installation guarantees or allows.
     Bounds,
-    /// Bandwidth of the host's link.
+    /// Bandwidth of the host's network link.
     Link,
 }
 
@@ -63,7 +63,7 @@
     }
 }
 
-/// Fields of the settings, written with commas between them.
+/// Fields of the settings; displayed with commas between them.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct SettingFields(pub Vec<SettingField>);
 
@@ -77,14 +77,14 @@
     }
 }
 
-/// What a reload changes.
+/// Result of reading the settings again.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Reload {
-    /// The settings to go on with.
+    /// Settings to use from now on.
     pub settings: GatewaySettings,
     /// Fields with a new value that takes effect.
     pub applied: SettingFields,
-    /// Fields with a new value that takes effect at a restart only.
+    /// Fields with a new value that takes effect only after a restart.
     pub refused: SettingFields,
 }
 
@@ -131,7 +131,7 @@
     }
 }
 
-/// Returns whether an address differs from the bound one; port 0 leaves the port to the system.
+/// Returns whether an address differs from the bound one. Port 0 matches any port, since it lets the system choose one.
 fn is_moved(bound: SocketAddr, read: SocketAddr) -> bool {
     bound.ip() != read.ip() || (read.port() != 0 && bound.port() != read.port())
 }
--- a/lib/src/gateway/serving/server.rs
+++ b/lib/src/gateway/serving/server.rs
@@ -1,7 +1,7 @@
-//! Starts a forwarding daemon from its settings, and stops it without cutting requests.
+//! Starts a forwarding daemon from its settings, and stops it without interrupting requests.
 //!
-//! Owns the daemon's tasks, which end with it. The sockets come from
-//! [`sockets`](super::sockets), the times of a stop from the rule
+//! The server owns the daemon's tasks and aborts them when it is dropped. The sockets come from
+//! [`sockets`](super::sockets), the schedule of a stop from the rule
 //! [`shutdown`](crate::gateway::rules::shutdown).
 
 use {
@@ -33,14 +33,15 @@
     },
 };
 
-/// Time between two checks of what is still in flight, and for the last answers to leave.
+/// Interval of the checks for requests in flight during a stop; also the time to send answers that are already written
+/// when no request is left.
 const CHECK: Duration = Duration::from_millis(20);
 
-/// Time for the answers to requests that are ended with the stop: a part of what the schedule of a stop leaves before
-/// the end of the grace period.
+/// Time to send the answers to requests that are cancelled when a stop's schedule expires. It is less than the time
+/// that the schedule leaves before the end of the grace period.
 const LAST_ANSWERS: Duration = Duration::from_millis(100);
 
-/// A running forwarding daemon. It lives on one thread, in a `LocalSet`.
+/// A running forwarding daemon. It runs on one thread, in a `LocalSet`.
 #[derive(Debug)]
 pub struct Server<D: Dialect> {
     gateway: Rc<Gateway<D>>,
@@ -61,17 +62,17 @@
 }
 
 impl<D: Dialect> Server<D> {
-    /// Starts to listen and to follow the directory.
+    /// Binds the addresses of the settings, then starts to follow the directory and to serve.
     ///
     /// # Errors
     ///
-    /// Returns an error when an address can't be had.
+    /// Returns an error if an address can't be bound.
     pub async fn start(
         mut settings: GatewaySettings,
         directory: impl Directory,
     ) -> Result<Self, BindError> {
         let sockets = Sockets::bind(&settings).await?;
-        // Other daemons need the port that the system chose, where the settings leave it open.
+        // If the settings leave the port open, other daemons need the port that the system chose.
         settings.peer = sockets.peer;
         settings.peer = settings.reached_at();
         let gateway: Rc<Gateway<D>> = Gateway::new(settings);
@@ -148,35 +149,37 @@
         self.tasks.push(task.abort_handle());
     }
 
-    /// Returns the daemon's state, for reports and tests.
+    /// Returns the state that the daemon's tasks share.
     pub fn gateway(&self) -> &Rc<Gateway<D>> {
         &self.gateway
     }
 
-    /// Returns the address that callers use.
+    /// Returns the address for callers.
     pub fn listen(&self) -> SocketAddr {
         self.listen
     }
 
-    /// Returns the address on which readiness is asked.
+    /// Returns the address for readiness checks.
     pub fn ready(&self) -> SocketAddr {
         self.ready
     }
 
-    /// Returns the address on which this daemon listens to other daemons; they may know it by another
-    /// one, that of its settings.
+    /// Returns the address on which this daemon listens to other daemons. They may use a different one, see
+    /// [`GatewaySettings::advertised`].
     pub fn peer(&self) -> SocketAddr {
         self.peer
     }
 
-    /// Returns the address for operators.
+    /// Returns the address for operators, if the settings have one.
     pub fn operator(&self) -> Option<SocketAddr> {
         self.operator
     }
 
-    /// Stops without cutting a request: not ready at once, callers still accepted until the balancer
-    /// has noticed, then what is in flight ends. What doesn't in time is answered as not run where that is
-    /// proven, else as unknown. The times are the rule
+    /// Stops without interrupting requests.
+    ///
+    /// The daemon reports itself as not ready at once, but accepts callers until the load balancer has noticed. Then
+    /// it waits for the requests in flight. Those that don't complete in time are answered as not run if that is
+    /// proven, and as unknown otherwise. The times come from the rule
     /// [`shutdown`](crate::gateway::rules::shutdown).
     pub async fn stop(self) {
         let begun = Instant::now();
@@ -192,7 +195,7 @@
         let in_flight = self.gateway.in_flight.get();
         let last_answers = if in_flight > 0 { LAST_ANSWERS } else { CHECK };
         self.gateway.stop_expired.notify_waiters();
-        // Answers that were just written get a moment to leave.
+        // Leaves time to send answers that were just written.
         tokio::time::sleep(last_answers).await;
         log::info!(in_flight; "daemon.stopped");
     }
--- a/lib/src/gateway/serving/settings.rs
+++ b/lib/src/gateway/serving/settings.rs
@@ -1,8 +1,8 @@
-//! Checked settings of a forwarding daemon. [`reload`](super::reload) says which of them change while it
+//! Validated settings of a forwarding daemon. [`reload`](super::reload) determines which of them can change while it
 //! runs.
 //!
-//! The installation's own file is read elsewhere; times that follow from the settings are computed by
-//! the rules.
+//! The adapter of the installation reads and checks the settings file. Times that are derived from the settings are
+//! computed by the rules.
 
 use {
     crate::{
@@ -18,49 +18,49 @@
     std::{net::SocketAddr, time::Duration},
 };
 
-/// Times that the installation promises or allows.
+/// Times and rates that the installation guarantees or allows.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Bounds {
-    /// Within this after its publication, a table is in force everywhere.
+    /// Maximum time from the publication of a table until it is in force on all daemons.
     pub apply: Millis,
-    /// Within this after an endpoint announced that it is leaving, it gets nothing new.
+    /// Maximum time from an endpoint's announcement that it is leaving until no daemon sends it new requests.
     pub drain: Millis,
-    /// Time between two writes of an endpoint's entry.
+    /// Interval at which an endpoint writes its entry in the directory.
     pub endpoint_heartbeat: Millis,
-    /// What a cold endpoint bears.
+    /// Number of requests that a cold endpoint can handle.
     pub cold: ColdBounds,
 }
 
-/// What a cold endpoint bears from all daemons together, beside the rate that its service states.
+/// Number of requests that a cold endpoint can handle from all daemons together within one second, relative to the rate
+/// of its service for cold endpoints.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ColdBounds {
-    /// Requests within one second, as a multiple of the rate.
+    /// Requests within one second, as a multiple of that rate.
     pub overage: f64,
-    /// Requests within one second beside those.
+    /// Requests within one second in addition to those.
     pub slack: f64,
 }
 
 impl ColdBounds {
-    /// Returns the requests that a cold endpoint of a stated rate bears within one second.
+    /// Returns the number of requests that a cold endpoint can handle within one second, if `rate` is the rate of its
+    /// service for cold endpoints.
     pub fn bearable(self, rate: Rate) -> f64 {
         rate.0 * self.overage + self.slack
     }
 }
 
 impl Bounds {
-    /// Returns the time for which one call waits for changes of the directory; see
-    /// [`directory_reads`].
+    /// Returns the time for which one call to the directory waits for changes; see [`directory_reads`].
     pub fn directory_wait(&self) -> Duration {
         directory_reads::call_wait(self.apply, self.drain)
     }
 
-    /// Returns the time for which a suspect endpoint is used; see
-    /// [`unconfirmed_entry`].
+    /// Returns the time for which an endpoint with an unconfirmed entry is still used; see [`unconfirmed_entry`].
     pub fn unconfirmed_time(&self) -> Millis {
         unconfirmed_entry::unconfirmed_time(self.endpoint_heartbeat, self.drain)
     }
 
-    /// Returns the time after which an entry that nobody writes any more has lapsed for certain; see
+    /// Returns the time after which an entry that is no longer written has certainly expired; see
     /// [`unconfirmed_entry`].
     pub fn lapse_time(&self) -> Millis {
         unconfirmed_entry::lapse_time(self.endpoint_heartbeat)
@@ -68,44 +68,44 @@
 }
 
 impl GatewaySettings {
-    /// Returns the address at which other daemons reach this one.
+    /// Returns the address that other daemons use to reach this one.
     pub fn reached_at(&self) -> SocketAddr {
         self.advertised.unwrap_or(self.peer)
     }
 }
 
-/// Checked settings of a forwarding daemon.
+/// Validated settings of a forwarding daemon.
 #[derive(Debug, Clone, PartialEq)]
 pub struct GatewaySettings {
-    /// Name of the host.
+    /// Name of the host that the daemon runs on.
     pub host: HostId,
-    /// Data centre of the host.
+    /// Data centre that the host is in.
     pub data_centre: DataCentreId,
-    /// Regions of all data centres.
+    /// Region of each data centre.
     pub regions: Regions,
     /// Address for callers.
     pub listen: SocketAddr,
-    /// Address on which readiness is asked.
+    /// Address for readiness checks.
     pub ready: SocketAddr,
-    /// Address for operators: readiness, metrics and state.
+    /// Address for operators: readiness, metrics and status. `None` if the settings have none.
     pub operator: Option<SocketAddr>,
-    /// Second address for operators, at a port known beforehand, from which metrics are fetched.
+    /// Additional address for metrics, with a port that the collector knows beforehand. Serves the same as `operator`.
     pub metrics: Option<SocketAddr>,
     /// Address for other daemons.
     pub peer: SocketAddr,
-    /// Address at which other daemons reach `peer`, where it is another one: behind a translation of
-    /// addresses, or a proxy that harms links in a test. Its IP number has to be that of `peer`.
+    /// Address that other daemons use to reach `peer`, if it differs: behind address translation, or behind a proxy
+    /// that injects faults into links in a test. It must have the same IP address as `peer`.
     pub advertised: Option<SocketAddr>,
-    /// Addresses of the daemons that are contacted first.
+    /// Addresses of the daemons that this one contacts first to join the others.
     pub seeds: Vec<SocketAddr>,
-    /// Grace period: time from a stop's signal to the end of the process.
+    /// Grace period: time from the signal to stop until the process must have ended.
     pub grace: Millis,
-    /// Budget of retries over all daemons.
+    /// Retry budget of all daemons together.
     pub budget: BudgetLimits,
-    /// Times that the installation promises or allows.
+    /// Times and rates that the installation guarantees or allows.
     pub bounds: Bounds,
-    /// Processing capacity that this daemon may use.
+    /// Processing capacity that this daemon can use.
     pub capacity: Capacity,
-    /// Bandwidth of the host's link; nothing if it isn't known, and counts as unlimited.
+    /// Bandwidth of the host's network link; `None` if unknown, which counts as unlimited.
     pub link: Option<BitRate>,
 }
--- a/lib/src/gateway/serving/sockets.rs
+++ b/lib/src/gateway/serving/sockets.rs
@@ -1,6 +1,6 @@
-//! Binds the addresses of a forwarding daemon, all before it starts anything.
+//! Binds all addresses of a forwarding daemon before it starts any task.
 //!
-//! Relies on `peers` for the pair of sockets for other daemons.
+//! [`peers`] binds the two sockets for other daemons, which share one port number.
 
 use {
     crate::gateway::{peers, serving::settings::GatewaySettings},
@@ -9,19 +9,19 @@
     tokio::net::{TcpListener, UdpSocket},
 };
 
-/// Reports an address of the settings that can't be had.
+/// Reports an address of the settings that can't be bound.
 #[derive(Debug, Error)]
-#[error("can't serve {purpose} on {address}: {source}; is the address free and this host's own?")]
+#[error("can't listen for {purpose} on {address}: {source}; is the address free, and does it belong to this host?")]
 pub struct BindError {
-    /// Purpose of the address.
+    /// Purpose of the address, as the message names it: `peers`, `callers`, `readiness`, `operators` or `metrics`.
     pub purpose: &'static str,
-    /// The address from the settings.
+    /// Address from the settings.
     pub address: SocketAddr,
-    /// The system's answer.
+    /// Error that the operating system returned.
     pub source: io::Error,
 }
 
-/// A listener and the address that it really has, since the system may choose the port.
+/// A listener with the address that it is bound to; its port differs from the settings if they leave it to the system.
 #[derive(Debug)]
 pub(crate) struct Bound {
     pub(crate) listener: TcpListener,
@@ -41,22 +41,22 @@
     }
 }
 
-/// All sockets of a daemon.
+/// All listening sockets of a daemon.
 #[derive(Debug)]
 pub(crate) struct Sockets {
-    /// Links of other daemons.
+    /// Listener for links from other daemons.
     pub(crate) links: TcpListener,
-    /// Heartbeats of other daemons.
+    /// Socket for datagrams to and from other daemons, heartbeats among them.
     pub(crate) datagrams: UdpSocket,
-    /// Address of the two above.
+    /// Address of `links` and `datagrams`.
     pub(crate) peer: SocketAddr,
-    /// Callers' requests.
+    /// Listener for callers.
     pub(crate) callers: Bound,
-    /// Questions for readiness.
+    /// Listener for readiness checks.
     pub(crate) ready: Bound,
-    /// Questions of operators, where the settings name an address.
+    /// Listener for operators, if the settings have an address for it.
     pub(crate) operators: Option<Bound>,
-    /// Fetches of metrics at a port of their own, where there is one.
+    /// Additional listener for metrics, if the settings have an address for it and it could be bound.
     pub(crate) metrics: Option<Bound>,
 }
 
@@ -65,7 +65,8 @@
     ///
     /// # Errors
     ///
-    /// Returns the first address that can't be had. Metrics of their own are left out instead.
+    /// Returns the first address that can't be bound. The additional address for metrics is optional: a failure to bind
+    /// it is only logged.
     pub(crate) async fn bind(settings: &GatewaySettings) -> Result<Self, BindError> {
         let failed = |source| BindError {
             purpose: "peers",
@@ -92,7 +93,7 @@
     }
 }
 
-/// Binds the second address for metrics; a daemon that can't have it serves all the same.
+/// Binds the additional address for metrics. A failure is logged, and the daemon serves without it.
 async fn bind_metrics(address: Option<SocketAddr>) -> Option<Bound> {
     match Bound::new("metrics", address?).await {
         Ok(bound) => Some(bound),
--- a/lib/src/gateway/serving/status.rs
+++ b/lib/src/gateway/serving/status.rs
@@ -1,7 +1,7 @@
-//! State of a forwarding daemon, as operators read it in JSON.
+//! Status report of a forwarding daemon, as JSON for operators.
 //!
-//! The fields that every daemon reports are [`StatusBody`]; the others only a forwarding one knows.
-//! Field names are read by `hazelyoke status` and by people's scripts.
+//! [`StatusBody`] has the fields that all daemons report; the others are specific to forwarding daemons.
+//! `hazelyoke status` and operators' scripts read the report, so its field names must stay.
 
 use {
     crate::{
@@ -20,23 +20,23 @@
     serde::Serialize,
 };
 
-/// State of one forwarding daemon.
+/// Status report of one forwarding daemon.
 #[derive(Debug, Serialize)]
 pub(crate) struct GatewayStatus {
     #[serde(flatten)]
     common: StatusBody,
     phase: Phase,
-    /// Revision of the directory up to which the list of endpoints is complete.
+    /// Revision of the directory up to which the endpoint list is complete.
     catalogue: u64,
-    /// Era of the directory in which it is; 0 where the directory names none.
+    /// Era of the directory that `catalogue` belongs to; 0 if the directory states none.
     era: u64,
-    /// Jobs of stages that this daemon plans.
+    /// Number of jobs of stages that this daemon coordinates.
     jobs: usize,
     directory_lost: bool,
     peers: Vec<PeerStatus>,
 }
 
-/// Another daemon, as its last heartbeat reported it.
+/// Status of another daemon according to its last heartbeat.
 #[derive(Debug, Serialize)]
 struct PeerStatus {
     host: String,
@@ -47,7 +47,7 @@
 }
 
 impl GatewayStatus {
-    /// Reads the state of a daemon.
+    /// Builds the status report of a daemon from its current state.
     pub(crate) fn new<D: Dialect>(gateway: &Gateway<D>) -> Self {
         let phase = gateway.phase();
         let state = gateway.state.borrow();
@@ -83,7 +83,7 @@
         version: state.published.as_ref().map_or(0, |p| p.table.version),
         in_flight: gateway.in_flight.get() as u64,
         answered: gateway.metrics.answers(),
-        // A forwarding daemon doesn't count answers after their objective.
+        // Forwarding daemons don't count answers that missed their objective.
         late: 0,
         problems: gateway.metrics.problems(),
         attempts: gateway.metrics.attempts(),
@@ -97,7 +97,7 @@
     places.map(|place| state.data_centre_name(place)).collect()
 }
 
-/// Returns the regions, the daemon's own first; none if the installation has one alone.
+/// Returns the status of all regions, the daemon's own region first; empty if the installation has only one region.
 fn regions<D: Dialect>(gateway: &Gateway<D>, state: &GatewayState) -> Vec<RegionStatus> {
     let home = state.endpoints.local_region();
     if home.is_none() {
--- a/lib/src/gateway/wire/egress.rs
+++ b/lib/src/gateway/wire/egress.rs
@@ -1,8 +1,7 @@
-//! Sends one request to one endpoint, on a connection of its own, and opens streams to other daemons.
+//! Sends single HTTP/1.1 requests to endpoints, and opens TCP connections to other daemons.
 //!
-//! A connection serves one request, so that no late or extra answer can be taken for another request's, and no idle
-//! connection closes under a request that must not be sent twice. It owns nothing beyond a connection, and relies on
-//! `hyper` for HTTP/1.1.
+//! Each request has its own connection. So a late or extra answer can't be mistaken for the answer to another request,
+//! and an idle connection can't close while a request that must not be sent twice is written to it.
 
 use {
     bytes::Bytes,
@@ -16,53 +15,54 @@
     tokio::{net::TcpStream, task::AbortHandle},
 };
 
-/// Longest time to connect to an endpoint.
+/// Maximum time to connect to an endpoint.
 pub const CONNECT_LIMIT: Duration = Duration::from_millis(250);
 
-/// Time of silence before the first keep-alive probe, and between two probes; the shortest that the
-/// system's interface takes.
+/// Idle time before the first TCP keep-alive probe, and interval between probes. This is the minimum that the system's
+/// interface accepts.
 const KEEPALIVE_IDLE: Duration = Duration::from_secs(1);
 
-/// Unanswered probes after which a connection breaks: a silent peer is noticed within about three seconds.
+/// Number of unanswered keep-alive probes after which a connection fails, so that a silent peer is noticed within about
+/// three seconds.
 const KEEPALIVE_PROBES: u32 = 2;
 
-/// Time after which unacknowledged bytes break a connection: several times a round trip between data centres with a
-/// lost packet.
+/// Time after which a connection with unacknowledged bytes fails. It is several times a round trip between data centres
+/// with a lost packet.
 const UNACKNOWLEDGED: Duration = Duration::from_millis(1_500);
 
-/// Bytes of a reply that a connection reads ahead: a head, or what comes while the caller doesn't read.
+/// Maximum number of bytes of a reply that are buffered: the head, or the part of the body that the caller hasn't read.
 const REPLY_BUFFER: usize = 32 * 1024;
 
-/// Why a request got no reply.
+/// Reason why a request got no complete reply.
 #[derive(Debug, Error)]
 pub enum SendError {
-    /// No connection came up, so no byte was sent.
+    /// The connection couldn't be opened, so no byte was sent.
     #[error("not connected: {0}")]
     NotSent(io::Error),
-    /// The connection broke after the request may have been sent, so it may have run.
+    /// The connection failed after the request may have been sent, so it may have run.
     #[error("broken off: {0}")]
     MaybeSent(hyper::Error),
-    /// The reply broke off or didn't come. The request was sent, and may have run.
+    /// The reply is incomplete or missing. The request was sent, so it may have run.
     #[error("no whole reply: {0}")]
     Broken(String),
-    /// The request was sent, and no reply came in time; it may have run.
+    /// The request was sent, but no reply came in time, so it may have run.
     #[error("no answer in time")]
     TimedOut,
 }
 
 impl SendError {
-    /// Returns whether the endpoint refused the connection, so that nobody listens there.
+    /// Returns whether the connection was refused, which means that no process listens there.
     pub fn is_refused(&self) -> bool {
         matches!(self, Self::NotSent(error) if is_refused(error))
     }
 }
 
-/// Returns whether a connection was refused, so that nobody listens there.
+/// Returns whether a connection was refused, which means that no process listens there.
 pub fn is_refused(error: &io::Error) -> bool {
     error.kind() == io::ErrorKind::ConnectionRefused
 }
 
-/// Keeps the connection of a reply open; dropping it closes the connection at once.
+/// Keeps the connection of a reply open. Dropping it closes the connection at once.
 #[derive(Debug)]
 pub struct ConnectionGuard(AbortHandle);
 
@@ -72,7 +72,7 @@
     }
 }
 
-/// A connection that has carried no request yet.
+/// A connection on which no request has been sent yet.
 #[derive(Debug)]
 pub struct FreshConnection {
     sender: hyper::client::conn::http1::SendRequest<Full<Bytes>>,
@@ -83,7 +83,7 @@
 ///
 /// # Errors
 ///
-/// Returns [`SendError::NotSent`] if none comes up; no byte of a request was sent then.
+/// Returns [`SendError::NotSent`] if the connection can't be opened; no byte of a request was sent then.
 pub async fn connect(address: SocketAddr, limit: Duration) -> Result<FreshConnection, SendError> {
     let stream = open_stream(address, limit)
         .await
@@ -94,7 +94,7 @@
         .await
         .map_err(|error| SendError::NotSent(io::Error::other(error)))?;
     let task = tokio::task::spawn_local(async move {
-        // An error reaches whoever reads the reply as well, so it is handled there.
+        // The reader of the reply gets the error too, and handles it.
         let _ = connection.await;
     });
     Ok(FreshConnection {
@@ -103,11 +103,11 @@
     })
 }
 
-/// Opens a TCP connection that breaks within seconds when its peer falls silent.
+/// Opens a TCP connection that fails within seconds if the peer stops responding.
 ///
 /// # Errors
 ///
-/// Returns an error if it doesn't come up within `limit`.
+/// Returns an error if the connection can't be opened within `limit`.
 pub async fn open_stream(address: SocketAddr, limit: Duration) -> io::Result<TcpStream> {
     let stream = tokio::time::timeout(limit, TcpStream::connect(address))
         .await
@@ -118,8 +118,8 @@
         .with_time(KEEPALIVE_IDLE)
         .with_interval(KEEPALIVE_IDLE)
         .with_retries(KEEPALIVE_PROBES);
-    // Both only make a dead peer noticed sooner. On a system without them, the time limits of the
-    // callers still end the wait, so a failure to set them is ignored.
+    // Both options only detect a dead peer sooner. Without them, the time limits of the functions that use the stream
+    // still end the wait, so a failure to set them is ignored.
     let _ = socket.set_tcp_keepalive(&keepalive);
     let _ = socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED));
     Ok(stream)
@@ -130,7 +130,7 @@
     ///
     /// # Errors
     ///
-    /// Returns [`SendError::MaybeSent`] if no head comes; the request may have run then.
+    /// Returns [`SendError::MaybeSent`] if no head arrives; the request may have run then.
     pub async fn send(
         mut self,
         request: Request<Full<Bytes>>,
--- a/lib/src/gateway/wire/endpoint_check.rs
+++ b/lib/src/gateway/wire/endpoint_check.rs
@@ -1,34 +1,34 @@
-//! Tells an endpoint that ended from a connection that broke off.
+//! Checks whether an endpoint has terminated after a connection to it failed.
 //!
-//! An attempt that breaks off says nothing about its cause: the endpoint may have ended, its connections may have
-//! been reset, or it sent half an answer. A connect right after it tells: a process that has ended refuses it.
+//! A failed attempt doesn't show its cause: the endpoint may have terminated, its connections may have been reset, or
+//! it may have sent half an answer. A new connection right after it does: it is refused if the process has terminated.
 
 use {
     crate::gateway::wire::egress::{is_refused, open_stream},
     std::{net::SocketAddr, time::Duration},
 };
 
-/// Longest wait for the connect: a living process answers within a round trip between data centres, and whoever waits
-/// for the next attempt or a final answer waits for this too.
+/// Maximum time to connect. A running process answers within a round trip between data centres, and the check delays
+/// the next attempt or the final answer.
 const CHECK_LIMIT: Duration = Duration::from_millis(100);
 
-/// What a connect to an endpoint shows.
+/// State of an endpoint's process according to a connection attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EndpointCheck {
-    /// Nobody listens there: the process has ended.
+    /// The connection was refused: no process listens there, so the endpoint has terminated.
     Ended,
-    /// It accepts connections.
+    /// The connection was accepted.
     Alive,
-    /// There was no answer: its host or the network may be the cause.
+    /// There was no answer, or another error; the cause may be the host or the network.
     Silent,
 }
 
-/// Looks whether anybody listens at an address.
+/// Checks whether a process listens at an address.
 pub async fn check(address: SocketAddr) -> EndpointCheck {
     match open_stream(address, CHECK_LIMIT).await {
         Ok(_) => EndpointCheck::Alive,
         Err(error) if is_refused(&error) => EndpointCheck::Ended,
-        // A reset, no way there, or no answer in time.
+        // Reset, unreachable, or no answer in time.
         Err(_) => EndpointCheck::Silent,
     }
 }
--- a/lib/src/gateway/wire/event_stream.rs
+++ b/lib/src/gateway/wire/event_stream.rs
@@ -1,14 +1,14 @@
-//! Splits a stream of server-sent events into whole events, and keeps the id of the last one.
+//! Splits a stream of server-sent events into complete events, and records the id of the last one.
 //!
-//! A stream that breaks off can be resumed after its last whole event, so only whole events are passed
-//! on. It owns the bytes of the unfinished event, and relies on ids that rise within a stream.
+//! An interrupted stream can be resumed after its last complete event, so only complete events are passed on; the bytes
+//! of an incomplete event are buffered. Ids must increase within a stream.
 
 use bytes::{Bytes, BytesMut};
 
-/// Longest event that is buffered until it is whole, in bytes: far above any event of a generation.
+/// Maximum number of bytes that are buffered for an incomplete event. This is far more than any event of a generation.
 const LONGEST_EVENT: usize = 256 * 1024;
 
-/// Splits a stream into whole events.
+/// Splits a stream into complete events.
 #[derive(Debug, Default)]
 pub struct EventSplitter {
     buffer: BytesMut,
@@ -17,7 +17,7 @@
 }
 
 impl EventSplitter {
-    /// Starts after the event with the id `last`, which the reader already has.
+    /// Creates a splitter for a stream that continues after the event `last`, which the reader already has.
     pub fn after(last: Option<u64>) -> Self {
         Self {
             last,
@@ -25,9 +25,9 @@
         }
     }
 
-    /// Appends the next bytes and returns the events that they complete, byte for byte.
+    /// Appends the next bytes of the stream, and returns the events that they complete, unchanged.
     ///
-    /// After an event whose id doesn't rise, nothing more is returned: see [`Self::is_broken`].
+    /// Returns nothing more after an event whose id doesn't increase; see [`Self::is_broken`].
     pub fn feed(&mut self, bytes: &[u8]) -> Bytes {
         self.buffer.extend_from_slice(bytes);
         let mut end = 0;
@@ -47,7 +47,7 @@
         self.buffer.split_to(end).freeze()
     }
 
-    /// Records the id of the event at `start`; returns false if it doesn't rise.
+    /// Records the id of the event at `start`. Returns false if it isn't greater than the previous one.
     fn record_id(&mut self, start: usize, length: usize) -> bool {
         let Some(id) = event_id(&self.buffer[start..start + length]) else {
             return true;
@@ -59,23 +59,23 @@
         true
     }
 
-    /// Returns the id of the last whole event.
+    /// Returns the id of the last complete event.
     pub fn last(&self) -> Option<u64> {
         self.last
     }
 
-    /// Returns whether an event was out of order or too long, so that the stream can't be used any more.
+    /// Returns whether an event was out of order or too long, so that the stream can't be used further.
     pub fn is_broken(&self) -> bool {
         self.broken
     }
 
-    /// Returns whether bytes of an unfinished event are buffered.
+    /// Returns whether bytes of an incomplete event are buffered.
     pub fn is_partial(&self) -> bool {
         !self.buffer.is_empty()
     }
 }
 
-/// Returns the length of the first event, its closing blank line included.
+/// Returns the length of the first event in bytes, including the blank line that ends it; `None` if it is incomplete.
 fn event_length(bytes: &[u8]) -> Option<usize> {
     let mut line_start = 0;
     for (i, byte) in bytes.iter().enumerate() {
@@ -91,7 +91,7 @@
     None
 }
 
-/// Returns the number in an event's `id` field.
+/// Returns the number in the `id` field of an event, if it has one.
 fn event_id(event: &[u8]) -> Option<u64> {
     event
         .split(|byte| *byte == b'\n')
--- a/lib/src/gateway/wire/headers.rs
+++ b/lib/src/gateway/wire/headers.rs
@@ -1,8 +1,8 @@
-//! Headers that belong to one connection and are never forwarded (RFC 9110, section 7.6.1).
+//! Hop-by-hop headers, which apply to one connection and are never forwarded (RFC 9110, section 7.6.1).
 
 use http::{HeaderMap, HeaderName, header};
 
-/// Headers of one connection, beside those that `Connection` names.
+/// Hop-by-hop headers that are removed even if `Connection` doesn't list them.
 const PER_CONNECTION: &[HeaderName] = &[
     header::CONNECTION,
     header::PROXY_AUTHENTICATE,
@@ -13,7 +13,7 @@
     header::UPGRADE,
 ];
 
-/// Removes all headers that belong to one connection, including those that `Connection` names.
+/// Removes all hop-by-hop headers, including those that `Connection` lists.
 pub fn strip_connection_headers(headers: &mut HeaderMap) {
     let named: Vec<HeaderName> = headers
         .get_all(header::CONNECTION)
--- a/lib/src/gateway/wire/listen.rs
+++ b/lib/src/gateway/wire/listen.rs
@@ -1,15 +1,15 @@
-//! Accepts connections for as long as the process lives, whatever single ones do.
+//! Accepts connections until the task is aborted. A failure to accept one connection doesn't end the loop.
 
 use {
     std::{net::SocketAddr, time::Duration},
     tokio::net::{TcpListener, TcpStream},
 };
 
-/// Pause after a connection couldn't be accepted, for example for lack of descriptors: short against any deadline, long
-/// enough not to spin.
+/// Pause after a connection couldn't be accepted, for example because the process is out of file descriptors. It is
+/// short compared to any deadline, and long enough to avoid a busy loop.
 const PAUSE: Duration = Duration::from_millis(50);
 
-/// Passes each connection to `handle`; logs a failure to accept one as `event`, and goes on.
+/// Passes each connection to `handle`. A failure to accept one is logged as `event`.
 pub(crate) async fn accept_each(
     listener: TcpListener,
     event: &'static str,
@@ -18,7 +18,7 @@
     accept_each_or(listener, event, handle, || {}).await;
 }
 
-/// Does the same, and calls `make_room` after each failure, before the next try.
+/// Like [`accept_each`], but also calls `make_room` after each failure, before the next attempt.
 pub(crate) async fn accept_each_or(
     listener: TcpListener,
     event: &'static str,
--- a/lib/src/gateway/wire/mod.rs
+++ b/lib/src/gateway/wire/mod.rs
@@ -1,4 +1,4 @@
-//! HTTP plumbing of the forwarding daemon: connections, headers, event streams, reply bodies.
+//! HTTP connections, headers, event streams and reply bodies of the forwarding daemon.
 
 pub mod egress;
 pub mod endpoint_check;
--- a/lib/src/gateway/wire/reply.rs
+++ b/lib/src/gateway/wire/reply.rs
@@ -1,7 +1,7 @@
-//! Bodies of replies to callers, and the reply that reports a problem of this daemon.
+//! Bodies of replies to callers, and replies that report a problem.
 //!
-//! A body either is whole or comes in parts; one that ends without [`StreamPart::End`] breaks the
-//! connection, so that it can't look complete.
+//! A body is available either as a whole or in parts. A body in parts that ends without [`StreamPart::End`] fails the
+//! connection, so that the caller can't take it for a complete body.
 
 use {
     crate::{gateway::dialect::Dialect, shared::problem::Problem},
@@ -17,7 +17,7 @@
     tokio::sync::mpsc,
 };
 
-/// Reports a body that ended before it was whole, so that the connection breaks.
+/// Reports a body that ended before it was complete, which makes `hyper` close the connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 #[error("the reply breaks off")]
 pub struct BrokenOff;
@@ -25,23 +25,23 @@
 /// Body of a reply.
 #[derive(Debug)]
 pub enum ReplyBody {
-    /// The whole body; `None` if it is empty or was sent.
+    /// The whole body; `None` if it is empty or has been sent.
     Whole(Option<Bytes>),
     /// A body that is received in parts.
     Stream(mpsc::Receiver<StreamPart>),
 }
 
-/// Part of a body. A body without [`StreamPart::End`] counts as broken off, whatever ended its sender.
+/// A part of a body. A body without [`StreamPart::End`] is incomplete, for whatever reason its sender was dropped.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum StreamPart {
     /// Bytes of the body.
     Bytes(Bytes),
-    /// The body is whole.
+    /// The body is complete.
     End,
 }
 
 impl ReplyBody {
-    /// Returns a whole body.
+    /// Creates a body that is available as a whole.
     pub fn whole(bytes: impl Into<Bytes>) -> Self {
         let bytes = bytes.into();
         Self::Whole((!bytes.is_empty()).then_some(bytes))
@@ -80,8 +80,8 @@
     }
 }
 
-/// JSON body of a problem. The forwarding daemon's form is shorter than the pipeline daemon's
-/// (`pipeline::api::problem`), and both are fixed by what callers read.
+/// JSON body of a problem. It has fewer fields than that of the pipeline daemon (`pipeline::api::problem`). Callers
+/// depend on both formats.
 #[derive(Debug, Serialize)]
 struct ForwardProblem<'a> {
     title: &'static str,
@@ -90,7 +90,7 @@
     detail: &'a str,
 }
 
-/// Builds the reply that reports a problem to a caller, in the dialect `D`.
+/// Builds the reply that reports a problem to a caller, with headers of the dialect `D`.
 pub fn problem_reply<D: Dialect>(problem: &Problem) -> Response<ReplyBody> {
     let body = ForwardProblem {
         title: "the request was not answered",
