--- a/lib/tests/test_event_splitter.rs
+++ b/lib/tests/test_event_splitter.rs
@@ -1,4 +1,4 @@
-//! Events are passed on whole and in order, however their bytes arrive.
+//! Tests that events are passed on complete and in order, however their bytes are split.
 
 use {
     hazelyoke_lib::gateway::wire::event_stream::EventSplitter,
@@ -21,7 +21,7 @@
     assert_eq!(splitter.last(), Some(1));
 }
 
-/// An event that was delivered before breaks the stream.
+/// An event with an id that was already delivered makes the stream unusable.
 #[test]
 fn delivered_event_again() {
     let mut splitter = EventSplitter::after(Some(4));
@@ -53,7 +53,7 @@
     assert!(splitter.is_broken());
 }
 
-/// Any split of the bytes gives the same events.
+/// The events don't depend on how their bytes are split.
 #[test]
 fn any_split() {
     for_seeds(200, 1024, |u| {
--- a/lib/tests/test_gateway_bounds.rs
+++ b/lib/tests/test_gateway_bounds.rs
@@ -1,4 +1,4 @@
-//! Times of a daemon's own follow from what its installation allows.
+//! Tests the times that a daemon derives from the bounds of its installation.
 
 use {
     hazelyoke_lib::{
@@ -20,7 +20,7 @@
     }
 }
 
-/// A silent connection is noticed within half the time in which a change has to be in force.
+/// A silent connection to the directory is detected within half the time in which a change has to be in force.
 #[test]
 fn silent_connection_limit() {
     for (apply, drain) in [
@@ -35,7 +35,8 @@
     }
 }
 
-/// The suspicion time outlasts an endpoint's heartbeat, is cut to the drain time, and has a floor.
+/// The time for which unconfirmed entries are used is longer than an endpoint's heartbeat interval, but limited by the
+/// drain time. It has a minimum.
 #[test]
 fn suspicion_time() {
     assert_eq!(
--- a/lib/tests/test_reload.rs
+++ b/lib/tests/test_reload.rs
@@ -1,4 +1,4 @@
-//! Which changed settings take effect while a daemon runs.
+//! Tests which changed settings take effect while a daemon runs.
 
 #![allow(clippy::unwrap_used, reason = "a failed unwrap fails the test")]
 
@@ -82,7 +82,7 @@
 fn chosen_port() {
     let current = settings();
     let mut read = current.clone();
-    // Port 0 left the choice to the system, which chose the bound one.
+    // Port 0 lets the system choose the port; the bound port is the one that it chose.
     read.peer.set_port(0);
     assert_eq!(Reload::new(&current, &read).refused.0, []);
     read.peer.set_ip("127.0.0.9".parse().unwrap());
--- a/lib/tests/test_reply_body.rs
+++ b/lib/tests/test_reply_body.rs
@@ -1,4 +1,4 @@
-//! A body that comes bit by bit looks complete only where its end was sent.
+//! Tests that a body in parts is complete only if its end was sent.
 
 use {
     bytes::Bytes,
@@ -10,7 +10,7 @@
 async fn collect(parts: Vec<StreamPart>) -> Result<Bytes, BrokenOff> {
     let (sender, receiver) = mpsc::channel(parts.len().max(1));
     for part in parts {
-        sender.send(part).await.expect("there is room");
+        sender.send(part).await.expect("the channel has capacity for all parts");
     }
     drop(sender);
     let body = ReplyBody::Stream(receiver);
@@ -23,7 +23,7 @@
     assert_eq!(collect(parts).await, Ok(Bytes::from("some")));
 }
 
-/// A body whose sender is gone before its end is an error.
+/// A body whose sender is dropped before its end fails.
 #[tokio::test]
 async fn unended_body() {
     let parts = vec![StreamPart::Bytes("some".into())];
