--- a/daemon/src/forwarding.rs
+++ b/daemon/src/forwarding.rs
@@ -70,7 +70,7 @@
         if settings.store != store {
             log::warn!(field = "store"; "settings.needs_restart");
         }
-        for field in &reload.refused.0 {
+        for field in &reload.deferred.0 {
             log::warn!(field:%; "settings.needs_restart");
         }
         log::info!(applied:% = reload.applied; "settings.reloaded");
--- a/lib/src/gateway/directory/adopt_table.rs
+++ b/lib/src/gateway/directory/adopt_table.rs
@@ -45,7 +45,7 @@
             Ok(table) => table,
             Err(error) => {
                 log::error!(source, error:%; "table.refused");
-                self.metrics.table_refused();
+                self.metrics.count_refused_table();
                 return TableAdoption::Refused;
             }
         };
@@ -76,7 +76,7 @@
             }
             VersionVerdict::Conflict => {
                 log::error!(source, version; "table.conflict");
-                self.metrics.table_refused();
+                self.metrics.count_refused_table();
                 TableAdoption::Refused
             }
         }
@@ -96,7 +96,7 @@
     }
 
     fn put_in_force(&self, table: Table, bytes: &Bytes, fingerprint: u64) {
-        self.metrics.table_adopted(table.version);
+        self.metrics.set_table_version(table.version);
         let mut state = self.state.borrow_mut();
         state.stage_queues.set_services(&table);
         let published = PublishedTable::new(table, bytes.clone(), fingerprint);
--- a/lib/src/gateway/directory/evacuate.rs
+++ b/lib/src/gateway/directory/evacuate.rs
@@ -90,7 +90,7 @@
             log::warn!(data_centre = name.as_str(), revision:% = until, source:%; "evacuation.ended");
         }
         drop(state);
-        self.metrics.evacuated(after.len());
+        self.metrics.set_evacuated(after.len());
         self.invalidate_stage_queues();
         // Others that rely on this daemon would otherwise learn of it up to 200 ms later.
         self.announcement.notify_one();
--- a/lib/src/gateway/directory/follow.rs
+++ b/lib/src/gateway/directory/follow.rs
@@ -296,7 +296,7 @@
     for value in tables.filter_map(|item| item.value.as_ref()) {
         gateway
             .metrics
-            .table_bytes(TableSource::Directory, value.len());
+            .count_table_bytes(TableSource::Directory, value.len());
         // A table that isn't adopted is logged there, and the one in force stays.
         gateway.adopt_table(value, SOURCE);
     }
@@ -365,7 +365,7 @@
     if !is_new {
         return;
     }
-    gateway.metrics.entry_refused();
+    gateway.metrics.count_refused_entry();
     let endpoint = shortened(name);
     let error = shortened(&error.to_string());
     log::error!(endpoint, revision:%, error; "endpoint.refused");
--- a/lib/src/gateway/directory/outage.rs
+++ b/lib/src/gateway/directory/outage.rs
@@ -28,7 +28,7 @@
         state.contact.reads.failed = Some(now);
         state.catalogue.extend_suspects(now);
         drop(state);
-        self.metrics.directory_failed();
+        self.metrics.count_failed_read();
         if !was_lost {
             log::warn!(error; "directory.lost");
         }
--- a/lib/src/gateway/peers/quarantine_news.rs
+++ b/lib/src/gateway/peers/quarantine_news.rs
@@ -150,7 +150,7 @@
         self.quarantine_reports.notify_one();
         let now = self.now();
         let refused = self.state.borrow().quarantine.digests(now).count();
-        self.metrics.endpoints.quarantined(refused);
+        self.metrics.endpoints.set_quarantined(refused);
     }
 
     fn log_quarantine(&self, change: &QuarantineChange, source: &impl Display) {
--- a/lib/src/gateway/peers/table_fetch.rs
+++ b/lib/src/gateway/peers/table_fetch.rs
@@ -105,7 +105,7 @@
                 error:%;
                 "table.fetch_failed"
             );
-            self.gateway.metrics.table_fetch_failed();
+            self.gateway.metrics.count_failed_fetch();
             return;
         }
     }
@@ -257,7 +257,7 @@
 
     fn record_bytes(&self, bytes: usize) {
         let metrics = &self.gateway.metrics;
-        metrics.table_bytes(TableSource::Peer, bytes);
+        metrics.count_table_bytes(TableSource::Peer, bytes);
     }
 
     async fn ask(&self, peer: SocketAddr, request: LinkRequest) -> Result<LinkReply, FetchError> {
--- a/lib/src/gateway/routing/advertised_rates.rs
+++ b/lib/src/gateway/routing/advertised_rates.rs
@@ -102,7 +102,7 @@
     fn rate_changed(&self, endpoint: &EndpointEntry, change: RateChange, source: RateSource) {
         log_change(endpoint, change, source);
         let limited = self.state.borrow().endpoints.rates.limited();
-        self.metrics.endpoints.limited(limited);
+        self.metrics.endpoints.set_limited(limited);
         self.rate_reports.notify_one();
         // Requests that wait for a permit may need none any more.
         self.permits.notify_waiters();
--- a/lib/src/gateway/routing/answer.rs
+++ b/lib/src/gateway/routing/answer.rs
@@ -8,7 +8,7 @@
         rules::reply_proof::is_endpoint_failure,
         state::Gateway,
         wire::{
-            headers::strip_connection_headers,
+            headers::strip_hop_by_hop,
             reply::{ReplyBody, StreamPart},
         },
     },
@@ -31,7 +31,7 @@
     reply: WholeReply,
 ) -> Response<ReplyBody> {
     let took = gateway.now().since(call.arrived);
-    gateway.metrics.answered(took);
+    gateway.metrics.count_answered(took);
     if !is_endpoint_failure(reply.head.status) {
         gateway.record_served(call.digest);
     }
@@ -65,6 +65,6 @@
     let mut response = Response::new(body);
     *response.status_mut() = head.status;
     *response.headers_mut() = head.headers;
-    strip_connection_headers(response.headers_mut());
+    strip_hop_by_hop(response.headers_mut());
     response
 }
--- a/lib/src/gateway/routing/attempt.rs
+++ b/lib/src/gateway/routing/attempt.rs
@@ -117,7 +117,7 @@
         }
     };
     progress.history.record_sent();
-    gateway.metrics.attempt();
+    gateway.metrics.count_attempt();
     let endpoint = &guard.choice.entry;
     let exchange = exchange(gateway, call, endpoint, connection, prepared.request);
     let result = match prepared.limit {
@@ -159,7 +159,10 @@
     progress: &mut RequestProgress,
 ) -> NotRunReason {
     progress.last_result = error.to_string();
-    gateway.metrics.endpoints.connect_failed(error.is_refused());
+    gateway
+        .metrics
+        .endpoints
+        .count_failed_connect(error.is_refused());
     if error.is_refused() {
         return NotRunReason::Ended;
     }
--- a/lib/src/gateway/routing/endpoint_check.rs
+++ b/lib/src/gateway/routing/endpoint_check.rs
@@ -33,8 +33,8 @@
         let (gateway, request, digest) = (self.clone(), call.inbound.id.clone(), call.digest);
         let entry = entry.clone();
         let probe = tokio::task::spawn_local(async move {
-            if check(entry.address).await == EndpointCheck::Ended {
-                gateway.metrics.endpoints.ended();
+            if check(entry.address).await == EndpointCheck::Terminated {
+                gateway.metrics.endpoints.count_terminated();
                 log::warn!(request = &*request, endpoint:% = entry.id, digest:%; "endpoint.ended");
                 gateway.record_terminated(digest, &entry);
                 gateway.set_terminated(&entry);
--- a/lib/src/gateway/routing/forward.rs
+++ b/lib/src/gateway/routing/forward.rs
@@ -88,7 +88,7 @@
         detail = problem.detail.as_str();
         "request.problem"
     );
-    gateway.metrics.problem(problem.code, problem.outcome);
+    gateway.metrics.count_problem(problem.code, problem.outcome);
     problem_reply::<D>(problem)
 }
 
@@ -244,7 +244,7 @@
         let allowed = retry::may_retry(route.kind, route.attempts, history)
             && self.gateway.withdraw(&self.call.service);
         if allowed {
-            self.gateway.metrics.retry(reason);
+            self.gateway.metrics.count_retry(reason);
         }
         // The name of this event says "repeat" for a retry.
         log::info!(
@@ -310,7 +310,7 @@
         in_flight: RequestGuard<D>,
     ) -> Response<ReplyBody> {
         let took = self.gateway.now().since(self.call.arrived);
-        self.gateway.metrics.head(took);
+        self.gateway.metrics.observe_head(took);
         let request = StreamedRequest {
             gateway: self.gateway.clone(),
             call: self.call.clone(),
--- a/lib/src/gateway/routing/guards.rs
+++ b/lib/src/gateway/routing/guards.rs
@@ -158,7 +158,7 @@
     fn drop(&mut self) {
         if self.armed {
             let took = self.gateway.now().since(self.call.arrived);
-            self.gateway.metrics.caller_left();
+            self.gateway.metrics.count_caller_left();
             log::info!(request = self.call.id(), took_ms = took.as_millis() as u64; "request.caller_left");
         }
     }
--- a/lib/src/gateway/routing/outbound.rs
+++ b/lib/src/gateway/routing/outbound.rs
@@ -11,7 +11,7 @@
             },
             stages::stage_results::Results,
             state::Gateway,
-            wire::headers::strip_connection_headers,
+            wire::headers::strip_hop_by_hop,
         },
         shared::ids::EndpointId,
     },
@@ -97,7 +97,7 @@
 /// Returns the caller's headers without those that concern its connection or the framing of its body.
 fn passed_headers(call: &ForwardedCall) -> HeaderMap {
     let mut headers = call.head.headers.clone();
-    strip_connection_headers(&mut headers);
+    strip_hop_by_hop(&mut headers);
     headers.remove(header::CONTENT_LENGTH);
     headers.remove(header::EXPECT);
     headers
--- a/lib/src/gateway/routing/reply_signals.rs
+++ b/lib/src/gateway/routing/reply_signals.rs
@@ -45,7 +45,7 @@
         let is_new = self.state.borrow_mut().endpoints.record_leave(endpoint);
         if is_new {
             log::info!(endpoint:% = endpoint.id; "endpoint.leaving");
-            self.metrics.endpoints.leaving();
+            self.metrics.endpoints.count_leaving();
             self.invalidate_stage_queues();
         }
     }
@@ -57,7 +57,7 @@
         drop(state);
         if is_new {
             log::info!(endpoint:% = endpoint.id, rest_ms = cooldown.0; "endpoint.resting");
-            self.metrics.endpoints.resting();
+            self.metrics.endpoints.count_cooldown();
             self.invalidate_stage_queues();
         }
     }
--- a/lib/src/gateway/routing/reply_stream.rs
+++ b/lib/src/gateway/routing/reply_stream.rs
@@ -114,7 +114,7 @@
                     return self.finish().await;
                 }
                 SourceEnd::CallerLeft => {
-                    return self.request.gateway.metrics.caller_left();
+                    return self.request.gateway.metrics.count_caller_left();
                 }
                 SourceEnd::TimeOver => return self.break_off("the request's time is over"),
                 SourceEnd::Broken(Break { why, cut }) => {
@@ -127,7 +127,7 @@
                         }
                         ResumeEnd::Failed => return self.break_off(&why),
                         ResumeEnd::CallerLeft => {
-                            return self.request.gateway.metrics.caller_left();
+                            return self.request.gateway.metrics.count_caller_left();
                         }
                     }
                 }
@@ -244,10 +244,10 @@
         let StreamedRequest { gateway, call, .. } = &self.request;
         let end = self.sink.send(StreamPart::End);
         if !matches!(gateway.timeout_at(call.deadline, end).await, Some(Ok(()))) {
-            return gateway.metrics.caller_left();
+            return gateway.metrics.count_caller_left();
         }
         let took = gateway.now().since(call.arrived);
-        gateway.metrics.answered(took);
+        gateway.metrics.count_answered(took);
         gateway.record_served(call.digest);
         log::info!(
             request = call.id(),
@@ -262,7 +262,7 @@
     fn break_off(self, why: &str) {
         let StreamedRequest { gateway, call, .. } = &self.request;
         let took = gateway.now().since(call.arrived);
-        gateway.metrics.broken_off();
+        gateway.metrics.count_interrupted();
         log::info!(
             request = call.id(),
             why,
--- a/lib/src/gateway/routing/service_limits.rs
+++ b/lib/src/gateway/routing/service_limits.rs
@@ -60,7 +60,7 @@
         let rate = self
             .service_entry(service)
             .and_then(|entry| entry.cold_rate);
-        let bearable = rate.map(|rate| self.settings().bounds.cold.bearable(rate));
+        let bearable = rate.map(|rate| self.settings().bounds.cold.max_requests(rate));
         if bearable.is_some() && !self.is_settled() {
             return ColdShare::Nothing;
         }
--- a/lib/src/gateway/routing/stages.rs
+++ b/lib/src/gateway/routing/stages.rs
@@ -56,7 +56,7 @@
                 "request.admitted"
             );
             if region.is_some() {
-                gateway.metrics.elsewhere();
+                gateway.metrics.count_remote_stages();
             }
             Ok(region)
         }
--- a/lib/src/gateway/routing/stream_resume.rs
+++ b/lib/src/gateway/routing/stream_resume.rs
@@ -190,13 +190,13 @@
                 self.gateway
                     .metrics
                     .endpoints
-                    .connect_failed(error.is_refused());
+                    .count_failed_connect(error.is_refused());
                 guard.end(unconnected_outcome(&error));
                 return Err(SourceError::Failed);
             }
         };
         self.sent += 1;
-        self.gateway.metrics.retry(RetryReason::Resume);
+        self.gateway.metrics.count_retry(RetryReason::Resume);
         let sent = self.gateway.now();
         let (response, connection) = match self.exchange(connection, request, sink).await {
             Exchange::Replied(response, connection) => (response, connection),
--- a/lib/src/gateway/serving/endpoint_metrics.rs
+++ b/lib/src/gateway/serving/endpoint_metrics.rs
@@ -14,16 +14,16 @@
 
 /// Values of the label `kind` of endpoint signals: the endpoint is leaving, or asked for a cooldown.
 const LEAVING: &str = "leaving";
-const RESTING: &str = "resting";
+const COOLDOWN: &str = "resting";
 
 /// Metrics about endpoints.
 #[derive(Debug, Default)]
 pub(crate) struct EndpointMetrics {
-    ended: Counter,
+    terminated: Counter,
     connects_failed: Family<KindLabels, Counter>,
     quarantined: Gauge,
     limited: Gauge,
-    notices: Family<KindLabels, Counter>,
+    signals: Family<KindLabels, Counter>,
 }
 
 impl EndpointMetrics {
@@ -32,7 +32,7 @@
         registry.register(
             "endpoints_ended",
             "Attempts that broke off because their endpoint ended",
-            self.ended.clone(),
+            self.terminated.clone(),
         );
         registry.register(
             "connects_failed",
@@ -52,17 +52,17 @@
         registry.register(
             "endpoint_notices",
             "Endpoints that said in a reply that they leave, or began a rest",
-            self.notices.clone(),
+            self.signals.clone(),
         );
     }
 
     /// Counts an attempt that failed because its endpoint terminated.
-    pub(crate) fn ended(&self) {
-        self.ended.inc();
+    pub(crate) fn count_terminated(&self) {
+        self.terminated.inc();
     }
 
     /// Counts a failed connection to an endpoint; `refused` tells whether the connection was refused.
-    pub(crate) fn connect_failed(&self, refused: bool) {
+    pub(crate) fn count_failed_connect(&self, refused: bool) {
         self.connect_counter(refused).inc();
     }
 
@@ -72,26 +72,26 @@
     }
 
     /// Sets the number of quarantined requests, which are refused because endpoints terminated while running them.
-    pub(crate) fn quarantined(&self, requests: usize) {
+    pub(crate) fn set_quarantined(&self, requests: usize) {
         self.quarantined.set(requests as i64);
     }
 
     /// Sets the number of endpoints that advertise a rate limit.
-    pub(crate) fn limited(&self, endpoints: usize) {
+    pub(crate) fn set_limited(&self, endpoints: usize) {
         self.limited.set(endpoints as i64);
     }
 
     /// Counts an endpoint that signalled that it is leaving.
-    pub(crate) fn leaving(&self) {
-        self.notices
+    pub(crate) fn count_leaving(&self) {
+        self.signals
             .get_or_create(&KindLabels { kind: LEAVING })
             .inc();
     }
 
     /// Counts an endpoint that asked for a cooldown.
-    pub(crate) fn resting(&self) {
-        self.notices
-            .get_or_create(&KindLabels { kind: RESTING })
+    pub(crate) fn count_cooldown(&self) {
+        self.signals
+            .get_or_create(&KindLabels { kind: COOLDOWN })
             .inc();
     }
 
--- a/lib/src/gateway/serving/ingress.rs
+++ b/lib/src/gateway/serving/ingress.rs
@@ -10,7 +10,7 @@
         routing::forward,
         state::Gateway,
         table::IngressLimits,
-        wire::{listen::accept_each_or, reply::ReplyBody},
+        wire::{listen::accept_each_with, reply::ReplyBody},
     },
     http::{HeaderValue, Request, Response, header},
     hyper::{body::Incoming, server::conn::http1, service::service_fn},
@@ -23,13 +23,13 @@
 };
 
 /// Maximum time until the head of a request has arrived, used while there is no table.
-const HEAD_TIME: Duration = Duration::from_secs(15);
+const DEFAULT_HEAD_TIME: Duration = Duration::from_secs(15);
 
 /// Maximum size of a request's head in bytes, used while there is no table.
-const HEAD_SIZE: usize = 16 * 1024;
+const DEFAULT_HEAD_SIZE: usize = 16 * 1024;
 
 /// Minimum size of a connection's buffer, in bytes. `hyper` panics below it.
-const LEAST_BUFFER: usize = 8 * 1024;
+const MIN_BUFFER_SIZE: usize = 8 * 1024;
 
 /// State of the listener for callers; its connections watch it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -51,13 +51,13 @@
 
 impl ConnectionLimits {
     fn new(table: Option<IngressLimits>) -> Self {
-        let head_time = table.map_or(HEAD_TIME, |limits| {
+        let head_time = table.map_or(DEFAULT_HEAD_TIME, |limits| {
             limits.idle.max(limits.head_time).to_duration()
         });
-        let head_size = table.map_or(HEAD_SIZE, |limits| limits.head.0 as usize);
+        let head_size = table.map_or(DEFAULT_HEAD_SIZE, |limits| limits.head.0 as usize);
         Self {
             head_time,
-            buffer: head_size.max(LEAST_BUFFER),
+            buffer: head_size.max(MIN_BUFFER_SIZE),
         }
     }
 }
@@ -66,28 +66,31 @@
 pub async fn serve<D: Dialect>(
     gateway: Rc<Gateway<D>>,
     listener: TcpListener,
-    mut admission: watch::Receiver<ListenerState>,
+    mut listener_state: watch::Receiver<ListenerState>,
 ) {
-    let connections = admission.clone();
-    let full = Rc::new(Notify::new());
+    let connections = listener_state.clone();
+    let accept_failed = Rc::new(Notify::new());
     let accept = |stream, _| {
-        let closing = wait_closing(connections.clone(), full.clone());
+        let closing = wait_closing(connections.clone(), accept_failed.clone());
         tokio::task::spawn_local(serve_connection(gateway.clone(), stream, closing));
     };
-    let make_room = || full.notify_waiters();
-    let accepting = accept_each_or(listener, "ingress.accept_failed", accept, make_room);
+    let close_idle = || accept_failed.notify_waiters();
+    let accepting = accept_each_with(listener, "ingress.accept_failed", accept, close_idle);
     tokio::select! {
         () = accepting => {}
-        _ = admission.changed() => {}
+        _ = listener_state.changed() => {}
     }
 }
 
 /// Waits until idle connections have to close: the listener is closing, or a connection couldn't be accepted.
-async fn wait_closing(mut admission: watch::Receiver<ListenerState>, full: Rc<Notify>) {
+async fn wait_closing(
+    mut listener_state: watch::Receiver<ListenerState>,
+    accept_failed: Rc<Notify>,
+) {
     tokio::select! {
         // Fails only if the sender is dropped, which lives as long as the daemon.
-        _ = admission.wait_for(|state| *state == ListenerState::Closing) => {}
-        () = full.notified() => {}
+        _ = listener_state.wait_for(|state| *state == ListenerState::Closing) => {}
+        () = accept_failed.notified() => {}
     }
 }
 
--- a/lib/src/gateway/serving/metrics.rs
+++ b/lib/src/gateway/serving/metrics.rs
@@ -56,8 +56,8 @@
 const BROKEN_OFF: &str = "broken_off";
 
 /// Values of the label `kind` of pieces: sent for the first time, and sent again.
-const FIRST: &str = "first";
-const REPEATED: &str = "repeated";
+const FIRST_SEND: &str = "first";
+const RETRIED: &str = "repeated";
 
 /// Source that bytes of a table were received from.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -86,11 +86,11 @@
     tables_refused: Counter,
     table_version: Gauge,
     table_bytes: Family<KindLabels, Counter>,
-    fetch_failures: Counter,
+    failed_fetches: Counter,
     directory_failures: Counter,
     entries_refused: Counter,
     evacuations: Gauge,
-    elsewhere: Counter,
+    remote_stages: Counter,
     /// Metrics about endpoints.
     pub(crate) endpoints: EndpointMetrics,
     pieces: Family<KindLabels, Counter>,
@@ -111,10 +111,14 @@
 /// Buckets of the latency histograms: 13 upper bounds from 5 ms to 20.48 s, each twice the previous one.
 const FIRST_BUCKET_S: f64 = 0.005;
 const BUCKET_FACTOR: f64 = 2.0;
-const BUCKETS: u16 = 13;
-
-fn latency() -> Histogram {
-    Histogram::new(exponential_buckets(FIRST_BUCKET_S, BUCKET_FACTOR, BUCKETS))
+const BUCKET_COUNT: u16 = 13;
+
+fn latency_histogram() -> Histogram {
+    Histogram::new(exponential_buckets(
+        FIRST_BUCKET_S,
+        BUCKET_FACTOR,
+        BUCKET_COUNT,
+    ))
 }
 
 impl Default for GatewayMetrics {
@@ -126,26 +130,26 @@
             tables_refused: Counter::default(),
             table_version: Gauge::default(),
             table_bytes: Family::default(),
-            fetch_failures: Counter::default(),
+            failed_fetches: Counter::default(),
             directory_failures: Counter::default(),
             entries_refused: Counter::default(),
             evacuations: Gauge::default(),
-            elsewhere: Counter::default(),
+            remote_stages: Counter::default(),
             endpoints: EndpointMetrics::default(),
             pieces: Family::default(),
             calls: Counter::default(),
             attempts: Counter::default(),
             problems: RefCell::default(),
-            duration: latency(),
-            first_event: latency(),
-            stage: latency(),
+            duration: latency_histogram(),
+            first_event: latency_histogram(),
+            stage: latency_histogram(),
         };
-        metrics.registered()
+        metrics.register_all()
     }
 }
 
 impl GatewayMetrics {
-    fn registered(mut self) -> Self {
+    fn register_all(mut self) -> Self {
         let registry = &mut self.registry;
         registry.register("requests", "Ends of requests", self.ends.clone());
         registry.register("repeats", "Repeated sends", self.retries.clone());
@@ -167,7 +171,7 @@
         registry.register(
             "table_fetch_failures",
             "Fetches of tables from other daemons that failed",
-            self.fetch_failures.clone(),
+            self.failed_fetches.clone(),
         );
         registry.register(
             "directory_failures",
@@ -187,7 +191,7 @@
         registry.register(
             "requests_elsewhere",
             "Requests whose stages run in another region",
-            self.elsewhere.clone(),
+            self.remote_stages.clone(),
         );
         self.endpoints.register(registry);
         registry.register("pieces", "Pieces sent to endpoints", self.pieces.clone());
@@ -216,23 +220,23 @@
     }
 
     /// Counts an answer that came from an endpoint, and observes the time until its end.
-    pub fn answered(&self, took: Duration) {
+    pub fn count_answered(&self, took: Duration) {
         self.count_end(ANSWERED);
         self.duration.observe(took.as_secs_f64());
     }
 
     /// Counts a request whose caller left before the answer.
-    pub fn caller_left(&self) {
+    pub fn count_caller_left(&self) {
         self.count_end(CALLER_LEFT);
     }
 
     /// Counts an answer that was interrupted before its end.
-    pub fn broken_off(&self) {
+    pub fn count_interrupted(&self) {
         self.count_end(BROKEN_OFF);
     }
 
     /// Counts a problem that was sent to a caller as the answer.
-    pub fn problem(&self, code: Code, outcome: Outcome) {
+    pub fn count_problem(&self, code: Code, outcome: Outcome) {
         self.count_end(code.as_str());
         *self
             .problems
@@ -242,7 +246,7 @@
     }
 
     /// Counts a request that is sent to an endpoint.
-    pub fn attempt(&self) {
+    pub fn count_attempt(&self) {
         self.attempts.inc();
     }
 
@@ -278,25 +282,25 @@
     }
 
     /// Observes the time until the head of an answer arrived.
-    pub fn head(&self, took: Duration) {
+    pub fn observe_head(&self, took: Duration) {
         self.first_event.observe(took.as_secs_f64());
     }
 
     /// Observes the duration of one stage of a request.
-    pub fn stage(&self, took: Duration) {
+    pub fn observe_stage(&self, took: Duration) {
         self.stage.observe(took.as_secs_f64());
     }
 
     /// Counts a call and its pieces: those sent for the first time, and those sent again.
-    pub fn call(&self, firsts: usize, repeated: usize) {
+    pub fn count_call(&self, first_sends: usize, retried: usize) {
         self.calls.inc();
         let kind = |kind| self.pieces.get_or_create(&KindLabels { kind }).clone();
-        kind(FIRST).inc_by(firsts as u64);
-        kind(REPEATED).inc_by(repeated as u64);
+        kind(FIRST_SEND).inc_by(first_sends as u64);
+        kind(RETRIED).inc_by(retried as u64);
     }
 
     /// Counts a retry.
-    pub fn retry(&self, reason: RetryReason) {
+    pub fn count_retry(&self, reason: RetryReason) {
         self.retry_counter(reason).inc();
     }
 
@@ -306,17 +310,17 @@
     }
 
     /// Counts a table that was refused.
-    pub fn table_refused(&self) {
+    pub fn count_refused_table(&self) {
         self.tables_refused.inc();
     }
 
     /// Sets the version of the table in force.
-    pub fn table_adopted(&self, version: Version) {
+    pub fn set_table_version(&self, version: Version) {
         self.table_version.set(version as i64);
     }
 
     /// Counts received bytes of a table.
-    pub fn table_bytes(&self, source: TableSource, bytes: usize) {
+    pub fn count_table_bytes(&self, source: TableSource, bytes: usize) {
         self.table_counter(source).inc_by(bytes as u64);
     }
 
@@ -331,28 +335,28 @@
     }
 
     /// Counts a failed fetch of a table from another daemon.
-    pub fn table_fetch_failed(&self) {
-        self.fetch_failures.inc();
+    pub fn count_failed_fetch(&self) {
+        self.failed_fetches.inc();
     }
 
     /// Counts a failed read of the directory.
-    pub fn directory_failed(&self) {
+    pub fn count_failed_read(&self) {
         self.directory_failures.inc();
     }
 
     /// Counts an endpoint's entry that was refused because it is invalid.
-    pub fn entry_refused(&self) {
+    pub fn count_refused_entry(&self) {
         self.entries_refused.inc();
     }
 
     /// Sets the number of evacuated data centres.
-    pub fn evacuated(&self, data_centres: usize) {
+    pub fn set_evacuated(&self, data_centres: usize) {
         self.evacuations.set(data_centres as i64);
     }
 
     /// Counts a request whose stages run in another region.
-    pub fn elsewhere(&self) {
-        self.elsewhere.inc();
+    pub fn count_remote_stages(&self) {
+        self.remote_stages.inc();
     }
 
     /// Returns the number of connections that endpoints refused.
--- a/lib/src/gateway/serving/operator.rs
+++ b/lib/src/gateway/serving/operator.rs
@@ -18,7 +18,7 @@
 };
 
 /// Maximum time until the head of a request has arrived.
-const HEAD_TIME: Duration = Duration::from_secs(10);
+const MAX_HEAD_TIME: Duration = Duration::from_secs(10);
 
 /// Path of the metrics.
 const METRICS_PATH: &str = "/metrics";
@@ -47,7 +47,7 @@
     // A connection fails if the client leaves or doesn't send valid HTTP. No caller's request depends on it.
     let _ = http1::Builder::new()
         .timer(TokioTimer::new())
-        .header_read_timeout(HEAD_TIME)
+        .header_read_timeout(MAX_HEAD_TIME)
         .serve_connection(TokioIo::new(stream), service)
         .await;
 }
--- a/lib/src/gateway/serving/reload.rs
+++ b/lib/src/gateway/serving/reload.rs
@@ -69,8 +69,8 @@
 
 impl fmt::Display for SettingFields {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        for (place, field) in self.0.iter().enumerate() {
-            let comma = if place == 0 { "" } else { "," };
+        for (index, field) in self.0.iter().enumerate() {
+            let comma = if index == 0 { "" } else { "," };
             write!(f, "{comma}{field}")?;
         }
         Ok(())
@@ -85,7 +85,7 @@
     /// Fields with a new value that takes effect.
     pub applied: SettingFields,
     /// Fields with a new value that takes effect only after a restart.
-    pub refused: SettingFields,
+    pub deferred: SettingFields,
 }
 
 impl Reload {
@@ -99,7 +99,7 @@
             (SettingField::Bounds, current.bounds != read.bounds),
             (SettingField::Link, current.link != read.link),
         ];
-        let refused = [
+        let deferred = [
             (SettingField::Host, current.host != read.host),
             (
                 SettingField::DataCentre,
@@ -111,7 +111,7 @@
             (SettingField::Metrics, current.metrics != read.metrics),
             (
                 SettingField::Peer,
-                is_moved(current.peer, read.reached_at()),
+                is_changed_address(current.peer, read.advertised_address()),
             ),
             (SettingField::Capacity, current.capacity != read.capacity),
         ];
@@ -125,18 +125,18 @@
                 link: read.link,
                 ..current.clone()
             },
-            applied: changed(&applied),
-            refused: changed(&refused),
+            applied: changed_fields(&applied),
+            deferred: changed_fields(&deferred),
         }
     }
 }
 
 /// Returns whether an address differs from the bound one. Port 0 matches any port, since it lets the system choose one.
-fn is_moved(bound: SocketAddr, read: SocketAddr) -> bool {
+fn is_changed_address(bound: SocketAddr, read: SocketAddr) -> bool {
     bound.ip() != read.ip() || (read.port() != 0 && bound.port() != read.port())
 }
 
-fn changed(fields: &[(SettingField, bool)]) -> SettingFields {
+fn changed_fields(fields: &[(SettingField, bool)]) -> SettingFields {
     let changed = fields.iter().filter(|(_, changed)| *changed);
     SettingFields(changed.map(|(field, _)| *field).collect())
 }
--- a/lib/src/gateway/serving/server.rs
+++ b/lib/src/gateway/serving/server.rs
@@ -19,7 +19,7 @@
             ingress::{self, ListenerState},
             operator,
             settings::GatewaySettings,
-            sockets::{BindError, Bound, Sockets},
+            sockets::{BindError, BoundListener, Sockets},
         },
         stages::{call_runner::run_calls, release::run_releases},
         state::Gateway,
@@ -35,17 +35,17 @@
 
 /// Interval of the checks for requests in flight during a stop; also the time to send answers that are already written
 /// when no request is left.
-const CHECK: Duration = Duration::from_millis(20);
+const STOP_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Time to send the answers to requests that are cancelled when a stop's schedule expires. It is less than the time
 /// that the schedule leaves before the end of the grace period.
-const LAST_ANSWERS: Duration = Duration::from_millis(100);
+const FINAL_ANSWERS_TIME: Duration = Duration::from_millis(100);
 
 /// A running forwarding daemon. It runs on one thread, in a `LocalSet`.
 #[derive(Debug)]
 pub struct Server<D: Dialect> {
     gateway: Rc<Gateway<D>>,
-    admission: watch::Sender<ListenerState>,
+    listener_state: watch::Sender<ListenerState>,
     tasks: Vec<AbortHandle>,
     listen: SocketAddr,
     ready: SocketAddr,
@@ -74,12 +74,12 @@
         let sockets = Sockets::bind(&settings).await?;
         // If the settings leave the port open, other daemons need the port that the system chose.
         settings.peer = sockets.peer;
-        settings.peer = settings.reached_at();
+        settings.peer = settings.advertised_address();
         let gateway: Rc<Gateway<D>> = Gateway::new(settings);
-        let (admission, watched) = watch::channel(ListenerState::Open);
+        let (listener_state, listener_watch) = watch::channel(ListenerState::Open);
         let mut server = Self {
             gateway: gateway.clone(),
-            admission,
+            listener_state,
             tasks: Vec::new(),
             listen: sockets.callers.address,
             ready: sockets.ready.address,
@@ -88,12 +88,12 @@
         };
         server.follow_directory(directory);
         server.join_peers(sockets.links, sockets.datagrams);
-        server.plan_stages();
+        server.run_stages();
         server.serve_operators(sockets.ready, sockets.operators, sockets.metrics);
         server.spawn(ingress::serve(
             gateway.clone(),
             sockets.callers.listener,
-            watched,
+            listener_watch,
         ));
         let settings = gateway.settings();
         log::info!(
@@ -133,12 +133,17 @@
         self.spawn(table_fetch::run_table_fetch(gateway));
     }
 
-    fn plan_stages(&mut self) {
+    fn run_stages(&mut self) {
         self.spawn(run_calls(self.gateway.clone()));
         self.spawn(run_releases(self.gateway.clone()));
     }
 
-    fn serve_operators(&mut self, ready: Bound, operators: Option<Bound>, metrics: Option<Bound>) {
+    fn serve_operators(
+        &mut self,
+        ready: BoundListener,
+        operators: Option<BoundListener>,
+        metrics: Option<BoundListener>,
+    ) {
         for bound in [Some(ready), operators, metrics].into_iter().flatten() {
             self.spawn(operator::serve(self.gateway.clone(), bound.listener));
         }
@@ -182,21 +187,25 @@
     /// proven, and as unknown otherwise. The times come from the rule
     /// [`shutdown`](crate::gateway::rules::shutdown).
     pub async fn stop(self) {
-        let begun = Instant::now();
+        let started = Instant::now();
         let schedule = StopSchedule::new(self.gateway.settings().grace);
-        let end = begun + schedule.end;
+        let end = started + schedule.end;
         self.gateway.stopping.set(true);
         log::info!(in_flight = self.gateway.in_flight.get(); "daemon.stopping");
-        tokio::time::sleep_until(begun + schedule.close).await;
-        self.admission.send_replace(ListenerState::Closing);
+        tokio::time::sleep_until(started + schedule.close).await;
+        self.listener_state.send_replace(ListenerState::Closing);
         while Instant::now() < end && self.is_busy() {
-            tokio::time::sleep(CHECK).await;
+            tokio::time::sleep(STOP_CHECK_INTERVAL).await;
         }
         let in_flight = self.gateway.in_flight.get();
-        let last_answers = if in_flight > 0 { LAST_ANSWERS } else { CHECK };
+        let final_answers_time = if in_flight > 0 {
+            FINAL_ANSWERS_TIME
+        } else {
+            STOP_CHECK_INTERVAL
+        };
         self.gateway.stop_expired.notify_waiters();
         // Leaves time to send answers that were just written.
-        tokio::time::sleep(last_answers).await;
+        tokio::time::sleep(final_answers_time).await;
         log::info!(in_flight; "daemon.stopped");
     }
 
--- a/lib/src/gateway/serving/settings.rs
+++ b/lib/src/gateway/serving/settings.rs
@@ -44,7 +44,7 @@
 impl ColdBounds {
     /// Returns the number of requests that a cold endpoint can handle within one second, if `rate` is the rate of its
     /// service for cold endpoints.
-    pub fn bearable(self, rate: Rate) -> f64 {
+    pub fn max_requests(self, rate: Rate) -> f64 {
         rate.0 * self.overage + self.slack
     }
 }
@@ -69,7 +69,7 @@
 
 impl GatewaySettings {
     /// Returns the address that other daemons use to reach this one.
-    pub fn reached_at(&self) -> SocketAddr {
+    pub fn advertised_address(&self) -> SocketAddr {
         self.advertised.unwrap_or(self.peer)
     }
 }
--- a/lib/src/gateway/serving/sockets.rs
+++ b/lib/src/gateway/serving/sockets.rs
@@ -11,7 +11,9 @@
 
 /// Reports an address of the settings that can't be bound.
 #[derive(Debug, Error)]
-#[error("can't listen for {purpose} on {address}: {source}; is the address free, and does it belong to this host?")]
+#[error(
+    "can't listen for {purpose} on {address}: {source}; is the address free, and does it belong to this host?"
+)]
 pub struct BindError {
     /// Purpose of the address, as the message names it: `peers`, `callers`, `readiness`, `operators` or `metrics`.
     pub purpose: &'static str,
@@ -23,12 +25,12 @@
 
 /// A listener with the address that it is bound to; its port differs from the settings if they leave it to the system.
 #[derive(Debug)]
-pub(crate) struct Bound {
+pub(crate) struct BoundListener {
     pub(crate) listener: TcpListener,
     pub(crate) address: SocketAddr,
 }
 
-impl Bound {
+impl BoundListener {
     async fn new(purpose: &'static str, address: SocketAddr) -> Result<Self, BindError> {
         let failed = |source| BindError {
             purpose,
@@ -51,13 +53,13 @@
     /// Address of `links` and `datagrams`.
     pub(crate) peer: SocketAddr,
     /// Listener for callers.
-    pub(crate) callers: Bound,
+    pub(crate) callers: BoundListener,
     /// Listener for readiness checks.
-    pub(crate) ready: Bound,
+    pub(crate) ready: BoundListener,
     /// Listener for operators, if the settings have an address for it.
-    pub(crate) operators: Option<Bound>,
+    pub(crate) operators: Option<BoundListener>,
     /// Additional listener for metrics, if the settings have an address for it and it could be bound.
-    pub(crate) metrics: Option<Bound>,
+    pub(crate) metrics: Option<BoundListener>,
 }
 
 impl Sockets {
@@ -75,10 +77,10 @@
         };
         let (links, datagrams) = peers::sockets::bind(settings.peer).await.map_err(failed)?;
         let peer = links.local_addr().map_err(failed)?;
-        let callers = Bound::new("callers", settings.listen).await?;
-        let ready = Bound::new("readiness", settings.ready).await?;
+        let callers = BoundListener::new("callers", settings.listen).await?;
+        let ready = BoundListener::new("readiness", settings.ready).await?;
         let operators = match settings.operator {
-            Some(address) => Some(Bound::new("operators", address).await?),
+            Some(address) => Some(BoundListener::new("operators", address).await?),
             None => None,
         };
         Ok(Self {
@@ -94,8 +96,8 @@
 }
 
 /// Binds the additional address for metrics. A failure is logged, and the daemon serves without it.
-async fn bind_metrics(address: Option<SocketAddr>) -> Option<Bound> {
-    match Bound::new("metrics", address?).await {
+async fn bind_metrics(address: Option<SocketAddr>) -> Option<BoundListener> {
+    match BoundListener::new("metrics", address?).await {
         Ok(bound) => Some(bound),
         Err(error) => {
             log::warn!(error:%; "metrics.unavailable");
--- a/lib/src/gateway/serving/status.rs
+++ b/lib/src/gateway/serving/status.rs
@@ -78,7 +78,7 @@
         host: gateway.settings().host.to_string(),
         ready: phase == Phase::Ready,
         evacuated: evacuated(state),
-        regions: regions(gateway, state),
+        regions: region_statuses(gateway, state),
         quarantined: quarantined(state, gateway.now()),
         version: state.published.as_ref().map_or(0, |p| p.table.version),
         in_flight: gateway.in_flight.get() as u64,
@@ -93,14 +93,16 @@
 }
 
 fn evacuated(state: &GatewayState) -> Vec<String> {
-    let places = state.evacuations.data_centres();
-    places.map(|place| state.data_centre_name(place)).collect()
+    let data_centres = state.evacuations.data_centres();
+    data_centres
+        .map(|data_centre| state.data_centre_name(data_centre))
+        .collect()
 }
 
 /// Returns the status of all regions, the daemon's own region first; empty if the installation has only one region.
-fn regions<D: Dialect>(gateway: &Gateway<D>, state: &GatewayState) -> Vec<RegionStatus> {
-    let home = state.endpoints.local_region();
-    if home.is_none() {
+fn region_statuses<D: Dialect>(gateway: &Gateway<D>, state: &GatewayState) -> Vec<RegionStatus> {
+    let local_region = state.endpoints.local_region();
+    if local_region.is_none() {
         return Vec::new();
     }
     let now = gateway.now();
@@ -108,7 +110,7 @@
     let mut names: Vec<&RegionId> = settings.regions.0.values().collect();
     names.sort_unstable();
     names.dedup();
-    names.sort_by_key(|name| Some(region_hash(name)) != home);
+    names.sort_by_key(|name| Some(region_hash(name)) != local_region);
     let statuses = names.into_iter().map(|name| {
         let region = Some(region_hash(name));
         RegionStatus {
--- a/lib/src/gateway/stages/call_runner.rs
+++ b/lib/src/gateway/stages/call_runner.rs
@@ -67,7 +67,7 @@
     for ServiceCall { service, call } in calls {
         gateway.call_sent(&call.entry);
         let firsts = call.pieces.len() - call.retries;
-        gateway.metrics.call(firsts, call.retries);
+        gateway.metrics.count_call(firsts, call.retries);
         log_start(&call_name(gateway, &service, &call), &service, &call);
         tokio::task::spawn_local(run_call(gateway.clone(), service, call));
     }
@@ -101,7 +101,7 @@
 /// Records that an endpoint terminated during a call with pieces of these requests. Fails the jobs of the requests
 /// that are quarantined now, since their other pieces could terminate endpoints too.
 fn record_terminated<D: Dialect>(gateway: &Gateway<D>, service: &ServiceId, call: &BatchCall) {
-    gateway.metrics.endpoints.ended();
+    gateway.metrics.endpoints.count_terminated();
     let digests: BTreeSet<RequestDigest> = call
         .pieces
         .iter()
@@ -133,9 +133,9 @@
         Ok(reply) => read_end::<D>(&reply, call.pieces.len()),
         Err(SendError::NotSent(_)) => CallEnd::Refused,
         Err(SendError::TimedOut) => CallEnd::Broken,
-        Err(SendError::MaybeSent(_) | SendError::Broken(_)) => {
+        Err(SendError::MaybeSent(_) | SendError::IncompleteReply(_)) => {
             match check(call.entry.address).await {
-                EndpointCheck::Ended => CallEnd::Ended,
+                EndpointCheck::Terminated => CallEnd::Ended,
                 EndpointCheck::Alive | EndpointCheck::Silent => CallEnd::Broken,
             }
         }
--- a/lib/src/gateway/stages/chain.rs
+++ b/lib/src/gateway/stages/chain.rs
@@ -179,7 +179,7 @@
     let begun = gateway.now();
     let end = run_by_coordinator(gateway, &service, request.region, job).await;
     let elapsed = gateway.now().since(begun);
-    gateway.metrics.stage(elapsed);
+    gateway.metrics.observe_stage(elapsed);
     log_end(request, stage, &service, &end, elapsed);
     StageEnd { stage, end }
 }
--- a/lib/src/gateway/stages/endpoint_post.rs
+++ b/lib/src/gateway/stages/endpoint_post.rs
@@ -65,7 +65,7 @@
                 status,
                 body: collected.to_bytes(),
             }),
-            Err(error) => Err(SendError::Broken(error.to_string())),
+            Err(error) => Err(SendError::IncompleteReply(error.to_string())),
         }
     };
     match tokio::time::timeout(limit, exchange).await {
--- a/lib/src/gateway/wire/egress.rs
+++ b/lib/src/gateway/wire/egress.rs
@@ -28,7 +28,7 @@
 
 /// Time after which a connection with unacknowledged bytes fails. It is several times a round trip between data centres
 /// with a lost packet.
-const UNACKNOWLEDGED: Duration = Duration::from_millis(1_500);
+const UNACKNOWLEDGED_LIMIT: Duration = Duration::from_millis(1_500);
 
 /// Maximum number of bytes of a reply that are buffered: the head, or the part of the body that the caller hasn't read.
 const REPLY_BUFFER: usize = 32 * 1024;
@@ -44,7 +44,7 @@
     MaybeSent(hyper::Error),
     /// The reply is incomplete or missing. The request was sent, so it may have run.
     #[error("no whole reply: {0}")]
-    Broken(String),
+    IncompleteReply(String),
     /// The request was sent, but no reply came in time, so it may have run.
     #[error("no answer in time")]
     TimedOut,
@@ -121,7 +121,7 @@
     // Both options only detect a dead peer sooner. Without them, the time limits of the functions that use the stream
     // still end the wait, so a failure to set them is ignored.
     let _ = socket.set_tcp_keepalive(&keepalive);
-    let _ = socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED));
+    let _ = socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED_LIMIT));
     Ok(stream)
 }
 
--- a/lib/src/gateway/wire/endpoint_check.rs
+++ b/lib/src/gateway/wire/endpoint_check.rs
@@ -16,7 +16,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EndpointCheck {
     /// The connection was refused: no process listens there, so the endpoint has terminated.
-    Ended,
+    Terminated,
     /// The connection was accepted.
     Alive,
     /// There was no answer, or another error; the cause may be the host or the network.
@@ -27,7 +27,7 @@
 pub async fn check(address: SocketAddr) -> EndpointCheck {
     match open_stream(address, CHECK_LIMIT).await {
         Ok(_) => EndpointCheck::Alive,
-        Err(error) if is_refused(&error) => EndpointCheck::Ended,
+        Err(error) if is_refused(&error) => EndpointCheck::Terminated,
         // Reset, unreachable, or no answer in time.
         Err(_) => EndpointCheck::Silent,
     }
--- a/lib/src/gateway/wire/event_stream.rs
+++ b/lib/src/gateway/wire/event_stream.rs
@@ -6,7 +6,7 @@
 use bytes::{Bytes, BytesMut};
 
 /// Maximum number of bytes that are buffered for an incomplete event. This is far more than any event of a generation.
-const LONGEST_EVENT: usize = 256 * 1024;
+const MAX_EVENT_SIZE: usize = 256 * 1024;
 
 /// Splits a stream into complete events.
 #[derive(Debug, Default)]
@@ -41,7 +41,7 @@
             }
             end += length;
         }
-        if self.buffer.len() - end > LONGEST_EVENT {
+        if self.buffer.len() - end > MAX_EVENT_SIZE {
             self.broken = true;
         }
         self.buffer.split_to(end).freeze()
--- a/lib/src/gateway/wire/headers.rs
+++ b/lib/src/gateway/wire/headers.rs
@@ -3,7 +3,7 @@
 use http::{HeaderMap, HeaderName, header};
 
 /// Hop-by-hop headers that are removed even if `Connection` doesn't list them.
-const PER_CONNECTION: &[HeaderName] = &[
+const HOP_BY_HOP: &[HeaderName] = &[
     header::CONNECTION,
     header::PROXY_AUTHENTICATE,
     header::PROXY_AUTHORIZATION,
@@ -14,15 +14,15 @@
 ];
 
 /// Removes all hop-by-hop headers, including those that `Connection` lists.
-pub fn strip_connection_headers(headers: &mut HeaderMap) {
-    let named: Vec<HeaderName> = headers
+pub fn strip_hop_by_hop(headers: &mut HeaderMap) {
+    let listed: Vec<HeaderName> = headers
         .get_all(header::CONNECTION)
         .iter()
         .filter_map(|value| value.to_str().ok())
         .flat_map(|value| value.split(','))
         .filter_map(|name| name.trim().parse().ok())
         .collect();
-    for name in named.iter().chain(PER_CONNECTION) {
+    for name in listed.iter().chain(HOP_BY_HOP) {
         headers.remove(name);
     }
     headers.remove("keep-alive");
--- a/lib/src/gateway/wire/reply.rs
+++ b/lib/src/gateway/wire/reply.rs
@@ -20,7 +20,7 @@
 /// Reports a body that ended before it was complete, which makes `hyper` close the connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 #[error("the reply breaks off")]
-pub struct BrokenOff;
+pub struct IncompleteBody;
 
 /// Body of a reply.
 #[derive(Debug)]
@@ -50,18 +50,18 @@
 
 impl Body for ReplyBody {
     type Data = Bytes;
-    type Error = BrokenOff;
+    type Error = IncompleteBody;
 
     fn poll_frame(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, BrokenOff>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, IncompleteBody>>> {
         match &mut *self {
             Self::Whole(bytes) => Poll::Ready(bytes.take().map(|bytes| Ok(Frame::data(bytes)))),
             Self::Stream(receiver) => receiver.poll_recv(context).map(|next| match next {
                 Some(StreamPart::Bytes(bytes)) => Some(Ok(Frame::data(bytes))),
                 Some(StreamPart::End) => None,
-                None => Some(Err(BrokenOff)),
+                None => Some(Err(IncompleteBody)),
             }),
         }
     }
--- a/lib/tests/test_reload.rs
+++ b/lib/tests/test_reload.rs
@@ -56,7 +56,7 @@
     let reload = Reload::new(&current, &read);
     assert_eq!(reload.settings, read);
     assert_eq!(reload.applied.to_string(), "seeds,grace,budget,bounds");
-    assert_eq!(reload.refused, SettingFields::default());
+    assert_eq!(reload.deferred, SettingFields::default());
 }
 
 #[test]
@@ -75,7 +75,7 @@
     assert_eq!(reload.settings, current);
     assert_eq!(reload.applied, SettingFields::default());
     let all = "host,data_centre,listen,ready,operator,metrics,peer,capacity";
-    assert_eq!(reload.refused.to_string(), all);
+    assert_eq!(reload.deferred.to_string(), all);
 }
 
 #[test]
@@ -84,8 +84,8 @@
     let mut read = current.clone();
     // Port 0 lets the system choose the port; the bound port is the one that it chose.
     read.peer.set_port(0);
-    assert_eq!(Reload::new(&current, &read).refused.0, []);
+    assert_eq!(Reload::new(&current, &read).deferred.0, []);
     read.peer.set_ip("127.0.0.9".parse().unwrap());
-    let refused = Reload::new(&current, &read).refused;
-    assert_eq!(refused.0, [SettingField::Peer]);
+    let deferred = Reload::new(&current, &read).deferred;
+    assert_eq!(deferred.0, [SettingField::Peer]);
 }
--- a/lib/tests/test_reply_body.rs
+++ b/lib/tests/test_reply_body.rs
@@ -2,15 +2,18 @@
 
 use {
     bytes::Bytes,
-    hazelyoke_lib::gateway::wire::reply::{BrokenOff, ReplyBody, StreamPart},
+    hazelyoke_lib::gateway::wire::reply::{IncompleteBody, ReplyBody, StreamPart},
     http_body_util::BodyExt,
     tokio::sync::mpsc,
 };
 
-async fn collect(parts: Vec<StreamPart>) -> Result<Bytes, BrokenOff> {
+async fn collect(parts: Vec<StreamPart>) -> Result<Bytes, IncompleteBody> {
     let (sender, receiver) = mpsc::channel(parts.len().max(1));
     for part in parts {
-        sender.send(part).await.expect("the channel has capacity for all parts");
+        sender
+            .send(part)
+            .await
+            .expect("the channel has capacity for all parts");
     }
     drop(sender);
     let body = ReplyBody::Stream(receiver);
@@ -27,6 +30,6 @@
 #[tokio::test]
 async fn unended_body() {
     let parts = vec![StreamPart::Bytes("some".into())];
-    assert_eq!(collect(parts).await, Err(BrokenOff));
-    assert_eq!(collect(Vec::new()).await, Err(BrokenOff));
+    assert_eq!(collect(parts).await, Err(IncompleteBody));
+    assert_eq!(collect(Vec::new()).await, Err(IncompleteBody));
 }
