--- a/daemon/tests/process/mod.rs
+++ b/daemon/tests/process/mod.rs
@@ -7,10 +7,10 @@
 
 use {
     super::stand_in::{
-        client, own_ip,
-        site::{DaemonFile, free_ports},
+        client,
+        documents::{SettingsFile, free_ports},
         store::StandInStore,
-        until,
+        test_ip, until,
     },
     std::{
         fs,
@@ -175,9 +175,9 @@
     store: SocketAddr,
     grace_s: f64,
 ) -> String {
-    let file = DaemonFile {
+    let file = SettingsFile {
         name,
-        ip: own_ip(),
+        ip: test_ip(),
         front,
         ready,
         control: None,
@@ -198,7 +198,7 @@
 /// Starts a daemon, and waits until it serves.
 pub async fn start_with(name: &str, store: &StandInStore, log: Log, limits: Limits) -> Process {
     let grace_s = limits.grace_s;
-    let [front, ready, peer] = free_ports(own_ip());
+    let [front, ready, peer] = free_ports(test_ip());
     let file = format!("hazelyoked-{}-{name}.toml", std::process::id());
     let settings = std::env::temp_dir().join(file);
     let text = settings_text(name, [front, ready, peer], store.address, grace_s);
@@ -220,8 +220,8 @@
     let process = Process {
         child,
         settings,
-        listen: SocketAddr::new(own_ip(), front),
-        ready: SocketAddr::new(own_ip(), ready),
+        listen: SocketAddr::new(test_ip(), front),
+        ready: SocketAddr::new(test_ip(), ready),
         log,
     };
     until(|| is_ready(process.ready), true).await;
--- a/daemon/tests/soak/caller.rs
+++ b/daemon/tests/soak/caller.rs
@@ -132,7 +132,7 @@
             };
             let value = value.trim();
             match name.to_ascii_lowercase().as_str() {
-                client::STAMP => answer.stamp = Some(value.into()),
+                client::SIGNATURE => answer.stamp = Some(value.into()),
                 "content-length" => length = value.parse().ok(),
                 "transfer-encoding" => chunked = value == "chunked",
                 "connection" => close = value == "close",
@@ -173,7 +173,7 @@
     kind: Kind,
     patience: Duration,
 ) -> (Answer, bool) {
-    let text = client::kept_request(&format!("{}{id}", kind.path()), id, PATIENCE);
+    let text = client::keep_alive_request(&format!("{}{id}", kind.path()), id, PATIENCE);
     let mut answer = Answer {
         status: None,
         stamp: None,
--- a/daemon/tests/soak/checks.rs
+++ b/daemon/tests/soak/checks.rs
@@ -91,7 +91,7 @@
         .iter()
         .map(|outcome| (outcome.id.as_str(), outcome.kind))
         .collect();
-    let seen = members.iter().flat_map(|member| member.replica.seen());
+    let seen = members.iter().flat_map(|member| member.replica.received());
     seen.filter_map(|seen| {
         let id = seen.id();
         let is_probe = id.starts_with("end-") || id.starts_with(HARMFUL);
--- a/daemon/tests/soak/fleet.rs
+++ b/daemon/tests/soak/fleet.rs
@@ -4,8 +4,8 @@
     super::{
         proxy::{Fault, Proxy},
         stand_in::{
+            documents::{SettingsFile, free_ports},
             replica::{Act, Replica},
-            site::{DaemonFile, free_ports},
             store::StandInStore,
         },
     },
@@ -137,7 +137,7 @@
         let settings = folder.join(format!("{file_name}.toml"));
         let log = folder.join(format!("{file_name}.log"));
         let _ = std::fs::remove_file(&log);
-        let file = DaemonFile {
+        let file = SettingsFile {
             name: &name,
             ip,
             front,
@@ -193,8 +193,8 @@
         address
     })
     .await;
-    replica.set_usual(usual(service));
-    replica.write_down(store, service, "ready");
+    replica.set_default_act(usual(service));
+    replica.write_entry(store, service, "ready");
     Member {
         replica,
         service,
@@ -236,7 +236,7 @@
             pause,
             whole: false,
         },
-        (_, 0) => Act::Foreign("foreign".into()),
+        (_, 0) => Act::WrongId("foreign".into()),
         (_, 1) => Act::Unsigned("unsigned".into()),
         (_, 2) => Act::Break,
         (_, 3) => Act::NotRun(503),
--- a/daemon/tests/soak/harm.rs
+++ b/daemon/tests/soak/harm.rs
@@ -3,7 +3,7 @@
 use {
     super::{
         fleet::start_member,
-        stand_in::{client, mortal::DEADLY},
+        stand_in::{client, respawning::FATAL_BODY},
         trouble::World,
     },
     rand::{RngExt, SeedableRng, rngs::SmallRng},
@@ -35,7 +35,8 @@
         for number in 0.. {
             let daemons = world.daemons.borrow().len();
             let listen = world.daemons.borrow()[rng.random_range(0..daemons)].listen;
-            let text = client::request("POST", path, &format!("{HARMFUL}{number}"), &[], DEADLY);
+            let text =
+                client::request("POST", path, &format!("{HARMFUL}{number}"), &[], FATAL_BODY);
             tokio::task::spawn_local(async move {
                 // A daemon that is down or refuses it is no finding.
                 let _ = client::try_send(listen, &text).await;
@@ -67,7 +68,7 @@
 /// Makes replicas end under the request.
 fn arm(world: &World) {
     for member in world.members.borrow().iter() {
-        member.replica.set_deadly(DEADLY);
+        member.replica.set_fatal_body(FATAL_BODY);
         let proxy = member.proxy.clone();
         member.replica.on_end(move || proxy.end());
     }
--- a/daemon/tests/soak/trouble.rs
+++ b/daemon/tests/soak/trouble.rs
@@ -5,8 +5,8 @@
         fleet::{Daemon, Member, misbehaviour, proxy_fault, start_member},
         proxy::Fault,
         stand_in::{
-            site::{table_of_kinds, with_routes},
-            store::{StandInStore, Trouble},
+            documents::{table_of_kinds, with_routes},
+            store::{StandInStore, StoreFault},
         },
     },
     rand::{RngExt, rngs::SmallRng},
@@ -110,7 +110,7 @@
     /// Brings the store back from a copy that lacks some changes. Operator and replicas write again what it lacks, some of
     /// them before anybody reads it.
     async fn store_returns(&self, choice: u32, time: Duration) {
-        self.store.set_trouble(Trouble::Refusing);
+        self.store.set_fault(StoreFault::Refusing);
         let lost = u64::from(choice % LOST_CHANGES);
         self.store
             .restore(self.store.revision().saturating_sub(lost));
@@ -118,7 +118,7 @@
         let first = choice as usize % (places + 1);
         (0..first).for_each(|place| self.rewrite(place));
         tokio::time::sleep(time / 4).await;
-        self.store.set_trouble(Trouble::None);
+        self.store.set_fault(StoreFault::None);
         tokio::time::sleep(time / 4).await;
         self.publish_again();
         let places = self.members.borrow().len();
@@ -161,7 +161,7 @@
         let state = if member.left { "draining" } else { "ready" };
         member
             .replica
-            .write_down(&self.store, member.service, state);
+            .write_entry(&self.store, member.service, state);
     }
 
     /// Publishes a new table, as an operator does.
@@ -297,15 +297,19 @@
         members.push(new);
         members[place].left = true;
         let old = &members[place];
-        old.replica.write_down(&self.store, service, "draining");
+        old.replica.write_entry(&self.store, service, "draining");
     }
 
     async fn store_fails(&self, choice: u32, time: Duration) {
-        let trouble = [Trouble::Silent, Trouble::Refusing, Trouble::Nonsense];
+        let trouble = [
+            StoreFault::Silent,
+            StoreFault::Refusing,
+            StoreFault::Nonsense,
+        ];
         self.store
-            .set_trouble(trouble[choice as usize % trouble.len()]);
+            .set_fault(trouble[choice as usize % trouble.len()]);
         tokio::time::sleep(time).await;
-        self.store.set_trouble(Trouble::None);
+        self.store.set_fault(StoreFault::None);
     }
 
     async fn cut_store(&self, number: usize, choice: u32, time: Duration) {
@@ -343,14 +347,14 @@
             if member.service != "enc" && rng.random_bool(0.5) {
                 member
                     .replica
-                    .next(misbehaviour(member.service, rng.random()));
+                    .push_act(misbehaviour(member.service, rng.random()));
             }
         }
     }
 
     /// Ends all troubles; a daemon that is down is started.
     pub async fn heal(&self) {
-        self.store.set_trouble(Trouble::None);
+        self.store.set_fault(StoreFault::None);
         for member in self.members.borrow().iter() {
             member.proxy.set(Fault::None);
         }
--- a/daemon/tests/test_process.rs
+++ b/daemon/tests/test_process.rs
@@ -14,12 +14,12 @@
     },
     serde_json::{Value, json},
     stand_in::{
-        client, own_ip,
+        client,
+        documents::{free_ports, plain_table},
         replica::{Act, Replica},
         run,
-        site::{free_ports, plain_table},
         store::StandInStore,
-        until,
+        test_ip, until,
     },
     std::{net::SocketAddr, process::Command, time::Duration},
     tokio::net::TcpStream,
@@ -90,7 +90,7 @@
         let store = StandInStore::start().await;
         store.publish(&config());
         let _replica = Replica::start(&store, "i-1", "s").await;
-        let [front, ready, peer] = free_ports(own_ip());
+        let [front, ready, peer] = free_ports(test_ip());
         // Settings that come through a pipe hold the daemon in its start until they are written.
         let pipe = std::env::temp_dir().join(format!("hazelyoked-{}-pipe", std::process::id()));
         let _ = std::fs::remove_file(&pipe);
@@ -106,8 +106,8 @@
         let process = Process {
             child,
             settings: pipe.clone(),
-            listen: SocketAddr::new(own_ip(), front),
-            ready: SocketAddr::new(own_ip(), ready),
+            listen: SocketAddr::new(test_ip(), front),
+            ready: SocketAddr::new(test_ip(), ready),
             log: Log::File(log),
         };
         // Opening it to write waits until the daemon has opened it to read, within its start.
@@ -170,10 +170,10 @@
         std::fs::write(&process.settings, changed).unwrap();
         signal(&process, "HUP");
         until(|| async { process.logged("settings.reloaded") }, true).await;
-        replica.next(Act::Wait(Duration::from_secs(3), "late".into()));
+        replica.push_act(Act::Wait(Duration::from_secs(3), "late".into()));
         let text = client::request("GET", "/x/1", "r1", &[], "");
         let stop = async {
-            until(|| async { replica.seen().len() }, 1).await;
+            until(|| async { replica.received().len() }, 1).await;
             signal(&process, "TERM");
         };
         let (answer, ()) = tokio::join!(client::send(process.listen, &text), stop);
--- a/daemon/tests/test_slow_readers.rs
+++ b/daemon/tests/test_slow_readers.rs
@@ -13,9 +13,9 @@
     serde_json::{Value, json},
     stand_in::{
         client,
+        documents::table_of_kinds,
         replica::{Act, Replica},
         run,
-        site::table_of_kinds,
         store::StandInStore,
     },
     std::{fs, net::SocketAddr, time::Duration},
@@ -67,7 +67,7 @@
     let socket = TcpSocket::new_v4().unwrap();
     socket.set_recv_buffer_size(UNREAD).unwrap();
     let mut stream = socket.connect(listen).await.unwrap();
-    let text = client::kept_request("/s/1", &format!("{number:08}"), Duration::from_secs(14));
+    let text = client::keep_alive_request("/s/1", &format!("{number:08}"), Duration::from_secs(14));
     stream.write_all(text.as_bytes()).await.unwrap();
     let mut head = [0; 12];
     stream.read_exact(&mut head).await.unwrap();
@@ -83,7 +83,7 @@
         let store = StandInStore::start().await;
         store.publish(&table());
         let engine = Replica::start(&store, "i-llm", "llm").await;
-        engine.set_usual(Act::Endless(EVENT));
+        engine.set_default_act(Act::Endless(EVENT));
         let _plain = Replica::start(&store, "i-plain", "plain").await;
         let limits = Limits {
             descriptors: 4_096,
--- a/daemon/tests/test_soak.rs
+++ b/daemon/tests/test_soak.rs
@@ -30,7 +30,7 @@
         checks::check,
         fleet::{Daemon, Member, start_daemons, start_members},
         harm, need,
-        stand_in::{site::table_of_kinds, store::StandInStore},
+        stand_in::{documents::table_of_kinds, store::StandInStore},
         trouble::World,
     },
     stand_in::client,
