--- a/lib/src/gateway/wire/reply.rs
+++ b/lib/src/gateway/wire/reply.rs
@@ -19,7 +19,7 @@
 
 /// Reports a body that ended before it was complete, which makes `hyper` close the connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
-#[error("the reply breaks off")]
+#[error("the body of the reply is incomplete")]
 pub struct IncompleteBody;
 
 /// Body of a reply.
