--- a/lib/src/gateway/directory/adopt_table.rs
+++ b/lib/src/gateway/directory/adopt_table.rs
@@ -1,6 +1,6 @@
 //! Adopts a published table if it is newer than the one in force.
 //!
-//! Relies on the rule [`adoption`](crate::shared::adoption); the table in force is part of the
+//! Relies on the rule [`adoption`](crate::shared::adoption). The table in force is part of the
 //! daemon's state.
 
 use {
@@ -18,14 +18,14 @@
     xxhash_rust::xxh3::xxh3_64,
 };
 
-/// How a table was received.
+/// Result of offering a table to this daemon.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TableAdoption {
-    /// It is in force now.
+    /// The table is in force now.
     Adopted,
-    /// It is the one in force, or an older one.
+    /// The table is the one in force, or an older one.
     Known,
-    /// It is invalid, or has the version of another one.
+    /// The table is invalid, or has the version of the one in force but other content.
     Refused,
 }
 
@@ -38,7 +38,7 @@
             .as_ref()
             .is_some_and(|current| current.fingerprint == fingerprint)
         {
-            // The same bytes needn't be parsed again.
+            // The same bytes aren't parsed again.
             return TableAdoption::Known;
         }
         let table = match D::read_table(bytes) {
@@ -82,13 +82,13 @@
         }
     }
 
-    /// Records that there is no table newer than the one in force up to a revision of the directory.
+    /// Records that the directory has no table newer than the one in force up to a revision.
     pub(crate) fn table_is_newest(&self, revision: Revision) {
         let mut state = self.state.borrow_mut();
         state.table_read = state.table_read.max(revision);
     }
 
-    /// Returns the milliseconds since a peer was first known to have a newer table; 0 if none is.
+    /// Returns the milliseconds since a peer first reported a newer table; 0 if no peer has one.
     fn behind_ms(&self) -> f64 {
         let now = self.now();
         let since = self.state.borrow().newer_since;
@@ -104,13 +104,13 @@
         drop(state);
         self.invalidate_stage_queues();
         self.table_changed.notify_waiters();
-        // Others that rely on this daemon would otherwise learn of it up to 200 ms later.
+        // Daemons that rely on this one would otherwise receive the change up to 200 ms later.
         self.announcement.notify_one();
     }
 }
 
-/// Returns the mark of the table in force. Before the first one it is that of an empty document of
-/// version 0, so that a table has to have a version above 0.
+/// Returns the mark of the table in force. Before the first table it is the mark of an empty document of
+/// version 0, so that a table needs a version above 0.
 fn mark(current: Option<&PublishedTable>) -> ContentMark<Version> {
     current.map_or_else(
         || ContentMark {
--- a/lib/src/gateway/directory/apply.rs
+++ b/lib/src/gateway/directory/apply.rs
@@ -1,7 +1,7 @@
-//! Applies changes of the list of endpoints to the daemon's state, and logs each.
+//! Applies changes of the list of endpoints to the daemon's state, and logs each of them.
 //!
-//! Changes come from the directory and from peers. The catalogue decides which of them count, with
-//! the rule [`unconfirmed_entry`](crate::gateway::rules::unconfirmed_entry); this module passes them on to
+//! Changes come from the directory and from peers. The catalogue decides which of them take effect, with
+//! the rule [`unconfirmed_entry`](crate::gateway::rules::unconfirmed_entry). This module applies them to
 //! the endpoints that requests are sent to and to the queues of stages.
 
 use {
@@ -22,21 +22,22 @@
     std::sync::Arc,
 };
 
-/// Source that the log names when an endpoint is removed because it was suspect for long enough.
-const SUSPECT_TIME_OVER: &str = "doubt over";
+/// Source in the log of the removal of an endpoint whose unconfirmed time is over.
+const SUSPECT_TIME_OVER: &str = "unconfirmed time over";
 
-/// Source that the log names when an endpoint is added because an entry that an older copy listed has lasted.
+/// Source in the log when a departed endpoint is added since its entry, listed by an older copy of the directory, has
+/// lasted.
 const ENTRY_LASTS: &str = "entry lasts";
 
 impl GatewayState {
-    /// Returns whether entries that vanish now may have lapsed although their endpoints live.
+    /// Returns whether entries that vanish now may have lapsed although their endpoints are alive.
     fn is_outage(&self, now: Time) -> bool {
         is_outage(now, self.contact.reads, self.peers.has_steady_peer(now))
     }
 }
 
 impl<D: Dialect> Gateway<D> {
-    /// Applies one new or changed entry; one that is older than the known one changes nothing.
+    /// Applies a new or changed entry. An entry older than the known one changes nothing.
     pub fn upsert_endpoint(&self, entry: EndpointEntry, source: &str) {
         let now = self.now();
         let mut state = self.state.borrow_mut();
@@ -52,8 +53,8 @@
         }
     }
 
-    /// Applies that an entry vanished at a revision; `suspect` says that the daemon that noticed it
-    /// takes the endpoint for suspect.
+    /// Records that an entry vanished at a revision. `suspect` is set if the endpoint is unconfirmed at the peer that
+    /// reports it.
     pub fn remove_endpoint(
         &self,
         id: &EndpointId,
@@ -71,7 +72,7 @@
         }
     }
 
-    /// Applies the changes that a peer knows.
+    /// Applies changes received from a peer.
     pub fn apply_changes(&self, changes: EndpointChanges, source: &str) {
         let now = self.now();
         let mut state = self.state.borrow_mut();
@@ -91,9 +92,9 @@
         }
     }
 
-    /// Uses endpoints of the first list while the rest of it is still on its way. The list of 3,001 endpoints took
-    /// 299 daemons that started together 2.5 s, in which they refused everything; a page of it holds a sixth of
-    /// the endpoints of each service.
+    /// Uses the endpoints of the first pages of the first list before the rest has arrived. Without this, 299 daemons
+    /// that start together refuse all requests for the 2.5 s in which they receive a list of 3,001 endpoints. One page
+    /// holds a sixth of the endpoints of each service.
     pub(crate) fn add_early(&self, entries: impl Iterator<Item = EndpointEntry>) {
         let now = self.now();
         let mut state = self.state.borrow_mut();
@@ -125,17 +126,17 @@
             endpoints.upsert(now, entry.clone());
         }
         if is_first {
-            // Of a list that was begun and not read to its end, some may be gone since.
+            // Endpoints of an earlier list that was only partly read may have been removed since.
             endpoints.retain(|id| catalogue.get(id).is_some());
         }
         state.has_list = true;
         drop(state);
         log::info!(revision:%, entries, changes = changes.len(), source; "endpoints.listed");
         if is_first {
-            // Others choose a coordinator among those that are ready.
+            // Other daemons choose a coordinator among those that are ready, so they are told at once.
             self.announcement.notify_one();
         }
-        // A line for each entry of the first list says nothing more: 3,001 lines of each daemon.
+        // Additions of the first list aren't logged one by one: that would be 3,001 lines at each daemon.
         let told = changes
             .iter()
             .filter(|change| !is_first || !change.is_added());
@@ -145,7 +146,8 @@
         self.invalidate_stage_queues();
     }
 
-    /// Removes suspect endpoints whose time is over, and opens those again that were set aside or rested.
+    /// Ends what is over by now: removes endpoints whose unconfirmed time is over, adds departed endpoints whose
+    /// entries have lasted, drops evacuation orders of an earlier era, and ends exclusions and cooldowns of endpoints.
     pub fn apply_timeouts(&self) {
         let now = self.now();
         let changes = self.state.borrow_mut().catalogue.expire_suspects(now);
@@ -160,7 +162,7 @@
         self.end_cooldowns();
     }
 
-    /// Adds endpoints that had departed and whose entries have lasted since the directory came back from an older copy.
+    /// Adds departed endpoints whose entries have lasted since the directory was restored from an older copy.
     fn readmit_endpoints(&self, now: Time) {
         let mut state = self.state.borrow_mut();
         let changes = state.catalogue.readmit(now);
@@ -175,13 +177,13 @@
         }
     }
 
-    /// Records that all changes up to a revision were applied.
+    /// Records that all changes up to a revision are applied.
     pub fn advance_revision(&self, revision: Revision) {
         self.state.borrow_mut().catalogue.advance_to(revision);
     }
 
-    /// Returns the revision from which on changes of a topic are to be read, as far as peers have
-    /// brought this daemon.
+    /// Returns the revision after which this daemon still has to read changes of a topic; reports of peers may have
+    /// advanced it.
     pub fn known_revision(&self, topic: Topic) -> Revision {
         match topic {
             Topic::Operator => self.state.borrow().operator_until(),
--- a/lib/src/gateway/directory/catalogue.rs
+++ b/lib/src/gateway/directory/catalogue.rs
@@ -1,8 +1,8 @@
 //! The entries of the endpoints as of one revision of the directory.
 //!
-//! Owns the entries, the suspects among them with the time until which they are used, and the log of
-//! changes. Whether an entry that vanished is suspect is the rule
-//! [`unconfirmed_entry`](crate::gateway::rules::unconfirmed_entry). It has no clock: callers pass the time.
+//! Owns the entries, the time until which each unconfirmed one is used, and the log of changes. The rule
+//! [`unconfirmed_entry`](crate::gateway::rules::unconfirmed_entry) decides whether an entry that vanished is
+//! unconfirmed. The catalogue has no clock: callers pass the time.
 
 use {
     crate::{
@@ -27,20 +27,21 @@
 /// A change that a catalogue has applied.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum EndpointChange {
-    /// An endpoint is new.
+    /// An endpoint was added.
     Added(Arc<EndpointEntry>),
-    /// An endpoint started again: it holds and knows nothing of before.
+    /// An endpoint started again: it has lost its caches and its requests.
     Restarted(Arc<EndpointEntry>),
     /// An endpoint announced that it is leaving.
     Draining(Arc<EndpointEntry>),
-    /// An endpoint is gone.
+    /// An endpoint was removed.
     Gone(Arc<EndpointEntry>),
-    /// An endpoint's entry vanished while the directory couldn't be read; it is used for a while yet.
+    /// An endpoint's entry vanished while the directory couldn't be read. The endpoint is used until its unconfirmed
+    /// time is over.
     Suspect(Arc<EndpointEntry>),
 }
 
 impl EndpointChange {
-    /// Returns whether an endpoint is new.
+    /// Returns whether the change adds an endpoint.
     pub(crate) fn is_added(&self) -> bool {
         matches!(self, Self::Added(_))
     }
@@ -49,23 +50,23 @@
 /// The endpoints as of one revision of the directory.
 #[derive(Debug, Clone)]
 pub struct Catalogue {
-    /// Time for which suspect endpoints are used.
+    /// Time for which unconfirmed endpoints are used.
     unconfirmed_time: Millis,
-    /// Time after which the entry of an endpoint that doesn't write it any more has lapsed for certain.
+    /// Time after which an entry that its endpoint no longer renews has certainly lapsed.
     lapse_time: Millis,
-    /// Revision up to which all changes were applied.
+    /// Revision up to which all changes are applied.
     revision: Revision,
     log: ChangeLog,
     entries: HashMap<EndpointId, Arc<EndpointEntry>>,
-    /// Endpoints without an entry that may yet be alive, with the time until which they are used.
+    /// Unconfirmed endpoints, each with the time until which it is used.
     suspects: HashMap<EndpointId, Time>,
-    /// Endpoints whose entries vanished for good.
+    /// Endpoints whose entries vanished while the directory answered.
     departed: Departed,
 }
 
 impl Catalogue {
-    /// Starts without entries; endpoints whose entries vanish in an outage of the directory are used
-    /// for `suspect_time` more.
+    /// Creates a catalogue without entries. Endpoints whose entries vanish in an outage of the directory are used for
+    /// `unconfirmed_time` after that.
     pub fn new(unconfirmed_time: Millis) -> Self {
         Self {
             unconfirmed_time,
@@ -78,28 +79,29 @@
         }
     }
 
-    /// Sets the time for which endpoints are used whose entries vanish from now on.
+    /// Sets the time for which endpoints are used whose entries vanish after this call.
     pub fn set_unconfirmed_time(&mut self, time: Millis) {
         self.unconfirmed_time = time;
     }
 
-    /// Sets the time after which the entry of an endpoint that doesn't write it any more has lapsed for certain.
+    /// Sets the time after which an entry that its endpoint no longer renews has certainly lapsed.
     pub fn set_lapse_time(&mut self, time: Millis) {
         self.lapse_time = time;
     }
 
-    /// Returns the revision up to which all changes were applied.
+    /// Returns the revision up to which all changes are applied.
     pub fn revision(&self) -> Revision {
         self.revision
     }
 
-    /// Returns the revision of the last change of an endpoint, which others are told: a list that only counts as newer
-    /// would be fetched by everybody.
+    /// Returns the revision of the last change of an endpoint. Daemons announce this one, not
+    /// [`revision`](Self::revision): otherwise all others would fetch a list that has a newer revision but the same
+    /// entries.
     pub fn changed(&self) -> Revision {
         self.log.last()
     }
 
-    /// Returns the changes after a revision; nothing if too many were forgotten since.
+    /// Returns the changes after a revision; `None` if some of them may be missing from the log.
     pub fn changes_since(&self, since: Revision) -> Option<EndpointChanges> {
         let mut entries = Vec::new();
         let mut gone = Vec::new();
@@ -122,17 +124,17 @@
         })
     }
 
-    /// Returns all entries, those of leaving endpoints included.
+    /// Returns all entries, including those of draining and unconfirmed endpoints.
     pub fn entries(&self) -> impl Iterator<Item = &Arc<EndpointEntry>> {
         self.entries.values()
     }
 
-    /// Returns an entry.
+    /// Returns the entry of an endpoint; `None` if the endpoint isn't known.
     pub fn get(&self, id: &EndpointId) -> Option<&Arc<EndpointEntry>> {
         self.entries.get(id)
     }
 
-    /// Returns the list as other daemons are told it.
+    /// Returns the whole list, as sent to other daemons.
     pub fn list(&self) -> EndpointList {
         let entries = self.entries.values();
         EndpointList {
@@ -142,12 +144,12 @@
         }
     }
 
-    /// Returns the number of endpoints without an entry that are still used.
+    /// Returns the number of unconfirmed endpoints.
     pub fn suspects(&self) -> usize {
         self.suspects.len()
     }
 
-    /// Applies a new or changed entry; one that is older than what is known changes nothing.
+    /// Applies a new or changed entry. An entry older than the known one changes nothing.
     pub fn upsert(&mut self, entry: EndpointEntry) -> Option<EndpointChange> {
         if self.is_removed(&entry) {
             return None;
@@ -156,8 +158,9 @@
         self.apply(entry)
     }
 
-    /// Returns whether an entry was removed after it was written: all changes up to a revision were applied, and it
-    /// isn't there. Without it, news on its way from another daemon brings removed endpoints back.
+    /// Returns whether an entry was removed after it was written: the catalogue has applied all changes up to the
+    /// entry's revision and lacks the entry. Without this check, a delayed report of another daemon adds removed
+    /// endpoints again.
     fn is_removed(&self, entry: &EndpointEntry) -> bool {
         entry.revision <= self.revision && !self.entries.contains_key(&entry.id)
     }
@@ -190,8 +193,8 @@
         }
     }
 
-    /// Prepares for what is known as of a revision, if that is of a later era: an endpoint that had departed counts as back
-    /// only if its entry lasts. Returns whether it is.
+    /// Starts a new era if `revision` is of a later era than the catalogue: from then on, a departed endpoint is added
+    /// again only if its entry lasts. Returns whether the era is later.
     pub fn begin_era(&mut self, now: Time, revision: Revision) -> bool {
         let is_later = !self.log.is_unstarted() && revision.era > self.revision.era;
         if is_later {
@@ -200,8 +203,8 @@
         is_later
     }
 
-    /// Records that an entry vanished at `revision`; in an outage of the directory it may have lapsed
-    /// although its endpoint lives.
+    /// Records that an entry vanished at `revision`. During an outage of the directory the entry may have lapsed
+    /// although its endpoint is alive.
     pub fn remove(
         &mut self,
         now: Time,
@@ -236,13 +239,13 @@
         Some(EndpointChange::Gone(entry))
     }
 
-    /// Records that all changes up to a revision were applied.
+    /// Records that all changes up to a revision are applied.
     pub fn advance_to(&mut self, revision: Revision) {
         self.revision = self.revision.max(revision);
     }
 
-    /// Records that what another daemon told of the changes up to a revision was applied, among which some are missing:
-    /// whoever knows the list as of a revision between may know of endpoints that came and went.
+    /// Records that another daemon's changes up to a revision are applied, some of which may be missing: a daemon that
+    /// knows the list as of a revision in between may know endpoints that were added and removed in the gap.
     pub fn advance_over(&mut self, revision: Revision) {
         if !self.log.is_unstarted() {
             self.log.skip(self.revision, revision);
@@ -250,13 +253,14 @@
         self.advance_to(revision);
     }
 
-    /// Applies a whole list as of `revision`: entries that it lacks have vanished, unless they are newer
-    /// than the list. One that is older than what is known adds no endpoint that was removed since.
+    /// Applies a whole list: known entries that the list lacks have vanished, unless they are newer than the list. A
+    /// list that is older than the catalogue doesn't add endpoints that were removed since.
     ///
-    /// In the first list of a later era, which comes from an older copy, what is missing may only not have been written
-    /// again yet.
+    /// The first list of a later era comes from an older copy of the directory. An entry that it lacks becomes
+    /// unconfirmed: its endpoint may not have written it again yet.
     ///
-    /// Suspects of another daemon are suspects here as well; one that this daemon has already seen vanish isn't used again.
+    /// Endpoints that are unconfirmed at the sender become unconfirmed here. One that this daemon has already removed
+    /// isn't added again.
     pub fn replace(
         &mut self,
         now: Time,
@@ -291,7 +295,7 @@
         changes
     }
 
-    /// Returns the endpoints that a list as of a revision lacks although they were known by then.
+    /// Returns the known endpoints with entries up to a revision that the list as of that revision lacks.
     fn missing_in(&self, listed: &HashSet<EndpointId>, revision: Revision) -> Vec<EndpointId> {
         let missing = self
             .entries
@@ -300,7 +304,8 @@
         missing.map(|entry| entry.id.clone()).collect()
     }
 
-    /// Applies the entries of a list as of a revision. The first list brings suspects of another daemon as well.
+    /// Applies the entries of a list as of a revision. Entries that are unconfirmed at the sender are added only from
+    /// the first list.
     fn apply_listed(
         &mut self,
         entries: Vec<EndpointEntry>,
@@ -322,14 +327,14 @@
         changes
     }
 
-    /// Adds the endpoints that had departed and whose entries have lasted in a later era.
+    /// Adds the departed endpoints whose entries have lasted in a later era.
     pub fn readmit(&mut self, now: Time) -> Vec<EndpointChange> {
         let lasting = self.departed.take_lasting(now);
         let changes = lasting.into_iter().filter_map(|entry| self.apply(entry));
         changes.collect()
     }
 
-    /// Removes the suspect endpoints whose time is over.
+    /// Removes the endpoints whose unconfirmed time is over.
     pub fn expire_suspects(&mut self, now: Time) -> Vec<EndpointChange> {
         let due: Vec<EndpointId> = self
             .suspects
@@ -346,7 +351,7 @@
         Some(EndpointChange::Gone(entry))
     }
 
-    /// Starts the time of all suspects anew, since their entries can't be written while the directory
+    /// Restarts the unconfirmed time of all unconfirmed endpoints: their entries can't be written while the directory
     /// can't be read.
     pub fn extend_suspects(&mut self, now: Time) {
         let until_next = now + self.unconfirmed_time;
@@ -356,15 +361,15 @@
     }
 }
 
-/// Returns whether an entry is a change to another one of the same endpoint. One that only has another revision in a later
-/// era isn't, unless its endpoint was a suspect: it was written before.
+/// Returns whether an entry changes an older one of the same endpoint. An entry of a later era that differs only in its
+/// revision is no change, unless its endpoint was unconfirmed: the directory had it before.
 fn is_change(old: &EndpointEntry, entry: &EndpointEntry, was_suspect: bool) -> bool {
     let is_known = entry.revision.era > old.revision.era && !was_suspect && entry.says_same(old);
     old.revision < entry.revision && !is_known
 }
 
-/// Returns the entry that follows another one of the same endpoint. One that leaves doesn't stay after all in the same life;
-/// an older copy of the directory may say so.
+/// Returns the entry that replaces an older one of the same endpoint. An endpoint that drains keeps draining within one
+/// incarnation, also if an older copy of the directory lists it as not draining.
 fn after(old: &EndpointEntry, entry: EndpointEntry) -> EndpointEntry {
     EndpointEntry {
         draining: entry.draining || (old.draining && old.born == entry.born),
--- a/lib/src/gateway/directory/change_log.rs
+++ b/lib/src/gateway/directory/change_log.rs
@@ -1,6 +1,6 @@
-//! The last changes of the list of endpoints, for daemons that ask for what they lack.
+//! The latest changes of the list of endpoints, for daemons that request the changes they lack.
 //!
-//! Owns the order of changes, and the spans of revisions of which some may be missing.
+//! Owns the order of changes, and the ranges of revisions in which changes may be missing.
 
 use {
     crate::{gateway::revision::Revision, shared::ids::EndpointId},
@@ -8,23 +8,23 @@
     std::collections::VecDeque,
 };
 
-/// Changes that are remembered of a short list; of a longer one, as many as it has entries: who lacks more is sent the
-/// whole list, which is then no longer than its changes.
+/// Number of changes that are kept at least. Of a list with more entries, as many changes are kept as it has entries: a
+/// daemon that lacks more is sent the whole list, which is then no longer than the changes.
 const CHANGES_KEPT: usize = 512;
 
 /// One change of an endpoint's entry.
 #[derive(Debug, Clone, PartialEq, Eq)]
 struct Change {
-    /// Revision of the directory.
+    /// Revision of the directory at which the entry changed.
     revision: Revision,
     id: EndpointId,
 }
 
-/// Most spans that are remembered; what is before the oldest one is forgotten.
+/// Number of gaps that are kept at most; changes before the end of a dropped gap count as missing.
 const GAPS_KEPT: usize = 16;
 
-/// Revisions between which changes may be missing: one that knows the list as of a revision inside may have seen an
-/// endpoint that came and went unseen here.
+/// Range of revisions in which changes may be missing: a daemon that knows the list as of a revision in it may know an
+/// endpoint that was added and removed without a change recorded here.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct Gap {
     from: Revision,
@@ -37,7 +37,7 @@
     changes: VecDeque<Change>,
     /// Revision of the last change.
     last: Revision,
-    /// Revision after which no change is missing; the largest number before the first list.
+    /// Revision after which no change was dropped from the log; [`Revision::MAX`] before the first whole list.
     complete_from: Revision,
     gaps: VecDeque<Gap>,
 }
@@ -65,7 +65,8 @@
         self.last.max(gap.unwrap_or_default())
     }
 
-    /// Records a change of a list of so many entries; the oldest ones are forgotten when there are too many.
+    /// Records a change of a list that has the number `entries` of entries. The oldest changes are dropped when there
+    /// are too many.
     pub(crate) fn record(&mut self, revision: Revision, id: &EndpointId, entries: usize) {
         self.last = self.last.max(revision);
         self.changes.push_back(Change {
@@ -80,23 +81,23 @@
         }
     }
 
-    /// Starts from the first whole list, as of `revision`. The revisions at which entries vanished before aren't known,
-    /// so that only later changes are.
+    /// Starts the log at the first whole list, as of `revision`. The log is complete only after it, since the revisions
+    /// at which entries vanished before it aren't known.
     pub(crate) fn start(&mut self, revision: Revision) {
         self.complete_from = revision;
     }
 
-    /// Returns whether there was no whole list yet.
+    /// Returns whether no whole list was applied yet.
     pub(crate) fn is_unstarted(&self) -> bool {
         self.complete_from == Revision::MAX
     }
 
-    /// Records that a whole list brought the changes between two revisions.
+    /// Records a gap between two revisions: a whole list, or incomplete changes, led from one to the other.
     pub(crate) fn skip(&mut self, from: Revision, to: Revision) {
         if to.follows(from) {
             return;
         }
-        // Others are to learn of a later era even where nothing has changed with it.
+        // Other daemons have to learn of a later era also if no entry changed with it.
         self.last = self.last.max(Revision::new(to.era, 0));
         self.gaps.push_back(Gap { from, to });
         if self.gaps.len() > GAPS_KEPT
@@ -111,14 +112,14 @@
         gaps.any(|gap| gap.from < revision && revision < gap.to)
     }
 
-    /// Returns whether changes may be missing among those after a revision: they lead from what was known then to what is
-    /// known now, and an endpoint may have come and gone between.
+    /// Returns whether changes may be missing among those after a revision: they lead from the list as of that revision
+    /// to the current one, but endpoints may have been added and removed in between.
     pub(crate) fn has_gap_after(&self, revision: Revision) -> bool {
         self.gaps.iter().any(|gap| gap.to > revision)
     }
 
-    /// Returns the revision of the last change of each endpoint that changed after `revision`;
-    /// nothing if changes since then may be missing.
+    /// Returns the revision of the last change of each endpoint that changed after `revision`; `None` if the log may
+    /// lack changes since then.
     pub(crate) fn since(&self, revision: Revision) -> Option<HashMap<&EndpointId, Revision>> {
         if revision < self.complete_from || self.is_in_gap(revision) {
             return None;
--- a/lib/src/gateway/directory/contact.rs
+++ b/lib/src/gateway/directory/contact.rs
@@ -1,7 +1,7 @@
-//! Times of this daemon's own reads of the directory.
+//! Times of this daemon's local reads of the directory.
 //!
-//! Owns the last answer for each topic and the last failure. How these are judged is the rule
-//! [`unconfirmed_entry`](crate::gateway::rules::unconfirmed_entry).
+//! Owns the time of the last answer for each topic, and of the last failure. The rule
+//! [`unconfirmed_entry`](crate::gateway::rules::unconfirmed_entry) decides whether they amount to an outage.
 
 use crate::{
     gateway::{
@@ -11,42 +11,42 @@
     shared::units::{Millis, Time},
 };
 
-/// Times of this daemon's own reads of the directory.
+/// Times of this daemon's local reads of the directory, without reads by peers.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct DirectoryContact {
-    /// Last answer and last failure, whatever the topic.
+    /// Times of the last answer and of the last failure for any topic.
     pub reads: ReadHistory,
-    /// Last answer for each topic.
+    /// Time of the last answer for each topic; `None` before the first one.
     topics: [Option<Time>; TOPICS],
-    /// An answer for the topic is on its way.
+    /// Whether an answer for the topic is being received.
     begun: [bool; TOPICS],
 }
 
 impl DirectoryContact {
-    /// Records an answer for a topic.
+    /// Records a complete answer for a topic.
     pub(crate) fn record_answer(&mut self, now: Time, topic: Topic) {
         self.reads.answered = Some(now);
         self.topics[topic as usize] = Some(now);
     }
 
-    /// Records that an answer for a topic begins. Its bytes keep coming from now on, or its end is recorded soon.
+    /// Records that an answer for a topic has begun. From now on its bytes keep arriving, or its end is recorded soon.
     pub(crate) fn record_begin(&mut self, topic: Topic) {
         self.begun[topic as usize] = true;
     }
 
-    /// Records that no answer for a topic is on its way any more.
+    /// Records that no answer for a topic is being received any more.
     pub(crate) fn record_end(&mut self, topic: Topic) {
         self.begun[topic as usize] = false;
     }
 
-    /// Returns whether an answer for a topic is on its way.
+    /// Returns whether an answer for a topic is being received.
     pub(crate) fn is_begun(&self, topic: Topic) -> bool {
         self.begun[topic as usize]
     }
 
-    /// Returns the time since the directory last answered for every topic; nothing if there is a topic for which it
-    /// never did. An answer that is on its way counts: without it, others call while their reader receives a large
-    /// table.
+    /// Returns the time since the directory last answered for the topic whose answer is oldest; `None` if it never
+    /// answered for some topic. An answer that is being received counts as one of now: otherwise other daemons would
+    /// call the directory while their reader receives a large table.
     pub(crate) fn read_age(&self, now: Time) -> Option<Millis> {
         let answers = self.topics.iter().zip(self.begun);
         let times = answers.map(|(last, begun)| if begun { last.map(|_| now) } else { *last });
--- a/lib/src/gateway/directory/coverage.rs
+++ b/lib/src/gateway/directory/coverage.rs
@@ -1,8 +1,8 @@
-//! Finds out whether peers read the directory for this daemon, and waits while they do, or until it is this
-//! daemon's turn to look for the directory.
+//! Determines whether peers read the directory for this daemon. Waits while they do, or until it is this daemon's turn
+//! to probe the directory.
 //!
-//! Relies on the rule [`directory_reads`](crate::gateway::rules::directory_reads) and on what peers
-//! report of their reads; owns nothing.
+//! Relies on the rule [`directory_reads`](crate::gateway::rules::directory_reads) and on the reads that peers report;
+//! owns no state.
 
 use crate::{
     gateway::{
@@ -21,8 +21,9 @@
 };
 
 impl GatewayState {
-    /// Returns this daemon as a reader of the directory. Every fleet looks small to a daemon that has just started;
-    /// one that took its fleet for small would read on and on meanwhile. Only one that has nobody to meet may.
+    /// Returns this daemon as a reader of the directory. To a daemon that has just started every fleet looks small, so
+    /// that it would keep reading. It counts its fleet as small only once it has run long enough to know its peers, or
+    /// has no peers to meet.
     pub(crate) fn reader(&self, now: Time) -> Reader {
         Reader {
             small_fleet: self.peers.is_small()
@@ -31,14 +32,14 @@
         }
     }
 
-    /// Returns whether a table and a whole list of endpoints are known.
+    /// Returns whether this daemon has a table and a whole list of endpoints.
     fn knows_directory(&self) -> bool {
         self.published.is_some() && self.has_list
     }
 
-    /// Returns the age of the freshest read that this daemon may rely on: a substitute reads on as long as
-    /// nobody but itself does. Of the time since then counts that in which this process ran: while it stood still,
-    /// nobody could tell it of a later one. What is reported to others is the whole age.
+    /// Returns the age of the latest read that this daemon may rely on; `None` if there is none. A substitute doesn't
+    /// count its local reads, so that it reads until another daemon does. Stalls of this process don't count towards
+    /// the age, since no later read could be received during them. Other daemons are told the full age.
     fn known_read_age(&self, now: Time) -> Option<Millis> {
         let others = self.peers.read_age(now);
         let own = self.contact.read_age(now).filter(|_| !self.is_substitute);
@@ -49,7 +50,7 @@
 }
 
 impl<D: Dialect> Gateway<D> {
-    /// Returns what this daemon does about the directory just now.
+    /// Returns whether this daemon reads the directory now, leaves the reads to peers, or probes the directory.
     pub fn read_duty(&self) -> ReadDuty {
         let wait = self.settings().bounds.directory_wait();
         let now = self.now();
@@ -57,30 +58,32 @@
         let is_starting = !state.knows_directory();
         let peers = PeerReads {
             lags: state.lags(now),
-            // What peers read is of no use before it has come here.
+            // Reads by peers don't help this daemon before it has received their results.
             read_age: state.known_read_age(now).filter(|_| !is_starting),
         };
         read_duty(state.reader(now), peers, state.is_substitute, wait)
     }
 
-    /// Returns whether this daemon has run long enough to know its fleet, or knows already that it is a large one.
+    /// Returns whether this daemon has run long enough to know its fleet, has no peers to meet, or already knows that
+    /// the fleet is large.
     pub(crate) fn knows_fleet(&self) -> bool {
         let state = self.state.borrow();
         let peers = &state.peers;
         is_settled(peers.ran(self.now())) || peers.is_alone() || is_spread(peers.daemons())
     }
 
-    /// Returns whether this daemon knows so many others that news takes several steps to reach them.
+    /// Returns whether this daemon knows so many others that a report takes several steps to reach all of them.
     pub(crate) fn is_spread(&self) -> bool {
         is_spread(self.state.borrow().peers.daemons())
     }
 
-    /// Returns whether peers read the directory for this daemon just now.
+    /// Returns whether peers read the directory for this daemon now.
     pub fn is_covered(&self) -> bool {
         self.read_duty() == ReadDuty::Leave
     }
 
-    /// Records that a call in this daemon's turn was answered: from now on it reads for the others.
+    /// Records that the directory answered a call. If the call was a probe, this daemon is a substitute from now on and
+    /// reads for the others.
     pub(crate) fn probe_answered(&self) {
         let knows = self.state.borrow().knows_directory();
         if !knows || self.stopping.get() || self.read_duty() != ReadDuty::Probe {
@@ -90,15 +93,15 @@
         self.state.borrow_mut().is_substitute = true;
     }
 
-    /// Tells the others at once that this daemon reads in place of those that should: meanwhile more of them
-    /// have their turn, three in the time between two heartbeats (worked out).
+    /// Announces at once that this daemon reads as a substitute. Until the others receive this, more of them have their
+    /// turn to probe: three of them between two heartbeats.
     pub(crate) fn announce_read(&self, topic: Topic) {
         if topic == Topic::Endpoints && self.state.borrow().is_substitute {
             self.announcement.notify_one();
         }
     }
 
-    /// Records that this daemon doesn't read the directory for the others any more.
+    /// Records that this daemon no longer reads the directory for the others.
     pub(crate) fn end_substitution(&self) {
         let mut state = self.state.borrow_mut();
         if state.is_substitute {
@@ -108,7 +111,7 @@
     }
 }
 
-/// Waits until this daemon reads the directory or has to look for it.
+/// Waits until this daemon has to read the directory or to probe it.
 pub(crate) async fn wait_for_duty<D: Dialect>(
     gateway: &Gateway<D>,
     topic: Topic,
@@ -147,7 +150,8 @@
     log_duty(gateway, topic, gateway.read_duty());
 }
 
-/// Returns whether a topic is called to find the directory: what a daemon lacks, and else one of them.
+/// Returns whether this topic is used to probe the directory: a topic that this daemon lacks; the operator topic if it
+/// lacks neither.
 fn probes<D: Dialect>(gateway: &Gateway<D>, topic: Topic) -> bool {
     let state = gateway.state.borrow();
     let lacks_list = !state.has_list;
@@ -157,11 +161,12 @@
     }
 }
 
-/// A daemon's turn to look for the directory.
+/// A daemon's turn to probe the directory.
 #[derive(Debug, Clone, Copy)]
 struct Turn {
-    /// When it was drawn.
+    /// Time at which the fraction was drawn.
     drawn: Time,
+    /// Random number from 0 to 1 that places the turn within the time in which all daemons have theirs.
     fraction: f64,
     last_call: LastCall,
 }
@@ -175,8 +180,8 @@
         }
     }
 
-    /// Returns whether it has come, by the number of daemons known by now: one that has just started gets to
-    /// know them while it waits.
+    /// Returns whether the turn has come, for the number of daemons known by now: a daemon that has just started meets
+    /// others while it waits.
     fn has_come<D: Dialect>(self, gateway: &Gateway<D>) -> bool {
         let daemons = gateway.state.borrow().peers.daemons();
         let pause = next_turn(daemons, self.last_call, self.fraction);
--- a/lib/src/gateway/directory/departed.rs
+++ b/lib/src/gateway/directory/departed.rs
@@ -1,7 +1,8 @@
-//! Endpoints whose entries vanished while the directory answered: they have left, or ended.
+//! Endpoints whose entries vanished while the directory answered: they have left or terminated.
 //!
-//! A directory that comes back from an older copy lists them again, and nobody renews their entries. Owns which they are, a
-//! bounded number, and those of them whose entries are watched for whether they last.
+//! A directory restored from an older copy lists them again, although nobody renews their entries. Such entries are
+//! held back until they have lasted long enough that their endpoints must have renewed them. Owns a bounded number of
+//! departed endpoints, and the entries that are held back.
 
 use {
     crate::{
@@ -11,21 +12,21 @@
     foldhash::{HashMap, HashSet},
 };
 
-/// Most endpoints that are remembered; the oldest are forgotten.
+/// Number of departed endpoints that are remembered; beyond it the oldest are forgotten.
 const REMEMBERED: usize = 4_096;
 
-/// The entry of an endpoint that is held back; nothing if it wasn't listed yet.
+/// The entry of an endpoint that is held back; `None` if it isn't listed.
 type HeldEntry = Option<EndpointEntry>;
 
-/// Endpoints that have departed.
+/// Departed endpoints, and those among them whose entries are held back.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct Departed {
-    /// In the order in which they departed.
+    /// Departed endpoints in the order in which they departed.
     known: RecentMap<EndpointId, (), REMEMBERED>,
     held: HashMap<EndpointId, HeldEntry>,
-    /// Revision from which on they are held back; who writes later lives.
+    /// Revision of the directory when the hold began. An endpoint that writes its entry later is alive.
     since: Revision,
-    /// When the entries that are held back would have lapsed if nobody had renewed them.
+    /// Time by which the entries that are held back have lapsed unless their endpoints renew them.
     until: Time,
 }
 
@@ -37,20 +38,20 @@
         self.held.insert(id.clone(), None);
     }
 
-    /// Forgets an endpoint that is in the list again.
+    /// Forgets an endpoint that was added to the list again.
     pub(crate) fn forget(&mut self, id: &EndpointId) {
         self.known.remove(id);
     }
 
-    /// Holds all of them back until a time, should they be listed: the directory came back from an older copy, and is as of
-    /// a revision now.
+    /// Holds back all departed endpoints until a time, if they are listed: the directory was restored from an older
+    /// copy and is at `revision` now.
     pub(crate) fn hold_all(&mut self, until: Time, revision: Revision) {
         self.since = revision;
         self.until = until;
         self.held = self.known.keys().map(|id| (id.clone(), None)).collect();
     }
 
-    /// Holds back an entry; returns it if it isn't one of an endpoint that is held back, or was written since.
+    /// Holds back an entry. Returns it if its endpoint isn't held back, or if it was written after the hold began.
     pub(crate) fn hold(&mut self, entry: EndpointEntry) -> Option<EndpointEntry> {
         if entry.revision > self.since {
             self.held.remove(&entry.id);
@@ -67,14 +68,15 @@
         self.held.remove(id);
     }
 
-    /// Drops the entries that a whole list lacks. Other daemons that hold them back don't list them either, so that the
-    /// hold goes on.
+    /// Drops the held entries that a whole list lacks. The hold itself continues, since another daemon that sent the
+    /// list omits the entries that it holds back.
     pub(crate) fn retain_listed(&mut self, listed: &HashSet<EndpointId>) {
         let unlisted = self.held.iter_mut().filter(|(id, _)| !listed.contains(*id));
         unlisted.for_each(|(_, entry)| *entry = None);
     }
 
-    /// Returns the entries that are still listed although nobody would have renewed them if their endpoints had ended.
+    /// Ends the hold once its time is over, and returns the entries that are still listed: their endpoints are alive,
+    /// since otherwise nobody would have renewed the entries.
     pub(crate) fn take_lasting(&mut self, now: Time) -> Vec<EndpointEntry> {
         if now < self.until || self.held.is_empty() {
             return Vec::new();
--- a/lib/src/gateway/directory/endpoint_entry.rs
+++ b/lib/src/gateway/directory/endpoint_entry.rs
@@ -1,7 +1,7 @@
-//! The entries of endpoints, and lists and changes of them as daemons exchange them.
+//! The entries of endpoints, and the lists and changes of entries that daemons exchange.
 //!
-//! Values only. A message names the era of all its revisions once; a daemon of a release that knows no era reads the
-//! numbers as before.
+//! Holds values only. A message names the era of all its revisions once. Daemons of a release without eras ignore it
+//! and read the numbers.
 
 use {
     crate::{
@@ -15,41 +15,41 @@
     std::net::SocketAddr,
 };
 
-/// When an endpoint started, as it states it itself: Unix time in milliseconds. Two starts under one id
-/// differ in it; the later one has the larger value.
+/// Time at which an endpoint started, as it states itself: Unix time in milliseconds. Two starts under one id differ in
+/// it; the later one has the larger value.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Born(pub u64);
 
-/// One life of an endpoint: from one start of its process to the next.
+/// One incarnation of an endpoint: from one start of its process to the next.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct EndpointLife {
-    /// The endpoint.
+    /// Id of the endpoint.
     pub id: EndpointId,
-    /// Its start; nothing where endpoints don't state it, and have a new id at each start.
+    /// Time of the start; `None` if endpoints don't state it and get a new id at each start.
     pub born: Option<Born>,
 }
 
 /// One endpoint as the directory publishes it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EndpointEntry {
-    /// Its id.
+    /// Id of the endpoint.
     pub id: EndpointId,
-    /// Its service.
+    /// Service that the endpoint belongs to.
     pub service: ServiceId,
-    /// Where it listens.
+    /// Address on which the endpoint accepts requests.
     pub address: SocketAddr,
-    /// Data centre it stands in.
+    /// Data centre in which the endpoint runs.
     pub data_centre: DataCentreId,
-    /// Requests that it runs at the same time.
+    /// Number of requests that the endpoint runs at the same time.
     pub slots: u32,
-    /// It announced that it is leaving.
+    /// The endpoint announced that it is leaving.
     pub draining: bool,
-    /// Time for which it was still cold when the entry was written: it holds nothing, is slow, and bears few
-    /// requests a second.
+    /// Time for which the endpoint remains cold after the entry was written: its caches are empty, it is slow, and it
+    /// takes few requests a second.
     #[serde(default, skip_serializing_if = "is_zero")]
     pub cold: Millis,
-    /// Its start.
+    /// Time at which the endpoint started; `None` if it doesn't state it.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub born: Option<Born>,
     /// Revision of the entry in the directory.
@@ -62,7 +62,7 @@
 }
 
 impl EndpointEntry {
-    /// Returns the life that the entry is about.
+    /// Returns the incarnation that the entry describes.
     pub fn life(&self) -> EndpointLife {
         EndpointLife {
             id: self.id.clone(),
@@ -70,7 +70,7 @@
         }
     }
 
-    /// Returns whether this entry says the same as another one, but for its revision.
+    /// Returns whether this entry equals another one in all fields except the revision.
     pub(super) fn says_same(&self, other: &Self) -> bool {
         let same = Self {
             revision: other.revision,
@@ -79,9 +79,9 @@
         same == *other
     }
 
-    /// Returns whether this entry stands against another one of the same endpoint: it is of a later life, or
-    /// of the same one and not older. What an earlier life wrote last may arrive after the first entry of the
-    /// next one, with a later revision.
+    /// Returns whether this entry takes precedence over another one of the same endpoint: it is of a later incarnation,
+    /// or of the same one and not older. The last entry of an earlier incarnation may arrive after the first entry of
+    /// the next one, and with a later revision.
     pub fn supersedes(&self, other: &Self) -> bool {
         match (self.born, other.born) {
             (Some(mine), Some(theirs)) if mine != theirs => mine > theirs,
@@ -96,9 +96,9 @@
 pub struct EndpointList {
     /// Revision of the list.
     pub revision: Revision,
-    /// Its entries, those of suspects included.
+    /// Entries of all endpoints, including the unconfirmed ones.
     pub entries: Vec<EndpointEntry>,
-    /// Endpoints whose entries vanished, and that the sender uses for a while yet.
+    /// Endpoints that are unconfirmed at the sender: their entries vanished, and the sender still uses them for a time.
     pub suspects: Vec<EndpointId>,
 }
 
@@ -109,7 +109,7 @@
     #[serde(default, skip_serializing_if = "Era::is_unnamed")]
     era: Era,
     entries: Vec<EndpointEntry>,
-    /// Nothing from a daemon of a release that doesn't tell them apart.
+    /// Empty if the sender's release doesn't distinguish unconfirmed endpoints.
     #[serde(rename = "doubted", default, skip_serializing_if = "Vec::is_empty")]
     suspects: Vec<EndpointId>,
 }
@@ -137,7 +137,7 @@
     }
 }
 
-/// Returns entries with the numbers that stand for their revisions in a message of an era.
+/// Converts entries for a message of an era: their revisions become numbers in that era.
 fn entries_in(era: Era, entries: Vec<EndpointEntry>) -> Vec<EndpointEntry> {
     let entries = entries.into_iter().map(|entry| EndpointEntry {
         revision: entry.revision.number_in(era).into(),
@@ -146,7 +146,7 @@
     entries.collect()
 }
 
-/// Returns the entries of a message of an era with their revisions.
+/// Converts entries from a message of an era: their numbers become revisions of that era.
 fn entries_in_message(era: Era, entries: Vec<EndpointEntry>) -> Vec<EndpointEntry> {
     let entries = entries.into_iter().map(|entry| EndpointEntry {
         revision: Revision::new(era, entry.revision.number),
@@ -159,13 +159,13 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(into = "ChangesMessage", from = "ChangesMessage")]
 pub struct EndpointChanges {
-    /// Revision up to which they are complete.
+    /// Revision up to which the changes are complete.
     pub revision: Revision,
-    /// Entries that are new or changed.
+    /// New or changed entries.
     pub entries: Vec<EndpointEntry>,
     /// Entries that vanished.
     pub gone: Vec<GoneEndpoint>,
-    /// Endpoints may have come and gone meanwhile that aren't told.
+    /// The changes may lack endpoints that were added and removed in between.
     pub has_gap: bool,
 }
 
@@ -177,7 +177,7 @@
     era: Era,
     entries: Vec<EndpointEntry>,
     gone: Vec<GoneEndpoint>,
-    /// Unset from a daemon of a release that doesn't tell.
+    /// False if the sender's release doesn't report gaps.
     #[serde(rename = "gap", default, skip_serializing_if = "is_unset")]
     has_gap: bool,
 }
@@ -222,12 +222,13 @@
 /// An entry that vanished from the directory.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GoneEndpoint {
-    /// The endpoint.
+    /// Id of the endpoint.
     pub id: EndpointId,
-    /// Revision at which it vanished.
+    /// Revision at which the entry vanished.
     #[serde(with = "number_only")]
     pub revision: Revision,
-    /// Its entry may have lapsed although the endpoint lives; daemons exchange it as `doubted`.
+    /// The endpoint is unconfirmed: its entry may have lapsed although the endpoint is alive. Messages name this field
+    /// `doubted`.
     #[serde(rename = "doubted")]
     pub suspect: bool,
 }
--- a/lib/src/gateway/directory/evacuate.rs
+++ b/lib/src/gateway/directory/evacuate.rs
@@ -1,7 +1,7 @@
-//! Puts orders to evacuate data centres in force, and takes them back, whoever reports them.
+//! Applies and withdraws orders to evacuate data centres, as reported by the directory or by peers.
 //!
-//! Relies on [`Evacuations`], which decides what is newer. What an endpoint in an evacuated data centre gets
-//! is the rule [`eligibility`](crate::gateway::rules::eligibility).
+//! Relies on [`Evacuations`], which decides which report is newer. The rule
+//! [`eligibility`](crate::gateway::rules::eligibility) decides what endpoints in an evacuated data centre are sent.
 
 use {
     crate::{
@@ -19,11 +19,12 @@
     std::{collections::BTreeSet, fmt::Display},
 };
 
-/// Time for which an order stands that a directory lacks which came back from an older copy. Operators write it again.
+/// Time for which an order of an earlier era stays in force although a directory restored from an older copy lacks it.
+/// Within this time operators are expected to write it again.
 const REWRITING: Millis = Millis(10_000);
 
 impl GatewayState {
-    /// Returns the name of a data centre, as the endpoints there give it; its hash where there is none.
+    /// Returns the name of a data centre as its endpoints state it; its hash in hexadecimal if no endpoint is there.
     pub(crate) fn data_centre_name(&self, hash: DataCentreHash) -> String {
         let mut places = self
             .endpoints
@@ -35,25 +36,25 @@
 }
 
 impl<D: Dialect> Gateway<D> {
-    /// Applies the orders in a whole list of what operators publish.
+    /// Applies the orders in a whole list of the operator topic.
     pub(crate) fn apply_listed_evacuations(&self, items: &Items, source: &str) {
         let listed = Evacuations::listed(items.revision, orders(items).iter());
         self.merge_evacuations(&listed, source);
     }
 
-    /// Applies changed orders, after which none is missing up to the revision of `items`.
+    /// Applies changed orders, which are complete up to the revision of `items`.
     pub(crate) fn apply_changed_evacuations(&self, items: &Items, source: &str) {
         let known = self.state.borrow().evacuations.clone();
         self.set_evacuations(known.after(items.revision, orders(items).iter()), source);
     }
 
-    /// Merges what another daemon or the directory knows.
+    /// Merges the evacuations that another daemon or the directory reports.
     pub fn merge_evacuations(&self, other: &Evacuations, source: impl Display) {
         let merged = self.state.borrow().evacuations.merged(other);
         self.set_evacuations(merged, source);
     }
 
-    /// Drops orders of an earlier era of the directory that weren't written again in time.
+    /// Drops orders of an earlier era of the directory that operators didn't write again in time.
     pub(crate) fn expire_held_orders(&self) {
         let now = self.now();
         let mut state = self.state.borrow_mut();
@@ -67,7 +68,7 @@
         }
         let left = state.evacuations.clone().without_held();
         drop(state);
-        self.set_evacuations(left, "not written again");
+        self.set_evacuations(left, "order not written again");
     }
 
     fn set_evacuations(&self, next: Evacuations, source: impl Display) {
@@ -92,7 +93,7 @@
         drop(state);
         self.metrics.set_evacuated(after.len());
         self.invalidate_stage_queues();
-        // Others that rely on this daemon would otherwise learn of it up to 200 ms later.
+        // Daemons that rely on this one would otherwise receive the change up to 200 ms later.
         self.announcement.notify_one();
     }
 }
--- a/lib/src/gateway/directory/evacuations.rs
+++ b/lib/src/gateway/directory/evacuations.rs
@@ -1,9 +1,9 @@
-//! Which data centres are evacuated, as far as a daemon knows.
+//! The evacuated data centres that a daemon knows of.
 //!
-//! Owns the evacuations in force and the revision of the directory up to which none is missing. Daemons
-//! exchange the whole of it in their heartbeats and merge what they receive: the order in which reports
-//! arrive doesn't matter, and one that is older than what is known changes nothing. An order of an earlier era of the
-//! directory stands although a later one lacks it: it may not have been written again yet.
+//! Owns the evacuations in force and the revision of the directory up to which none is missing. Daemons exchange this
+//! whole state in their heartbeats and merge what they receive: the order of arrival doesn't matter, and a report older
+//! than the known state changes nothing. An order of an earlier era of the directory stays in force although the later
+//! era lacks it: operators may not have written it again yet.
 
 use {
     crate::{
@@ -17,20 +17,20 @@
     std::collections::BTreeMap,
 };
 
-/// The evacuated data centres as of a revision of the directory.
+/// The evacuated data centres as of one revision of the directory.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(
     into = "(u64, Vec<(DataCentreHash, u64)>)",
     from = "(u64, Vec<(DataCentreHash, u64)>)"
 )]
 pub struct Evacuations {
-    /// Revision up to which no change is missing; 0 if nothing is known.
+    /// Revision up to which no change is missing; 0 before the first report.
     until: Revision,
-    /// The evacuated data centres, each with the revision at which its evacuation was last ordered.
+    /// Evacuated data centres, each with the revision of the last order to evacuate it.
     ordered: BTreeMap<DataCentreHash, Revision>,
 }
 
-/// Writes numbers alone; the message has the era, and lacks orders of earlier ones.
+/// Writes the numbers of the revisions only: the message names the era, and orders of earlier eras are omitted.
 impl From<Evacuations> for (u64, Vec<(DataCentreHash, u64)>) {
     fn from(evacuations: Evacuations) -> Self {
         let Evacuations { until, ordered } = evacuations.without_held();
@@ -51,19 +51,19 @@
     }
 }
 
-/// A change of the order to evacuate a data centre, as the directory reports it.
+/// An order to evacuate a data centre, or its withdrawal, as the directory reports it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct EvacuationOrder {
-    /// The data centre.
+    /// Data centre that the order is about.
     pub data_centre: DataCentreId,
-    /// Revision of the change.
+    /// Revision at which the order was given or withdrawn.
     pub revision: Revision,
-    /// Set if the data centre is evacuated from then on, unset if the order was withdrawn.
+    /// True if the evacuation is ordered; false if the order is withdrawn.
     pub evacuated: bool,
 }
 
 impl Evacuations {
-    /// Returns the evacuations of a whole list of orders, read at a revision.
+    /// Returns the evacuations of a whole list of orders as of a revision.
     pub fn listed<'a>(until: Revision, orders: impl Iterator<Item = &'a EvacuationOrder>) -> Self {
         let in_force = orders.filter(|order| order.evacuated);
         Self {
@@ -74,12 +74,13 @@
         }
     }
 
-    /// Returns the revision up to which no change is missing; 0 if nothing is known.
+    /// Returns the revision up to which no change is missing; 0 before the first report.
     pub fn until(&self) -> Revision {
         self.until
     }
 
-    /// Returns the evacuations of a message of an era, which has their numbers alone.
+    /// Returns the evacuations with the era of their message set on all revisions: the evacuations in a message hold
+    /// numbers only.
     #[must_use]
     pub fn in_era(&self, era: Era) -> Self {
         let set = |revision: &Revision| Revision::new(era, revision.number);
@@ -90,12 +91,12 @@
         }
     }
 
-    /// Returns whether there are orders of an earlier era, which may not have been written again yet.
+    /// Returns whether there are orders of an earlier era, which operators may not have written again yet.
     pub fn has_held(&self) -> bool {
         self.ordered.values().any(|at| at.era < self.until.era)
     }
 
-    /// Returns the evacuations without orders of an earlier era.
+    /// Returns the evacuations without the orders of earlier eras.
     #[must_use]
     pub fn without_held(mut self) -> Self {
         self.ordered.retain(|_, at| at.era >= self.until.era);
@@ -117,12 +118,12 @@
         self.ordered.len()
     }
 
-    /// Returns whether no data centre is evacuated, as far as is known.
+    /// Returns whether no evacuated data centre is known.
     pub fn is_empty(&self) -> bool {
         self.ordered.is_empty()
     }
 
-    /// Returns the evacuations after the changes that followed this state, complete up to a revision.
+    /// Returns the evacuations after `orders`, the changes of this state that are complete up to the revision `until`.
     #[must_use]
     pub fn after<'a>(
         &self,
@@ -142,8 +143,9 @@
         next
     }
 
-    /// Returns what this state and another one know together. An evacuation that only one of them knows
-    /// was withdrawn if the other's knowledge is newer than the order and of the same era, and is new to it otherwise.
+    /// Returns the state that results from merging this one with another. An evacuation that only one of them holds
+    /// was withdrawn if the other is complete up to a revision at or after the order in the same era; otherwise it is
+    /// new to the other.
     #[must_use]
     pub fn merged(&self, other: &Self) -> Self {
         let mut ordered = self.ordered.clone();
--- a/lib/src/gateway/directory/follow.rs
+++ b/lib/src/gateway/directory/follow.rs
@@ -1,9 +1,9 @@
-//! Follows the directory: reads a topic whole, then its changes, and starts over when history is
-//! gone. Silence changes nothing that is in force.
+//! Follows the directory: reads a whole topic, then its changes, and reads it whole again when the directory no longer
+//! keeps the changes since then. While the directory doesn't answer, everything in force stays in force.
 //!
-//! Owns the place in each topic's history. When a call is due is the rule
-//! [`directory_reads`](crate::gateway::rules::directory_reads); what was read is applied by
-//! `adopt_table` and `apply`.
+//! Owns the position in each topic's history. The rule
+//! [`directory_reads`](crate::gateway::rules::directory_reads) decides when a call is due. `adopt_table`, `apply` and
+//! `evacuate` apply what was read.
 
 use {
     crate::gateway::{
@@ -26,14 +26,14 @@
 
 mod eras;
 
-/// Name of the directory as a source in the log.
+/// Source in the log for what was read from the directory.
 const SOURCE: &str = "directory";
 
-/// Longest part of a refused entry's name, or of the reason, that is logged, in characters. An entry may be as large as
-/// the directory allows.
+/// Characters that are logged at most of a refused entry's name, and of the reason. An entry may be as large as the
+/// directory allows.
 const LOGGED: usize = 200;
 
-/// Follows one topic for good.
+/// Follows one topic as long as the process runs.
 pub async fn follow<D: Dialect>(
     gateway: Rc<Gateway<D>>,
     directory: Rc<impl Directory>,
@@ -67,31 +67,31 @@
     }
 }
 
-/// The place of this daemon in one topic's history.
+/// The position of this daemon in one topic's history, and the state of its calls.
 struct Follower<D: Dialect, S> {
     gateway: Rc<Gateway<D>>,
     directory: Rc<S>,
     topic: Topic,
-    /// Revision up to which all changes are known; nothing before the first list.
+    /// Revision up to which all changes are known; `None` if the topic has to be read whole.
     since: Option<Revision>,
-    /// History was gone, so that the topic has to be read whole whatever other daemons know: they may
-    /// have missed the same change.
+    /// The directory no longer kept the changes since the last read, or began a new era. The topic has to be read whole
+    /// whatever other daemons report, since they may lack the same change.
     must_list: bool,
-    /// Latest era for which it was looked whether the directory has begun it.
+    /// Latest reported era that was compared with the era of `since`.
     era: Era,
-    /// A call was made: the first one of a process waits for nobody.
+    /// A call was made. The first call of a process is made without waiting for a turn.
     called: bool,
-    /// What the last call came to; nothing before the first one has ended.
+    /// Result of the last call; `None` before the first one has ended.
     last_call: Option<LastCall>,
-    /// The present call is made in this daemon's turn.
+    /// The current call is made in this daemon's turn to probe the directory.
     in_turn: bool,
     backoff: Backoff,
     limit: AnswerTimeout,
 }
 
 impl<D: Dialect, S: Directory> Follower<D, S> {
-    /// Waits while peers read the directory for this daemon, or it isn't its turn to look for it, and
-    /// returns how long the next call may wait for changes.
+    /// Waits while peers read the directory for this daemon, or until its turn to probe the directory. Returns how long
+    /// the next call may wait for changes.
     async fn wait_for_turn(&mut self) -> Duration {
         let is_first = !self.called;
         self.called = true;
@@ -106,18 +106,18 @@
         let known = self.gateway.known_revision(self.topic);
         self.since = self.since.map(|since| known.max(since));
         self.skip_known_table();
-        // The first call only looks, so that peers soon learn how fresh this daemon's knowledge is.
+        // The first call doesn't wait for changes, so that peers soon receive how recent this daemon's read is.
         Duration::ZERO
     }
 
-    /// Returns the time for which a call waits for changes, by the settings in force.
+    /// Returns the time for which a call waits for changes under the settings in force.
     fn usual_wait(&self) -> Duration {
         let bounds = self.gateway.settings().bounds;
         topic_wait(self.topic, bounds.directory_wait())
     }
 
-    /// Leaves out what other daemons brought: a table that they know to be the newest needn't be read
-    /// again, which takes 1 s of a link of 10 Mbit/s for a table of 0.96 MB.
+    /// Skips changes received from other daemons: a table that they know to be the newest needn't be read again.
+    /// Reading a table of 0.96 MB takes 1 s on a link of 10 Mbit/s.
     fn skip_known_table(&mut self) {
         let known = self.gateway.known_revision(self.topic);
         if self.topic == Topic::Operator && known > Revision::default() && !self.must_list {
@@ -125,7 +125,7 @@
         }
     }
 
-    /// Calls the directory; nothing if the call isn't worth waiting for any more.
+    /// Calls the directory; returns `None` if the call was abandoned because it was superseded.
     async fn read(&self, wait: Duration) -> Option<Result<Items, DirectoryError>> {
         tokio::select! {
             read = self.call(wait) => Some(read),
@@ -133,16 +133,19 @@
         }
     }
 
-    /// Records that no answer is on its way any more.
+    /// Records that no answer is being received any more.
     fn end_read(&self) {
         let mut state = self.gateway.state.borrow_mut();
         state.contact.record_end(self.topic);
     }
 
-    /// Ends when a call isn't worth waiting for: another daemon has brought a table, which is probably
-    /// what the call would return; or the directory has answered for the table again, while the
-    /// connection of a call for endpoints, made while it was silent, may stay silent. A table on its way
-    /// isn't given up for that. And when others read for this daemon again, or the directory has begun another era.
+    /// Completes when the current call is superseded:
+    ///
+    /// - for the operator topic, when another daemon has sent a table: the call would probably return the same one;
+    /// - for endpoints, when the directory answers again after an outage: the connection of a call made during the
+    ///   outage may get no answer. A call for the table isn't abandoned for this reason;
+    /// - when peers read for this daemon again;
+    /// - when a later era is reported.
     async fn superseded(&self) {
         let superseded = match self.topic {
             Topic::Operator => &self.gateway.table_changed,
@@ -155,11 +158,11 @@
         }
     }
 
-    /// Ends when a call for changes waits for nothing any more, since others read the directory for this daemon.
-    /// Without it, a daemon that stood in for the reader gets the next table from the directory as well.
+    /// Completes when peers read the directory for this daemon again, if the current call asks for changes and no
+    /// answer has begun. Without this, a former substitute also reads the next table from the directory.
     async fn relieved(&self) {
         if self.since.is_none() {
-            // A whole list is wanted whoever reads.
+            // A whole list is needed whichever daemon reads changes.
             std::future::pending::<()>().await;
         }
         loop {
@@ -180,7 +183,7 @@
         }
     }
 
-    /// Adapts the time that the next answer has to that of one which took so long beyond its wait.
+    /// Adapts the timeout of the next answer to this one, which took the time `took` beyond its wait for changes.
     fn judge_time(&mut self, read: &Result<Items, DirectoryError>, took: Duration) {
         self.limit = match read {
             Err(DirectoryError::Late) => self.limit.after_late(),
@@ -188,7 +191,7 @@
         };
     }
 
-    /// Applies what a call returned after a time, and pauses until the next one is due.
+    /// Applies the result of a call that took the time `took`, and pauses until the next call is due.
     async fn apply(&mut self, read: Result<Items, DirectoryError>, took: Duration) {
         match read.and_then(|items| self.check_era(items)) {
             Ok(items) => self.apply_items(items).await,
@@ -257,8 +260,8 @@
         state.contact.record_begin(self.topic);
     }
 
-    /// Waits until this daemon knows its fleet. In a large one few read a long list, in their turn; the others get it
-    /// from them.
+    /// Waits until this daemon knows its fleet. In a large fleet a few daemons read a long list, each in its turn; the
+    /// others receive it from them.
     async fn goes_on(&self, pages: usize) -> bool {
         if self.in_turn || pages < START_PAGES || self.gateway.read_duty() == ReadDuty::Read {
             return true;
@@ -269,7 +272,7 @@
         !self.gateway.is_spread()
     }
 
-    /// Uses the endpoints of a first list that is still on its way.
+    /// Uses the endpoints of a first list before the rest of it has arrived.
     fn part(&self, items: &[Item]) {
         if self.topic == Topic::Endpoints {
             let entries = items
@@ -280,7 +283,7 @@
     }
 }
 
-/// Applies what operators publish, all of it or changes. Evacuations go first: they need no decoding.
+/// Applies the operator topic, whole or its changes. Evacuations are applied first, since they need no decoding.
 fn apply_operator<D: Dialect>(gateway: &Gateway<D>, items: &Items, whole: bool) {
     if whole {
         gateway.apply_listed_evacuations(items, SOURCE);
@@ -297,7 +300,7 @@
         gateway
             .metrics
             .count_table_bytes(TableSource::Directory, value.len());
-        // A table that isn't adopted is logged there, and the one in force stays.
+        // `adopt_table` logs a table that it doesn't adopt; the one in force stays.
         gateway.adopt_table(value, SOURCE);
     }
 }
@@ -322,9 +325,8 @@
     gateway.advance_revision(items.revision);
 }
 
-/// Applies one changed entry. One that can't be read names no endpoint to use, so that an endpoint that was
-/// known by it goes as if its entry had gone, as it does with a whole list; if it lives, it writes its entry
-/// again with its next heartbeat.
+/// Applies one changed entry. If it can't be read, its endpoint is removed as if the entry had vanished, as it is by a
+/// whole list. If the endpoint is alive, it writes its entry again with its next heartbeat.
 fn apply_change<D: Dialect>(gateway: &Gateway<D>, item: &Item) {
     if let Some(entry) = read_entry(gateway, item) {
         gateway.upsert_endpoint(entry, SOURCE);
@@ -333,13 +335,13 @@
     let ItemKey::Endpoint(name) = &item.key else {
         return;
     };
-    // A name that isn't an id was none of an entry in use, so there is nothing to remove.
+    // A name that isn't an id never had an entry in use, so there is nothing to remove.
     if let Ok(id) = name.parse() {
         gateway.remove_endpoint(&id, item.revision, false, SOURCE);
     }
 }
 
-/// Reads an entry; one that can't be read is logged, each time that it changes, and passed over.
+/// Reads an entry. One that can't be read is skipped, and logged each time that it changes.
 fn read_entry<D: Dialect>(gateway: &Gateway<D>, item: &Item) -> Option<EndpointEntry> {
     let ItemKey::Endpoint(name) = &item.key else {
         return None;
@@ -354,7 +356,7 @@
     }
 }
 
-/// Logs and counts an entry that can't be read, if it wasn't before.
+/// Logs and counts an entry that can't be read, unless this revision of it was logged before.
 fn refuse_entry<D: Dialect>(
     gateway: &Gateway<D>,
     name: &str,
@@ -371,7 +373,7 @@
     log::error!(endpoint, revision:%, error; "endpoint.refused");
 }
 
-/// Returns the beginning of a text.
+/// Returns a text cut to the characters that are logged at most.
 fn shortened(text: &str) -> String {
     text.chars().take(LOGGED).collect()
 }
--- a/lib/src/gateway/directory/follow/eras.rs
+++ b/lib/src/gateway/directory/follow/eras.rs
@@ -1,4 +1,4 @@
-//! Notices that the directory has begun another era, by an answer or by what others tell.
+//! Detects that the directory has begun a later era, from an answer or from reports of other daemons.
 
 use {
     super::Follower,
@@ -10,8 +10,8 @@
 };
 
 impl<D: Dialect, S: Directory> Follower<D, S> {
-    /// Reads the topic whole if this daemon has heard of a later era than that of its place: changes since then are of no
-    /// use. It does so once for each era.
+    /// Makes the next call read the whole topic if a later era than that of `since` was reported: the directory can't
+    /// return the changes since then. Does so once for each era.
     pub(super) fn look_for_era(&mut self) {
         if let Some(era) = self.later_era() {
             let since = self.since.unwrap_or_default();
@@ -21,7 +21,7 @@
         self.era = self.era.max(self.gateway.state.borrow().era);
     }
 
-    /// Ends when this daemon hears of a later era than that of its place.
+    /// Completes when a later era than that of `since` is reported.
     pub(super) async fn heard_of_era(&self) {
         loop {
             let restored = self.gateway.era_ended.notified();
@@ -32,19 +32,19 @@
         }
     }
 
-    /// Returns the era that this daemon has heard of, if it is later than that of its place and wasn't looked for.
+    /// Returns the latest reported era if it is later than that of `since` and wasn't handled yet.
     fn later_era(&self) -> Option<Era> {
         let heard = self.gateway.state.borrow().era;
         let known = self.since?.era.max(self.era);
         (heard > known).then_some(heard)
     }
 
-    /// Returns the items if they continue what is known. Those without an era are of that of its place.
+    /// Returns the items if they continue what is known. Items without an era get the era of `since`.
     ///
     /// # Errors
     ///
-    /// Returns that the directory came back from an older copy if they are changes in a later era: those before are
-    /// missing. An answer of an earlier era is out of date.
+    /// Returns [`DirectoryError::Restored`] if the items are changes in a later era, since earlier changes of that era
+    /// are missing. Returns [`DirectoryError::Refused`] if they are of an earlier era, since they are out of date.
     pub(super) fn check_era(&self, items: Items) -> Result<Items, DirectoryError> {
         let known = self.known_era();
         let Revision { era, .. } = items.revision;
@@ -53,7 +53,7 @@
             return Ok(items.in_era(here));
         }
         if era < known {
-            let reason = format!("an answer of era {era} after era {known}");
+            let reason = format!("the answer is of era {era}, but era {known} is known");
             return Err(DirectoryError::Refused(reason));
         }
         match self.since {
--- a/lib/src/gateway/directory/mod.rs
+++ b/lib/src/gateway/directory/mod.rs
@@ -1,9 +1,12 @@
-//! Follows the directory that publishes the table and the endpoints, and applies what it or peers
+//! Follows the directory that publishes the table and the endpoints, and applies what the directory or peers
 //! report.
 //!
-//! `source` is the directory as a trait, `follow` reads it, `coverage` leaves the reading to peers
-//! where the rule allows it, `adopt_table`, `apply` and `evacuate` change the daemon's state, `catalogue` and
-//! `change_log` hold the list of endpoints, `evacuations` the evacuated data centres, `contact` and `outage` the daemon's own reads.
+//! - `source` defines the directory as a trait, and `follow` reads it.
+//! - `coverage` leaves the reads to peers where the rule allows it.
+//! - `adopt_table`, `apply` and `evacuate` change the daemon's state.
+//! - `catalogue`, `change_log`, `departed`, `endpoint_entry` and `refused_entries` hold the list of endpoints.
+//! - `evacuations` holds the evacuated data centres.
+//! - `contact` and `outage` record the results of this daemon's reads.
 
 pub mod adopt_table;
 pub(crate) mod apply;
--- a/lib/src/gateway/directory/outage.rs
+++ b/lib/src/gateway/directory/outage.rs
@@ -1,5 +1,5 @@
-//! Records the reads of the directory, and logs when it is lost and regained. A daemon that leaves the reading
-//! to others takes their outage for its own.
+//! Records whether reads of the directory succeed, and logs when the directory is lost and regained. A daemon that
+//! leaves the reads to peers treats an outage of theirs as an outage here.
 //!
 //! Relies on [`DirectoryContact`](super::contact::DirectoryContact), which holds the times.
 
@@ -34,9 +34,9 @@
         }
     }
 
-    /// Records an outage for a daemon that doesn't read, if those live that should: the directory hasn't answered any
-    /// of them for too long. Without it, a daemon that reads only after the outage takes endpoints for gone whose
-    /// entries lapsed meanwhile.
+    /// Records an outage at a daemon that doesn't read, if peers have reported reads: the directory hasn't answered any
+    /// of them for too long. Without this, a daemon that reads only after the outage removes endpoints whose entries
+    /// lapsed during it.
     pub(crate) fn note_outage(&self) {
         let now = self.now();
         let mut state = self.state.borrow_mut();
@@ -46,8 +46,8 @@
         }
     }
 
-    /// Records that the directory is in an era. Others that wait for changes of an earlier one would hear of it only when
-    /// their calls end.
+    /// Records that the directory is in an era. A later one is announced at once: daemons that wait for changes of an
+    /// earlier era would otherwise detect it only when their calls end.
     pub(crate) fn hear_era(&self, era: Era) {
         let mut state = self.state.borrow_mut();
         if era <= state.era {
@@ -59,8 +59,8 @@
         self.announcement.notify_one();
     }
 
-    /// Returns whether the directory has answered this daemon without a failure for a while, and no
-    /// entry is suspect any more.
+    /// Returns whether the directory has answered this daemon without a failure for a while, and no endpoint is
+    /// unconfirmed.
     pub fn is_directory_steady(&self) -> bool {
         let now = self.now();
         let state = self.state.borrow();
--- a/lib/src/gateway/directory/refused_entries.rs
+++ b/lib/src/gateway/directory/refused_entries.rs
@@ -1,11 +1,11 @@
-//! Entries of endpoints that couldn't be read, so that each is logged and counted once and not with each
+//! Entries of endpoints that couldn't be read. Remembering them lets each be logged and counted once, not with each
 //! read of the directory.
 //!
-//! Owns the last of them, a bounded number.
+//! Owns a bounded number of these entries.
 
 use {crate::gateway::revision::Revision, foldhash::HashMap};
 
-/// Most entries that are remembered; beyond them, some are logged again.
+/// Number of entries that are remembered at most. Beyond it all are forgotten, so that some are logged again.
 const REMEMBERED: usize = 1_000;
 
 /// Entries that couldn't be read, with the revision of each.
@@ -13,7 +13,7 @@
 pub(crate) struct RefusedEntries(HashMap<String, Revision>);
 
 impl RefusedEntries {
-    /// Records an entry; returns whether it is a new one or has changed since.
+    /// Records an entry by its name and revision. Returns whether it is new or has changed since it was last recorded.
     pub(crate) fn record(&mut self, name: &str, revision: Revision) -> bool {
         if self.0.len() >= REMEMBERED && !self.0.contains_key(name) {
             self.0.clear();
--- a/lib/src/gateway/directory/source.rs
+++ b/lib/src/gateway/directory/source.rs
@@ -1,5 +1,5 @@
 //! The directory that publishes the table and the endpoints, as a trait that an installation
-//! implements. It can only be read.
+//! implements. The trait only reads.
 
 use {
     crate::{
@@ -14,49 +14,49 @@
     thiserror::Error,
 };
 
-/// Part of the directory.
+/// Part of the directory that is read and followed by itself.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Topic {
-    /// What operators publish: the table, and orders to evacuate data centres. One topic, since each
-    /// waiting call of the directory is counted.
+    /// Published by operators: the table, and orders to evacuate data centres. These are one topic, since the number of
+    /// calls that wait for changes is limited.
     Operator,
-    /// The endpoints' entries.
+    /// The entries of the endpoints.
     Endpoints,
 }
 
-/// What a value of the directory is about.
+/// Key of a value in the directory.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ItemKey {
-    /// The table.
+    /// The table of routes.
     Table,
-    /// An order to evacuate a data centre; it is in force as long as it has a value.
+    /// An order to evacuate a data centre, in force as long as the key has a value.
     Evacuation(DataCentreId),
-    /// The entry of an endpoint, by a name that should be the endpoint's id.
+    /// The entry of an endpoint, under a name that should be the endpoint's id.
     Endpoint(String),
 }
 
 /// One value of the directory.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Item {
-    /// What it is about.
+    /// Key of the value.
     pub key: ItemKey,
-    /// Revision of its last change.
+    /// Revision of the last change of the value.
     pub revision: Revision,
-    /// The value; nothing if it was removed, and empty if the directory sent something that isn't one.
+    /// The value; `None` if it was removed, and empty if the directory sent an invalid value.
     pub value: Option<Bytes>,
 }
 
 /// Items, and the revision up to which they are complete.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Items {
-    /// The items.
+    /// Values of the topic, all of them or the changed ones.
     pub items: Vec<Item>,
-    /// Revision of the directory.
+    /// Revision of the directory up to which the items are complete.
     pub revision: Revision,
 }
 
 impl Items {
-    /// Returns the items as those of another era.
+    /// Returns the items with the era set on all revisions.
     #[must_use]
     pub fn in_era(mut self, era: Era) -> Self {
         self.revision.era = era;
@@ -70,55 +70,56 @@
 /// Number of topics.
 pub const TOPICS: usize = 2;
 
-/// Reports that the directory wasn't read.
+/// Reason why a read of the directory failed.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum DirectoryError {
-    /// The changes asked for are no longer kept; the topic has to be read whole again.
-    #[error("the changes since then are no longer kept")]
+    /// The directory no longer keeps the requested changes; the topic has to be read whole again.
+    #[error("the directory no longer keeps the requested changes")]
     Compacted,
-    /// The directory came back from an older copy of itself, so that changes are missing; the topic has to be read whole.
-    #[error("the directory came back from an older copy, era {era}, revision {revision}")]
+    /// The directory was restored from an older copy of itself, so that changes are missing; the topic has to be read
+    /// whole.
+    #[error("the directory was restored from an older copy: era {era}, revision {revision}")]
     Restored {
-        /// The era that began with it.
+        /// Era that began with the older copy.
         era: Era,
-        /// Its revision now.
+        /// Current revision of the directory.
         revision: Revision,
     },
-    /// The directory answered that it can't serve the request now.
-    #[error("the directory refused: {0}")]
+    /// The directory answered that it can't serve the request now, or its answer is out of date.
+    #[error("the directory refused the request: {0}")]
     Refused(String),
-    /// No answer began within the limit of the call.
-    #[error("the directory didn't answer: no answer in time")]
+    /// No answer began within the timeout of the call.
+    #[error("the directory didn't begin to answer in time")]
     Late,
-    /// There was no usable answer; the connection can't be used any more.
-    #[error("the directory didn't answer: {0}")]
+    /// There was no usable answer, and the connection can't be used any more.
+    #[error("the directory gave no usable answer: {0}")]
     Unreachable(String),
-    /// The rest of a list wasn't read: other daemons of the fleet read it.
-    #[error("the rest of the list is left to others")]
+    /// The rest of a list wasn't read, since other daemons of the fleet read it.
+    #[error("the rest of the list is left to other daemons")]
     Left,
 }
 
-/// Hears how a read of the directory goes on.
+/// Receives the progress of a read of the directory.
 pub trait ReadProgress {
-    /// The directory has begun to answer.
+    /// Called when the directory has begun to answer.
     fn begun(&self) {}
 
-    /// A part of a topic has come, and more follows.
+    /// Called when some items of a topic have arrived and more follow.
     fn part(&self, _items: &[Item]) {}
 
-    /// Returns whether the rest of a topic is to be read after so many pages, once that is known.
+    /// Returns whether to read the rest of a topic after `pages` pages, once that is decided.
     fn goes_on(&self, _pages: usize) -> impl Future<Output = bool> {
         future::ready(true)
     }
 }
 
-/// For readers that only want the answer.
+/// Ignores the progress.
 impl ReadProgress for () {}
 
-/// Reads the directory. An answer has to begin within the `limit` of a call, and may then take as long as
-/// it keeps coming.
+/// Reads the directory. An answer has to begin within the `limit` of a call; after that it may take any time as long as
+/// its bytes keep arriving.
 pub trait Directory: 'static {
-    /// Reads a topic whole.
+    /// Reads a whole topic.
     ///
     /// # Errors
     ///
@@ -130,13 +131,13 @@
         progress: &impl ReadProgress,
     ) -> impl Future<Output = Result<Items, DirectoryError>>;
 
-    /// Waits for changes of a topic after the revision `since`, at most for `wait`; returns no items if
-    /// there were none. The limit begins after the wait.
+    /// Waits for changes of a topic after the revision `since`, at most for `wait`. Returns no items if there were
+    /// none. The `limit` begins after the wait.
     ///
     /// # Errors
     ///
-    /// Returns why there is no answer, [`DirectoryError::Compacted`] if changes after `since` are no
-    /// longer kept.
+    /// Returns why there is no answer; [`DirectoryError::Compacted`] if the directory no longer keeps the changes after
+    /// `since`.
     fn changes(
         &self,
         topic: Topic,
--- a/lib/src/gateway/revision.rs
+++ b/lib/src/gateway/revision.rs
@@ -1,16 +1,16 @@
-//! Places in the directory's history: its era, and the number of a change in it.
+//! Revisions of the directory: an era, and the number of a change in it.
 //!
-//! A directory that comes back from an older copy of itself gives out numbers again, so that a number alone says nothing.
-//! Places are compared by their era first. Messages between daemons carry numbers and, once for all of a message, the era:
-//! daemons of a release that knows no era read the numbers as before.
+//! A directory that is restored from an older copy of itself assigns numbers a second time, so that a number alone is
+//! ambiguous. Revisions are compared by era first. Messages between daemons carry numbers and, once per message, the
+//! era: daemons of a release without eras read the numbers only.
 
 use {
     serde::{Deserialize, Serialize},
     std::{fmt, num::ParseIntError, str::FromStr},
 };
 
-/// One history of the directory. It rises by one when the directory comes back from an older copy of itself; 0 where the
-/// directory doesn't name it.
+/// Number of a history of the directory. It rises by one when the directory is restored from an older copy of itself; 0
+/// if the directory doesn't name its era.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -18,7 +18,7 @@
 pub struct Era(pub u64);
 
 impl Era {
-    /// Returns whether the directory doesn't name its era; as messages omit it.
+    /// Returns whether the directory doesn't name its era. Messages omit such an era.
     pub fn is_unnamed(&self) -> bool {
         *self == Self::default()
     }
@@ -38,47 +38,48 @@
     }
 }
 
-/// Place of a change in the directory's history; also that up to which all changes are known.
+/// Position of a change in the directory's history; also the position up to which all changes are known.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Revision {
-    /// Its era.
+    /// Era in which the number was assigned.
     pub era: Era,
-    /// Its number in the era; 0 before the first change.
+    /// Number of the change in the era; 0 before the first change.
     pub number: u64,
 }
 
 impl Revision {
-    /// A place after all others.
+    /// A revision after all others.
     pub const MAX: Self = Self {
         era: Era(u64::MAX),
         number: u64::MAX,
     };
 
-    /// Builds a place from an era and a number.
+    /// Creates a revision from an era and a number.
     pub fn new(era: Era, number: u64) -> Self {
         Self { era, number }
     }
 
-    /// Returns the number that stands for the place in a message of an era. What is of an earlier era comes before all
-    /// changes of that one.
+    /// Returns the number that represents this revision in a message of an era. A revision of an earlier era becomes 0,
+    /// which is before all changes of the message's era.
     pub fn number_in(self, era: Era) -> u64 {
         if self.era == era { self.number } else { 0 }
     }
 
-    /// Returns whether the place directly follows another one, so that nothing is between them.
+    /// Returns whether this revision is of the same era as another one and at most one number after it, so that no
+    /// change is between them.
     pub fn follows(self, other: Self) -> bool {
         self.era == other.era && self.number <= other.number + 1
     }
 }
 
-/// A place in a directory that names no era.
+/// Creates a revision of a directory that names no era.
 impl From<u64> for Revision {
     fn from(number: u64) -> Self {
         Self::new(Era::default(), number)
     }
 }
 
-/// Writes the number, after the era and a point if there is one: `2.91`.
+/// Writes the era, if the directory names it, and the number, separated by a point: `2.91`.
 impl fmt::Display for Revision {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         if !self.era.is_unnamed() {
@@ -88,7 +89,7 @@
     }
 }
 
-/// Writes the number of a place into a message, whose receiver sets the era.
+/// Serializes the number of a revision only; the receiver of the message sets the era.
 pub(crate) mod number_only {
     use {
         super::Revision,
