--- a/lib/tests/test_catalogue.rs
+++ b/lib/tests/test_catalogue.rs
@@ -1,4 +1,4 @@
-//! Which endpoints are believed to be there while the directory comes and goes.
+//! The endpoints that the catalogue holds while the directory answers, and during its outages.
 
 #![allow(clippy::unwrap_used, reason = "a failed unwrap fails the test")]
 
@@ -56,7 +56,7 @@
     names
 }
 
-/// While the directory answers, a removed entry is gone at once.
+/// While the directory answers, an endpoint is removed as soon as its entry vanishes.
 #[test]
 fn removed_entry() {
     let mut catalogue = catalogue();
@@ -66,7 +66,7 @@
     assert!(names(&catalogue).is_empty());
 }
 
-/// An entry that lapses during an outage of the directory stays for a limited time, as suspect.
+/// An entry that lapses during an outage of the directory stays for a limited time, as unconfirmed.
 #[test]
 fn lapsed_entry_suspect() {
     let mut catalogue = catalogue();
@@ -84,7 +84,7 @@
     assert!(names(&catalogue).is_empty());
 }
 
-/// A suspect entry that is written again is no longer suspect.
+/// An unconfirmed entry that is written again is no longer unconfirmed.
 #[test]
 fn rewritten_entry() {
     let mut catalogue = catalogue();
@@ -99,7 +99,7 @@
     assert_eq!(names(&catalogue), ["a"]);
 }
 
-/// Suspect entries stay as long as the directory is unreachable.
+/// Unconfirmed entries stay as long as the directory is unreachable.
 #[test]
 fn extended_suspicion() {
     let mut catalogue = catalogue();
@@ -140,7 +140,7 @@
     catalogue.upsert(entry("a", 1, false));
     catalogue.upsert(entry("b", 2, false));
     catalogue.upsert(entry("c", 9, false));
-    // The list is as of revision 5: it tells that b is gone, and nothing of c.
+    // The list is as of revision 5: it removes b, and doesn't concern c.
     let list = vec![entry("a", 1, false), entry("d", 4, false)];
     let learnt = catalogue.replace(Time(0), listed(5, list), false);
     assert_eq!(learnt.len(), 2);
@@ -199,7 +199,7 @@
     assert_eq!(catalogue.changes_since(7.into()).unwrap().gone, []);
 }
 
-/// Whoever takes in changes again and again knows what the one knows who told them.
+/// A daemon that applies another daemon's changes repeatedly has the same entries as that daemon.
 #[test]
 fn changes_converge() {
     for_seeds(300, 512, |u| {
@@ -246,9 +246,9 @@
     });
 }
 
-/// While 9,999 endpoints start, a daemon lacks more than 512 changes half a second after the last ones came, and was sent
-/// the whole list again and again: at 985 daemons the requests for lists took up to 1.3 s, and those who waited read the
-/// directory as well. Changes are kept as long as they are fewer than the entries.
+/// While 9,999 endpoints start, a daemon lacks more than 512 changes after half a second. With only 512 changes kept,
+/// it was sent the whole list repeatedly: at 985 daemons the requests for lists took up to 1.3 s, and daemons that
+/// waited for them also read the directory. Changes are kept as long as there are no more of them than entries.
 #[test]
 fn long_list_changes() {
     let mut catalogue = catalogue();
@@ -262,7 +262,7 @@
     assert_eq!(changes.entries.len() as u64, lacking);
 }
 
-/// Changes older than the kept history aren't returned.
+/// No changes are returned after a revision that is older than the kept changes.
 #[test]
 fn forgotten_changes() {
     let mut catalogue = catalogue();
@@ -284,7 +284,7 @@
     }
 }
 
-/// An endpoint that starts again under its id is told apart from one that changes its entry.
+/// An endpoint that starts again under its id is distinguished from one that changes its entry.
 #[test]
 fn started_again() {
     let mut catalogue = catalogue();
@@ -294,8 +294,8 @@
     assert_eq!(catalogue.upsert(born(8, 2_000)), None);
 }
 
-/// What a former life wrote last changes nothing, in whatever order and from whomever it comes; others still
-/// learn that something was written.
+/// An entry written by an earlier incarnation of an endpoint changes nothing, in whatever order it arrives. Its
+/// revision is still announced to other daemons.
 #[test]
 fn former_life() {
     let mut catalogue = catalogue();
--- a/lib/tests/test_evacuations.rs
+++ b/lib/tests/test_evacuations.rs
@@ -1,4 +1,4 @@
-//! What daemons know together of evacuated data centres, in whatever order they hear of it.
+//! Daemons agree on the evacuated data centres, in whatever order they receive reports.
 
 #![allow(clippy::unwrap_used, reason = "a failed unwrap fails the test")]
 
@@ -36,7 +36,7 @@
         .collect()
 }
 
-/// An order that was withdrawn isn't brought back by a daemon that hasn't heard of that.
+/// A withdrawn order isn't restored by a daemon that hasn't received the withdrawal.
 #[test]
 fn withdrawn_stays() {
     let stale = listed(10, &[order("north", 9, true)]);
@@ -48,7 +48,7 @@
     }
 }
 
-/// A daemon that starts after an order was withdrawn takes no older report for a new order.
+/// A daemon that starts after an order was withdrawn doesn't take an older report for a new order.
 #[test]
 fn old_report_at_start() {
     let started = listed(20, &[]);
@@ -56,7 +56,7 @@
     assert!(started.merged(&stale).is_empty());
 }
 
-/// An order given again counts, whoever hears of the withdrawal last.
+/// An order that is given again is in force, whichever daemon receives the withdrawal last.
 #[test]
 fn given_again() {
     let first = listed(10, &[order("north", 9, true)]);
@@ -70,7 +70,7 @@
     }
 }
 
-/// Changes that arrive again, or late, change nothing.
+/// Changes that arrive twice or late have no effect.
 #[test]
 fn late_changes() {
     let known = listed(20, &[]);
@@ -80,8 +80,8 @@
 
 const NAMES: [&str; 3] = ["north", "south", "west"];
 
-/// Daemons that read parts of a history of orders and merge each other's knowledge in any order end with
-/// what the directory holds; none ever believes a state older than one that it had.
+/// Daemons that read parts of a history of orders and merge each other's states in any order end with the orders of the
+/// directory. None returns to a state older than one that it had.
 #[test]
 fn any_order() {
     arbtest(|u| {
@@ -108,7 +108,7 @@
     .budget_ms(2_000);
 }
 
-/// One daemon reads the directory whole, or what changed, or hears another daemon.
+/// One daemon reads the whole directory, or its changes, or receives the state of another daemon.
 fn step(
     u: &mut Unstructured<'_>,
     history: &[EvacuationOrder],
@@ -138,7 +138,7 @@
     Ok(())
 }
 
-/// The state of the directory at a revision.
+/// Returns the state of the directory at a revision.
 fn at(history: &[EvacuationOrder], until: u64) -> Evacuations {
     let mut seen = BTreeSet::new();
     let known = history
@@ -151,8 +151,8 @@
     Evacuations::listed(until.into(), last.into_iter())
 }
 
-/// An order stands although a directory that came back from an older copy lacks it, until it is withdrawn there or wasn't
-/// written again in time. It isn't told to others as one of the later era.
+/// An order stays in force although a directory restored from an older copy lacks it, until it is withdrawn there or
+/// isn't written again in time. It isn't sent to other daemons as an order of the later era.
 #[test]
 fn order_before_return() {
     let era = |number| Revision::new(Era(2), number);
--- a/lib/tests/test_list_order.rs
+++ b/lib/tests/test_list_order.rs
@@ -1,9 +1,9 @@
-//! News of endpoints that is older than what a daemon knows brings nothing back.
+//! Lists and changes that are older than a daemon's catalogue don't add removed endpoints again.
 //!
-//! Requests reached an endpoint 3.9 s after its end had been taken by the directory, of 3 s allowed. A daemon that had
-//! applied its removal at revision 163 got a whole list as of 149 from another daemon a moment later: `endpoints.listed`
-//! with revision 149 and 3 changes, the three endpoints that were gone. It went on stating 163, so that whoever asked it
-//! got a list as of 163 with all 145 entries; those that asked others got 142, and no later change corrected anybody.
+//! Guards against requests to an endpoint 3.9 s after the directory accepted its removal (3 s are allowed). A daemon
+//! that had applied removals up to revision 163 received a whole list as of 149 from another daemon, and added three
+//! removed endpoints again. It continued to state revision 163, so that it sent the 145 entries to others as of 163,
+//! while other daemons held 142. No later change corrected this.
 
 #![allow(clippy::unwrap_used, reason = "a failed unwrap fails the test")]
 
@@ -45,7 +45,7 @@
     entries: Vec<EndpointEntry>,
 }
 
-/// What the directory says, from its first revision on.
+/// The directory, with the history of its changes from the first revision on.
 #[derive(Debug, Default)]
 struct Directory {
     revision: u64,
@@ -69,7 +69,7 @@
         }
     }
 
-    /// A change of something else: a table, an order of operators.
+    /// Makes a change that concerns no endpoint: a table or an order of operators.
     fn other_change(&mut self) {
         self.revision += 1;
         self.log.push(u64::MAX);
@@ -83,7 +83,7 @@
         }
     }
 
-    /// Tells a daemon the changes after what it knows, as a call for changes does.
+    /// Applies at a daemon the changes that it lacks, as a call for changes does.
     fn tell(&self, daemon: &mut Daemon) {
         let changed: BTreeSet<u64> = self.log[daemon.read as usize..].iter().copied().collect();
         for number in changed {
@@ -103,7 +103,7 @@
         daemon.read = self.revision;
     }
 
-    /// Checks that a daemon uses nothing that was removed at or before the revision that it states.
+    /// Checks that a daemon uses no endpoint that was removed at or before the revision that it states.
     fn check(&self, daemon: &Daemon, what: &str) {
         let stated = daemon.catalogue.changed();
         for used in daemon.catalogue.entries() {
@@ -121,7 +121,7 @@
 
 struct Daemon {
     catalogue: Catalogue,
-    /// Revision up to which it has read the directory itself.
+    /// Revision up to which the daemon has read the directory itself.
     read: u64,
 }
 
@@ -173,7 +173,7 @@
     }
 }
 
-/// The case that was seen: three endpoints are removed, and then a list comes that has them.
+/// The observed case: three endpoints are removed, and then an older list arrives that has them.
 #[test]
 fn older_whole_list() {
     let entries: Vec<EndpointEntry> = (0..145).map(|number| entry(number, 1 + number)).collect();
@@ -194,7 +194,7 @@
     assert_eq!(daemon.catalogue.revision(), 163.into());
 }
 
-/// Changes that were asked for before the removal was known.
+/// Changes that were requested before a removal was known, and arrive after it, add nothing.
 #[test]
 fn older_changes() {
     let mut daemon = Daemon::new(Listed {
@@ -217,8 +217,8 @@
     assert_eq!(daemon.names(), BTreeMap::from([("e1".into(), 6)]));
 }
 
-/// A list that is no older holds, whatever was known: entries that another reader wrote again under the same revision
-/// aren't lost for good.
+/// A list that isn't older than the catalogue takes precedence over it: entries that the daemon lacks at the same
+/// revision are added.
 #[test]
 fn newer_whole_list() {
     let mut daemon = Daemon::new(Listed {
@@ -233,8 +233,8 @@
     assert_eq!(daemon.names().len(), 2);
 }
 
-/// Whole lists and changes, from the directory and from each other, taken at once or late: nobody ever uses what was
-/// removed by the revision that it states, and all end with the directory's list.
+/// Daemons receive whole lists and changes from the directory and from each other, at once or late. None uses an
+/// endpoint that was removed by the revision that it states, and all end with the directory's list.
 #[test]
 fn drawn_orders() {
     for seed in 0..3_000 {
@@ -294,7 +294,7 @@
     }
 }
 
-/// A daemon that knows of every change up to a revision of something else asks for no whole list.
+/// A daemon that has all changes of endpoints needs no whole list because of changes that concern no endpoint.
 #[test]
 fn changes_after_list() {
     let mut directory = Directory::default();
@@ -306,7 +306,7 @@
     for _ in 0..4 {
         directory.other_change();
     }
-    // It lists again, as after its history was gone, and states no change that the others lack.
+    // It applies a whole list, as after a compaction, and announces no change that the others lack.
     let mut again = Daemon::new(settled.list());
     again.take_list(directory.list());
     assert_eq!(again.catalogue.changed(), settled.catalogue.changed());
--- a/lib/tests/test_restored_list.rs
+++ b/lib/tests/test_restored_list.rs
@@ -1,4 +1,4 @@
-//! The list of endpoints while the directory comes back from an older copy and gives out revisions again.
+//! The list of endpoints while the directory is restored from an older copy and assigns revisions a second time.
 
 #![allow(clippy::unwrap_used, reason = "a failed unwrap fails the test")]
 
@@ -23,7 +23,7 @@
 
 const START: Time = Time(1_000_000);
 
-/// Time after which an entry that nobody writes has lapsed.
+/// Time after which an entry that nobody renews has lapsed.
 const LAPSE: Millis = Millis(4_800);
 
 fn at(era: u64, number: u64) -> Revision {
@@ -57,7 +57,7 @@
     text.parse().unwrap()
 }
 
-/// A list of the first era as of number 100, of endpoints written at 10 and later.
+/// Returns a catalogue with a list of the first era as of number 100, of endpoints written at 10 and later.
 fn known(names: &[&str]) -> Catalogue {
     let mut catalogue = Catalogue::new(Millis(1_400));
     catalogue.set_lapse_time(LAPSE);
@@ -79,7 +79,7 @@
     catalogue.get(&id(name)).unwrap().draining
 }
 
-/// What is written again counts, also with a smaller number than before.
+/// Entries that are written again take effect, also with a smaller number than before.
 #[test]
 fn smaller_numbers() {
     let mut catalogue = known(&["a", "b"]);
@@ -92,7 +92,7 @@
     assert!(matches!(change, Some(EndpointChange::Gone(_))));
 }
 
-/// News of the era before changes nothing any more.
+/// Changes of the earlier era have no effect any more.
 #[test]
 fn earlier_era() {
     let mut catalogue = known(&["a"]);
@@ -127,7 +127,7 @@
     assert!(!is_draining(&catalogue, "a"));
 }
 
-/// An endpoint that had departed isn't used because the copy lists it. Nobody renews its entry, and it lapses.
+/// A departed endpoint isn't used although the copy lists it. Nobody renews its entry, and it lapses.
 #[test]
 fn departed_stays_away() {
     let mut catalogue = known(&["a", "b"]);
@@ -141,7 +141,8 @@
     assert_eq!(names(&catalogue), ["a"]);
 }
 
-/// One that lives writes its entry again, or its entry lasts longer than one that nobody writes.
+/// A departed endpoint is used again once it writes its entry, or once its entry has lasted longer than one that nobody
+/// renews.
 #[test]
 fn departed_comes_back() {
     let mut catalogue = known(&["a", "b", "c"]);
@@ -157,7 +158,7 @@
     assert_eq!(names(&catalogue), ["a", "b", "c"]);
 }
 
-/// An endpoint whose entry lapsed while the directory couldn't be read may live: it isn't held back.
+/// An endpoint whose entry lapsed while the directory couldn't be read may be alive, so it isn't held back.
 #[test]
 fn lapsed_is_back() {
     let mut catalogue = known(&["a"]);
@@ -169,7 +170,8 @@
     assert_eq!(names(&catalogue), ["a"]);
 }
 
-/// What the copy lacks is used until it had the time to be written again, also while other daemons read steadily.
+/// An endpoint that the copy lacks is used until it has had the time to write its entry again, also while other daemons
+/// read steadily.
 #[test]
 fn missing_is_suspect() {
     let mut catalogue = known(&["a", "b"]);
@@ -181,7 +183,7 @@
     assert!(catalogue.expire_suspects(START + Millis(60_000)).is_empty());
 }
 
-/// What the copy lacks and is written again as it was is told to others that suspect it.
+/// An entry that the copy lacks and that is written again unchanged is sent to daemons at which it is unconfirmed.
 #[test]
 fn rewritten_is_told() {
     let mut catalogue = known(&["a", "b"]);
@@ -201,7 +203,8 @@
     assert!(other.expire_suspects(START + Millis(60_000)).is_empty());
 }
 
-/// A daemon that knew what this one came from is told what differs; one that knew more of the earlier era gets the list.
+/// A daemon with the same list of the earlier era is sent the changes since then. One that has applied later changes of
+/// that era is sent the whole list.
 #[test]
 fn changes_across_eras() {
     let mut catalogue = known(&["a", "b", "c"]);
@@ -217,7 +220,7 @@
     assert_eq!(catalogue.changes_since(at(2, 30)), None);
     let later = catalogue.changes_since(at(2, 60)).unwrap();
     assert!(later.entries.is_empty() && later.gone.is_empty());
-    // It passes on what it was told in the same way.
+    // The receiver sends these changes on in the same way.
     let mut other = known(&["a", "b", "c"]);
     apply(&mut other, START, changes);
     assert_eq!(other.revision(), at(2, 60));
@@ -226,7 +229,7 @@
     assert!(other.changes_since(at(1, 100)).is_some());
 }
 
-/// Of a long list, those that knew the era before are told what differs alone.
+/// Daemons that have a long list of the earlier era are sent only the changes.
 #[test]
 fn long_list_returns() {
     let names: Vec<String> = (0..10_000).map(|number| format!("e{number}")).collect();
@@ -266,8 +269,8 @@
     }
 }
 
-/// Messages name the era once; what is of an earlier one comes before all changes of it. A daemon of the release before
-/// reads numbers.
+/// Messages name the era once; revisions of earlier eras become numbers before all its changes. A daemon of a release
+/// without eras reads the numbers.
 #[test]
 fn eras_in_messages() {
     let list = EndpointList {
@@ -288,17 +291,17 @@
     assert_eq!(received, unnamed);
 }
 
-/// A directory that comes back from older copies of itself, and endpoints that write their entries again.
+/// A directory that is restored from older copies of itself, and endpoints that write their entries again.
 #[derive(Debug, Clone, Default)]
 struct Directory {
     revision: Revision,
-    /// Where each entry was written last.
+    /// Revision at which each entry was last written.
     entries: BTreeMap<u64, Revision>,
     copy: BTreeMap<u64, Revision>,
     copied: u64,
-    /// Endpoints that live.
+    /// Endpoints that are alive.
     alive: BTreeSet<u64>,
-    /// Endpoints that departed, and where that was told.
+    /// Departed endpoints, each with the revision at which its entry was removed.
     departed: BTreeMap<u64, Revision>,
 }
 
@@ -330,7 +333,7 @@
         self.revision = Revision::new(Era(self.revision.era.0 + 1), self.copied);
     }
 
-    /// Lets the endpoints that live write their entries, and those of the others lapse.
+    /// Writes the entries of the live endpoints, and lets the entries of the others lapse.
     fn settle(&mut self) {
         for number in self.alive.clone() {
             let at = self.next();
@@ -363,7 +366,7 @@
     }
 }
 
-/// Asks another daemon for what is newer there.
+/// Requests what another daemon has newer, and applies it.
 fn ask(catalogue: &mut Catalogue, now: Time, newer: &Catalogue) {
     if newer.changed() <= catalogue.revision() {
         return;
@@ -376,7 +379,8 @@
     }
 }
 
-/// Lets the endpoints that live write their entries, and those of the others lapse; tells a daemon that reads the changes.
+/// Writes the entries of the live endpoints, lets those of the others lapse, and applies these changes at the daemon
+/// that reads the directory.
 fn tell_changes(directory: &mut Directory, reader: &mut Catalogue, now: Time) {
     let before = directory.entries.clone();
     directory.settle();
@@ -394,15 +398,15 @@
     reader.advance_to(directory.revision);
 }
 
-/// Returns what a daemon uses once nothing is suspect or held back any more.
+/// Returns the endpoints that a daemon uses once none is unconfirmed or held back any more.
 fn settled(catalogue: &mut Catalogue, now: Time) -> Vec<String> {
     catalogue.readmit(now + LAPSE);
     catalogue.expire_suspects(now + LAPSE);
     names(catalogue)
 }
 
-/// Whatever daemons hear from the directory and from each other, in whatever order, none uses an endpoint that it knew to
-/// have departed, and in the end all know the directory's list.
+/// Whatever daemons receive from the directory and from each other, in whatever order, none uses an endpoint that it
+/// knew to have departed, and in the end all have the directory's list.
 #[test]
 fn drawn_returns() {
     for seed in 0..2_000 {
@@ -455,7 +459,7 @@
                 known.extend(used);
             }
         }
-        // Others hear of the end from the one that reads, step by step.
+        // The other daemons receive the final list from the one that reads the directory, step by step.
         let mut heard = daemons.clone();
         heard[0].replace(now, directory.list(), false);
         for end in 0..4 {
