--- a/lib/src/gateway/directory/adopt_table.rs
+++ b/lib/src/gateway/directory/adopt_table.rs
@@ -83,7 +83,7 @@
     }
 
     /// Records that the directory has no table newer than the one in force up to a revision.
-    pub(crate) fn table_is_newest(&self, revision: Revision) {
+    pub(crate) fn record_newest_table(&self, revision: Revision) {
         let mut state = self.state.borrow_mut();
         state.table_read = state.table_read.max(revision);
     }
--- a/lib/src/gateway/directory/apply.rs
+++ b/lib/src/gateway/directory/apply.rs
@@ -23,7 +23,7 @@
 };
 
 /// Source in the log of the removal of an endpoint whose unconfirmed time is over.
-const SUSPECT_TIME_OVER: &str = "unconfirmed time over";
+const UNCONFIRMED_TIME_OVER: &str = "unconfirmed time over";
 
 /// Source in the log when a departed endpoint is added since its entry, listed by an older copy of the directory, has
 /// lasted.
@@ -53,18 +53,18 @@
         }
     }
 
-    /// Records that an entry vanished at a revision. `suspect` is set if the endpoint is unconfirmed at the peer that
-    /// reports it.
+    /// Records that an entry vanished at a revision. `unconfirmed` is set if the endpoint is unconfirmed at the peer
+    /// that reports it.
     pub fn remove_endpoint(
         &self,
         id: &EndpointId,
         revision: Revision,
-        suspect: bool,
+        unconfirmed: bool,
         source: &str,
     ) {
         let now = self.now();
         let mut state = self.state.borrow_mut();
-        let is_outage = suspect || state.is_outage(now);
+        let is_outage = unconfirmed || state.is_outage(now);
         let change = state.catalogue.remove(now, id, revision, is_outage);
         drop(state);
         if let Some(change) = change {
@@ -82,11 +82,11 @@
             self.upsert_endpoint(entry, source);
         }
         for gone in changes.gone {
-            self.remove_endpoint(&gone.id, gone.revision, gone.suspect, source);
+            self.remove_endpoint(&gone.id, gone.revision, gone.unconfirmed, source);
         }
         let catalogue = &mut self.state.borrow_mut().catalogue;
         if changes.has_gap {
-            catalogue.advance_over(changes.revision);
+            catalogue.advance_with_gap(changes.revision);
         } else {
             catalogue.advance_to(changes.revision);
         }
@@ -95,7 +95,7 @@
     /// Uses the endpoints of the first pages of the first list before the rest has arrived. Without this, 299 daemons
     /// that start together refuse all requests for the 2.5 s in which they receive a list of 3,001 endpoints. One page
     /// holds a sixth of the endpoints of each service.
-    pub(crate) fn add_early(&self, entries: impl Iterator<Item = EndpointEntry>) {
+    pub(crate) fn add_partial_list(&self, entries: impl Iterator<Item = EndpointEntry>) {
         let now = self.now();
         let mut state = self.state.borrow_mut();
         if state.has_list {
@@ -137,10 +137,10 @@
             self.announcement.notify_one();
         }
         // Additions of the first list aren't logged one by one: that would be 3,001 lines at each daemon.
-        let told = changes
+        let logged = changes
             .iter()
             .filter(|change| !is_first || !change.is_added());
-        for change in told {
+        for change in logged {
             self.apply_change(change, source);
         }
         self.invalidate_stage_queues();
@@ -150,12 +150,12 @@
     /// entries have lasted, drops evacuation orders of an earlier era, and ends exclusions and cooldowns of endpoints.
     pub fn apply_timeouts(&self) {
         let now = self.now();
-        let changes = self.state.borrow_mut().catalogue.expire_suspects(now);
+        let changes = self.state.borrow_mut().catalogue.expire_unconfirmed(now);
         for change in changes {
-            self.apply_change(&change, SUSPECT_TIME_OVER);
+            self.apply_change(&change, UNCONFIRMED_TIME_OVER);
         }
         self.readmit_endpoints(now);
-        self.expire_held_orders();
+        self.expire_earlier_orders();
         if self.state.borrow_mut().endpoints.reopen_replaced(now) {
             self.invalidate_stage_queues();
         }
@@ -206,7 +206,7 @@
         EndpointChange::Restarted(entry) => ("endpoint.restarted", entry),
         EndpointChange::Draining(entry) => ("endpoint.draining", entry),
         EndpointChange::Gone(entry) => ("endpoint.gone", entry),
-        EndpointChange::Suspect(entry) => ("endpoint.doubted", entry),
+        EndpointChange::Unconfirmed(entry) => ("endpoint.doubted", entry),
     };
     log::info!(
         endpoint:% = entry.id,
--- a/lib/src/gateway/directory/catalogue.rs
+++ b/lib/src/gateway/directory/catalogue.rs
@@ -37,7 +37,7 @@
     Gone(Arc<EndpointEntry>),
     /// An endpoint's entry vanished while the directory couldn't be read. The endpoint is used until its unconfirmed
     /// time is over.
-    Suspect(Arc<EndpointEntry>),
+    Unconfirmed(Arc<EndpointEntry>),
 }
 
 impl EndpointChange {
@@ -59,7 +59,7 @@
     log: ChangeLog,
     entries: HashMap<EndpointId, Arc<EndpointEntry>>,
     /// Unconfirmed endpoints, each with the time until which it is used.
-    suspects: HashMap<EndpointId, Time>,
+    unconfirmed: HashMap<EndpointId, Time>,
     /// Endpoints whose entries vanished while the directory answered.
     departed: Departed,
 }
@@ -74,7 +74,7 @@
             revision: Revision::default(),
             log: ChangeLog::default(),
             entries: HashMap::default(),
-            suspects: HashMap::default(),
+            unconfirmed: HashMap::default(),
             departed: Departed::default(),
         }
     }
@@ -97,7 +97,7 @@
     /// Returns the revision of the last change of an endpoint. Daemons announce this one, not
     /// [`revision`](Self::revision): otherwise all others would fetch a list that has a newer revision but the same
     /// entries.
-    pub fn changed(&self) -> Revision {
+    pub fn last_change(&self) -> Revision {
         self.log.last()
     }
 
@@ -106,13 +106,13 @@
         let mut entries = Vec::new();
         let mut gone = Vec::new();
         for (id, revision) in self.log.since(since)? {
-            let suspect = self.suspects.contains_key(id);
+            let unconfirmed = self.unconfirmed.contains_key(id);
             match self.entries.get(id) {
-                Some(entry) if !suspect => entries.push((**entry).clone()),
+                Some(entry) if !unconfirmed => entries.push((**entry).clone()),
                 Some(_) | None => gone.push(GoneEndpoint {
                     id: id.clone(),
                     revision,
-                    suspect,
+                    unconfirmed,
                 }),
             }
         }
@@ -140,13 +140,13 @@
         EndpointList {
             revision: self.revision,
             entries: entries.map(|entry| (**entry).clone()).collect(),
-            suspects: self.suspects.keys().cloned().collect(),
+            unconfirmed: self.unconfirmed.keys().cloned().collect(),
         }
     }
 
     /// Returns the number of unconfirmed endpoints.
-    pub fn suspects(&self) -> usize {
-        self.suspects.len()
+    pub fn unconfirmed_count(&self) -> usize {
+        self.unconfirmed.len()
     }
 
     /// Applies a new or changed entry. An entry older than the known one changes nothing.
@@ -167,9 +167,9 @@
 
     fn apply(&mut self, entry: EndpointEntry) -> Option<EndpointChange> {
         let old = self.entries.get(&entry.id).cloned();
-        let was_suspect = self.suspects.contains_key(&entry.id);
-        let is_known = |old: &Arc<EndpointEntry>| !is_change(old, &entry, was_suspect);
-        if !old.as_ref().is_some_and(is_known) {
+        let was_unconfirmed = self.unconfirmed.contains_key(&entry.id);
+        let is_unchanged = |old: &Arc<EndpointEntry>| !is_change(old, &entry, was_unconfirmed);
+        if !old.as_ref().is_some_and(is_unchanged) {
             let entries = self.entries.len();
             self.log.record(entry.revision, &entry.id, entries);
         }
@@ -177,17 +177,17 @@
             return None;
         }
         let entry = Arc::new(match &old {
-            Some(old) => after(old, entry),
+            Some(old) => replacement(old, entry),
             None => entry,
         });
-        self.suspects.remove(&entry.id);
+        self.unconfirmed.remove(&entry.id);
         self.entries.insert(entry.id.clone(), entry.clone());
         match old {
             None => {
                 self.departed.forget(&entry.id);
                 Some(EndpointChange::Added(entry))
             }
-            Some(old) if old.born != entry.born => Some(EndpointChange::Restarted(entry)),
+            Some(old) if old.started != entry.started => Some(EndpointChange::Restarted(entry)),
             Some(old) if entry.draining && !old.draining => Some(EndpointChange::Draining(entry)),
             Some(_) => None,
         }
@@ -224,14 +224,14 @@
     fn vanish(&mut self, now: Time, id: &EndpointId, is_outage: bool) -> Option<EndpointChange> {
         let entry = self.entries.get(id)?.clone();
         if is_unconfirmed(is_outage, entry.draining) {
-            if self.suspects.contains_key(id) {
+            if self.unconfirmed.contains_key(id) {
                 return None;
             }
-            self.suspects
+            self.unconfirmed
                 .insert(id.clone(), now + self.unconfirmed_time);
-            return Some(EndpointChange::Suspect(entry));
+            return Some(EndpointChange::Unconfirmed(entry));
         }
-        self.suspects.remove(id);
+        self.unconfirmed.remove(id);
         self.entries.remove(id);
         if !is_outage || entry.draining {
             self.departed.record(id);
@@ -246,7 +246,7 @@
 
     /// Records that another daemon's changes up to a revision are applied, some of which may be missing: a daemon that
     /// knows the list as of a revision in between may know endpoints that were added and removed in the gap.
-    pub fn advance_over(&mut self, revision: Revision) {
+    pub fn advance_with_gap(&mut self, revision: Revision) {
         if !self.log.is_unstarted() {
             self.log.skip(self.revision, revision);
         }
@@ -270,23 +270,23 @@
         let EndpointList {
             revision,
             entries,
-            suspects,
+            unconfirmed,
         } = list;
-        let suspects: HashSet<EndpointId> = suspects.into_iter().collect();
+        let unconfirmed: HashSet<EndpointId> = unconfirmed.into_iter().collect();
         let is_outage = self.begin_era(now, revision) || is_outage;
         let ids = entries.iter().map(|entry| &entry.id);
-        let listed = ids.filter(|id| !suspects.contains(id));
+        let listed = ids.filter(|id| !unconfirmed.contains(id));
         let listed: HashSet<EndpointId> = listed.cloned().collect();
         let missing = self.missing_in(&listed, revision);
-        let mut changes = self.apply_listed(entries, revision, &suspects);
+        let mut changes = self.apply_listed(entries, revision, &unconfirmed);
         self.departed.retain_listed(&listed);
         for id in &missing {
             self.log.record(revision, id, self.entries.len());
-            changes.extend(self.vanish(now, id, is_outage || suspects.contains(id)));
+            changes.extend(self.vanish(now, id, is_outage || unconfirmed.contains(id)));
         }
         if self.log.is_unstarted() {
-            let suspects = suspects.iter();
-            changes.extend(suspects.filter_map(|id| self.vanish(now, id, true)));
+            let unconfirmed = unconfirmed.iter();
+            changes.extend(unconfirmed.filter_map(|id| self.vanish(now, id, true)));
             self.log.start(revision);
         } else {
             self.log.skip(self.revision, revision);
@@ -310,14 +310,14 @@
         &mut self,
         entries: Vec<EndpointEntry>,
         revision: Revision,
-        suspects: &HashSet<EndpointId>,
+        unconfirmed: &HashSet<EndpointId>,
     ) -> Vec<EndpointChange> {
         let is_first = self.log.is_unstarted();
         let is_older = revision < self.revision;
         let mut changes = Vec::new();
         for entry in entries {
             let is_gone = is_older && self.is_removed(&entry);
-            if is_gone || (suspects.contains(&entry.id) && !is_first) {
+            if is_gone || (unconfirmed.contains(&entry.id) && !is_first) {
                 continue;
             }
             if let Some(entry) = self.departed.hold(entry) {
@@ -335,9 +335,9 @@
     }
 
     /// Removes the endpoints whose unconfirmed time is over.
-    pub fn expire_suspects(&mut self, now: Time) -> Vec<EndpointChange> {
+    pub fn expire_unconfirmed(&mut self, now: Time) -> Vec<EndpointChange> {
         let due: Vec<EndpointId> = self
-            .suspects
+            .unconfirmed
             .iter()
             .filter(|(_, until)| **until <= now)
             .map(|(id, _)| id.clone())
@@ -346,16 +346,16 @@
     }
 
     fn expire(&mut self, id: &EndpointId) -> Option<EndpointChange> {
-        self.suspects.remove(id);
+        self.unconfirmed.remove(id);
         let entry = self.entries.remove(id)?;
         Some(EndpointChange::Gone(entry))
     }
 
     /// Restarts the unconfirmed time of all unconfirmed endpoints: their entries can't be written while the directory
     /// can't be read.
-    pub fn extend_suspects(&mut self, now: Time) {
+    pub fn extend_unconfirmed(&mut self, now: Time) {
         let until_next = now + self.unconfirmed_time;
-        for until in self.suspects.values_mut() {
+        for until in self.unconfirmed.values_mut() {
             *until = until_next;
         }
     }
@@ -363,16 +363,18 @@
 
 /// Returns whether an entry changes an older one of the same endpoint. An entry of a later era that differs only in its
 /// revision is no change, unless its endpoint was unconfirmed: the directory had it before.
-fn is_change(old: &EndpointEntry, entry: &EndpointEntry, was_suspect: bool) -> bool {
-    let is_known = entry.revision.era > old.revision.era && !was_suspect && entry.says_same(old);
-    old.revision < entry.revision && !is_known
+fn is_change(old: &EndpointEntry, entry: &EndpointEntry, was_unconfirmed: bool) -> bool {
+    let is_unchanged = entry.revision.era > old.revision.era
+        && !was_unconfirmed
+        && entry.equals_except_revision(old);
+    old.revision < entry.revision && !is_unchanged
 }
 
 /// Returns the entry that replaces an older one of the same endpoint. An endpoint that drains keeps draining within one
 /// incarnation, also if an older copy of the directory lists it as not draining.
-fn after(old: &EndpointEntry, entry: EndpointEntry) -> EndpointEntry {
+fn replacement(old: &EndpointEntry, entry: EndpointEntry) -> EndpointEntry {
     EndpointEntry {
-        draining: entry.draining || (old.draining && old.born == entry.born),
+        draining: entry.draining || (old.draining && old.started == entry.started),
         ..entry
     }
 }
--- a/lib/src/gateway/directory/change_log.rs
+++ b/lib/src/gateway/directory/change_log.rs
@@ -10,7 +10,7 @@
 
 /// Number of changes that are kept at least. Of a list with more entries, as many changes are kept as it has entries: a
 /// daemon that lacks more is sent the whole list, which is then no longer than the changes.
-const CHANGES_KEPT: usize = 512;
+const MIN_CHANGES_KEPT: usize = 512;
 
 /// One change of an endpoint's entry.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -21,7 +21,7 @@
 }
 
 /// Number of gaps that are kept at most; changes before the end of a dropped gap count as missing.
-const GAPS_KEPT: usize = 16;
+const MAX_GAPS_KEPT: usize = 16;
 
 /// Range of revisions in which changes may be missing: a daemon that knows the list as of a revision in it may know an
 /// endpoint that was added and removed without a change recorded here.
@@ -73,7 +73,7 @@
             revision,
             id: id.clone(),
         });
-        let kept = CHANGES_KEPT.max(entries);
+        let kept = MIN_CHANGES_KEPT.max(entries);
         while self.changes.len() > kept
             && let Some(forgotten) = self.changes.pop_front()
         {
@@ -100,7 +100,7 @@
         // Other daemons have to learn of a later era also if no entry changed with it.
         self.last = self.last.max(Revision::new(to.era, 0));
         self.gaps.push_back(Gap { from, to });
-        if self.gaps.len() > GAPS_KEPT
+        if self.gaps.len() > MAX_GAPS_KEPT
             && let Some(forgotten) = self.gaps.pop_front()
         {
             self.complete_from = self.complete_from.max(forgotten.to);
--- a/lib/src/gateway/directory/contact.rs
+++ b/lib/src/gateway/directory/contact.rs
@@ -5,7 +5,7 @@
 
 use crate::{
     gateway::{
-        directory::source::{TOPICS, Topic},
+        directory::source::{TOPIC_COUNT, Topic},
         rules::unconfirmed_entry::ReadHistory,
     },
     shared::units::{Millis, Time},
@@ -17,9 +17,9 @@
     /// Times of the last answer and of the last failure for any topic.
     pub reads: ReadHistory,
     /// Time of the last answer for each topic; `None` before the first one.
-    topics: [Option<Time>; TOPICS],
+    topics: [Option<Time>; TOPIC_COUNT],
     /// Whether an answer for the topic is being received.
-    begun: [bool; TOPICS],
+    receiving: [bool; TOPIC_COUNT],
 }
 
 impl DirectoryContact {
@@ -30,26 +30,27 @@
     }
 
     /// Records that an answer for a topic has begun. From now on its bytes keep arriving, or its end is recorded soon.
-    pub(crate) fn record_begin(&mut self, topic: Topic) {
-        self.begun[topic as usize] = true;
+    pub(crate) fn begin_answer(&mut self, topic: Topic) {
+        self.receiving[topic as usize] = true;
     }
 
     /// Records that no answer for a topic is being received any more.
-    pub(crate) fn record_end(&mut self, topic: Topic) {
-        self.begun[topic as usize] = false;
+    pub(crate) fn end_answer(&mut self, topic: Topic) {
+        self.receiving[topic as usize] = false;
     }
 
     /// Returns whether an answer for a topic is being received.
-    pub(crate) fn is_begun(&self, topic: Topic) -> bool {
-        self.begun[topic as usize]
+    pub(crate) fn is_receiving(&self, topic: Topic) -> bool {
+        self.receiving[topic as usize]
     }
 
     /// Returns the time since the directory last answered for the topic whose answer is oldest; `None` if it never
     /// answered for some topic. An answer that is being received counts as one of now: otherwise other daemons would
     /// call the directory while their reader receives a large table.
     pub(crate) fn read_age(&self, now: Time) -> Option<Millis> {
-        let answers = self.topics.iter().zip(self.begun);
-        let times = answers.map(|(last, begun)| if begun { last.map(|_| now) } else { *last });
+        let answers = self.topics.iter().zip(self.receiving);
+        let times =
+            answers.map(|(last, receiving)| if receiving { last.map(|_| now) } else { *last });
         let oldest = times.min().flatten()?;
         Some(Millis(now.since(oldest).as_millis() as u64))
     }
--- a/lib/src/gateway/directory/coverage.rs
+++ b/lib/src/gateway/directory/coverage.rs
@@ -33,7 +33,7 @@
     }
 
     /// Returns whether this daemon has a table and a whole list of endpoints.
-    fn knows_directory(&self) -> bool {
+    fn has_table_and_list(&self) -> bool {
         self.published.is_some() && self.has_list
     }
 
@@ -42,10 +42,10 @@
     /// the age, since no later read could be received during them. Other daemons are told the full age.
     fn known_read_age(&self, now: Time) -> Option<Millis> {
         let others = self.peers.read_age(now);
-        let own = self.contact.read_age(now).filter(|_| !self.is_substitute);
-        let age = others.into_iter().chain(own).min()?;
-        let stood = self.peers.standstills.stalled_since(now - age, now);
-        Some(Millis(age.0.saturating_sub(stood.as_millis() as u64)))
+        let local = self.contact.read_age(now).filter(|_| !self.is_substitute);
+        let age = others.into_iter().chain(local).min()?;
+        let stalled = self.peers.standstills.stalled_since(now - age, now);
+        Some(Millis(age.0.saturating_sub(stalled.as_millis() as u64)))
     }
 }
 
@@ -55,7 +55,7 @@
         let wait = self.settings().bounds.directory_wait();
         let now = self.now();
         let state = self.state.borrow();
-        let is_starting = !state.knows_directory();
+        let is_starting = !state.has_table_and_list();
         let peers = PeerReads {
             lags: state.lags(now),
             // Reads by peers don't help this daemon before it has received their results.
@@ -85,8 +85,8 @@
     /// Records that the directory answered a call. If the call was a probe, this daemon is a substitute from now on and
     /// reads for the others.
     pub(crate) fn probe_answered(&self) {
-        let knows = self.state.borrow().knows_directory();
-        if !knows || self.stopping.get() || self.read_duty() != ReadDuty::Probe {
+        let has_topics = self.state.borrow().has_table_and_list();
+        if !has_topics || self.stopping.get() || self.read_duty() != ReadDuty::Probe {
             return;
         }
         log::info!("directory.substitute_began");
@@ -119,13 +119,13 @@
 ) {
     let mut last = ReadDuty::Read;
     let mut turn = None;
-    let mut looked = gateway.now();
+    let mut last_check = gateway.now();
     loop {
         let now = gateway.now();
-        if is_stall(now.since(looked)) {
+        if is_stall(now.since(last_check)) {
             turn = None;
         }
-        looked = now;
+        last_check = now;
         let duty = gateway.read_duty();
         match duty {
             ReadDuty::Read => break,
@@ -134,9 +134,9 @@
                 turn = None;
             }
             ReadDuty::Probe => {
-                gateway.note_outage();
-                let drawn = *turn.get_or_insert_with(|| Turn::draw(gateway.now(), last_call));
-                if drawn.has_come(gateway) && probes(gateway, topic) {
+                gateway.record_outage();
+                let drawn = *turn.get_or_insert_with(|| ProbeTurn::draw(gateway.now(), last_call));
+                if drawn.has_come(gateway) && is_probe_topic(gateway, topic) {
                     break;
                 }
             }
@@ -152,7 +152,7 @@
 
 /// Returns whether this topic is used to probe the directory: a topic that this daemon lacks; the operator topic if it
 /// lacks neither.
-fn probes<D: Dialect>(gateway: &Gateway<D>, topic: Topic) -> bool {
+fn is_probe_topic<D: Dialect>(gateway: &Gateway<D>, topic: Topic) -> bool {
     let state = gateway.state.borrow();
     let lacks_list = !state.has_list;
     match topic {
@@ -163,18 +163,18 @@
 
 /// A daemon's turn to probe the directory.
 #[derive(Debug, Clone, Copy)]
-struct Turn {
+struct ProbeTurn {
     /// Time at which the fraction was drawn.
-    drawn: Time,
+    drawn_at: Time,
     /// Random number from 0 to 1 that places the turn within the time in which all daemons have theirs.
     fraction: f64,
     last_call: LastCall,
 }
 
-impl Turn {
+impl ProbeTurn {
     fn draw(now: Time, last_call: LastCall) -> Self {
         Self {
-            drawn: now,
+            drawn_at: now,
             fraction: rand::random(),
             last_call,
         }
@@ -185,7 +185,7 @@
     fn has_come<D: Dialect>(self, gateway: &Gateway<D>) -> bool {
         let daemons = gateway.state.borrow().peers.daemons();
         let pause = next_turn(daemons, self.last_call, self.fraction);
-        gateway.now().since(self.drawn) >= pause
+        gateway.now().since(self.drawn_at) >= pause
     }
 }
 
--- a/lib/src/gateway/directory/departed.rs
+++ b/lib/src/gateway/directory/departed.rs
@@ -13,7 +13,7 @@
 };
 
 /// Number of departed endpoints that are remembered; beyond it the oldest are forgotten.
-const REMEMBERED: usize = 4_096;
+const MAX_DEPARTED: usize = 4_096;
 
 /// The entry of an endpoint that is held back; `None` if it isn't listed.
 type HeldEntry = Option<EndpointEntry>;
@@ -22,38 +22,38 @@
 #[derive(Debug, Clone, Default)]
 pub(crate) struct Departed {
     /// Departed endpoints in the order in which they departed.
-    known: RecentMap<EndpointId, (), REMEMBERED>,
+    departed: RecentMap<EndpointId, (), MAX_DEPARTED>,
     held: HashMap<EndpointId, HeldEntry>,
     /// Revision of the directory when the hold began. An endpoint that writes its entry later is alive.
-    since: Revision,
+    hold_start: Revision,
     /// Time by which the entries that are held back have lapsed unless their endpoints renew them.
-    until: Time,
+    hold_end: Time,
 }
 
 impl Departed {
     /// Records that an endpoint departed.
     pub(crate) fn record(&mut self, id: &EndpointId) {
         self.forget(id);
-        self.known.entry(id.clone());
+        self.departed.entry(id.clone());
         self.held.insert(id.clone(), None);
     }
 
     /// Forgets an endpoint that was added to the list again.
     pub(crate) fn forget(&mut self, id: &EndpointId) {
-        self.known.remove(id);
+        self.departed.remove(id);
     }
 
     /// Holds back all departed endpoints until a time, if they are listed: the directory was restored from an older
     /// copy and is at `revision` now.
     pub(crate) fn hold_all(&mut self, until: Time, revision: Revision) {
-        self.since = revision;
-        self.until = until;
-        self.held = self.known.keys().map(|id| (id.clone(), None)).collect();
+        self.hold_start = revision;
+        self.hold_end = until;
+        self.held = self.departed.keys().map(|id| (id.clone(), None)).collect();
     }
 
     /// Holds back an entry. Returns it if its endpoint isn't held back, or if it was written after the hold began.
     pub(crate) fn hold(&mut self, entry: EndpointEntry) -> Option<EndpointEntry> {
-        if entry.revision > self.since {
+        if entry.revision > self.hold_start {
             self.held.remove(&entry.id);
         }
         let Some(held) = self.held.get_mut(&entry.id) else {
@@ -78,7 +78,7 @@
     /// Ends the hold once its time is over, and returns the entries that are still listed: their endpoints are alive,
     /// since otherwise nobody would have renewed the entries.
     pub(crate) fn take_lasting(&mut self, now: Time) -> Vec<EndpointEntry> {
-        if now < self.until || self.held.is_empty() {
+        if now < self.hold_end || self.held.is_empty() {
             return Vec::new();
         }
         self.held.drain().filter_map(|(_, entry)| entry).collect()
--- a/lib/src/gateway/directory/endpoint_entry.rs
+++ b/lib/src/gateway/directory/endpoint_entry.rs
@@ -19,15 +19,15 @@
 /// it; the later one has the larger value.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
-pub struct Born(pub u64);
+pub struct StartTime(pub u64);
 
 /// One incarnation of an endpoint: from one start of its process to the next.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct EndpointLife {
+pub struct EndpointIncarnation {
     /// Id of the endpoint.
     pub id: EndpointId,
     /// Time of the start; `None` if endpoints don't state it and get a new id at each start.
-    pub born: Option<Born>,
+    pub started: Option<StartTime>,
 }
 
 /// One endpoint as the directory publishes it.
@@ -50,8 +50,8 @@
     #[serde(default, skip_serializing_if = "is_zero")]
     pub cold: Millis,
     /// Time at which the endpoint started; `None` if it doesn't state it.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub born: Option<Born>,
+    #[serde(rename = "born", default, skip_serializing_if = "Option::is_none")]
+    pub started: Option<StartTime>,
     /// Revision of the entry in the directory.
     #[serde(with = "number_only")]
     pub revision: Revision,
@@ -63,15 +63,15 @@
 
 impl EndpointEntry {
     /// Returns the incarnation that the entry describes.
-    pub fn life(&self) -> EndpointLife {
-        EndpointLife {
+    pub fn incarnation(&self) -> EndpointIncarnation {
+        EndpointIncarnation {
             id: self.id.clone(),
-            born: self.born,
+            started: self.started,
         }
     }
 
     /// Returns whether this entry equals another one in all fields except the revision.
-    pub(super) fn says_same(&self, other: &Self) -> bool {
+    pub(super) fn equals_except_revision(&self, other: &Self) -> bool {
         let same = Self {
             revision: other.revision,
             ..self.clone()
@@ -83,7 +83,7 @@
     /// or of the same one and not older. The last entry of an earlier incarnation may arrive after the first entry of
     /// the next one, and with a later revision.
     pub fn supersedes(&self, other: &Self) -> bool {
-        match (self.born, other.born) {
+        match (self.started, other.started) {
             (Some(mine), Some(theirs)) if mine != theirs => mine > theirs,
             _ => self.revision >= other.revision,
         }
@@ -99,7 +99,7 @@
     /// Entries of all endpoints, including the unconfirmed ones.
     pub entries: Vec<EndpointEntry>,
     /// Endpoints that are unconfirmed at the sender: their entries vanished, and the sender still uses them for a time.
-    pub suspects: Vec<EndpointId>,
+    pub unconfirmed: Vec<EndpointId>,
 }
 
 /// A whole list of endpoints in a message.
@@ -111,7 +111,7 @@
     entries: Vec<EndpointEntry>,
     /// Empty if the sender's release doesn't distinguish unconfirmed endpoints.
     #[serde(rename = "doubted", default, skip_serializing_if = "Vec::is_empty")]
-    suspects: Vec<EndpointId>,
+    unconfirmed: Vec<EndpointId>,
 }
 
 impl From<EndpointList> for ListMessage {
@@ -120,8 +120,8 @@
         Self {
             revision: number,
             era,
-            entries: entries_in(era, list.entries),
-            suspects: list.suspects,
+            entries: to_message(era, list.entries),
+            unconfirmed: list.unconfirmed,
         }
     }
 }
@@ -131,14 +131,14 @@
         let ListMessage { revision, era, .. } = message;
         Self {
             revision: Revision::new(era, revision),
-            entries: entries_in_message(era, message.entries),
-            suspects: message.suspects,
+            entries: from_message(era, message.entries),
+            unconfirmed: message.unconfirmed,
         }
     }
 }
 
 /// Converts entries for a message of an era: their revisions become numbers in that era.
-fn entries_in(era: Era, entries: Vec<EndpointEntry>) -> Vec<EndpointEntry> {
+fn to_message(era: Era, entries: Vec<EndpointEntry>) -> Vec<EndpointEntry> {
     let entries = entries.into_iter().map(|entry| EndpointEntry {
         revision: entry.revision.number_in(era).into(),
         ..entry
@@ -147,7 +147,7 @@
 }
 
 /// Converts entries from a message of an era: their numbers become revisions of that era.
-fn entries_in_message(era: Era, entries: Vec<EndpointEntry>) -> Vec<EndpointEntry> {
+fn from_message(era: Era, entries: Vec<EndpointEntry>) -> Vec<EndpointEntry> {
     let entries = entries.into_iter().map(|entry| EndpointEntry {
         revision: Revision::new(era, entry.revision.number),
         ..entry
@@ -196,7 +196,7 @@
         Self {
             revision: number,
             era,
-            entries: entries_in(era, changes.entries),
+            entries: to_message(era, changes.entries),
             gone: gone.collect(),
             has_gap: changes.has_gap,
         }
@@ -212,7 +212,7 @@
         });
         Self {
             revision: Revision::new(era, revision),
-            entries: entries_in_message(era, message.entries),
+            entries: from_message(era, message.entries),
             gone: gone.collect(),
             has_gap: message.has_gap,
         }
@@ -230,5 +230,5 @@
     /// The endpoint is unconfirmed: its entry may have lapsed although the endpoint is alive. Messages name this field
     /// `doubted`.
     #[serde(rename = "doubted")]
-    pub suspect: bool,
+    pub unconfirmed: bool,
 }
--- a/lib/src/gateway/directory/evacuate.rs
+++ b/lib/src/gateway/directory/evacuate.rs
@@ -21,17 +21,17 @@
 
 /// Time for which an order of an earlier era stays in force although a directory restored from an older copy lacks it.
 /// Within this time operators are expected to write it again.
-const REWRITING: Millis = Millis(10_000);
+const REWRITE_TIME: Millis = Millis(10_000);
 
 impl GatewayState {
     /// Returns the name of a data centre as its endpoints state it; its hash in hexadecimal if no endpoint is there.
     pub(crate) fn data_centre_name(&self, hash: DataCentreHash) -> String {
-        let mut places = self
+        let mut data_centres = self
             .endpoints
             .members()
             .map(|member| &member.entry.data_centre);
-        let place = places.find(|place| data_centre_hash(place) == hash);
-        place.map_or_else(|| format!("{:08x}", hash.0), ToString::to_string)
+        let data_centre = data_centres.find(|data_centre| data_centre_hash(data_centre) == hash);
+        data_centre.map_or_else(|| format!("{:08x}", hash.0), ToString::to_string)
     }
 }
 
@@ -55,20 +55,20 @@
     }
 
     /// Drops orders of an earlier era of the directory that operators didn't write again in time.
-    pub(crate) fn expire_held_orders(&self) {
+    pub(crate) fn expire_earlier_orders(&self) {
         let now = self.now();
         let mut state = self.state.borrow_mut();
-        if !state.evacuations.has_held() {
+        if !state.evacuations.has_earlier_eras() {
             state.held_orders = None;
             return;
         }
         let since = *state.held_orders.get_or_insert(now);
-        if now.since(since) < REWRITING.to_duration() {
+        if now.since(since) < REWRITE_TIME.to_duration() {
             return;
         }
-        let left = state.evacuations.clone().without_held();
+        let remaining = state.evacuations.clone().without_earlier_eras();
         drop(state);
-        self.set_evacuations(left, "order not written again");
+        self.set_evacuations(remaining, "order not written again");
     }
 
     fn set_evacuations(&self, next: Evacuations, source: impl Display) {
@@ -82,12 +82,12 @@
         let until = state.evacuations.until();
         let after: BTreeSet<DataCentreHash> = state.evacuations.data_centres().collect();
         let before = state.endpoints.set_evacuated(now, after.clone());
-        for place in after.difference(&before) {
-            let name = state.data_centre_name(*place);
+        for data_centre in after.difference(&before) {
+            let name = state.data_centre_name(*data_centre);
             log::warn!(data_centre = name.as_str(), revision:% = until, source:%; "evacuation.began");
         }
-        for place in before.difference(&after) {
-            let name = state.data_centre_name(*place);
+        for data_centre in before.difference(&after) {
+            let name = state.data_centre_name(*data_centre);
             log::warn!(data_centre = name.as_str(), revision:% = until, source:%; "evacuation.ended");
         }
         drop(state);
--- a/lib/src/gateway/directory/evacuations.rs
+++ b/lib/src/gateway/directory/evacuations.rs
@@ -33,7 +33,7 @@
 /// Writes the numbers of the revisions only: the message names the era, and orders of earlier eras are omitted.
 impl From<Evacuations> for (u64, Vec<(DataCentreHash, u64)>) {
     fn from(evacuations: Evacuations) -> Self {
-        let Evacuations { until, ordered } = evacuations.without_held();
+        let Evacuations { until, ordered } = evacuations.without_earlier_eras();
         let ordered = ordered.into_iter();
         let numbers = ordered.map(|(data_centre, at)| (data_centre, at.number));
         (until.number, numbers.collect())
@@ -87,18 +87,20 @@
         let orders = self.ordered.iter();
         Self {
             until: set(&self.until),
-            ordered: orders.map(|(place, at)| (*place, set(at))).collect(),
+            ordered: orders
+                .map(|(data_centre, at)| (*data_centre, set(at)))
+                .collect(),
         }
     }
 
     /// Returns whether there are orders of an earlier era, which operators may not have written again yet.
-    pub fn has_held(&self) -> bool {
+    pub fn has_earlier_eras(&self) -> bool {
         self.ordered.values().any(|at| at.era < self.until.era)
     }
 
     /// Returns the evacuations without the orders of earlier eras.
     #[must_use]
-    pub fn without_held(mut self) -> Self {
+    pub fn without_earlier_eras(mut self) -> Self {
         self.ordered.retain(|_, at| at.era >= self.until.era);
         self
     }
--- a/lib/src/gateway/directory/follow.rs
+++ b/lib/src/gateway/directory/follow.rs
@@ -27,11 +27,11 @@
 mod eras;
 
 /// Source in the log for what was read from the directory.
-const SOURCE: &str = "directory";
+const DIRECTORY_SOURCE: &str = "directory";
 
 /// Characters that are logged at most of a refused entry's name, and of the reason. An entry may be as large as the
 /// directory allows.
-const LOGGED: usize = 200;
+const MAX_LOGGED_CHARS: usize = 200;
 
 /// Follows one topic as long as the process runs.
 pub async fn follow<D: Dialect>(
@@ -45,16 +45,16 @@
         topic,
         since: None,
         must_list: false,
-        era: Era::default(),
-        called: false,
+        checked_era: Era::default(),
+        has_called: false,
         last_call: None,
-        in_turn: false,
+        is_probe: false,
         backoff: Backoff::default(),
-        limit: AnswerTimeout::default(),
+        timeout: AnswerTimeout::default(),
     };
     loop {
         let wait = follower.wait_for_turn().await;
-        follower.look_for_era();
+        follower.handle_later_era();
         let began = follower.gateway.now();
         let read = follower.read(wait).await;
         follower.end_read();
@@ -62,7 +62,7 @@
             continue;
         };
         let took = follower.gateway.now().since(began);
-        follower.judge_time(&read, took.saturating_sub(wait));
+        follower.adapt_timeout(&read, took.saturating_sub(wait));
         follower.apply(read, took).await;
     }
 }
@@ -78,29 +78,29 @@
     /// whatever other daemons report, since they may lack the same change.
     must_list: bool,
     /// Latest reported era that was compared with the era of `since`.
-    era: Era,
+    checked_era: Era,
     /// A call was made. The first call of a process is made without waiting for a turn.
-    called: bool,
+    has_called: bool,
     /// Result of the last call; `None` before the first one has ended.
     last_call: Option<LastCall>,
     /// The current call is made in this daemon's turn to probe the directory.
-    in_turn: bool,
+    is_probe: bool,
     backoff: Backoff,
-    limit: AnswerTimeout,
+    timeout: AnswerTimeout,
 }
 
 impl<D: Dialect, S: Directory> Follower<D, S> {
     /// Waits while peers read the directory for this daemon, or until its turn to probe the directory. Returns how long
     /// the next call may wait for changes.
     async fn wait_for_turn(&mut self) -> Duration {
-        let is_first = !self.called;
-        self.called = true;
+        let is_first = !self.has_called;
+        self.has_called = true;
         if is_first || self.gateway.read_duty() == ReadDuty::Read {
             self.skip_known_table();
-            self.in_turn = false;
-            return self.usual_wait();
+            self.is_probe = false;
+            return self.change_wait();
         }
-        self.in_turn = true;
+        self.is_probe = true;
         let last_call = self.last_call.unwrap_or(LastCall::Answered);
         wait_for_duty(&self.gateway, self.topic, last_call).await;
         let known = self.gateway.known_revision(self.topic);
@@ -111,7 +111,7 @@
     }
 
     /// Returns the time for which a call waits for changes under the settings in force.
-    fn usual_wait(&self) -> Duration {
+    fn change_wait(&self) -> Duration {
         let bounds = self.gateway.settings().bounds;
         topic_wait(self.topic, bounds.directory_wait())
     }
@@ -136,7 +136,7 @@
     /// Records that no answer is being received any more.
     fn end_read(&self) {
         let mut state = self.gateway.state.borrow_mut();
-        state.contact.record_end(self.topic);
+        state.contact.end_answer(self.topic);
     }
 
     /// Completes when the current call is superseded:
@@ -153,22 +153,22 @@
         };
         tokio::select! {
             () = superseded.notified() => {}
-            () = self.relieved() => {}
-            () = self.heard_of_era() => {}
+            () = self.covered_by_peers() => {}
+            () = self.later_era_reported() => {}
         }
     }
 
     /// Completes when peers read the directory for this daemon again, if the current call asks for changes and no
     /// answer has begun. Without this, a former substitute also reads the next table from the directory.
-    async fn relieved(&self) {
+    async fn covered_by_peers(&self) {
         if self.since.is_none() {
             // A whole list is needed whichever daemon reads changes.
             std::future::pending::<()>().await;
         }
         loop {
             tokio::time::sleep(COVER_CHECK.to_duration()).await;
-            let begun = self.gateway.state.borrow().contact.is_begun(self.topic);
-            if !begun && self.gateway.is_covered() {
+            let is_receiving = self.gateway.state.borrow().contact.is_receiving(self.topic);
+            if !is_receiving && self.gateway.is_covered() {
                 return;
             }
         }
@@ -176,18 +176,18 @@
 
     async fn call(&self, wait: Duration) -> Result<Items, DirectoryError> {
         let (directory, topic) = (&self.directory, self.topic);
-        let limit = self.limit.to_duration();
+        let timeout = self.timeout.to_duration();
         match self.since {
-            None => directory.list(topic, limit, self).await,
-            Some(since) => directory.changes(topic, since, wait, limit, self).await,
+            None => directory.list(topic, timeout, self).await,
+            Some(since) => directory.changes(topic, since, wait, timeout, self).await,
         }
     }
 
     /// Adapts the timeout of the next answer to this one, which took the time `took` beyond its wait for changes.
-    fn judge_time(&mut self, read: &Result<Items, DirectoryError>, took: Duration) {
-        self.limit = match read {
-            Err(DirectoryError::Late) => self.limit.after_late(),
-            _ => self.limit.after_answer(took),
+    fn adapt_timeout(&mut self, read: &Result<Items, DirectoryError>, took: Duration) {
+        self.timeout = match read {
+            Err(DirectoryError::TimedOut) => self.timeout.after_late(),
+            _ => self.timeout.after_answer(took),
         };
     }
 
@@ -197,16 +197,16 @@
             Ok(items) => self.apply_items(items).await,
             Err(DirectoryError::Compacted) => {
                 log::info!(topic:? = self.topic; "directory.compacted");
-                self.list_anew();
+                self.reset_position();
             }
             Err(DirectoryError::Restored { era, revision }) => {
                 let since = self.since.unwrap_or_default();
                 log::warn!(topic:? = self.topic, era:%, since:%, revision:%; "directory.restored");
-                self.era = self.era.max(era);
-                self.gateway.hear_era(era);
-                self.list_anew();
+                self.checked_era = self.checked_era.max(era);
+                self.gateway.record_era(era);
+                self.reset_position();
             }
-            Err(DirectoryError::Left) => {
+            Err(DirectoryError::LeftToPeers) => {
                 log::info!(topic:? = self.topic; "directory.left");
                 self.last_call = Some(LastCall::FirstFailed);
             }
@@ -221,7 +221,7 @@
         let whole = self.since.is_none();
         self.must_list = false;
         self.since = Some(items.revision);
-        self.gateway.hear_era(items.revision.era);
+        self.gateway.record_era(items.revision.era);
         match self.topic {
             Topic::Operator => apply_operator(&self.gateway, &items, whole),
             Topic::Endpoints if whole => apply_list(&self.gateway, &items),
@@ -235,7 +235,7 @@
         }
     }
 
-    fn list_anew(&mut self) {
+    fn reset_position(&mut self) {
         self.must_list = true;
         self.since = None;
     }
@@ -246,8 +246,8 @@
         self.last_call = Some(LastCall::after_failure(self.last_call));
         self.gateway.end_substitution();
         self.gateway.directory_failed(&error.to_string());
-        let part = rand::random_range(PAUSE_FRACTIONS);
-        tokio::time::sleep(self.backoff.pause(part)).await;
+        let fraction = rand::random_range(PAUSE_FRACTIONS);
+        tokio::time::sleep(self.backoff.pause(fraction)).await;
         let now = self.gateway.now();
         let state = self.gateway.state.borrow();
         self.backoff = self.backoff.next(state.reader(now), state.has_list);
@@ -255,15 +255,15 @@
 }
 
 impl<D: Dialect, S> ReadProgress for Follower<D, S> {
-    fn begun(&self) {
+    fn answer_began(&self) {
         let mut state = self.gateway.state.borrow_mut();
-        state.contact.record_begin(self.topic);
+        state.contact.begin_answer(self.topic);
     }
 
     /// Waits until this daemon knows its fleet. In a large fleet a few daemons read a long list, each in its turn; the
     /// others receive it from them.
-    async fn goes_on(&self, pages: usize) -> bool {
-        if self.in_turn || pages < START_PAGES || self.gateway.read_duty() == ReadDuty::Read {
+    async fn reads_rest(&self, pages: usize) -> bool {
+        if self.is_probe || pages < START_PAGES || self.gateway.read_duty() == ReadDuty::Read {
             return true;
         }
         while !self.gateway.knows_fleet() {
@@ -273,12 +273,12 @@
     }
 
     /// Uses the endpoints of a first list before the rest of it has arrived.
-    fn part(&self, items: &[Item]) {
+    fn items_received(&self, items: &[Item]) {
         if self.topic == Topic::Endpoints {
             let entries = items
                 .iter()
                 .filter_map(|item| read_entry(&self.gateway, item));
-            self.gateway.add_early(entries);
+            self.gateway.add_partial_list(entries);
         }
     }
 }
@@ -286,12 +286,12 @@
 /// Applies the operator topic, whole or its changes. Evacuations are applied first, since they need no decoding.
 fn apply_operator<D: Dialect>(gateway: &Gateway<D>, items: &Items, whole: bool) {
     if whole {
-        gateway.apply_listed_evacuations(items, SOURCE);
+        gateway.apply_listed_evacuations(items, DIRECTORY_SOURCE);
     } else {
-        gateway.apply_changed_evacuations(items, SOURCE);
+        gateway.apply_changed_evacuations(items, DIRECTORY_SOURCE);
     }
     apply_tables(gateway, items);
-    gateway.table_is_newest(items.revision);
+    gateway.record_newest_table(items.revision);
 }
 
 fn apply_tables<D: Dialect>(gateway: &Gateway<D>, items: &Items) {
@@ -301,7 +301,7 @@
             .metrics
             .count_table_bytes(TableSource::Directory, value.len());
         // `adopt_table` logs a table that it doesn't adopt; the one in force stays.
-        gateway.adopt_table(value, SOURCE);
+        gateway.adopt_table(value, DIRECTORY_SOURCE);
     }
 }
 
@@ -313,9 +313,9 @@
     let list = EndpointList {
         revision: items.revision,
         entries: entries.collect(),
-        suspects: Vec::new(),
+        unconfirmed: Vec::new(),
     };
-    gateway.replace_endpoints(list, SOURCE);
+    gateway.replace_endpoints(list, DIRECTORY_SOURCE);
 }
 
 fn apply_changes<D: Dialect>(gateway: &Gateway<D>, items: &Items) {
@@ -329,7 +329,7 @@
 /// whole list. If the endpoint is alive, it writes its entry again with its next heartbeat.
 fn apply_change<D: Dialect>(gateway: &Gateway<D>, item: &Item) {
     if let Some(entry) = read_entry(gateway, item) {
-        gateway.upsert_endpoint(entry, SOURCE);
+        gateway.upsert_endpoint(entry, DIRECTORY_SOURCE);
         return;
     }
     let ItemKey::Endpoint(name) = &item.key else {
@@ -337,7 +337,7 @@
     };
     // A name that isn't an id never had an entry in use, so there is nothing to remove.
     if let Ok(id) = name.parse() {
-        gateway.remove_endpoint(&id, item.revision, false, SOURCE);
+        gateway.remove_endpoint(&id, item.revision, false, DIRECTORY_SOURCE);
     }
 }
 
@@ -368,12 +368,12 @@
         return;
     }
     gateway.metrics.count_refused_entry();
-    let endpoint = shortened(name);
-    let error = shortened(&error.to_string());
+    let endpoint = truncated(name);
+    let error = truncated(&error.to_string());
     log::error!(endpoint, revision:%, error; "endpoint.refused");
 }
 
 /// Returns a text cut to the characters that are logged at most.
-fn shortened(text: &str) -> String {
-    text.chars().take(LOGGED).collect()
+fn truncated(text: &str) -> String {
+    text.chars().take(MAX_LOGGED_CHARS).collect()
 }
--- a/lib/src/gateway/directory/follow/eras.rs
+++ b/lib/src/gateway/directory/follow/eras.rs
@@ -12,31 +12,31 @@
 impl<D: Dialect, S: Directory> Follower<D, S> {
     /// Makes the next call read the whole topic if a later era than that of `since` was reported: the directory can't
     /// return the changes since then. Does so once for each era.
-    pub(super) fn look_for_era(&mut self) {
+    pub(super) fn handle_later_era(&mut self) {
         if let Some(era) = self.later_era() {
             let since = self.since.unwrap_or_default();
             log::warn!(topic:? = self.topic, era:%, since:%; "directory.restored");
-            self.list_anew();
+            self.reset_position();
         }
-        self.era = self.era.max(self.gateway.state.borrow().era);
+        self.checked_era = self.checked_era.max(self.gateway.state.borrow().era);
     }
 
     /// Completes when a later era than that of `since` is reported.
-    pub(super) async fn heard_of_era(&self) {
+    pub(super) async fn later_era_reported(&self) {
         loop {
-            let restored = self.gateway.era_ended.notified();
+            let era_ended = self.gateway.era_ended.notified();
             if self.later_era().is_some() {
                 return;
             }
-            restored.await;
+            era_ended.await;
         }
     }
 
     /// Returns the latest reported era if it is later than that of `since` and wasn't handled yet.
     fn later_era(&self) -> Option<Era> {
-        let heard = self.gateway.state.borrow().era;
-        let known = self.since?.era.max(self.era);
-        (heard > known).then_some(heard)
+        let reported = self.gateway.state.borrow().era;
+        let known = self.since?.era.max(self.checked_era);
+        (reported > known).then_some(reported)
     }
 
     /// Returns the items if they continue what is known. Items without an era get the era of `since`.
@@ -49,8 +49,8 @@
         let known = self.known_era();
         let Revision { era, .. } = items.revision;
         if era.is_unnamed() {
-            let here = self.since.map_or(known, |since| since.era);
-            return Ok(items.in_era(here));
+            let since_era = self.since.map_or(known, |since| since.era);
+            return Ok(items.in_era(since_era));
         }
         if era < known {
             let reason = format!("the answer is of era {era}, but era {known} is known");
@@ -69,7 +69,7 @@
     fn known_era(&self) -> Era {
         let topics = [Topic::Operator, Topic::Endpoints];
         let known = topics.map(|topic| self.gateway.known_revision(topic).era);
-        let own = self.since.unwrap_or_default().era;
-        known.into_iter().max().unwrap_or_default().max(own)
+        let local = self.since.unwrap_or_default().era;
+        known.into_iter().max().unwrap_or_default().max(local)
     }
 }
--- a/lib/src/gateway/directory/outage.rs
+++ b/lib/src/gateway/directory/outage.rs
@@ -26,7 +26,7 @@
         let mut state = self.state.borrow_mut();
         let was_lost = state.contact.reads.is_lost();
         state.contact.reads.failed = Some(now);
-        state.catalogue.extend_suspects(now);
+        state.catalogue.extend_unconfirmed(now);
         drop(state);
         self.metrics.count_failed_read();
         if !was_lost {
@@ -37,18 +37,18 @@
     /// Records an outage at a daemon that doesn't read, if peers have reported reads: the directory hasn't answered any
     /// of them for too long. Without this, a daemon that reads only after the outage removes endpoints whose entries
     /// lapsed during it.
-    pub(crate) fn note_outage(&self) {
+    pub(crate) fn record_outage(&self) {
         let now = self.now();
         let mut state = self.state.borrow_mut();
         if state.peers.read_age(now).is_some() {
             state.contact.reads.failed = Some(now);
-            state.catalogue.extend_suspects(now);
+            state.catalogue.extend_unconfirmed(now);
         }
     }
 
     /// Records that the directory is in an era. A later one is announced at once: daemons that wait for changes of an
     /// earlier era would otherwise detect it only when their calls end.
-    pub(crate) fn hear_era(&self, era: Era) {
+    pub(crate) fn record_era(&self, era: Era) {
         let mut state = self.state.borrow_mut();
         if era <= state.era {
             return;
@@ -64,6 +64,6 @@
     pub fn is_directory_steady(&self) -> bool {
         let now = self.now();
         let state = self.state.borrow();
-        state.contact.reads.is_steady(now) && state.catalogue.suspects() == 0
+        state.contact.reads.is_steady(now) && state.catalogue.unconfirmed_count() == 0
     }
 }
--- a/lib/src/gateway/directory/source.rs
+++ b/lib/src/gateway/directory/source.rs
@@ -68,7 +68,7 @@
 }
 
 /// Number of topics.
-pub const TOPICS: usize = 2;
+pub const TOPIC_COUNT: usize = 2;
 
 /// Reason why a read of the directory failed.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
@@ -90,25 +90,25 @@
     Refused(String),
     /// No answer began within the timeout of the call.
     #[error("the directory didn't begin to answer in time")]
-    Late,
+    TimedOut,
     /// There was no usable answer, and the connection can't be used any more.
     #[error("the directory gave no usable answer: {0}")]
     Unreachable(String),
     /// The rest of a list wasn't read, since other daemons of the fleet read it.
     #[error("the rest of the list is left to other daemons")]
-    Left,
+    LeftToPeers,
 }
 
 /// Receives the progress of a read of the directory.
 pub trait ReadProgress {
     /// Called when the directory has begun to answer.
-    fn begun(&self) {}
+    fn answer_began(&self) {}
 
     /// Called when some items of a topic have arrived and more follow.
-    fn part(&self, _items: &[Item]) {}
+    fn items_received(&self, _items: &[Item]) {}
 
     /// Returns whether to read the rest of a topic after `pages` pages, once that is decided.
-    fn goes_on(&self, _pages: usize) -> impl Future<Output = bool> {
+    fn reads_rest(&self, _pages: usize) -> impl Future<Output = bool> {
         future::ready(true)
     }
 }
--- a/lib/src/gateway/hashes.rs
+++ b/lib/src/gateway/hashes.rs
@@ -36,8 +36,8 @@
 /// start time.
 pub fn incarnation_hash(entry: &EndpointEntry) -> IncarnationHash {
     let mut bytes = entry.id.as_str().as_bytes().to_vec();
-    if let Some(born) = entry.born {
-        bytes.extend_from_slice(&born.0.to_le_bytes());
+    if let Some(started) = entry.started {
+        bytes.extend_from_slice(&started.0.to_le_bytes());
     }
     IncarnationHash(xxh3_64(&bytes) as u32)
 }
--- a/lib/src/gateway/peers/catch_up.rs
+++ b/lib/src/gateway/peers/catch_up.rs
@@ -90,7 +90,7 @@
     let covered = gateway.read_duty() != ReadDuty::Read;
     let state = gateway.state.borrow();
     // A whole list that comes from the directory needn't come from a peer as well.
-    if !state.has_list && state.contact.is_begun(Topic::Endpoints) {
+    if !state.has_list && state.contact.is_receiving(Topic::Endpoints) {
         return None;
     }
     let reading = DirectoryReading {
--- a/lib/src/gateway/peers/receive.rs
+++ b/lib/src/gateway/peers/receive.rs
@@ -88,7 +88,7 @@
     if let Some(evacuations) = heartbeat.known_evacuations() {
         gateway.merge_evacuations(&evacuations, format_args!("peer {sender}"));
     }
-    gateway.hear_era(heartbeat.eras.table.max(heartbeat.eras.list));
+    gateway.record_era(heartbeat.eras.table.max(heartbeat.eras.list));
     let mut state = gateway.state.borrow_mut();
     let changes = state.peers.receive_heartbeat(now, heartbeat);
     if table > state.table_version() {
--- a/lib/src/gateway/peers/self_report.rs
+++ b/lib/src/gateway/peers/self_report.rs
@@ -140,7 +140,7 @@
             table: published.map_or(0, |published| published.table.version),
             fingerprint: published.map_or(0, |published| published.fingerprint),
             table_until: state.table_until(),
-            catalogue: state.catalogue.changed(),
+            catalogue: state.catalogue.last_change(),
             steady: state.contact.reads.is_steady(now),
             read_ms: read.map(|read| to_wire(read.age)),
             read_by: read.and_then(|read| read.substitute),
--- a/lib/src/gateway/peers/table_fetch.rs
+++ b/lib/src/gateway/peers/table_fetch.rs
@@ -233,7 +233,7 @@
             self.partial = None;
         }
         self.adopt(peer, &joined?)?;
-        self.gateway.table_is_newest(revision);
+        self.gateway.record_newest_table(revision);
         Ok(())
     }
 
--- a/lib/src/gateway/routing/endpoint_signals.rs
+++ b/lib/src/gateway/routing/endpoint_signals.rs
@@ -4,7 +4,7 @@
 //! records them.
 
 use crate::{
-    gateway::directory::endpoint_entry::EndpointLife,
+    gateway::directory::endpoint_entry::EndpointIncarnation,
     shared::{recent_map::RecentMap, units::Time},
 };
 
@@ -78,24 +78,24 @@
 /// running, and earlier signals remain valid then.
 #[derive(Debug, Default)]
 pub(crate) struct RetainedSignals {
-    signals: RecentMap<EndpointLife, EndpointSignals, RETAINED_LIMIT>,
+    signals: RecentMap<EndpointIncarnation, EndpointSignals, RETAINED_LIMIT>,
 }
 
 impl RetainedSignals {
     /// Keeps the signals of an incarnation, if there are any.
-    pub(crate) fn keep(&mut self, incarnation: EndpointLife, signals: EndpointSignals) {
+    pub(crate) fn keep(&mut self, incarnation: EndpointIncarnation, signals: EndpointSignals) {
         if signals != EndpointSignals::default() {
             *self.entry(incarnation) = signals;
         }
     }
 
     /// Returns the signals of an incarnation without an entry, so that further ones can be recorded.
-    pub(crate) fn entry(&mut self, incarnation: EndpointLife) -> &mut EndpointSignals {
+    pub(crate) fn entry(&mut self, incarnation: EndpointIncarnation) -> &mut EndpointSignals {
         self.signals.entry(incarnation)
     }
 
     /// Removes and returns the signals of an incarnation whose entry has come back.
-    pub(crate) fn take(&mut self, incarnation: &EndpointLife) -> EndpointSignals {
+    pub(crate) fn take(&mut self, incarnation: &EndpointIncarnation) -> EndpointSignals {
         self.signals.remove(incarnation).unwrap_or_default()
     }
 }
--- a/lib/src/gateway/routing/endpoint_states.rs
+++ b/lib/src/gateway/routing/endpoint_states.rs
@@ -7,7 +7,7 @@
     crate::{
         gateway::{
             dialect::{Prompt, ReplyLoad},
-            directory::endpoint_entry::{EndpointEntry, EndpointLife},
+            directory::endpoint_entry::{EndpointEntry, EndpointIncarnation},
             hashes::{DataCentreHash, EndpointHash, IncarnationHash, data_centre_hash},
             rates::store::EndpointRates,
             routing::{
@@ -62,7 +62,7 @@
     /// Adds an endpoint, or replaces its entry. A new incarnation starts with a fresh state.
     pub fn upsert(&mut self, now: Time, entry: Arc<EndpointEntry>) {
         match self.members.get_mut(&entry.id) {
-            Some(member) if member.entry.born == entry.born => member.renew(now, entry),
+            Some(member) if member.entry.started == entry.started => member.renew(now, entry),
             Some(_) => {
                 self.remove(&entry.id);
                 self.add(now, entry);
@@ -104,7 +104,7 @@
         let data_centre = data_centre_hash(&entry.data_centre);
         let evacuated = self.evacuated.contains(&data_centre);
         let region = self.regions.region(&entry.data_centre);
-        let signals = self.retained.take(&entry.life());
+        let signals = self.retained.take(&entry.incarnation());
         let mut member = EndpointState::new(now, entry, evacuated);
         member.region = region;
         member.signals = signals;
@@ -138,7 +138,8 @@
             return;
         };
         self.rates.forget(member.incarnation);
-        self.retained.keep(member.entry.life(), member.signals);
+        self.retained
+            .keep(member.entry.incarnation(), member.signals);
         if let Some(ids) = self.services.get_mut(&member.entry.service) {
             ids.retain(|other| other != id);
         }
@@ -279,7 +280,7 @@
     /// Returns the state of the incarnation that an entry describes, or `None` if the endpoint has restarted since.
     fn incarnation_mut(&mut self, entry: &EndpointEntry) -> Option<&mut EndpointState> {
         let member = self.members.get_mut(&entry.id)?;
-        (member.entry.born == entry.born).then_some(member)
+        (member.entry.started == entry.started).then_some(member)
     }
 
     /// Records that a request was sent to an endpoint.
@@ -371,10 +372,10 @@
         &self,
         now: Time,
         service: &ServiceId,
-    ) -> impl Iterator<Item = (EndpointLife, usize)> {
+    ) -> impl Iterator<Item = (EndpointIncarnation, usize)> {
         self.limited(service).filter_map(move |member| {
             let permits = self.rates.permits(now, member.incarnation)?;
-            Some((member.entry.life(), permits))
+            Some((member.entry.incarnation(), permits))
         })
     }
 
@@ -437,7 +438,7 @@
 
     fn incarnation(&self, entry: &EndpointEntry) -> Option<&EndpointState> {
         let member = self.members.get(&entry.id)?;
-        (member.entry.born == entry.born).then_some(member)
+        (member.entry.started == entry.started).then_some(member)
     }
 
     /// Records the load that an endpoint reported with a reply. Returns whether the report is the first with a slowdown
--- a/lib/src/gateway/routing/endpoint_states/signals.rs
+++ b/lib/src/gateway/routing/endpoint_states/signals.rs
@@ -24,8 +24,8 @@
     /// Returns the signals of the incarnation that an entry describes, also if the endpoint list lacks it by now.
     fn signals(&mut self, entry: &EndpointEntry) -> &mut EndpointSignals {
         match self.members.get_mut(&entry.id) {
-            Some(member) if member.entry.born == entry.born => &mut member.signals,
-            _ => self.retained.entry(entry.life()),
+            Some(member) if member.entry.started == entry.started => &mut member.signals,
+            _ => self.retained.entry(entry.incarnation()),
         }
     }
 
--- a/lib/src/gateway/routing/permits.rs
+++ b/lib/src/gateway/routing/permits.rs
@@ -7,7 +7,7 @@
     crate::{
         gateway::{
             dialect::Dialect,
-            directory::endpoint_entry::{EndpointEntry, EndpointLife},
+            directory::endpoint_entry::{EndpointEntry, EndpointIncarnation},
             rates::note::PermitNote,
             routing::{call::ForwardedCall, outbound::choose_endpoint},
             rules::{
@@ -120,7 +120,7 @@
 
     /// Returns the number of calls of pieces that each endpoint with a rate limit may get now, and claims permits for
     /// those that may get none.
-    pub(crate) fn allowed_calls(&self) -> HashMap<EndpointLife, usize> {
+    pub(crate) fn allowed_calls(&self) -> HashMap<EndpointIncarnation, usize> {
         let now = self.now();
         let mut state = self.state.borrow_mut();
         if state.endpoints.rates.limited() == 0 {
--- a/lib/src/gateway/stages/batch_call.rs
+++ b/lib/src/gateway/stages/batch_call.rs
@@ -6,7 +6,7 @@
 use {
     crate::{
         gateway::{
-            directory::endpoint_entry::{EndpointEntry, EndpointLife},
+            directory::endpoint_entry::{EndpointEntry, EndpointIncarnation},
             rules::call_timing::CallCost,
             stages::job::{JobId, PieceEnd, PieceTask},
             table::BatchLimits,
@@ -100,7 +100,7 @@
 /// A call that was sent and whose outcome is not known yet.
 #[derive(Debug)]
 pub(crate) struct RunningCall {
-    pub(crate) endpoint: EndpointLife,
+    pub(crate) endpoint: EndpointIncarnation,
     pub(crate) sent: Time,
     pub(crate) expected: WorkMillis,
     pub(crate) pieces: Vec<SentPiece>,
--- a/lib/src/gateway/stages/batch_results.rs
+++ b/lib/src/gateway/stages/batch_results.rs
@@ -5,7 +5,7 @@
 
 use crate::{
     gateway::{
-        directory::endpoint_entry::EndpointLife,
+        directory::endpoint_entry::EndpointIncarnation,
         request_digest::RequestDigest,
         rules::{
             piece_group,
@@ -97,7 +97,13 @@
         }
     }
 
-    fn piece_ended(&mut self, now: Time, endpoint: &EndpointLife, sent: SentPiece, end: PieceEnd) {
+    fn piece_ended(
+        &mut self,
+        now: Time,
+        endpoint: &EndpointIncarnation,
+        sent: SentPiece,
+        end: PieceEnd,
+    ) {
         match end {
             PieceEnd::Completed(handle) => self.piece_completed(now, endpoint, sent, handle),
             PieceEnd::Late => self.end(sent.piece.job, JobEnd::Late),
@@ -107,7 +113,12 @@
         }
     }
 
-    fn piece_without_capacity(&mut self, now: Time, endpoint: &EndpointLife, piece: PieceRef) {
+    fn piece_without_capacity(
+        &mut self,
+        now: Time,
+        endpoint: &EndpointIncarnation,
+        piece: PieceRef,
+    ) {
         // A job that has ended needs no retry.
         if !self.jobs.contains_key(&piece.job) {
             return;
@@ -124,7 +135,7 @@
     fn piece_completed(
         &mut self,
         now: Time,
-        endpoint: &EndpointLife,
+        endpoint: &EndpointIncarnation,
         sent: SentPiece,
         handle: ResultHandle,
     ) {
--- a/lib/src/gateway/stages/call_scheduling.rs
+++ b/lib/src/gateway/stages/call_scheduling.rs
@@ -7,7 +7,7 @@
 use {
     crate::{
         gateway::{
-            directory::endpoint_entry::EndpointLife,
+            directory::endpoint_entry::EndpointIncarnation,
             rules::{
                 call_fill::{CallFill, Fit},
                 call_spacing::CallSpacing,
@@ -175,7 +175,7 @@
     fn schedule_call(
         &mut self,
         now: Time,
-        endpoint: &EndpointLife,
+        endpoint: &EndpointIncarnation,
         jobs: &[JobId],
         pieces: usize,
         waiting: usize,
@@ -265,7 +265,7 @@
 
     /// Records a scheduled call as in flight.
     fn begin(&mut self, now: Time, call: &BatchCall, pieces: Vec<SentPiece>, fill: CallFill) {
-        let endpoint = call.entry.life();
+        let endpoint = call.entry.incarnation();
         let reserved = fill.reserved();
         if let Some(worker) = self.workers.get_mut(&endpoint) {
             worker.call_sent(reserved);
--- a/lib/src/gateway/stages/queues.rs
+++ b/lib/src/gateway/stages/queues.rs
@@ -6,7 +6,7 @@
 use {
     crate::{
         gateway::{
-            directory::endpoint_entry::EndpointLife,
+            directory::endpoint_entry::EndpointIncarnation,
             hashes::service_hash,
             peers::message::QueueNote,
             request_digest::RequestDigest,
@@ -161,7 +161,7 @@
 
     /// Sets the number of calls that may be sent to each endpoint with an advertised rate limit; other endpoints
     /// have no such limit.
-    pub(crate) fn set_allowed_calls(&mut self, calls: &HashMap<EndpointLife, usize>) {
+    pub(crate) fn set_allowed_calls(&mut self, calls: &HashMap<EndpointIncarnation, usize>) {
         let had_limited = std::mem::replace(&mut self.has_limited, !calls.is_empty());
         if !had_limited && calls.is_empty() {
             return;
--- a/lib/src/gateway/stages/workers.rs
+++ b/lib/src/gateway/stages/workers.rs
@@ -6,7 +6,7 @@
 use {
     crate::{
         gateway::{
-            directory::endpoint_entry::{EndpointEntry, EndpointLife},
+            directory::endpoint_entry::{EndpointEntry, EndpointIncarnation},
             rules::piece_order::DataCentreCounts,
             stages::{job::ResultHandle, worker::Worker},
         },
@@ -19,17 +19,18 @@
 /// An endpoint that can get a call now.
 #[derive(Debug, Clone)]
 pub(crate) struct FreeWorker {
-    pub(crate) incarnation: EndpointLife,
+    pub(crate) incarnation: EndpointIncarnation,
     pub(crate) data_centre: DataCentreId,
 }
 
 #[derive(Debug, Default)]
-pub(crate) struct Workers(HashMap<EndpointLife, Worker>);
+pub(crate) struct Workers(HashMap<EndpointIncarnation, Worker>);
 
 impl Workers {
     /// Sets the endpoints that may get calls.
     pub(crate) fn set(&mut self, open: &[Arc<EndpointEntry>]) {
-        let incarnations: HashSet<EndpointLife> = open.iter().map(|entry| entry.life()).collect();
+        let incarnations: HashSet<EndpointIncarnation> =
+            open.iter().map(|entry| entry.incarnation()).collect();
         self.0
             .retain(|incarnation, worker| worker.calls() > 0 || incarnations.contains(incarnation));
         for (incarnation, worker) in &mut self.0 {
@@ -37,7 +38,7 @@
         }
         for entry in open {
             self.0
-                .entry(entry.life())
+                .entry(entry.incarnation())
                 .or_insert_with(|| Worker::new(entry.clone()))
                 .entry = entry.clone();
         }
@@ -45,13 +46,13 @@
 
     /// Sets the number of calls that may be sent to each endpoint with an advertised rate limit; other endpoints
     /// have no such limit.
-    pub(crate) fn set_allowed_calls(&mut self, calls: &HashMap<EndpointLife, usize>) {
+    pub(crate) fn set_allowed_calls(&mut self, calls: &HashMap<EndpointIncarnation, usize>) {
         for (incarnation, worker) in &mut self.0 {
             worker.set_allowed_calls(calls.get(incarnation).copied());
         }
     }
 
-    pub(crate) fn get_mut(&mut self, endpoint: &EndpointLife) -> Option<&mut Worker> {
+    pub(crate) fn get_mut(&mut self, endpoint: &EndpointIncarnation) -> Option<&mut Worker> {
         self.0.get_mut(endpoint)
     }
 
@@ -90,7 +91,7 @@
         });
         free.iter()
             .map(|worker| FreeWorker {
-                incarnation: worker.entry.life(),
+                incarnation: worker.entry.incarnation(),
                 data_centre: worker.entry.data_centre.clone(),
             })
             .collect()
--- a/lib/tests/load/mod.rs
+++ b/lib/tests/load/mod.rs
@@ -106,7 +106,7 @@
         slots: 1,
         draining: false,
         cold: Millis(0),
-        born: None,
+        started: None,
         revision: 1.into(),
     })
 }
--- a/lib/tests/test_batch_queue.rs
+++ b/lib/tests/test_batch_queue.rs
@@ -61,7 +61,7 @@
         slots: 1,
         draining: false,
         cold: Millis(0),
-        born: None,
+        started: None,
         revision: 1.into(),
     };
     (0..count).map(|i| Arc::new(entry(i))).collect()
--- a/lib/tests/test_catalogue.rs
+++ b/lib/tests/test_catalogue.rs
@@ -6,7 +6,7 @@
     hazelyoke_lib::{
         gateway::directory::{
             catalogue::{Catalogue, EndpointChange},
-            endpoint_entry::{Born, EndpointEntry, EndpointList},
+            endpoint_entry::{EndpointEntry, EndpointList, StartTime},
         },
         shared::{
             ids::EndpointId,
@@ -25,7 +25,7 @@
         slots: 4,
         draining,
         cold: Millis(0),
-        born: None,
+        started: None,
         revision: revision.into(),
     }
 }
@@ -35,7 +35,7 @@
     EndpointList {
         revision: revision.into(),
         entries,
-        suspects: Vec::new(),
+        unconfirmed: Vec::new(),
     }
 }
 
@@ -61,8 +61,8 @@
 fn removed_entry() {
     let mut catalogue = catalogue();
     catalogue.upsert(entry("a", 1, false));
-    let learnt = catalogue.remove(Time(0), &id("a"), 9.into(), false);
-    assert!(matches!(learnt, Some(EndpointChange::Gone(_))));
+    let change = catalogue.remove(Time(0), &id("a"), 9.into(), false);
+    assert!(matches!(change, Some(EndpointChange::Gone(_))));
     assert!(names(&catalogue).is_empty());
 }
 
@@ -71,15 +71,15 @@
 fn lapsed_entry_suspect() {
     let mut catalogue = catalogue();
     catalogue.upsert(entry("a", 1, false));
-    let learnt = catalogue.remove(Time(0), &id("a"), 9.into(), true);
-    assert!(matches!(learnt, Some(EndpointChange::Suspect(_))));
+    let change = catalogue.remove(Time(0), &id("a"), 9.into(), true);
+    assert!(matches!(change, Some(EndpointChange::Unconfirmed(_))));
     assert_eq!(names(&catalogue), ["a"]);
     assert!(
         catalogue
-            .expire_suspects(Time(0) + Millis(1_000))
+            .expire_unconfirmed(Time(0) + Millis(1_000))
             .is_empty()
     );
-    let expired = catalogue.expire_suspects(Time(0) + Millis(1_401));
+    let expired = catalogue.expire_unconfirmed(Time(0) + Millis(1_401));
     assert!(matches!(expired[..], [EndpointChange::Gone(_)]));
     assert!(names(&catalogue).is_empty());
 }
@@ -93,7 +93,7 @@
     catalogue.upsert(entry("a", 5, false));
     assert!(
         catalogue
-            .expire_suspects(Time(0) + Millis(60_000))
+            .expire_unconfirmed(Time(0) + Millis(60_000))
             .is_empty()
     );
     assert_eq!(names(&catalogue), ["a"]);
@@ -105,13 +105,16 @@
     let mut catalogue = catalogue();
     catalogue.upsert(entry("a", 1, false));
     catalogue.remove(Time(0), &id("a"), 9.into(), true);
-    catalogue.extend_suspects(Time(0) + Millis(1_300));
+    catalogue.extend_unconfirmed(Time(0) + Millis(1_300));
     assert!(
         catalogue
-            .expire_suspects(Time(0) + Millis(2_500))
+            .expire_unconfirmed(Time(0) + Millis(2_500))
             .is_empty()
     );
-    assert_eq!(catalogue.expire_suspects(Time(0) + Millis(4_000)).len(), 1);
+    assert_eq!(
+        catalogue.expire_unconfirmed(Time(0) + Millis(4_000)).len(),
+        1
+    );
 }
 
 /// A draining entry is removed at once, also during an outage of the directory.
@@ -119,10 +122,10 @@
 fn draining_never_suspect() {
     let mut catalogue = catalogue();
     catalogue.upsert(entry("a", 1, false));
-    let learnt = catalogue.upsert(entry("a", 2, true));
-    assert!(matches!(learnt, Some(EndpointChange::Draining(_))));
-    let learnt = catalogue.remove(Time(0), &id("a"), 9.into(), true);
-    assert!(matches!(learnt, Some(EndpointChange::Gone(_))));
+    let change = catalogue.upsert(entry("a", 2, true));
+    assert!(matches!(change, Some(EndpointChange::Draining(_))));
+    let change = catalogue.remove(Time(0), &id("a"), 9.into(), true);
+    assert!(matches!(change, Some(EndpointChange::Gone(_))));
 }
 
 #[test]
@@ -142,8 +145,8 @@
     catalogue.upsert(entry("c", 9, false));
     // The list is as of revision 5: it removes b, and doesn't concern c.
     let list = vec![entry("a", 1, false), entry("d", 4, false)];
-    let learnt = catalogue.replace(Time(0), listed(5, list), false);
-    assert_eq!(learnt.len(), 2);
+    let changes = catalogue.replace(Time(0), listed(5, list), false);
+    assert_eq!(changes.len(), 2);
     assert_eq!(names(&catalogue), ["a", "c", "d"]);
     assert_eq!(catalogue.revision(), 5.into());
 }
@@ -189,7 +192,7 @@
     let mut gone: Vec<(String, u64, bool)> = changes
         .gone
         .iter()
-        .map(|gone| (gone.id.to_string(), gone.revision.number, gone.suspect))
+        .map(|gone| (gone.id.to_string(), gone.revision.number, gone.unconfirmed))
         .collect();
     gone.sort();
     assert_eq!(gone, [("a".into(), 7, false), ("b".into(), 6, true)]);
@@ -203,14 +206,14 @@
 #[test]
 fn changes_converge() {
     for_seeds(300, 512, |u| {
-        let (mut told, mut asker) = (catalogue(), catalogue());
+        let (mut sender, mut receiver) = (catalogue(), catalogue());
         let mut revision = 1;
-        told.replace(
+        sender.replace(
             Time(0),
             listed(revision, vec![entry("n0", 1, false)]),
             false,
         );
-        asker.replace(
+        receiver.replace(
             Time(0),
             listed(revision, vec![entry("n0", 1, false)]),
             false,
@@ -220,26 +223,26 @@
             let name = format!("n{}", u.int_in_range(0..=5)?);
             match u.int_in_range(0..=3)? {
                 0 => {
-                    told.remove(Time(0), &id(&name), revision.into(), false);
+                    sender.remove(Time(0), &id(&name), revision.into(), false);
                 }
                 1 => {
-                    told.upsert(entry(&name, revision, true));
+                    sender.upsert(entry(&name, revision, true));
                 }
                 _ => {
-                    told.upsert(entry(&name, revision, false));
+                    sender.upsert(entry(&name, revision, false));
                 }
             }
             if u.ratio(1, 4)? {
-                let changes = told.changes_since(asker.changed()).unwrap();
+                let changes = sender.changes_since(receiver.last_change()).unwrap();
                 for entry in changes.entries {
-                    asker.upsert(entry);
+                    receiver.upsert(entry);
                 }
                 for gone in changes.gone {
-                    asker.remove(Time(0), &gone.id, gone.revision, gone.suspect);
+                    receiver.remove(Time(0), &gone.id, gone.revision, gone.unconfirmed);
                 }
-                asker.advance_to(changes.revision);
-                assert_eq!(names(&asker), names(&told));
-                assert_eq!(asker.changed(), told.changed());
+                receiver.advance_to(changes.revision);
+                assert_eq!(names(&receiver), names(&sender));
+                assert_eq!(receiver.last_change(), sender.last_change());
             }
         }
         Ok(())
@@ -279,7 +282,7 @@
 
 fn born(revision: u64, born: u64) -> EndpointEntry {
     EndpointEntry {
-        born: Some(Born(born)),
+        started: Some(StartTime(born)),
         ..entry("a", revision, false)
     }
 }
@@ -302,10 +305,10 @@
     catalogue.upsert(born(7, 2_000));
     assert_eq!(catalogue.upsert(born(9, 1_000)), None);
     assert_eq!(
-        catalogue.get(&"a".parse().unwrap()).unwrap().born,
-        Some(Born(2_000))
+        catalogue.get(&"a".parse().unwrap()).unwrap().started,
+        Some(StartTime(2_000))
     );
-    assert_eq!(catalogue.changed(), 9.into());
+    assert_eq!(catalogue.last_change(), 9.into());
     let mut other = Catalogue::new(Millis(1_400));
     other.upsert(born(9, 1_000));
     let change = other.upsert(born(7, 2_000)).unwrap();
--- a/lib/tests/test_distance.rs
+++ b/lib/tests/test_distance.rs
@@ -61,7 +61,7 @@
         slots: 4,
         draining: false,
         cold: Millis(0),
-        born: None,
+        started: None,
         revision: 1.into(),
     })
 }
--- a/lib/tests/test_eligibility.rs
+++ b/lib/tests/test_eligibility.rs
@@ -6,7 +6,7 @@
     hazelyoke_lib::{
         gateway::{
             dialect::{Prompt, PromptPart, ReplyLoad, SlowdownReport},
-            directory::endpoint_entry::{Born, EndpointEntry},
+            directory::endpoint_entry::{EndpointEntry, StartTime},
             hashes::{DataCentreHash, data_centre_hash},
             routing::endpoint_states::EndpointStates,
             rules::{
@@ -46,7 +46,7 @@
         slots: 4,
         draining: false,
         cold: Millis(0),
-        born: Some(Born(1_000)),
+        started: Some(StartTime(1_000)),
         revision: 10.into(),
     }
 }
@@ -293,7 +293,7 @@
     }
     assert!(choose(&states, NOW, &AllowedDataCentres::Anywhere).is_err());
     let next = EndpointEntry {
-        born: Some(Born(5_000)),
+        started: Some(StartTime(5_000)),
         revision: 12.into(),
         ..former.clone()
     };
--- a/lib/tests/test_endpoint_rest.rs
+++ b/lib/tests/test_endpoint_rest.rs
@@ -63,7 +63,7 @@
         slots: 4,
         draining: false,
         cold: Millis(0),
-        born: None,
+        started: None,
         revision: 10.into(),
     }
 }
--- a/lib/tests/test_evacuations.rs
+++ b/lib/tests/test_evacuations.rs
@@ -97,8 +97,8 @@
         }
         let whole = at(&history, last);
         daemons[0] = daemons[0].merged(&whole);
-        for place in 1..4 {
-            daemons[place] = daemons[place].merged(&daemons[place - 1]);
+        for index in 1..4 {
+            daemons[index] = daemons[index].merged(&daemons[index - 1]);
         }
         for daemon in &daemons {
             assert_eq!(names(daemon, &NAMES), names(&whole, &NAMES));
@@ -115,10 +115,10 @@
     last: u64,
     daemons: &mut [Evacuations],
 ) -> Result<()> {
-    let place = u.choose_index(daemons.len())?;
-    let before = daemons[place].clone();
+    let index = u.choose_index(daemons.len())?;
+    let before = daemons[index].clone();
     let until = u.int_in_range(0..=last)?;
-    daemons[place] = match u.int_in_range(0..=2u8)? {
+    daemons[index] = match u.int_in_range(0..=2u8)? {
         0 => before.merged(&at(history, until)),
         1 => {
             let since = before.until();
@@ -129,7 +129,7 @@
         }
         _ => before.merged(&daemons[u.choose_index(daemons.len())?]),
     };
-    let after = &daemons[place];
+    let after = &daemons[index];
     assert!(after.until() >= before.until());
     assert_eq!(
         names(after, &NAMES),
@@ -166,7 +166,7 @@
     }
     let together = known.merged(&copy);
     assert_eq!(names(&together, &["north", "south"]), ["north", "south"]);
-    assert!(together.has_held());
+    assert!(together.has_earlier_eras());
     let told: (u64, Vec<_>) = together.clone().into();
     assert_eq!((told.0, told.1.len()), (50, 1));
     let mut withdrawn = order("north", 51, false);
@@ -175,7 +175,7 @@
         names(&together.after(era(51), [withdrawn].iter()), &["north"]),
         [""; 0]
     );
-    let left = together.without_held();
+    let left = together.without_earlier_eras();
     assert_eq!(names(&left, &["north", "south"]), ["south"]);
-    assert!(!left.has_held());
+    assert!(!left.has_earlier_eras());
 }
--- a/lib/tests/test_fleet_choice.rs
+++ b/lib/tests/test_fleet_choice.rs
@@ -35,7 +35,7 @@
         slots: 4,
         draining,
         cold: Millis(0),
-        born: None,
+        started: None,
         revision: u64::from(number).into(),
     })
 }
--- a/lib/tests/test_fleet_pins.rs
+++ b/lib/tests/test_fleet_pins.rs
@@ -44,7 +44,7 @@
         slots: 1 + number as u32 % 4,
         draining,
         cold: Millis(0),
-        born: None,
+        started: None,
         revision: 1.into(),
     })
 }
--- a/lib/tests/test_harmful_pieces.rs
+++ b/lib/tests/test_harmful_pieces.rs
@@ -57,7 +57,7 @@
         slots: 1,
         draining: false,
         cold: Millis(0),
-        born: None,
+        started: None,
         revision: 1.into(),
     })
 }
--- a/lib/tests/test_list_order.rs
+++ b/lib/tests/test_list_order.rs
@@ -33,7 +33,7 @@
         slots: 4,
         draining: false,
         cold: Millis(0),
-        born: None,
+        started: None,
         revision: revision.into(),
     }
 }
@@ -84,7 +84,7 @@
     }
 
     /// Applies at a daemon the changes that it lacks, as a call for changes does.
-    fn tell(&self, daemon: &mut Daemon) {
+    fn send_changes(&self, daemon: &mut Daemon) {
         let changed: BTreeSet<u64> = self.log[daemon.read as usize..].iter().copied().collect();
         for number in changed {
             match self.entries.get(&number) {
@@ -105,7 +105,7 @@
 
     /// Checks that a daemon uses no endpoint that was removed at or before the revision that it states.
     fn check(&self, daemon: &Daemon, what: &str) {
-        let stated = daemon.catalogue.changed();
+        let stated = daemon.catalogue.last_change();
         for used in daemon.catalogue.entries() {
             let number: u64 = used.id.as_str()[1..].parse().unwrap();
             let removed = self.removed.get(&number).copied().unwrap_or_default();
@@ -131,15 +131,15 @@
             catalogue: Catalogue::new(Millis(1_400)),
             read: listed.revision,
         };
-        daemon.take_list(listed);
+        daemon.apply_list(listed);
         daemon
     }
 
-    fn take_list(&mut self, listed: Listed) {
+    fn apply_list(&mut self, listed: Listed) {
         let list = EndpointList {
             revision: listed.revision.into(),
             entries: listed.entries,
-            suspects: Vec::new(),
+            unconfirmed: Vec::new(),
         };
         self.catalogue.replace(NOW, list, false);
     }
@@ -155,7 +155,7 @@
         }
     }
 
-    fn take_changes(&mut self, changes: EndpointChanges) {
+    fn apply_changes(&mut self, changes: EndpointChanges) {
         for entry in changes.entries {
             self.catalogue.upsert(entry);
         }
@@ -189,7 +189,7 @@
             .remove(NOW, &id, (161 + number).into(), false);
     }
     daemon.catalogue.advance_to(163.into());
-    daemon.take_list(older);
+    daemon.apply_list(older);
     assert_eq!(daemon.names().len(), 142);
     assert_eq!(daemon.catalogue.revision(), 163.into());
 }
@@ -207,13 +207,13 @@
         gone: Vec::new(),
         has_gap: false,
     };
-    daemon.take_changes(late.clone());
+    daemon.apply_changes(late.clone());
     for (number, revision) in [(0, 160), (2, 161)] {
         let id = format!("e{number}").parse().unwrap();
         daemon.catalogue.remove(NOW, &id, revision.into(), false);
     }
     daemon.catalogue.advance_to(161.into());
-    daemon.take_changes(late);
+    daemon.apply_changes(late);
     assert_eq!(daemon.names(), BTreeMap::from([("e1".into(), 6)]));
 }
 
@@ -226,7 +226,7 @@
         entries: vec![entry(0, 5)],
     });
     daemon.catalogue.advance_to(160.into());
-    daemon.take_list(Listed {
+    daemon.apply_list(Listed {
         revision: 160,
         entries: vec![entry(0, 5), entry(1, 158)],
     });
@@ -253,13 +253,13 @@
             match draws.below(9) {
                 0 | 1 => directory.change(&mut draws),
                 2 => directory.other_change(),
-                3 => directory.tell(&mut daemons[one]),
+                3 => directory.send_changes(&mut daemons[one]),
                 4 => late_lists.push(directory.list()),
                 5 => late_lists.push(daemons[one].list()),
                 6 => {
                     let catalogue = &daemons[one].catalogue;
-                    let known = *draws.pick(&[catalogue.changed(), catalogue.revision()]);
-                    if daemons[other].catalogue.changed() <= known {
+                    let known = *draws.pick(&[catalogue.last_change(), catalogue.revision()]);
+                    if daemons[other].catalogue.last_change() <= known {
                         continue;
                     }
                     match daemons[other].catalogue.changes_since(known) {
@@ -269,13 +269,13 @@
                 }
                 7 => {
                     if let Some((to, changes)) = late_changes.pop() {
-                        daemons[to].take_changes(changes);
+                        daemons[to].apply_changes(changes);
                     }
                 }
                 _ => {
                     if !late_lists.is_empty() {
                         let at = draws.below(late_lists.len() as u64) as usize;
-                        daemons[one].take_list(late_lists[at].clone());
+                        daemons[one].apply_list(late_lists[at].clone());
                     }
                 }
             }
@@ -284,7 +284,7 @@
             }
         }
         for daemon in &mut daemons {
-            directory.tell(daemon);
+            directory.send_changes(daemon);
             let expected = directory.list().entries.into_iter();
             let expected: BTreeMap<String, u64> = expected
                 .map(|one| (one.id.to_string(), one.revision.number))
@@ -308,11 +308,14 @@
     }
     // It applies a whole list, as after a compaction, and announces no change that the others lack.
     let mut again = Daemon::new(settled.list());
-    again.take_list(directory.list());
-    assert_eq!(again.catalogue.changed(), settled.catalogue.changed());
+    again.apply_list(directory.list());
+    assert_eq!(
+        again.catalogue.last_change(),
+        settled.catalogue.last_change()
+    );
     directory.change(&mut draws);
-    again.take_list(directory.list());
-    let known = settled.catalogue.changed();
+    again.apply_list(directory.list());
+    let known = settled.catalogue.last_change();
     let changes = again.catalogue.changes_since(known).unwrap();
     assert_eq!(changes.entries.len() + changes.gone.len(), 1);
 }
--- a/lib/tests/test_message_bytes.rs
+++ b/lib/tests/test_message_bytes.rs
@@ -10,7 +10,7 @@
         gateway::{
             directory::{
                 endpoint_entry::{
-                    Born, EndpointChanges, EndpointEntry, EndpointList, GoneEndpoint,
+                    EndpointChanges, EndpointEntry, EndpointList, GoneEndpoint, StartTime,
                 },
                 evacuations::{EvacuationOrder, Evacuations},
             },
@@ -183,16 +183,16 @@
         slots: 16,
         draining,
         cold: Millis(0),
-        born: None,
+        started: None,
         revision: (1_000 + u64::from(number)).into(),
     }
 }
 
 fn changes() -> EndpointChanges {
-    let gone = |name: &str, revision, suspect| GoneEndpoint {
+    let gone = |name: &str, revision, unconfirmed| GoneEndpoint {
         id: name.parse().unwrap(),
         revision,
-        suspect,
+        unconfirmed,
     };
     EndpointChanges {
         revision: 70_001.into(),
@@ -436,7 +436,7 @@
     );
     let restarted = EndpointEntry {
         cold: Millis(2_900),
-        born: Some(Born(1_700_000_000_000)),
+        started: Some(StartTime(1_700_000_000_000)),
         ..entry(1, false)
     };
     lines.add("entry of a cold endpoint", &restarted);
@@ -481,7 +481,7 @@
     let endpoints = LinkReply::Endpoints(EndpointList {
         revision: 70_002.into(),
         entries: vec![entry(1, false), entry(2, true)],
-        suspects: Vec::new(),
+        unconfirmed: Vec::new(),
     });
     lines.add_framed("endpoints", endpoints);
     lines.add_framed("changes", LinkReply::Changes(changes()));
--- a/lib/tests/test_plan_pins.rs
+++ b/lib/tests/test_plan_pins.rs
@@ -57,7 +57,7 @@
         slots: 1,
         draining: false,
         cold: Millis(0),
-        born: None,
+        started: None,
         revision: 1.into(),
     };
     (0..count).map(|number| Arc::new(entry(number))).collect()
--- a/lib/tests/test_reported_pace.rs
+++ b/lib/tests/test_reported_pace.rs
@@ -52,7 +52,7 @@
         slots: 6,
         draining: false,
         cold: Millis(0),
-        born: None,
+        started: None,
         revision: 1.into(),
     })
 }
--- a/lib/tests/test_restored_list.rs
+++ b/lib/tests/test_restored_list.rs
@@ -7,7 +7,7 @@
         gateway::{
             directory::{
                 catalogue::{Catalogue, EndpointChange},
-                endpoint_entry::{Born, EndpointChanges, EndpointEntry, EndpointList},
+                endpoint_entry::{EndpointChanges, EndpointEntry, EndpointList, StartTime},
             },
             peers::message::{decode, encode},
             revision::{Era, Revision},
@@ -39,7 +39,7 @@
         slots: 4,
         draining,
         cold: Millis(0),
-        born: None,
+        started: None,
         revision,
     }
 }
@@ -49,7 +49,7 @@
     EndpointList {
         revision,
         entries: entries.to_vec(),
-        suspects: Vec::new(),
+        unconfirmed: Vec::new(),
     }
 }
 
@@ -120,7 +120,7 @@
     catalogue.upsert(entry("a", at(2, 51), false));
     assert!(is_draining(&catalogue, "a"));
     let next = EndpointEntry {
-        born: Some(Born(7)),
+        started: Some(StartTime(7)),
         ..entry("a", at(2, 52), false)
     };
     catalogue.upsert(next);
@@ -163,7 +163,7 @@
 fn lapsed_is_back() {
     let mut catalogue = known(&["a"]);
     catalogue.remove(START, &id("a"), at(1, 101), true);
-    catalogue.expire_suspects(START + Millis(1_500));
+    catalogue.expire_unconfirmed(START + Millis(1_500));
     assert!(names(&catalogue).is_empty());
     let copy = vec![entry("a", at(2, 10), false)];
     catalogue.replace(START + Millis(2_000), listed(at(2, 50), &copy), false);
@@ -177,10 +177,14 @@
     let mut catalogue = known(&["a", "b"]);
     let copy = vec![entry("a", at(2, 10), false)];
     let changes = catalogue.replace(START, listed(at(2, 50), &copy), false);
-    assert!(matches!(changes[..], [EndpointChange::Suspect(_)]));
+    assert!(matches!(changes[..], [EndpointChange::Unconfirmed(_)]));
     assert_eq!(names(&catalogue), ["a", "b"]);
     catalogue.upsert(entry("b", at(2, 51), false));
-    assert!(catalogue.expire_suspects(START + Millis(60_000)).is_empty());
+    assert!(
+        catalogue
+            .expire_unconfirmed(START + Millis(60_000))
+            .is_empty()
+    );
 }
 
 /// An entry that the copy lacks and that is written again unchanged is sent to daemons at which it is unconfirmed.
@@ -195,12 +199,12 @@
         START,
         catalogue.changes_since(at(1, 100)).unwrap(),
     );
-    assert_eq!(other.suspects(), 1);
+    assert_eq!(other.unconfirmed_count(), 1);
     catalogue.upsert(entry("b", at(2, 51), false));
     let changes = catalogue.changes_since(other.revision()).unwrap();
     apply(&mut other, START, changes);
-    assert_eq!(other.suspects(), 0);
-    assert!(other.expire_suspects(START + Millis(60_000)).is_empty());
+    assert_eq!(other.unconfirmed_count(), 0);
+    assert!(other.expire_unconfirmed(START + Millis(60_000)).is_empty());
 }
 
 /// A daemon with the same list of the earlier era is sent the changes since then. One that has applied later changes of
@@ -210,12 +214,12 @@
     let mut catalogue = known(&["a", "b", "c"]);
     let copy = vec![entry("a", at(2, 10), false), entry("b", at(2, 55), true)];
     catalogue.replace(START, listed(at(2, 60), &copy), false);
-    assert!(catalogue.changed() > at(1, u64::MAX));
+    assert!(catalogue.last_change() > at(1, u64::MAX));
     let changes = catalogue.changes_since(at(1, 100)).unwrap();
     assert_eq!(changes.revision, at(2, 60));
     assert_eq!(changes.entries, [entry("b", at(2, 55), true)]);
     assert_eq!(changes.gone.len(), 1);
-    assert!(changes.gone[0].suspect);
+    assert!(changes.gone[0].unconfirmed);
     assert_eq!(catalogue.changes_since(at(1, 104)), None);
     assert_eq!(catalogue.changes_since(at(2, 30)), None);
     let later = catalogue.changes_since(at(2, 60)).unwrap();
@@ -260,10 +264,10 @@
         catalogue.upsert(entry);
     }
     for gone in changes.gone {
-        catalogue.remove(now, &gone.id, gone.revision, gone.suspect);
+        catalogue.remove(now, &gone.id, gone.revision, gone.unconfirmed);
     }
     if changes.has_gap {
-        catalogue.advance_over(changes.revision);
+        catalogue.advance_with_gap(changes.revision);
     } else {
         catalogue.advance_to(changes.revision);
     }
@@ -276,7 +280,7 @@
     let list = EndpointList {
         revision: at(2, 60),
         entries: vec![entry("a", at(1, 90), false), entry("b", at(2, 55), true)],
-        suspects: vec![id("a")],
+        unconfirmed: vec![id("a")],
     };
     let received: EndpointList = decode(&encode(&list)).unwrap();
     assert_eq!(received.revision, at(2, 60));
@@ -285,7 +289,7 @@
     let unnamed = EndpointList {
         revision: 60.into(),
         entries: vec![entry("a", 50.into(), false)],
-        suspects: Vec::new(),
+        unconfirmed: Vec::new(),
     };
     let received: EndpointList = decode(&encode(&unnamed)).unwrap();
     assert_eq!(received, unnamed);
@@ -361,14 +365,14 @@
         EndpointList {
             revision: self.revision,
             entries: entries.collect(),
-            suspects: Vec::new(),
+            unconfirmed: Vec::new(),
         }
     }
 }
 
 /// Requests what another daemon has newer, and applies it.
-fn ask(catalogue: &mut Catalogue, now: Time, newer: &Catalogue) {
-    if newer.changed() <= catalogue.revision() {
+fn request_newer(catalogue: &mut Catalogue, now: Time, newer: &Catalogue) {
+    if newer.last_change() <= catalogue.revision() {
         return;
     }
     match newer.changes_since(catalogue.revision()) {
@@ -381,7 +385,7 @@
 
 /// Writes the entries of the live endpoints, lets those of the others lapse, and applies these changes at the daemon
 /// that reads the directory.
-fn tell_changes(directory: &mut Directory, reader: &mut Catalogue, now: Time) {
+fn apply_directory_changes(directory: &mut Directory, reader: &mut Catalogue, now: Time) {
     let before = directory.entries.clone();
     directory.settle();
     let written = directory.entries.iter();
@@ -401,7 +405,7 @@
 /// Returns the endpoints that a daemon uses once none is unconfirmed or held back any more.
 fn settled(catalogue: &mut Catalogue, now: Time) -> Vec<String> {
     catalogue.readmit(now + LAPSE);
-    catalogue.expire_suspects(now + LAPSE);
+    catalogue.expire_unconfirmed(now + LAPSE);
     names(catalogue)
 }
 
@@ -442,7 +446,7 @@
                 }
                 8 => {
                     let newer = daemons[other].clone();
-                    ask(&mut daemons[one], now, &newer);
+                    request_newer(&mut daemons[one], now, &newer);
                 }
                 _ => {}
             }
@@ -460,18 +464,18 @@
             }
         }
         // The other daemons receive the final list from the one that reads the directory, step by step.
-        let mut heard = daemons.clone();
-        heard[0].replace(now, directory.list(), false);
+        let mut receivers = daemons.clone();
+        receivers[0].replace(now, directory.list(), false);
         for end in 0..4 {
             if end == 1 {
-                tell_changes(&mut directory, &mut heard[0], now);
+                apply_directory_changes(&mut directory, &mut receivers[0], now);
             }
-            let newer = heard[0].clone();
-            for other in &mut heard[1..] {
-                ask(other, now, &newer);
+            let newer = receivers[0].clone();
+            for other in &mut receivers[1..] {
+                request_newer(other, now, &newer);
             }
         }
-        let used: Vec<Vec<String>> = heard.iter_mut().map(|one| settled(one, now)).collect();
+        let used: Vec<Vec<String>> = receivers.iter_mut().map(|one| settled(one, now)).collect();
         assert!(
             used.iter().all(|one| *one == used[0]),
             "seed {seed}: {used:?}"
@@ -487,7 +491,7 @@
         for catalogue in &mut daemons {
             catalogue.replace(now, directory.list(), false);
             catalogue.readmit(now + LAPSE);
-            catalogue.expire_suspects(now + LAPSE);
+            catalogue.expire_unconfirmed(now + LAPSE);
             let used: BTreeSet<String> = names(catalogue).into_iter().collect();
             assert_eq!(used, expected, "seed {seed}");
         }
