--- a/lib/src/gateway/directory/source.rs
+++ b/lib/src/gateway/directory/source.rs
@@ -17,8 +17,8 @@
 /// Part of the directory that is read and followed by itself.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Topic {
-    /// Published by operators: the table, and orders to evacuate data centres. These are one topic, since the number of
-    /// calls that wait for changes is limited.
+    /// Published by operators: the table, and orders to evacuate data centres. These are one topic, since the directory
+    /// counts each call that waits for changes.
     Operator,
     /// The entries of the endpoints.
     Endpoints,
@@ -27,7 +27,7 @@
 /// Key of a value in the directory.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ItemKey {
-    /// The table of routes.
+    /// The published table.
     Table,
     /// An order to evacuate a data centre, in force as long as the key has a value.
     Evacuation(DataCentreId),
--- a/lib/tests/test_restored_list.rs
+++ b/lib/tests/test_restored_list.rs
@@ -109,7 +109,8 @@
     assert_eq!(names(&catalogue), ["a"]);
 }
 
-/// An endpoint that leaves doesn't stay because the copy is older than its notice; its next life does.
+/// An endpoint that leaves keeps draining although the copy is older than its leave; its next incarnation doesn't
+/// drain.
 #[test]
 fn leave_stands() {
     let mut catalogue = known(&["a"]);
