--- a/lib/src/gateway/directory/contact.rs
+++ b/lib/src/gateway/directory/contact.rs
@@ -17,7 +17,7 @@
     /// Times of the last answer and of the last failure for any topic.
     pub reads: ReadHistory,
     /// Time of the last answer for each topic; `None` before the first one.
-    topics: [Option<Time>; TOPIC_COUNT],
+    answered: [Option<Time>; TOPIC_COUNT],
     /// Whether an answer for the topic is being received.
     receiving: [bool; TOPIC_COUNT],
 }
@@ -26,7 +26,7 @@
     /// Records a complete answer for a topic.
     pub(crate) fn record_answer(&mut self, now: Time, topic: Topic) {
         self.reads.answered = Some(now);
-        self.topics[topic as usize] = Some(now);
+        self.answered[topic as usize] = Some(now);
     }
 
     /// Records that an answer for a topic has begun. From now on its bytes keep arriving, or its end is recorded soon.
@@ -48,7 +48,7 @@
     /// answered for some topic. An answer that is being received counts as one of now: otherwise other daemons would
     /// call the directory while their reader receives a large table.
     pub(crate) fn read_age(&self, now: Time) -> Option<Millis> {
-        let answers = self.topics.iter().zip(self.receiving);
+        let answers = self.answered.iter().zip(self.receiving);
         let times =
             answers.map(|(last, receiving)| if receiving { last.map(|_| now) } else { *last });
         let oldest = times.min().flatten()?;
--- a/lib/src/gateway/directory/coverage.rs
+++ b/lib/src/gateway/directory/coverage.rs
@@ -117,7 +117,7 @@
     topic: Topic,
     last_call: LastCall,
 ) {
-    let mut last = ReadDuty::Read;
+    let mut last_duty = ReadDuty::Read;
     let mut turn = None;
     let mut last_check = gateway.now();
     loop {
@@ -141,9 +141,9 @@
                 }
             }
         }
-        if duty != last {
+        if duty != last_duty {
             log_duty(gateway, topic, duty);
-            last = duty;
+            last_duty = duty;
         }
         tokio::time::sleep(COVER_CHECK.to_duration()).await;
     }
--- a/lib/tests/test_evacuations.rs
+++ b/lib/tests/test_evacuations.rs
@@ -167,15 +167,15 @@
     let together = known.merged(&copy);
     assert_eq!(names(&together, &["north", "south"]), ["north", "south"]);
     assert!(together.has_earlier_eras());
-    let told: (u64, Vec<_>) = together.clone().into();
-    assert_eq!((told.0, told.1.len()), (50, 1));
+    let message: (u64, Vec<_>) = together.clone().into();
+    assert_eq!((message.0, message.1.len()), (50, 1));
     let mut withdrawn = order("north", 51, false);
     withdrawn.revision = era(51);
     assert_eq!(
         names(&together.after(era(51), [withdrawn].iter()), &["north"]),
         [""; 0]
     );
-    let left = together.without_earlier_eras();
-    assert_eq!(names(&left, &["north", "south"]), ["south"]);
-    assert!(!left.has_earlier_eras());
+    let remaining = together.without_earlier_eras();
+    assert_eq!(names(&remaining, &["north", "south"]), ["south"]);
+    assert!(!remaining.has_earlier_eras());
 }
--- a/lib/tests/test_restored_list.rs
+++ b/lib/tests/test_restored_list.rs
@@ -254,9 +254,9 @@
     catalogue.replace(START, listed(at(2, 10_020), &copy), false);
     let changes = catalogue.changes_since(at(1, 10_000)).unwrap();
     assert_eq!((changes.entries.len(), changes.gone.len()), (20, 20));
-    let (told, whole) = (encode(&changes).len(), encode(&catalogue.list()).len());
-    println!("{told} bytes of changes, {whole} of the list");
-    assert!(told * 100 < whole, "{told} of {whole} bytes");
+    let (sent, whole) = (encode(&changes).len(), encode(&catalogue.list()).len());
+    println!("{sent} bytes of changes, {whole} of the list");
+    assert!(sent * 100 < whole, "{sent} of {whole} bytes");
 }
 
 fn apply(catalogue: &mut Catalogue, now: Time, changes: EndpointChanges) {
@@ -457,9 +457,9 @@
                 let again: Vec<&String> = used.intersection(&*gone).collect();
                 assert!(again.is_empty(), "seed {seed}, step {step}: {again:?}");
                 let stated = catalogue.revision();
-                let told = directory.departed.iter();
-                let told = told.filter(|(_, at)| at.era == stated.era && **at <= stated);
-                let names = told.map(|(number, _)| format!("e{number}"));
+                let departed = directory.departed.iter();
+                let departed = departed.filter(|(_, at)| at.era == stated.era && **at <= stated);
+                let names = departed.map(|(number, _)| format!("e{number}"));
                 gone.extend(names.filter(|name| known.contains(name) && !used.contains(name)));
                 known.extend(used);
             }
