--- a/lib/src/gateway/directory/apply.rs
+++ b/lib/src/gateway/directory/apply.rs
@@ -23,7 +23,7 @@
 };
 
 /// Source in the log of the removal of an endpoint whose unconfirmed time is over.
-const UNCONFIRMED_TIME_OVER: &str = "unconfirmed time over";
+const UNCONFIRMED_TIME_OVER: &str = "doubt over";
 
 /// Source in the log when a departed endpoint is added since its entry, listed by an older copy of the directory, has
 /// lasted.
--- a/lib/src/gateway/directory/evacuate.rs
+++ b/lib/src/gateway/directory/evacuate.rs
@@ -68,7 +68,7 @@
         }
         let remaining = state.evacuations.clone().without_earlier_eras();
         drop(state);
-        self.set_evacuations(remaining, "order not written again");
+        self.set_evacuations(remaining, "not written again");
     }
 
     fn set_evacuations(&self, next: Evacuations, source: impl Display) {
