--- a/lib/src/shared/adoption.rs
+++ b/lib/src/shared/adoption.rs
@@ -1,6 +1,7 @@
-//! Does a versioned document that was read come into force?
+//! Decides whether a versioned document that was read replaces the one in force.
 //!
 //! Inputs: version and fingerprint of the document in force, if there is one, and of the document that was read.
+//! Output: a [`VersionVerdict`].
 //!
 //! Rule: a newer version is adopted, an older one changes nothing. If the version is the one in force, equal content
 //! changes nothing, and different content is refused.
@@ -8,7 +9,7 @@
 //! Reason: a source may be stale. Two documents with the same version mean that a publisher made a mistake; daemons
 //! that read different ones would then behave differently.
 //!
-//! There is no constant. Both daemons use this rule: one for settings trees, the other for tables. Tests:
+//! Both daemons use this rule: one for settings trees, the other for tables. Tests:
 //! `lib/tests/test_config_watch.rs` and `platform/tests/test_directory.rs`.
 
 use std::cmp::Ordering;
--- a/lib/src/shared/clock.rs
+++ b/lib/src/shared/clock.rs
@@ -1,8 +1,9 @@
-//! The daemon's clock, which also counts the time for which its host was suspended.
+//! The daemon's clock, which also counts the time during which its host was suspended.
 //!
-//! A host may stand still for seconds with all of its processes. The clock of [`Instant`] doesn't count that time, so
-//! that whatever ages by it would be too young afterwards: loads, lists, the time left of a request. This clock is
-//! `CLOCK_BOOTTIME`; only timers run on the other one, and fire late after a suspension.
+//! A host may be suspended for seconds, with all of its processes. The clock of [`Instant`] doesn't count that time, so
+//! after a resume it would report too small an age for loads, endpoint lists and the time a request has used. This
+//! clock reads `CLOCK_BOOTTIME`, which does count it. Timers still run on the clock of [`Instant`], so they fire late
+//! after a suspension.
 
 use {
     crate::shared::units::Time,
@@ -11,11 +12,11 @@
     tokio::time::Instant,
 };
 
-/// A clock that starts at zero.
+/// A monotonic clock that starts at zero and includes suspended time.
 #[derive(Debug)]
 pub struct Clock {
     start: Duration,
-    /// Time that a test has turned it forward.
+    /// Time by which a test has advanced the clock.
     turned: Cell<Duration>,
 }
 
@@ -35,21 +36,21 @@
         Time(elapsed.as_micros() as u64)
     }
 
-    /// Returns when a timer has to fire for a time of this clock, if the host isn't suspended before.
+    /// Converts a time of this clock to an instant for a timer, which holds unless the host is suspended before then.
     pub fn instant(&self, time: Time) -> Instant {
         Instant::now() + time.since(self.now())
     }
 
-    /// Turns the clock forward as if the host had been suspended; timers stay as they are.
+    /// Advances the clock as if the host had been suspended. Timers aren't affected.
     pub fn turn(&self, time: Duration) {
         self.turned.set(self.turned.get() + time);
     }
 }
 
-/// Returns the time since the host was started.
+/// Returns the time since the host was started, suspended time included.
 fn since_boot() -> Duration {
     let time = clock_gettime(ClockId::Boottime);
-    // The clock of the time since the start of the host is never negative.
+    // CLOCK_BOOTTIME is never negative.
     Duration::new(
         time.tv_sec.unsigned_abs(),
         time.tv_nsec.unsigned_abs() as u32,
--- a/lib/src/shared/findings.rs
+++ b/lib/src/shared/findings.rs
@@ -1,17 +1,17 @@
-//! Findings about settings, each with its place and a hint, collected and reported together.
+//! Errors found in settings, each with its location and a hint, collected and reported together.
 //!
-//! It owns the form of a finding and of its place. Readers add findings and go on, so that one
-//! check reports everything that is wrong; it relies on nothing else of this library.
+//! Defines what a finding and a location hold. Readers add a finding and continue, so that one check reports every
+//! error at once.
 
 use {
     serde::{Serialize, Serializer},
     std::{error::Error, fmt, sync::Arc},
 };
 
-/// A place in a settings file: `file:line:col`, lines and columns from 1.
+/// A location in a settings file, written `file:line:col`.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Place {
-    /// File name as the reader was given it.
+    /// File name as it was passed to the reader.
     pub file: Arc<str>,
     /// Line, from 1.
     pub line: u32,
@@ -20,7 +20,7 @@
 }
 
 impl Place {
-    /// Returns the place where a file starts.
+    /// Returns the location of a file's first character.
     pub fn start_of(file: &str) -> Self {
         Self {
             file: file.into(),
@@ -42,16 +42,16 @@
     }
 }
 
-/// One thing that is wrong in a settings file.
+/// One error in a settings file.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 pub struct Finding {
-    /// Place of the mistake.
+    /// Location of the error.
     pub place: Place,
-    /// Path of the node it belongs to.
+    /// Path of the tree node that contains the error.
     pub node: String,
-    /// Says what is wrong.
+    /// Describes the error.
     pub message: String,
-    /// Says what to do about it.
+    /// Suggests how to correct it.
     pub hint: String,
 }
 
@@ -65,13 +65,13 @@
     }
 }
 
-/// All findings of one check, in the order of their places once sorted.
+/// All findings of one check, in the order they were added until [`Findings::into_result`] sorts them by location.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize)]
 #[serde(transparent)]
 pub struct Findings(Vec<Finding>);
 
 impl Findings {
-    /// Returns a single finding.
+    /// Returns a list of one finding.
     pub fn one(
         place: &Place,
         node: impl fmt::Display,
@@ -109,16 +109,16 @@
         self.0.is_empty()
     }
 
-    /// Returns the findings in the order they stand.
+    /// Returns the findings in order.
     pub fn iter(&self) -> impl Iterator<Item = &Finding> {
         self.0.iter()
     }
 
-    /// Returns `value` if there is no finding, else the findings sorted by place, each once.
+    /// Returns `value` if there is no finding.
     ///
     /// # Errors
     ///
-    /// Returns the findings when there are any.
+    /// Returns the findings if there are any, sorted by location and without duplicates.
     pub fn into_result<T>(mut self, value: T) -> Result<T, Findings> {
         if self.0.is_empty() {
             return Ok(value);
--- a/lib/src/shared/http_body.rs
+++ b/lib/src/shared/http_body.rs
@@ -1,8 +1,7 @@
-//! Reading of whole HTTP bodies, bounded in size and in silence.
+//! Reads complete HTTP bodies, with a size limit and an idle timeout.
 //!
-//! A body may take as long as its bytes keep coming: a bound on the whole time would end, and begin anew,
-//! every read of a body that is larger than the link carries within it (`docs/incidents/`). Owns
-//! nothing; what a failure means is its callers' decision.
+//! There is no limit on the total time. With one, a body too large for the link to carry within the limit would fail
+//! and be requested again without end (`docs/incidents/`). Callers decide what a failure means.
 
 use {
     crate::shared::units::ByteSize,
@@ -14,26 +13,25 @@
     tokio::time::timeout,
 };
 
-/// Why a body wasn't read to its end.
+/// Reports why a body wasn't read to its end.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum BodyError {
-    /// It is larger than allowed.
-    #[error("the body is larger than {0}")]
+    /// The body is larger than the limit.
+    #[error("the body exceeds the limit of {0}")]
     TooLarge(ByteSize),
-    /// It broke off.
-    #[error("the body broke off: {0}")]
+    /// The connection failed before the end of the body.
+    #[error("reading the body failed: {0}")]
     Broken(String),
-    /// No byte came for too long.
-    #[error("no byte of the body for {0:?}")]
+    /// No part of the body arrived within the idle timeout.
+    #[error("no data of the body arrived for {0:?}")]
     Silent(Duration),
 }
 
-/// Reads a whole body of at most `limit` bytes, of which no byte may be awaited for longer than
-/// `silence`.
+/// Reads a complete body of at most `limit` bytes.
 ///
 /// # Errors
 ///
-/// Returns why the body wasn't read to its end.
+/// Returns an error if the body is larger than `limit`, if the connection fails, or if no data arrives for `silence`.
 pub async fn read_whole(
     mut body: Incoming,
     limit: ByteSize,
@@ -48,7 +46,7 @@
             return Ok(bytes.freeze());
         };
         let frame = frame.map_err(|error| BodyError::Broken(error.to_string()))?;
-        // Trailers carry nothing that is needed.
+        // Trailers aren't used.
         let Ok(data) = frame.into_data() else {
             continue;
         };
--- a/lib/src/shared/ids.rs
+++ b/lib/src/shared/ids.rs
@@ -1,8 +1,7 @@
-//! Newtypes of the names, numbers and keys that identify things.
+//! Newtypes for names, numbers and keys that identify customers, requests, endpoints and the like.
 //!
-//! It owns the rules for valid names and keys; each type is built from text by `FromStr` only after
-//! a check, so that code which holds one relies on its form. It relies on nothing else of this
-//! library.
+//! Defines which names and keys are valid. `FromStr` validates the text, so code that holds one of these types may rely
+//! on its form.
 
 use {
     serde::{Deserialize, Deserializer, Serialize, Serializer, de::Error as _},
@@ -17,7 +16,7 @@
 /// Longest accepted idempotency key, in bytes.
 const MAX_KEY_LENGTH: usize = 128;
 
-/// Reports a text that isn't a valid identifier.
+/// Reports that a text isn't a valid identifier.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum IdError {
     /// The text is empty.
@@ -31,13 +30,13 @@
         /// Longest length allowed, in bytes.
         limit: usize,
     },
-    /// The text holds a character outside the allowed set.
+    /// The text contains a character outside the allowed set.
     #[error("name holds {found:?}; use a-z, A-Z, 0-9, '.', '_' and '-'")]
     BadCharacter {
         /// The first character that isn't allowed.
         found: char,
     },
-    /// The text isn't a number in the expected form.
+    /// The text isn't a number or UUID as the identifier requires.
     #[error("{text:?} is not an id of this kind")]
     BadNumber {
         /// The text found.
--- a/lib/src/shared/invariant.rs
+++ b/lib/src/shared/invariant.rs
@@ -1,9 +1,9 @@
-//! Assertions about safety that stay on in every build.
+//! Assertions that stay enabled in every build.
 
-/// Panics when a condition that guarantees to callers depend on doesn't hold.
+/// Panics if a condition doesn't hold on which a guarantee to callers depends.
 ///
-/// A daemon that went on after such a fault could run a payment twice; after a stop, callers get
-/// the outcome `unknown`, which is true.
+/// A daemon that continued after such a fault could execute a payment twice. After a panic, callers get the outcome
+/// `unknown`, which is correct.
 #[macro_export]
 macro_rules! invariant {
     ($holds:expr, $($message:tt)+) => {
--- a/lib/src/shared/json.rs
+++ b/lib/src/shared/json.rs
@@ -1,7 +1,6 @@
-//! Checks that bytes are one JSON value, without building it.
+//! Checks that bytes are one JSON value, without building the value in memory.
 //!
-//! The pipeline daemon passes bodies on as they are, to endpoints and to callers; this check refuses
-//! malformed ones. It relies on nothing else of this library.
+//! The pipeline daemon forwards bodies unchanged, to endpoints and to callers. This check rejects malformed ones.
 
 use {
     serde::de::IgnoredAny,
@@ -9,13 +8,13 @@
     thiserror::Error,
 };
 
-/// Reports bytes that aren't a JSON value.
+/// Reports why bytes aren't a JSON value.
 #[derive(Debug, Error)]
 pub enum JsonError {
-    /// They aren't UTF-8, which the parser doesn't check inside strings that it skips.
+    /// The bytes aren't UTF-8. The parser doesn't check this inside strings that it skips.
     #[error("invalid UTF-8: {0}")]
     Encoding(#[from] Utf8Error),
-    /// They are text, but not JSON.
+    /// The bytes are UTF-8, but not JSON.
     #[error(transparent)]
     Syntax(#[from] serde_json::Error),
 }
@@ -24,7 +23,7 @@
 ///
 /// # Errors
 ///
-/// Returns an error that says why they aren't.
+/// Returns an error if the bytes aren't UTF-8 or aren't exactly one JSON value.
 pub fn check(bytes: &[u8]) -> Result<(), JsonError> {
     let text = str::from_utf8(bytes)?;
     serde_json::from_str::<IgnoredAny>(text)?;
--- a/lib/src/shared/mod.rs
+++ b/lib/src/shared/mod.rs
@@ -1,6 +1,6 @@
-//! Types and rules that both daemons use: ids, units, problems, health of endpoints, findings.
+//! Types and rules that both daemons use: ids, units, problems, the health of endpoints, errors in settings.
 //!
-//! Nothing here imports from the other folders.
+//! Modules of this folder import from no other folder.
 
 pub mod adoption;
 pub mod clock;
--- a/lib/src/shared/problem.rs
+++ b/lib/src/shared/problem.rs
@@ -1,8 +1,7 @@
-//! Problems: the reply to a caller whose request isn't answered.
+//! Problems (RFC 9457): the error response to a caller whose request isn't answered.
 //!
-//! It owns the stable codes with their HTTP statuses, and the outcome, which says whether any of
-//! the work can have run. Both daemons build problems; each writes them in the form of its own
-//! interface. It relies on `units` only.
+//! Defines the stable codes with their HTTP statuses, and the outcome, which says whether any of the work may have run.
+//! Both daemons build problems; each serialises them as its own interface requires.
 
 use {
     crate::shared::units::Millis,
--- a/lib/src/shared/recent_map.rs
+++ b/lib/src/shared/recent_map.rs
@@ -1,11 +1,11 @@
-//! A map of a bounded number of entries that forgets the one that was added first.
+//! A map with a fixed capacity that evicts entries in the order in which they were added (FIFO).
 
 use {
     foldhash::HashMap,
     std::{collections::VecDeque, hash::Hash},
 };
 
-/// A map of at most `CAPACITY` entries, in the order in which they were added.
+/// A map of at most `CAPACITY` entries that evicts the entry added first.
 #[derive(Debug, Clone)]
 pub(crate) struct RecentMap<K, V, const CAPACITY: usize> {
     entries: HashMap<K, V>,
@@ -22,7 +22,7 @@
 }
 
 impl<K: Clone + Eq + Hash, V: Default, const CAPACITY: usize> RecentMap<K, V, CAPACITY> {
-    /// Returns the value of a key; adds the default if there is none, in place of the oldest entry if the map is full.
+    /// Returns the value of a key. If there is none, inserts the default, and evicts the oldest entry from a full map.
     pub(crate) fn entry(&mut self, key: K) -> &mut V {
         if !self.entries.contains_key(&key) {
             self.order.push_back(key.clone());
@@ -35,14 +35,14 @@
         self.entries.entry(key).or_default()
     }
 
-    /// Removes a key; returns its value.
+    /// Removes a key and returns its value, if the map has it.
     pub(crate) fn remove(&mut self, key: &K) -> Option<V> {
         let value = self.entries.remove(key)?;
         self.order.retain(|other| other != key);
         Some(value)
     }
 
-    /// Returns the keys, the one that was added first before the others.
+    /// Returns the keys, from the oldest entry to the newest.
     pub(crate) fn keys(&self) -> impl Iterator<Item = &K> {
         self.order.iter()
     }
--- a/lib/src/shared/sse.rs
+++ b/lib/src/shared/sse.rs
@@ -1,6 +1,6 @@
-//! Server-sent events: a bounded reader for engines' streams, a writer for callers' streams.
+//! Server-sent events: a bounded reader for the streams of engines, a writer for the streams to callers.
 //!
-//! It owns the framing of events only, not their data, and relies on nothing else of this library.
+//! Handles the framing of events only, not their data.
 
 use {
     bytes::{Bytes, BytesMut},
@@ -14,13 +14,13 @@
 /// Blank line that ends an event.
 const EVENT_END: &[u8] = b"\n\n";
 
-/// Beginning of the line with an event's data: the first one, and one after other lines.
+/// Start of an event's data field, on the event's first line and on a later line.
 const DATA_FIELD: &[u8] = b"data:";
 const DATA_LINE: &[u8] = b"\ndata:";
 
-/// Reports an event that is longer than the reader accepts.
+/// Reports that an event is longer than the reader accepts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
-#[error("an event has more than {MAX_EVENT} bytes")]
+#[error("a server-sent event exceeds {MAX_EVENT} bytes")]
 pub struct EventTooLong;
 
 /// Splits a stream of bytes into the data of its events.
@@ -34,7 +34,7 @@
     ///
     /// # Errors
     ///
-    /// Returns an error when an unfinished event is longer than the reader accepts.
+    /// Returns an error if an incomplete event is longer than the reader accepts.
     pub fn feed(&mut self, chunk: &[u8]) -> Result<(), EventTooLong> {
         self.buffer.extend_from_slice(chunk);
         let unfinished = self.buffer.len() > MAX_EVENT && find_end(&self.buffer).is_none();
@@ -44,7 +44,7 @@
         Ok(())
     }
 
-    /// Returns the data of the next whole event; events without data are skipped.
+    /// Returns the data of the next complete event, if one has arrived. Skips events without data.
     pub fn next_event(&mut self) -> Option<Bytes> {
         loop {
             let end = find_end(&self.buffer)?;
@@ -56,7 +56,7 @@
     }
 }
 
-/// Returns where the data of an event starts, after the event's other lines.
+/// Returns the offset of an event's data, which other fields may precede; `None` if the event has no data.
 fn data_start(event: &[u8]) -> Option<usize> {
     let start = if event.starts_with(DATA_FIELD) {
         DATA_FIELD.len()
@@ -70,7 +70,7 @@
     Some(start + space)
 }
 
-/// Returns where the blank line after the first event starts.
+/// Returns the offset of the blank line that ends the first event; `None` if the event is incomplete.
 fn find_end(buffer: &[u8]) -> Option<usize> {
     buffer
         .windows(EVENT_END.len())
@@ -79,7 +79,7 @@
 
 /// Writes one event with a name and JSON data.
 pub fn write_event(name: &str, data: &impl Serialize) -> Bytes {
-    // Only maps with keys other than strings can't be written as JSON; no event has one.
+    // Serialising fails only for maps whose keys aren't strings, and no event has such a map.
     let json = serde_json::to_string(data).unwrap_or_else(|_| "null".into());
     Bytes::from(format!("event: {name}\ndata: {json}\n\n"))
 }
--- a/lib/src/shared/status.rs
+++ b/lib/src/shared/status.rs
@@ -1,9 +1,8 @@
 //! The status report that a daemon serves to operators, as JSON.
 //!
-//! It owns the types of the report only: each daemon fills them from its own state, and the
-//! pipeline daemon's `status_client` reads them. All counts are those since the daemon's start. The
-//! doc comments below are part of the interface's document, `docs/openapi.json`. It relies on
-//! nothing else of this library.
+//! Defines the types of the report only: each daemon fills them from its state, and the pipeline daemon's
+//! `status_client` reads them. All counts start at zero when the daemon starts. The doc comments below are part of the
+//! interface's document, `docs/openapi.json`.
 
 use {
     schemars::JsonSchema,
--- a/lib/src/shared/units/capacity.rs
+++ b/lib/src/shared/units/capacity.rs
@@ -19,7 +19,7 @@
 impl Capacity {
     const EXPECTED: &'static str = "a number of cores such as \"0.25\" or \"2\"";
 
-    /// Returns the capacity of a number of cores; a number that isn't positive counts as none.
+    /// Returns the capacity of a number of cores; zero if the number is negative or not a number.
     pub fn from_cores(cores: f64) -> Self {
         Self((cores * MILLICORES_PER_CORE).round() as u32)
     }
--- a/lib/src/shared/units/mod.rs
+++ b/lib/src/shared/units/mod.rs
@@ -1,8 +1,7 @@
-//! Newtypes for times, sizes, rates and shares, with the texts that settings use for them.
+//! Newtypes for times, sizes, rates and shares, with the text form that settings use for them.
 //!
-//! It owns the unit of every number that has one, and the conversions between units: each type
-//! holds its number in one unit, parses the text that people write (`FromStr`) and writes it back
-//! (`Display`). It relies on nothing else of this library.
+//! Defines the unit of every number that has one, and the conversions between units. Each type holds its number in one
+//! unit, parses the text form (`FromStr`) and writes it (`Display`).
 
 mod capacity;
 mod count;
--- a/lib/src/shared/units/quantity.rs
+++ b/lib/src/shared/units/quantity.rs
@@ -1,21 +1,21 @@
-//! The text of a quantity: a number with its unit, or `none`.
+//! The text form of a quantity: a number with its unit, or `none`.
 
 use {
     std::{fmt, str::FromStr},
     thiserror::Error,
 };
 
-/// Reports a text that isn't a quantity of the expected unit.
+/// Reports that a text isn't a quantity of the expected unit.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 #[error("{text:?} is not {expected}")]
 pub struct UnitError {
     /// The text found.
     pub text: String,
-    /// Describes the form that is accepted.
+    /// Describes the accepted form, with an example.
     pub expected: &'static str,
 }
 
-/// Returns the error for a text that isn't a quantity.
+/// Returns a [`UnitError`] for `text`.
 pub(super) fn unit_error<T>(text: &str, expected: &'static str) -> Result<T, UnitError> {
     Err(UnitError {
         text: text.into(),
@@ -23,7 +23,7 @@
     })
 }
 
-/// A number and the unit that follows it, such as `250` and `ms`.
+/// A number and the unit that follows it, such as `250` and `ms`, as split from a text.
 pub(super) struct Written<'t> {
     /// The number; finite and not negative.
     pub(super) number: f64,
@@ -32,7 +32,7 @@
 }
 
 impl<'t> Written<'t> {
-    /// Splits a text into its number and its unit; nothing if it doesn't begin with a number.
+    /// Splits a text into its number and its unit; `None` if it doesn't start with a number.
     pub(super) fn parse(text: &'t str) -> Option<Self> {
         let end = text
             .find(|c: char| !c.is_ascii_digit() && c != '.')
@@ -43,11 +43,11 @@
     }
 }
 
-/// A quantity that can be left out; written `none` in settings.
+/// A quantity that may be absent, which settings write as `none`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd)]
 pub struct Maybe<T>(pub Option<T>);
 
-/// Text of a quantity that is left out.
+/// Text of an absent quantity.
 pub const NONE_TEXT: &str = "none";
 
 impl<T: FromStr> FromStr for Maybe<T> {
--- a/lib/src/shared/units/rate.rs
+++ b/lib/src/shared/units/rate.rs
@@ -1,4 +1,4 @@
-//! Rates in events and in bits a second, and shares of a whole.
+//! Rates in events and in bits per second, and shares of a whole.
 
 use {
     super::{
@@ -8,7 +8,7 @@
     std::{fmt, str::FromStr, time::Duration},
 };
 
-/// A rate in events a second.
+/// A rate in events per second.
 #[derive(Debug, Clone, Copy, PartialEq, PartialOrd)]
 pub struct Rate(pub f64);
 
@@ -34,11 +34,11 @@
     }
 }
 
-/// Bandwidth of a link, in bits a second.
+/// Bandwidth of a link, in bits per second.
 #[derive(Debug, Clone, Copy, PartialEq, PartialOrd)]
 pub struct BitRate(pub f64);
 
-/// Bits in one megabit, as links are rated.
+/// Bits in one megabit: a power of ten, as in the ratings of links.
 const MEGABIT: f64 = 1e6;
 
 /// Bits in a byte.
@@ -47,12 +47,12 @@
 impl BitRate {
     const EXPECTED: &'static str = "a bandwidth such as \"10Mbit/s\"";
 
-    /// Returns the bandwidth of a number of megabits a second.
+    /// Returns the bandwidth of a number of megabits per second.
     pub fn from_megabits(megabits: f64) -> Self {
         Self(megabits * MEGABIT)
     }
 
-    /// Returns the time that bytes take at this rate.
+    /// Returns the time it takes to transfer `size` at this rate.
     pub fn time(self, size: ByteSize) -> Duration {
         Duration::from_secs_f64(size.0 as f64 * BYTE / self.0)
     }
@@ -79,14 +79,14 @@
     }
 }
 
-/// A share of a whole, between 0 and 1, written in percent.
+/// A share of a whole, from 0 to 1, which settings write in percent.
 #[derive(Debug, Clone, Copy, PartialEq, PartialOrd)]
 pub struct Share(pub f64);
 
-/// Percent in a whole.
+/// Percent in one whole.
 const PERCENT: f64 = 100.0;
 
-/// Ten-thousandths in one percent: the digits that a share is written with.
+/// Steps per percent to which a written share is rounded: four decimal places.
 const DIGITS: f64 = 1e4;
 
 impl Share {
@@ -105,7 +105,7 @@
     }
 }
 
-/// Writes the percentage with four digits after the point at most.
+/// Writes the percentage with at most four decimal places.
 impl fmt::Display for Share {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}%", (self.0 * (PERCENT * DIGITS)).round() / DIGITS)
--- a/lib/src/shared/units/size.rs
+++ b/lib/src/shared/units/size.rs
@@ -5,7 +5,7 @@
     std::{fmt, str::FromStr},
 };
 
-/// Bytes in the units that settings use: powers of 1024.
+/// Bytes in one KB, MB and GB of the settings, which are powers of 1024.
 const KB: u64 = 1 << 10;
 const MB: u64 = 1 << 20;
 const GB: u64 = 1 << 30;
--- a/lib/src/shared/units/time.rs
+++ b/lib/src/shared/units/time.rs
@@ -1,4 +1,4 @@
-//! Lengths of time in milliseconds, and points in time in microseconds.
+//! Durations in milliseconds, and points in time in microseconds.
 
 use {
     super::quantity::{UnitError, Written, unit_error},
@@ -14,7 +14,7 @@
 const MILLIS_PER_MINUTE: u64 = 60 * MILLIS_PER_SECOND;
 const MILLIS_PER_HOUR: u64 = 60 * MILLIS_PER_MINUTE;
 
-/// A length of time in whole milliseconds.
+/// A duration in whole milliseconds.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -27,7 +27,7 @@
     /// Longest duration that settings accept: one day.
     pub const MAX: Millis = Millis(24 * MILLIS_PER_HOUR);
 
-    /// Returns the duration for the standard library and `tokio`.
+    /// Converts to the duration type of the standard library.
     pub fn to_duration(self) -> Duration {
         Duration::from_millis(self.0)
     }
@@ -65,23 +65,23 @@
     }
 }
 
-/// A point on the daemon's monotonic clock, in microseconds since the process started.
+/// A point in time of the daemon's monotonic clock, in microseconds since the clock was created.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Time(pub u64);
 
 impl Time {
-    /// Returns the time that has passed since `earlier`, zero if `earlier` is later.
+    /// Returns the time elapsed since `earlier`, zero if `earlier` is later.
     pub fn since(self, earlier: Time) -> Duration {
         Duration::from_micros(self.0.saturating_sub(earlier.0))
     }
 
-    /// Returns the milliseconds since `earlier` with their fraction, zero if `earlier` is later.
+    /// Returns the fractional milliseconds since `earlier`, zero if `earlier` is later.
     pub fn millis_since(self, earlier: Time) -> f64 {
         self.0.saturating_sub(earlier.0) as f64 / MICROS_PER_MILLI as f64
     }
 }
 
-/// Adds a length of time; a sum beyond the clock's range stays at its end.
+/// Adds a duration; the sum saturates at the largest time.
 impl ops::Add<Millis> for Time {
     type Output = Time;
 
@@ -91,7 +91,7 @@
     }
 }
 
-/// Subtracts a length of time; a difference before the start of the clock is its start.
+/// Subtracts a duration; the difference saturates at zero.
 impl ops::Sub<Millis> for Time {
     type Output = Time;
 
@@ -101,7 +101,7 @@
     }
 }
 
-/// Adds a length of time; a sum beyond the clock's range stays at its end.
+/// Adds a duration; the sum saturates at the largest time.
 impl ops::Add<Duration> for Time {
     type Output = Time;
 
@@ -110,7 +110,7 @@
     }
 }
 
-/// Subtracts a length of time; a difference before the start of the clock is its start.
+/// Subtracts a duration; the difference saturates at zero.
 impl ops::Sub<Duration> for Time {
     type Output = Time;
 
@@ -119,12 +119,12 @@
     }
 }
 
-/// Milliseconds of work as estimates use them, with a fraction.
+/// An estimated duration of work, in fractional milliseconds.
 #[derive(Debug, Clone, Copy, Default, PartialEq, PartialOrd, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct WorkMillis(pub f64);
 
-/// Adds a time of work, rounded down to whole microseconds.
+/// Adds a duration of work, rounded down to whole microseconds.
 impl ops::Add<WorkMillis> for Time {
     type Output = Time;
 
@@ -134,7 +134,7 @@
 }
 
 impl WorkMillis {
-    /// Returns the whole microseconds; a negative time has none.
+    /// Returns the whole microseconds, zero if the duration is negative.
     fn micros(self) -> u64 {
         (self.0 * MICROS_PER_MILLI as f64) as u64
     }
