--- a/lib/src/settings/diff/change.rs
+++ b/lib/src/settings/diff/change.rs
@@ -1,11 +1,11 @@
-//! Changes of single nodes, as people and programs read them.
+//! Changes of single nodes, as text and as JSON.
 
 use {serde::Serialize, std::fmt};
 
-/// Text for a pipeline for which a customer overrides settings.
+/// Value shown for a pipeline for which a customer overrides settings.
 const OVERRIDDEN: &str = "overridden";
 
-/// Kind of a node that a change can reach.
+/// Kind of a node that a change can affect.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum NodeKind {
@@ -31,19 +31,19 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case", tag = "change")]
 pub enum Detail {
-    /// The node is new.
+    /// Only the new tree has the node.
     Added,
-    /// The node no longer exists.
+    /// Only the old tree has the node.
     Removed,
-    /// An effective value is changed.
+    /// An effective value differs.
     Value {
         /// Name of the value: a setting, an endpoint, the kind or the stages.
         name: String,
-        /// The value before; empty if there was none.
+        /// Value in the old tree; empty if there is none.
         old: String,
-        /// The value now; empty if there is none.
+        /// Value in the new tree; empty if there is none.
         new: String,
-        /// Origin of the value now, if it is a setting.
+        /// Node that set the new value, if the value is a setting.
         origin: Option<String>,
     },
 }
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Returns the same change as one of a part of the node.
+    /// Converts the change of a node to the change of a value of its parent, with `part` as a prefix of the name.
     pub(super) fn within(self, part: &str) -> Self {
         match self {
             Self::Added => Self::value(part, "", OVERRIDDEN),
@@ -110,8 +110,8 @@
 pub struct NodeChange {
     /// Kind of the node.
     pub kind: NodeKind,
-    /// Its name.
+    /// Name of the node.
     pub name: String,
-    /// Its changes; never empty.
+    /// Changes of the node; never empty.
     pub details: Vec<Detail>,
 }
--- a/lib/src/settings/diff/mod.rs
+++ b/lib/src/settings/diff/mod.rs
@@ -1,7 +1,7 @@
-//! Differences between two settings trees: the nodes that a change reaches, and their new values.
+//! Differences between two settings trees: the nodes that a change affects, with their old and new values.
 //!
-//! It owns the comparison of effective values, so that a value set at the root shows up at every
-//! node that inherits it. It relies on checked trees only.
+//! Compares effective values, so that a change of a value at the root is listed for every node that inherits it. Both
+//! trees are validated.
 
 mod change;
 
@@ -22,10 +22,10 @@
     },
 };
 
-/// Customers and pipelines have request settings only; calls inherit theirs from services.
+/// Scope of the settings of customers and pipelines. Calls inherit their settings from services.
 const REQUEST: Option<Scope> = Some(Scope::Request);
 
-/// Compares two trees: services, then customers, then pipelines, each by name.
+/// Compares two trees. Lists services, then customers, then pipelines, each sorted by name.
 pub fn diff(old: &Tree, new: &Tree) -> Vec<NodeChange> {
     use NodeKind::{Customer, Pipeline, Service};
     let services = diff_nodes(Service, &old.services, &new.services, diff_service);
@@ -34,7 +34,7 @@
     [services, customers, pipelines].concat()
 }
 
-/// Compares the nodes of one kind; `compare` adds the changes of a node that both trees have.
+/// Compares the nodes of one kind. `compare` adds the changes of a node that both trees have.
 fn diff_nodes<K: Ord + fmt::Display, N>(
     kind: NodeKind,
     old: &BTreeMap<K, Arc<N>>,
@@ -67,7 +67,7 @@
     }
 }
 
-/// Compares effective settings; of one scope only if the other doesn't apply to the node.
+/// Compares effective settings: those of `scope`, or all if it is `None`. `prefix` is put before their names.
 fn diff_settings(
     prefix: &str,
     scope: Option<Scope>,
@@ -124,7 +124,7 @@
     let (old, new) = (endpoint_texts(old), endpoint_texts(new));
     let names: BTreeSet<_> = old.keys().chain(new.keys()).collect();
     for name in names {
-        // An endpoint that one side lacks has the empty text there.
+        // The text is empty in the tree that doesn't have the endpoint.
         let text = |side: &BTreeMap<String, String>| side.get(name).cloned().unwrap_or_default();
         push_value(out, name, &text(&old), &text(&new));
     }
--- a/lib/src/settings/document/mod.rs
+++ b/lib/src/settings/document/mod.rs
@@ -1,8 +1,8 @@
-//! JSON with comments, as values that know their places.
+//! JSON with comments, parsed into values with their locations in the file.
 //!
-//! [`parse_bytes`] turns text into a [`Value`]; [`ObjectReader`] takes an object's fields one by one
-//! and reports everything that is missing, malformed or unknown. It owns the syntax of settings
-//! files, and relies on `shared::findings` for places and reports; it knows no setting.
+//! [`parse_bytes`] parses bytes into a [`Value`]. [`ObjectReader`] takes an object's fields one by one and reports
+//! every field that is missing, malformed or unknown. This module defines the syntax of settings files, and knows no
+//! individual setting.
 
 mod object_reader;
 mod parse;
@@ -12,16 +12,16 @@
 
 use crate::shared::findings::Place;
 
-/// One value of a document, with its place.
+/// A value of a document, with its location.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Value {
-    /// Where the value starts.
+    /// Location of the value's first character.
     pub place: Place,
-    /// The value itself.
+    /// The value without its location.
     pub kind: Kind,
 }
 
-/// A value without its place.
+/// A JSON value. The values that it contains have locations.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Kind {
     /// `null`.
@@ -32,14 +32,14 @@
     Number(String),
     /// A string.
     Text(String),
-    /// A list.
+    /// An array.
     List(Vec<Value>),
-    /// An object, its fields in the order written.
+    /// An object, with its fields in the order of the file.
     Object(Vec<Field>),
 }
 
 impl Kind {
-    /// Names the kind for messages.
+    /// Returns the name of the kind, for messages.
     pub fn name(&self) -> &'static str {
         match self {
             Kind::Null => "null",
@@ -52,19 +52,19 @@
     }
 }
 
-/// A checked value of a document, with its place.
+/// A validated value of a document, with its location.
 #[derive(Debug, Clone)]
 pub struct Placed<T> {
     /// The value.
     pub value: T,
-    /// Its place in the document.
+    /// Location of the value, or of the field's name if the value is one.
     pub place: Place,
 }
 
 /// One field of an object.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Field {
-    /// Where the field's name starts.
+    /// Location of the field's name.
     pub place: Place,
     /// The field's name.
     pub name: String,
@@ -72,7 +72,7 @@
     pub value: Value,
 }
 
-/// Returns the text of a string, number or boolean; nothing for any other value.
+/// Returns the text of a string, number or boolean; `None` for any other value.
 pub fn scalar_text(value: &Value) -> Option<String> {
     match &value.kind {
         Kind::Text(text) | Kind::Number(text) => Some(text.clone()),
--- a/lib/src/settings/document/object_reader.rs
+++ b/lib/src/settings/document/object_reader.rs
@@ -1,6 +1,6 @@
-//! Reads one object of a document: takes known fields, and reports the others.
+//! Reads one object of a document: takes the fields that the caller knows, and reports all others.
 //!
-//! It owns the texts for missing, malformed and unknown fields; the caller owns the findings.
+//! Adds a finding for each missing, malformed or unknown field to the caller's findings.
 
 use {
     crate::{
@@ -10,7 +10,7 @@
     std::{fmt::Display, str::FromStr},
 };
 
-/// Reads an object's fields one by one and reports those that the caller doesn't know.
+/// Takes the fields of an object one by one, and reports those that weren't asked for.
 #[derive(Debug)]
 pub struct ObjectReader<'f> {
     node: String,
@@ -21,7 +21,9 @@
 }
 
 impl<'f> ObjectReader<'f> {
-    /// Starts reading `value`; anything but an object is a finding, and reads as an empty one.
+    /// Starts reading `value`, whose findings are reported for `node`.
+    ///
+    /// A value that isn't an object is reported and treated as an empty object.
     pub fn new(node: impl Display, value: Value, findings: &'f mut Findings) -> Self {
         let node = node.to_string();
         let fields = match value.kind {
@@ -45,24 +47,24 @@
         }
     }
 
-    /// Returns the place where the object starts.
+    /// Returns the location of the object's first character.
     pub fn place(&self) -> &Place {
         &self.place
     }
 
-    /// Returns the findings, for the caller to add its own.
+    /// Returns the findings, to which the caller may add others.
     pub fn findings(&mut self) -> &mut Findings {
         self.findings
     }
 
-    /// Takes a field's value if the object has it.
+    /// Takes the value of a field, if the object has the field.
     pub fn take(&mut self, name: &'static str) -> Option<Value> {
         self.known.push(name);
         let i = self.fields.iter().position(|field| field.name == name)?;
         Some(self.fields.remove(i).value)
     }
 
-    /// Takes an object's fields; an absent field is an empty object.
+    /// Takes the fields of a nested object. An absent field counts as an empty object.
     pub fn take_fields(&mut self, name: &'static str) -> Vec<Field> {
         match self.take(name) {
             None => Vec::new(),
@@ -77,7 +79,7 @@
         }
     }
 
-    /// Takes a list's elements; an absent field is an empty list.
+    /// Takes the elements of a list. An absent field counts as an empty list.
     pub fn take_list(&mut self, name: &'static str) -> Vec<Value> {
         match self.take(name) {
             None => Vec::new(),
@@ -92,7 +94,7 @@
         }
     }
 
-    /// Takes and parses a field that may be absent; a malformed value is a finding.
+    /// Takes and parses an optional field. Reports a malformed value.
     pub fn take_parsed<T>(&mut self, name: &'static str) -> Option<Placed<T>>
     where
         T: FromStr<Err: Display>,
@@ -116,7 +118,7 @@
         }
     }
 
-    /// Takes and parses a field; an absent field or a malformed value is a finding.
+    /// Takes and parses a required field. Reports an absent field or a malformed value.
     pub fn take_required<T>(&mut self, name: &'static str) -> Option<Placed<T>>
     where
         T: FromStr<Err: Display>,
@@ -134,7 +136,7 @@
         self.take_parsed(name)
     }
 
-    /// Ends reading; every field that is left is unknown and becomes a finding.
+    /// Reports every field that wasn't taken as unknown.
     pub fn finish(self) {
         for field in &self.fields {
             let hint = if self.known.is_empty() {
--- a/lib/src/settings/document/parse.rs
+++ b/lib/src/settings/document/parse.rs
@@ -1,6 +1,6 @@
-//! Parses JSON with comments into values.
+//! Parses JSON with comments into values, by means of `jsonc_parser`.
 //!
-//! It owns the accepted syntax and the limit on nesting, and relies on `jsonc_parser`.
+//! Defines the accepted syntax and the limit on nesting.
 
 use {
     crate::{
@@ -16,11 +16,11 @@
     std::collections::BTreeSet,
 };
 
-/// Most levels of nesting accepted; deeper input is refused before it is parsed, because the parser calls itself once a
-/// level. `test_settings_tree::damaged_text` goes beyond it.
+/// Largest number of nested objects and lists. Deeper input is rejected before it is parsed, because the parser
+/// recurses once per level. `test_settings_tree::damaged_text` exceeds the limit.
 const MAX_DEPTH: usize = 64;
 
-/// Only comments and trailing commas go beyond plain JSON.
+/// Accepts JSON with comments and trailing commas, and no other extension.
 const OPTIONS: ParseOptions = ParseOptions {
     allow_comments: true,
     allow_loose_object_property_names: false,
@@ -34,10 +34,9 @@
     allow_extended_string_escapes: false,
 };
 
-/// Returns the byte offset at which nesting first goes deeper than [`MAX_DEPTH`].
+/// Returns the byte offset at which nesting first exceeds [`MAX_DEPTH`].
 ///
-/// Brackets inside strings count as well: no legitimate string holds that many, and counting too
-/// many only refuses the file.
+/// Counts brackets inside strings as well. No legitimate string contains that many, and at worst the file is rejected.
 fn first_too_deep(text: &str) -> Option<usize> {
     let mut depth = 0usize;
     for (i, byte) in text.bytes().enumerate() {
@@ -53,7 +52,7 @@
     None
 }
 
-/// Parses text; fails on the first syntax error, or with every field that an object has twice.
+/// Parses text. Returns the first syntax error, or a finding for each duplicate field of an object.
 fn parse(file: &str, text: &str) -> Result<Value, Findings> {
     let lines = TextLines::new(file, text);
     if let Some(offset) = first_too_deep(text) {
@@ -78,12 +77,11 @@
     findings.into_result(value)
 }
 
-/// Parses JSON with comments; `file` names the bytes in places.
+/// Parses JSON with comments. `file` is the file name that locations contain.
 ///
 /// # Errors
 ///
-/// Returns, with places, the first byte that isn't UTF-8, the first syntax error, or every field
-/// that an object has twice.
+/// Returns the first byte that isn't UTF-8, the first syntax error, or a finding for each duplicate field of an object.
 pub fn parse_bytes(file: &str, bytes: &[u8]) -> Result<Value, Findings> {
     let text = str::from_utf8(bytes).map_err(|error| {
         let valid = String::from_utf8_lossy(&bytes[..error.valid_up_to()]);
@@ -94,7 +92,7 @@
     parse(file, text)
 }
 
-/// Returns the only finding of a file that can't be parsed.
+/// Returns the finding for a file that can't be parsed.
 fn refuse(lines: &TextLines<'_>, offset: usize, message: String, hint: &str) -> Findings {
     Findings::one(&lines.place(offset), lines.file(), message, hint)
 }
--- a/lib/src/settings/document/text_lines.rs
+++ b/lib/src/settings/document/text_lines.rs
@@ -1,8 +1,8 @@
-//! The lines of a text, to turn byte offsets into places for people.
+//! Converts byte offsets of a text to locations with line and column.
 
 use {crate::shared::findings::Place, std::sync::Arc};
 
-/// Turns byte offsets of a text into places.
+/// Index of the lines of a text, which converts byte offsets to locations.
 pub(super) struct TextLines<'a> {
     file: Arc<str>,
     text: &'a str,
@@ -10,7 +10,7 @@
 }
 
 impl<'a> TextLines<'a> {
-    /// Finds the lines of `text`, which `file` names in places.
+    /// Indexes the lines of `text`. `file` is the file name that locations contain.
     pub(super) fn new(file: &str, text: &'a str) -> Self {
         let after_break = text.match_indices('\n').map(|(i, _)| i + 1);
         Self {
@@ -20,12 +20,12 @@
         }
     }
 
-    /// Returns the place of a byte offset; an offset behind the end counts as the end.
+    /// Returns the location of a byte offset. An offset beyond the end counts as the end.
     pub(super) fn place(&self, offset: usize) -> Place {
         let offset = offset.min(self.text.len());
         let line = self.starts.partition_point(|start| *start <= offset);
         let start = self.starts[line - 1];
-        // An offset inside a character has no text before it; its place is the start of the line.
+        // An offset inside a multi-byte character gets the location of the line's start.
         let before = self.text.get(start..offset).unwrap_or_default();
         Place {
             file: self.file.clone(),
@@ -34,7 +34,7 @@
         }
     }
 
-    /// Returns the name of the text.
+    /// Returns the file name.
     pub(super) fn file(&self) -> &str {
         &self.file
     }
--- a/lib/src/settings/mod.rs
+++ b/lib/src/settings/mod.rs
@@ -1,6 +1,6 @@
 //! The settings tree: documents, inheritance of values, checks, and differences between versions.
 //!
-//! It relies on `shared` only. The pipeline daemon and the command line read it.
+//! Used by the pipeline daemon and the command line. It depends on `shared` only.
 
 pub mod diff;
 pub mod document;
--- a/lib/src/settings/raw_tree/customer.rs
+++ b/lib/src/settings/raw_tree/customer.rs
@@ -1,4 +1,4 @@
-//! Customers as written, with what they override for single pipelines.
+//! Customers and the settings that they override for single pipelines, parsed but not resolved.
 
 use crate::{
     settings::{
@@ -11,16 +11,16 @@
     },
 };
 
-/// A customer as written.
+/// A customer, parsed but not resolved.
 #[derive(Debug, Clone)]
 pub struct RawCustomer {
     /// Path from the root.
     pub path: String,
     /// Name of the customer.
     pub name: Placed<CustomerId>,
-    /// Overridden settings.
+    /// Settings that the customer overrides for all pipelines.
     pub settings: Vec<Field>,
-    /// Settings overridden for single pipelines.
+    /// Settings that the customer overrides for single pipelines.
     pub pipelines: Vec<RawOverride>,
 }
 
@@ -29,7 +29,7 @@
 pub struct RawOverride {
     /// Name of the pipeline.
     pub name: Placed<PipelineId>,
-    /// Overridden settings.
+    /// Settings that the customer overrides.
     pub settings: Vec<Field>,
 }
 
--- a/lib/src/settings/raw_tree/group.rs
+++ b/lib/src/settings/raw_tree/group.rs
@@ -1,4 +1,4 @@
-//! A group as written, in place or in a value that it includes.
+//! Groups, parsed but not resolved: written inline or in a value that they include.
 
 use crate::{
     settings::{
@@ -19,7 +19,7 @@
 pub struct RawGroup {
     /// Path from the root.
     pub path: String,
-    /// Overridden settings.
+    /// Settings that the group overrides.
     pub settings: Vec<Field>,
     /// Services defined in this group.
     pub services: Vec<RawService>,
@@ -27,21 +27,21 @@
     pub customers: Vec<RawCustomer>,
     /// Pipelines defined in this group.
     pub pipelines: Vec<RawPipeline>,
-    /// Groups below this one.
+    /// Child groups.
     pub groups: Vec<RawGroup>,
 }
 
-/// Group names that would be confused with parts of a node's path.
+/// Names that a group can't have, because node paths use them for the kinds of nodes.
 const RESERVED: [&str; 4] = ["services", "customers", "pipelines", "stages"];
 
-/// The value that holds a group which isn't written in place.
+/// A reference to the value that contains a group.
 struct Include {
     value: String,
     place: Place,
 }
 
 impl RawGroup {
-    /// Reads the rest of a group's object, and all groups below it.
+    /// Reads a group from the remaining fields of `reader`, with all groups below it.
     pub(super) fn read<S: ValueSource>(
         values: &mut OpenValues<'_, S>,
         path: String,
@@ -73,7 +73,7 @@
         field: Field,
         findings: &mut Findings,
     ) -> Option<Self> {
-        // Group names follow the same rules as all names; there is no type of their own.
+        // Group names have no type; the rules of PipelineId are those of all names.
         let name = parse_name::<PipelineId>(&field.name, &field.place, parent, findings)?;
         let path = format!("{parent}/{}", name.value);
         if RESERVED.contains(&name.value.as_str()) {
@@ -117,7 +117,7 @@
     }
 }
 
-/// Returns the include of a group that is written as `{"include": "..."}`.
+/// Returns the reference of a group that is written as `{"include": "..."}`; `None` for any other value.
 fn included_value(value: &Value) -> Option<Include> {
     let Kind::Object(fields) = &value.kind else {
         return None;
--- a/lib/src/settings/raw_tree/mod.rs
+++ b/lib/src/settings/raw_tree/mod.rs
@@ -1,9 +1,8 @@
-//! The settings tree as it is written: syntax and names checked, references not yet resolved.
+//! The settings tree after parsing: syntax and names are checked, references aren't resolved yet.
 //!
-//! [`RawTree::read`] reads the root value and every value that it includes. Each kind of node has a
-//! file with its type and its reader. Readers collect findings and go on, so that one check
-//! reports everything that is wrong. It relies on `document` for JSON; `tree_check` turns the
-//! result into a checked tree.
+//! [`RawTree::read`] reads the root value and every value that it includes. Each kind of node has a file with its type
+//! and its reader. Readers add a finding and continue, so that one check reports every error. `document` parses the
+//! JSON, and `tree_check` turns the result into a validated tree.
 
 mod customer;
 mod group;
@@ -31,16 +30,16 @@
     value_source::OpenValues,
 };
 
-/// A whole tree as written.
+/// A complete tree, parsed but not resolved.
 #[derive(Debug, Clone)]
 pub struct RawTree {
-    /// Version of the tree; daemons adopt upward only.
+    /// Version of the tree. Daemons adopt higher versions only.
     pub version: u64,
-    /// Data centres that endpoints may stand in.
+    /// Data centres that hosts of endpoints may be in.
     pub data_centres: Vec<Placed<DataCentreId>>,
     /// The root group.
     pub root: RawGroup,
-    /// Everything found wrong while reading.
+    /// All errors found while reading.
     pub findings: Findings,
 }
 
@@ -49,21 +48,21 @@
     ///
     /// # Errors
     ///
-    /// Returns findings when the root value itself can't be read or parsed; all other findings are
-    /// kept in the tree and reported when it is checked.
+    /// Returns findings if the root value can't be read or parsed. All other findings are kept in the tree, and
+    /// reported when it is checked.
     pub fn read(source: &impl ValueSource, name: &str) -> Result<Self, Findings> {
         let mut values = OpenValues::new(source);
         let value = values.open(name)?;
         let mut findings = Findings::default();
         let mut root = ObjectReader::new(name, value, &mut findings);
         let version = root.take_required::<u64>("version");
-        // The tree's name begins every path, so it has to be a name like those of its nodes.
+        // The tree's name is the first part of every path, so the rules for names of nodes apply to it.
         let tree_name = root.take_required::<PipelineId>("name");
         let data_centres = read_data_centres(&mut root);
         let path = tree_name.map_or_else(|| name.to_owned(), |name| name.value.to_string());
         let root = RawGroup::read(&mut values, path, root);
         Ok(Self {
-            // Without a version there is a finding, so that the 0 never comes into force.
+            // A missing version is reported, so a tree with this 0 is never adopted.
             version: version.map_or(0, |version| version.value),
             data_centres,
             root,
@@ -75,14 +74,14 @@
 fn read_data_centres(root: &mut ObjectReader<'_>) -> Vec<Placed<DataCentreId>> {
     let elements = root.take_list("data_centres");
     let names = elements.into_iter().filter_map(|element| {
-        // What isn't a scalar reads as the empty name, which is reported.
+        // A value that isn't a scalar counts as an empty name, which is reported.
         let text = scalar_text(&element).unwrap_or_default();
         parse_name(&text, &element.place, "data_centres", root.findings())
     });
     names.collect()
 }
 
-/// Checks a name; one that isn't valid is a finding of `node`.
+/// Parses a name; reports an invalid one for `node`.
 fn parse_name<T: FromStr<Err: Display>>(
     text: &str,
     place: &Place,
@@ -99,7 +98,7 @@
     }
 }
 
-/// Reads each field as a node; what can't be read is left out, with a finding.
+/// Reads each field as a node. Fields that can't be read are omitted; `read` reports them.
 fn read_all<T>(fields: Vec<Field>, read: impl FnMut(Field) -> Option<T>) -> Vec<T> {
     fields.into_iter().filter_map(read).collect()
 }
--- a/lib/src/settings/raw_tree/pipeline.rs
+++ b/lib/src/settings/raw_tree/pipeline.rs
@@ -1,4 +1,4 @@
-//! Pipelines and their stages as written.
+//! Pipelines and their stages, parsed but not resolved.
 
 use crate::{
     settings::{
@@ -11,29 +11,29 @@
     },
 };
 
-/// A pipeline as written.
+/// A pipeline, parsed but not resolved.
 #[derive(Debug, Clone)]
 pub struct RawPipeline {
     /// Path from the root.
     pub path: String,
     /// Name of the pipeline.
     pub name: Placed<PipelineId>,
-    /// Overridden settings.
+    /// Settings that the pipeline overrides.
     pub settings: Vec<Field>,
-    /// Its stages in order.
+    /// Stages in the order of execution.
     pub stages: Vec<RawStage>,
 }
 
-/// A stage as written.
+/// A stage, parsed but not resolved.
 #[derive(Debug, Clone)]
 pub struct RawStage {
     /// Path from the root.
     pub path: String,
     /// Name of the stage.
     pub name: Placed<StageId>,
-    /// Service that runs it.
+    /// Service that the stage calls; `None` if the name is missing or malformed, which is reported.
     pub service: Option<Placed<ServiceId>>,
-    /// Overridden settings.
+    /// Settings that the stage overrides.
     pub settings: Vec<Field>,
 }
 
--- a/lib/src/settings/raw_tree/service.rs
+++ b/lib/src/settings/raw_tree/service.rs
@@ -1,4 +1,4 @@
-//! Services and their endpoints as written.
+//! Services and their endpoints, parsed but not resolved.
 
 use {
     crate::{
@@ -14,33 +14,33 @@
     std::net::SocketAddr,
 };
 
-/// A service as written.
+/// A service, parsed but not resolved.
 #[derive(Debug, Clone)]
 pub struct RawService {
     /// Path from the root.
     pub path: String,
     /// Name of the service.
     pub name: Placed<ServiceId>,
-    /// Kind of its endpoints: `engine` or `plain`.
+    /// Kind of the endpoints, `engine` or `plain`; `None` if the field is missing or malformed, which is reported.
     pub kind: Option<Placed<String>>,
-    /// Model that its engines serve.
+    /// Model that the engines serve; only engines have one.
     pub model: Option<Placed<String>>,
-    /// Overridden settings.
+    /// Settings that the service overrides.
     pub settings: Vec<Field>,
-    /// Its endpoints.
+    /// Endpoints of the service.
     pub endpoints: Vec<RawEndpoint>,
 }
 
-/// An endpoint as written.
+/// An endpoint, parsed but not resolved.
 #[derive(Debug, Clone)]
 pub struct RawEndpoint {
     /// Name of the endpoint.
     pub name: Placed<EndpointId>,
-    /// Where it listens.
+    /// Address on which the endpoint listens; `None` if the field is missing or malformed, which is reported.
     pub address: Option<Placed<SocketAddr>>,
-    /// Data centre of its host.
+    /// Data centre of the endpoint's host; `None` if the field is missing or malformed, which is reported.
     pub data_centre: Option<Placed<DataCentreId>>,
-    /// True if operators take it out of service.
+    /// Whether operators are taking the endpoint out of service.
     pub leaving: bool,
 }
 
--- a/lib/src/settings/raw_tree/value_source.rs
+++ b/lib/src/settings/raw_tree/value_source.rs
@@ -1,6 +1,6 @@
-//! Where the values of a tree come from, and the values that are being read.
+//! The source of a tree's values, and the stack of values being read.
 //!
-//! It owns the trait that adapters implement and the notice of include cycles.
+//! Defines the trait that adapters implement, and detects include cycles.
 
 use {
     crate::{
@@ -10,40 +10,40 @@
     std::fmt::Display,
 };
 
-/// Gives the text of each value of a tree by its name.
+/// Reads the values of a tree by name.
 ///
-/// The command line reads files; the daemon passes on the values that it fetched from the
-/// configuration service.
+/// For the command line, values are files. For the daemon, they are the values that it fetched from the configuration
+/// service.
 pub trait ValueSource {
-    /// Says, in a finding, why a value can't be read.
+    /// Reason why a value can't be read, which becomes the message of a finding.
     type Error: Display;
 
     /// Returns a value's bytes.
     ///
     /// # Errors
     ///
-    /// Returns an error when the value can't be read.
+    /// Returns an error if the value can't be read.
     fn read(&self, name: &str) -> Result<Vec<u8>, Self::Error>;
 }
 
-/// The values that are open on the way from the root to the group being read.
+/// Stack of the values being read, from the root to the one that contains the current group.
 pub(super) struct OpenValues<'s, S> {
     source: &'s S,
     names: Vec<String>,
 }
 
 impl<'s, S: ValueSource> OpenValues<'s, S> {
-    /// Starts with no open value.
+    /// Creates an empty stack.
     pub(super) fn new(source: &'s S) -> Self {
         let names = Vec::new();
         Self { source, names }
     }
 
-    /// Reads and parses a value, and keeps it open until [`OpenValues::close`].
+    /// Reads and parses a value, and pushes its name on the stack until [`OpenValues::close`].
     ///
     /// # Errors
     ///
-    /// Returns findings when the value can't be read or parsed; it isn't open then.
+    /// Returns findings if the value can't be read or parsed. The stack doesn't change then.
     pub(super) fn open(&mut self, name: &str) -> Result<Value, Findings> {
         let bytes = self.source.read(name).map_err(|error| {
             let place = Place::start_of(name);
@@ -55,12 +55,12 @@
         Ok(value)
     }
 
-    /// Closes the value that was opened last.
+    /// Pops the value that was opened last.
     pub(super) fn close(&mut self) {
         self.names.pop();
     }
 
-    /// Returns the cycle that opening `name` would close, as text, if it is open already.
+    /// Returns the include cycle that opening `name` would cause, as text; `None` if there is none.
     pub(super) fn cycle(&self, name: &str) -> Option<String> {
         let is_open = self.names.iter().any(|open| open == name);
         is_open.then(|| format!("{} -> {name}", self.names.join(" -> ")))
--- a/lib/src/settings/tree.rs
+++ b/lib/src/settings/tree.rs
@@ -1,7 +1,7 @@
-//! The checked settings tree: services, customers and pipelines with their effective settings.
+//! The validated settings tree: services, customers and pipelines with their effective settings.
 //!
-//! It owns the types that decisions read; `tree_check` builds them. A tree is immutable: a new
-//! version replaces the whole of it.
+//! Defines the types that the pipeline daemon decides by; `tree_check` builds them. A tree is immutable: a new version
+//! replaces the complete tree.
 
 use {
     crate::{
@@ -12,7 +12,7 @@
     thiserror::Error,
 };
 
-/// Version of a tree; a daemon adopts higher versions only.
+/// Version of a tree. A daemon adopts higher versions only.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TreeVersion(pub u64);
 
@@ -22,12 +22,12 @@
     }
 }
 
-/// A whole checked tree. Readers hold `Arc`s of its parts, so that they never see half a change.
+/// A complete validated tree. Readers hold `Arc`s of its nodes, so that they never see a partial change.
 #[derive(Debug, Clone, Default)]
 pub struct Tree {
-    /// Version the operators gave it.
+    /// Version that the operators gave the tree.
     pub version: TreeVersion,
-    /// Data centres of the endpoints.
+    /// Data centres that hosts of endpoints may be in.
     pub data_centres: Vec<DataCentreId>,
     /// Services by name.
     pub services: BTreeMap<ServiceId, Arc<Service>>,
@@ -39,12 +39,12 @@
     pub nodes: BTreeMap<Arc<str>, TreeNode>,
 }
 
-/// A node of the tree as reports show it.
+/// Path and settings of a node, for reports.
 #[derive(Debug, Clone)]
 pub struct TreeNode {
     /// Path from the root.
     pub path: Arc<str>,
-    /// Its effective settings.
+    /// Effective settings of the node.
     pub settings: Arc<Settings>,
 }
 
@@ -56,7 +56,7 @@
         /// Model the engines serve.
         model: Arc<str>,
     },
-    /// Plain services: encoders, retrievers, rerankers and applications.
+    /// Services without a token stream: encoders, retrievers, rerankers and applications.
     Plain,
 }
 
@@ -69,20 +69,20 @@
     pub kind: ServiceKind,
     /// Effective settings.
     pub settings: Arc<Settings>,
-    /// Its endpoints.
+    /// Endpoints of the service.
     pub endpoints: Vec<Arc<EndpointSpec>>,
 }
 
-/// One process of a service.
+/// An endpoint: one process of a service.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct EndpointSpec {
     /// Name of the endpoint.
     pub id: EndpointId,
-    /// Where it listens.
+    /// Address on which the endpoint listens.
     pub address: SocketAddr,
-    /// Data centre of its host.
+    /// Data centre of the endpoint's host.
     pub data_centre: DataCentreId,
-    /// True if operators take it out of service.
+    /// Whether operators are taking the endpoint out of service.
     pub leaving: bool,
 }
 
@@ -93,18 +93,18 @@
     pub id: CustomerId,
     /// Effective settings.
     pub settings: Arc<Settings>,
-    /// Effective settings in the pipelines for which it has overrides.
+    /// Effective settings for the pipelines for which the customer overrides settings.
     pub pipelines: BTreeMap<PipelineId, Arc<Settings>>,
 }
 
-/// A chain of stages under one deadline.
+/// A sequence of stages under one deadline.
 #[derive(Debug, Clone)]
 pub struct Pipeline {
     /// Name of the pipeline.
     pub id: PipelineId,
     /// Effective settings.
     pub settings: Arc<Settings>,
-    /// Its stages in order; never empty.
+    /// Stages in the order of execution; never empty.
     pub stages: Vec<Stage>,
 }
 
@@ -113,9 +113,9 @@
 pub struct Stage {
     /// Name of the stage.
     pub id: StageId,
-    /// Service that runs it.
+    /// Service that the stage calls.
     pub service: ServiceId,
-    /// Effective settings: the pipeline's for the request, the service's for the call.
+    /// Effective settings. Those of the request are inherited from the pipeline, those of the call from the service.
     pub settings: Arc<Settings>,
 }
 
@@ -129,11 +129,11 @@
             .clone()
     }
 
-    /// Returns a call of a single service as a pipeline of one stage.
+    /// Returns a pipeline of one stage, for a direct call of a service.
     ///
     /// # Panics
     ///
-    /// Never: services, pipelines and stages follow the same rules for names.
+    /// Never panics: the same rules apply to names of services, pipelines and stages.
     pub fn service_call(service: &Service) -> Pipeline {
         let id = service.id.as_str();
         Pipeline {
@@ -147,11 +147,11 @@
         }
     }
 
-    /// Finds a node by its whole path or by an ending of it that only one node has.
+    /// Finds a node by its full path, or by a suffix of the path that no other node has.
     ///
     /// # Errors
     ///
-    /// Returns an error when no node, or more than one, has the name.
+    /// Returns an error if no path, or more than one, ends with `name`.
     pub fn find_node(&self, name: &str) -> Result<&TreeNode, NodeError> {
         if let Some(node) = self.nodes.get(name) {
             return Ok(node);
@@ -170,21 +170,21 @@
     }
 }
 
-/// Reports a name that doesn't find one node.
+/// Reports that a name doesn't identify exactly one node.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum NodeError {
     /// No node's path ends with the name.
     #[error("no node is named {name:?}")]
     Unknown {
-        /// The name.
+        /// Name that was looked up.
         name: String,
     },
     /// The paths of several nodes end with the name.
     #[error("{name:?} could be any of: {}", paths.join(", "))]
     Ambiguous {
-        /// The name.
+        /// Name that was looked up.
         name: String,
-        /// The paths, in order.
+        /// Paths that end with the name, sorted.
         paths: Vec<Arc<str>>,
     },
 }
--- a/lib/src/settings/tree_check/customer.rs
+++ b/lib/src/settings/tree_check/customer.rs
@@ -1,4 +1,4 @@
-//! Checks customers, and what they override for single pipelines.
+//! Checks customers, and the settings that they override for single pipelines.
 
 use {
     crate::settings::{
@@ -11,7 +11,7 @@
 };
 
 impl TreeCheck {
-    /// Adds a customer, without the settings that it overrides for pipelines.
+    /// Adds a customer, without the settings that it overrides for single pipelines.
     pub(super) fn add_customer(&mut self, raw: &RawCustomer, parent: &Arc<Settings>) {
         let settings = self.add_node(&raw.path, parent, &raw.settings);
         let customer = Customer {
@@ -26,7 +26,7 @@
         }
     }
 
-    /// Adds the settings that a customer overrides; the pipelines are in the tree already.
+    /// Adds the settings that a customer overrides for single pipelines. The pipelines must have been added before.
     pub(super) fn add_customer_overrides(&mut self, raw: &RawCustomer) {
         let mut pipelines = BTreeMap::new();
         for raw_override in &raw.pipelines {
@@ -42,7 +42,7 @@
         }
     }
 
-    /// Returns the settings that hold in one pipeline for the customer at `path`.
+    /// Returns the effective settings of the customer at `path` for one pipeline.
     fn check_override(&mut self, path: &str, raw: &RawOverride) -> Option<Arc<Settings>> {
         let name = &raw.name;
         let path = format!("{path}/pipelines/{}", name.value);
--- a/lib/src/settings/tree_check/mod.rs
+++ b/lib/src/settings/tree_check/mod.rs
@@ -1,9 +1,8 @@
-//! Turns a tree as written into a checked one: inheritance, references and limits.
+//! Turns a parsed tree into a validated one: applies inheritance, resolves references, and checks limits.
 //!
-//! It owns the order of the check, in which every node comes after those that it refers to:
-//! groups, services and customers first, then pipelines, which refer to services, then the settings
-//! that customers override for pipelines. Each kind of node has a file with its checks. It relies on
-//! `values` for inheritance.
+//! Every node is checked after those that it refers to: groups, services and customers first, then pipelines, which
+//! refer to services, then the settings that customers override for pipelines. Each kind of node has a file with its
+//! checks. `values` applies the inheritance of settings.
 
 mod customer;
 mod pipeline;
@@ -44,16 +43,16 @@
     }
 }
 
-/// A check under way: the tree as far as it is built, and everything found wrong so far.
+/// State of a check: the tree as built so far, and the errors found so far.
 ///
-/// The tree is returned only if there is no finding, so that parts which can't be checked are left
-/// out of it with a finding.
+/// A node that can't be checked is reported and omitted from the tree. The tree is returned only if there is no
+/// finding.
 struct TreeCheck {
     tree: Tree,
     findings: Findings,
-    /// Names of all endpoints, which no two of them may share.
+    /// Names of all endpoints, to detect duplicates.
     endpoints: BTreeSet<EndpointId>,
-    /// Owner of each address, which no two endpoints may share.
+    /// Endpoint of each address, to detect addresses that two endpoints share.
     addresses: BTreeMap<SocketAddr, EndpointId>,
 }
 
@@ -70,7 +69,7 @@
         }
     }
 
-    /// Adds a node that overrides `fields` of its parent's settings; returns its own settings.
+    /// Adds a node that overrides `fields` of its parent's settings. Returns the node's effective settings.
     fn add_node(&mut self, path: &str, parent: &Arc<Settings>, fields: &[Field]) -> Arc<Settings> {
         let settings = override_settings(path, parent, fields, &mut self.findings);
         let path: Arc<str> = path.into();
@@ -101,7 +100,7 @@
         );
     }
 
-    /// Adds groups, services and customers, which pipelines refer to.
+    /// Adds a group with its services, customers and child groups, to which pipelines refer.
     fn add_providers(&mut self, group: &RawGroup, parent: &Arc<Settings>) {
         let settings = self.add_node(&group.path, parent, &group.settings);
         for service in &group.services {
@@ -115,7 +114,7 @@
         }
     }
 
-    /// Adds pipelines; their groups and services are in the tree already.
+    /// Adds the pipelines of a group and its child groups. All groups and services must have been added before.
     fn add_pipelines(&mut self, group: &RawGroup) {
         let parent = self.tree.nodes[group.path.as_str()].settings.clone();
         for pipeline in &group.pipelines {
--- a/lib/src/settings/tree_check/pipeline.rs
+++ b/lib/src/settings/tree_check/pipeline.rs
@@ -14,7 +14,7 @@
 };
 
 impl TreeCheck {
-    /// Adds a pipeline; the services of its stages are in the tree already.
+    /// Adds a pipeline. The services that its stages call must have been added before.
     pub(super) fn add_pipeline(&mut self, raw: &RawPipeline, parent: &Arc<Settings>) {
         let settings = self.add_node(&raw.path, parent, &raw.settings);
         if raw.stages.is_empty() {
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Checks a stage; `names` are those of the pipeline's stages before it.
+    /// Checks a stage. `names` contains the names of the pipeline's previous stages.
     fn check_stage(
         &mut self,
         raw: &RawStage,
@@ -68,7 +68,7 @@
         })
     }
 
-    /// Reports a stage that is laxer than the service it calls; it may only be stricter.
+    /// Reports a stage that allows retries, or goes without a guard, where the service it calls doesn't permit this.
     fn check_strictness(&mut self, raw: &RawStage, service: &Service, settings: &Settings) {
         check_combination(&raw.path, settings, &mut self.findings);
         let strict = &service.settings;
@@ -81,7 +81,7 @@
         }
     }
 
-    /// Reports a deadline that no request can meet: shorter than the sum of the stages' floors.
+    /// Reports a deadline that no request can meet, because it is shorter than the sum of the stages' floors.
     pub(super) fn check_deadline(
         &mut self,
         path: &str,
--- a/lib/src/settings/tree_check/service.rs
+++ b/lib/src/settings/tree_check/service.rs
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Returns the kind that a service is written with; only an engine has a model.
+    /// Returns the kind of a service. Reports an unknown kind, an engine without a model and a plain service with one.
     fn service_kind(&mut self, raw: &RawService) -> Option<ServiceKind> {
         let kind = raw.kind.as_ref()?;
         match (kind.value.as_str(), &raw.model) {
--- a/lib/src/settings/values/mod.rs
+++ b/lib/src/settings/values/mod.rs
@@ -1,8 +1,7 @@
 //! Settings that every node of the tree inherits from its parent unless it overrides them.
 //!
-//! It owns the table of settings with their types, scopes and defaults. `overrides` applies what a
-//! node writes, `setting` keeps where a value comes from, `words` holds the settings that are words.
-//! It relies on `document` for fields and on `shared::units` for quantities.
+//! Contains the table of settings with their types, scopes and defaults. `overrides` applies the values that a node
+//! sets, `setting` records the origin of a value, `words` defines the settings that are enumerations.
 
 mod overrides;
 mod setting;
@@ -27,7 +26,7 @@
             $($(#[doc = $doc])* pub $name: Setting<$kind>,)*
         }
 
-        /// Name of every setting, in the order of reports.
+        /// Names of all settings, in the order in which reports list them.
         pub const NAMES: &[&str] = &[$(stringify!($name)),*];
 
         impl Settings {
@@ -35,8 +34,8 @@
             ///
             /// # Panics
             ///
-            /// Panics if a default in the table below isn't a value of its type, which
-            /// `test_settings_tree::built_in_defaults` rules out.
+            /// Panics if a default in the table below isn't a valid value of its type;
+            /// `test_settings_tree::built_in_defaults` checks that all are.
             pub fn built_in() -> Self {
                 Self {
                     $($name: Setting {
@@ -46,7 +45,7 @@
                 }
             }
 
-            /// Returns each effective value as text with its origin.
+            /// Returns all effective values as text, with their origins.
             pub fn entries(&self) -> Vec<SettingEntry> {
                 vec![
                     $(SettingEntry {
@@ -58,8 +57,8 @@
                 ]
             }
 
-            /// Returns the settings of a stage: request settings of `pipeline`, call settings of
-            /// `service`.
+            /// Returns the settings that a stage inherits: request settings from `pipeline`, call
+            /// settings from `service`.
             pub fn for_stage(pipeline: &Settings, service: &Settings) -> Self {
                 Self {
                     $($name: match Scope::$scope {
@@ -69,7 +68,7 @@
                 }
             }
 
-            /// Overrides one value from its text.
+            /// Parses `text` and sets it as the value of the setting `name`.
             fn set(&mut self, name: &str, text: &str, origin: Origin) -> Result<(), OverrideError> {
                 match name {
                     $(stringify!($name) => {
@@ -86,7 +85,7 @@
                 }
             }
 
-            /// Returns one effective value as text, if there is such a setting.
+            /// Returns the effective value of the setting `name` as text; `None` if the name is unknown.
             fn text(&self, name: &str) -> Option<String> {
                 match name {
                     $(stringify!($name) => Some(self.$name.value.to_string()),)*
@@ -97,38 +96,38 @@
     };
 }
 
-// Users' trees override the defaults that matter to them.
+// The defaults apply unless a settings tree overrides them.
 settings! {
-    /// Time within which a request must be answered whole.
+    /// Time within which a request must be answered completely.
     Request deadline: Millis = "4s";
-    /// Order in which overload sheds requests, and order in an engine's queue.
+    /// Rank of a request when the daemon sheds load, and in an engine's queue.
     Request priority: Priority = "normal";
-    /// Requests a customer may send in a second, across all daemons.
+    /// Requests that a customer may send per second, across all daemons.
     Request rate: Maybe<Rate> = "none";
-    /// Requests a customer may have in flight at one daemon.
+    /// Requests that a customer may have in flight at one daemon.
     Request concurrency: Maybe<Count> = "none";
     /// Largest request body accepted.
     Request max_body: ByteSize = "256KB";
-    /// Allows retries of the call, at the same or another endpoint.
+    /// Whether the call may be retried, at the same or another endpoint.
     Call repeatable: bool = "true";
-    /// Mechanism that keeps a call that may not be retried from running twice.
+    /// Mechanism that prevents a call that may not be retried from running twice.
     Call guard: Guard = "none";
-    /// Least time the call takes; a deadline below the sum of a pipeline's floors is refused.
+    /// Shortest time that the call takes. A deadline below the sum of the floors of a pipeline's stages is rejected.
     Call floor: Millis = "1ms";
-    /// Most attempts at one stage of one request.
+    /// Largest number of attempts at one stage of one request.
     Call attempts: Count = "3";
-    /// Retries and hedges as a share of first attempts.
+    /// Largest number of retries and hedges, as a share of first attempts.
     Call retry_budget: Share = "10%";
     /// Time without a reply after which a repeatable call is also sent to a second endpoint.
     Call hedge_after: Maybe<Millis> = "none";
     /// Largest reply accepted from an endpoint.
     Call max_reply: ByteSize = "1MB";
-    /// Most tokens one generation may have.
+    /// Largest number of tokens that one generation may have.
     Call max_tokens: Count = "256";
-    /// Calls that one endpoint runs at the same time, used until it reports its load.
+    /// Calls that one endpoint runs at the same time, assumed until the endpoint reports its load.
     Call slots: Count = "8";
-    /// Prefers engines that hold a prompt's beginning in their cache.
+    /// Whether engines are preferred that have the prefix of the prompt in their cache.
     Call affinity: bool = "true";
-    /// Implementation that chooses endpoints.
+    /// Algorithm that selects endpoints.
     Call policy: PolicyKind = "estimated";
 }
--- a/lib/src/settings/values/overrides.rs
+++ b/lib/src/settings/values/overrides.rs
@@ -1,6 +1,6 @@
-//! Overrides: the settings that a node changes, applied over those that it inherits.
+//! Applies the settings that a node overrides to those that it inherits.
 //!
-//! It owns the checks of single values and of values that contradict each other.
+//! Checks each value, and reports values that contradict each other.
 
 use {
     crate::{
@@ -17,22 +17,22 @@
     thiserror::Error,
 };
 
-/// Reports a field that can't override a setting.
+/// Reports why a field can't override a setting.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub(super) enum OverrideError {
-    /// No setting has this name.
+    /// No setting has the name of the field.
     #[error("unknown setting {name:?}")]
     Unknown {
         /// Name of the field.
         name: String,
     },
-    /// `null` clears a setting, but the node inherits no value.
+    /// The field is `null`, which clears a setting, but the node inherits no value to clear.
     #[error("{name} is cleared here, but the parent doesn't have it")]
     NothingToClear {
         /// Name of the setting.
         name: String,
     },
-    /// The field holds a list or an object.
+    /// The field's value is a list or an object.
     #[error("{name}: {found} can't be the value of a setting")]
     NotScalar {
         /// Name of the setting.
@@ -40,18 +40,18 @@
         /// Kind of the value found.
         found: &'static str,
     },
-    /// The value isn't of the setting's type.
+    /// The value isn't valid for the setting's type.
     #[error("{name}: {reason}")]
     BadValue {
         /// Name of the setting.
         name: &'static str,
-        /// Says what the type accepts.
+        /// Error of the type's parser, which names the accepted form.
         reason: String,
     },
 }
 
 impl OverrideError {
-    /// Returns the place of the mistake: the field's name if it is unknown, else its value.
+    /// Returns the location of the error: the field's name if it is unknown, else its value.
     fn place<'f>(&self, field: &'f Field) -> &'f Place {
         match self {
             Self::Unknown { .. } => &field.place,
@@ -69,10 +69,10 @@
     }
 }
 
-/// Applies one `"settings"` object's fields over the settings that a node inherits.
+/// Applies the fields of a `"settings"` object to the settings that a node inherits.
 ///
-/// Returns the parent's own value when nothing is overridden, so that thousands of plain nodes
-/// share one allocation.
+/// Returns the parent's `Arc` if nothing is overridden, so that thousands of nodes without overrides share one
+/// allocation.
 pub(crate) fn override_settings(
     node: &str,
     parent: &Arc<Settings>,
@@ -99,7 +99,7 @@
     Arc::new(settings)
 }
 
-/// Returns the text that a field sets; `null` clears the setting.
+/// Returns the text that a field sets: its value, or `none` for `null`, which clears the setting.
 fn new_text(parent: &Settings, field: &Field) -> Result<String, OverrideError> {
     let name = &field.name;
     if field.value.kind != Kind::Null {
@@ -114,13 +114,13 @@
     Ok(NONE_TEXT.to_owned())
 }
 
-/// Reports a guard on a call that may be retried: the two contradict each other.
+/// Reports a guard on a call that may be retried, because the two contradict each other.
 pub(crate) fn check_combination(node: &str, settings: &Settings, findings: &mut Findings) {
     if !settings.repeatable.value || settings.guard.value == Guard::None {
         return;
     }
     let origin = &settings.guard.origin;
-    // Nodes below inherit the contradiction; it is reported once, at the node that sets the guard.
+    // Descendants inherit the contradiction. It is reported only once, at the node that sets the guard.
     if let Some(place) = &origin.place
         && &*origin.node == node
     {
--- a/lib/src/settings/values/setting.rs
+++ b/lib/src/settings/values/setting.rs
@@ -1,16 +1,16 @@
-//! One effective value of a node, and the node that set it.
+//! An effective value of a node, with the node that set it.
 
 use {
     crate::shared::findings::Place,
     std::{fmt, sync::Arc},
 };
 
-/// The node that set a value, and the place where it did.
+/// The node that set a value, and the location where it did.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Origin {
     /// Path of the node, or `built-in` for a default.
     pub node: Arc<str>,
-    /// Place of the value; absent for a built-in default.
+    /// Location of the value; absent for a built-in default.
     pub place: Option<Place>,
 }
 
@@ -38,11 +38,11 @@
 pub struct Setting<T> {
     /// The effective value.
     pub value: T,
-    /// Where it comes from.
+    /// The node that set the value.
     pub origin: Origin,
 }
 
-/// One effective value as text, for people.
+/// An effective value as text, for reports.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SettingEntry {
     /// Name of the setting.
@@ -51,15 +51,15 @@
     pub scope: Scope,
     /// The effective value.
     pub value: String,
-    /// Where it comes from.
+    /// The node that set the value.
     pub origin: Origin,
 }
 
 /// The parent from which a stage inherits a setting.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Scope {
-    /// Belongs to the request: a stage inherits it from its pipeline.
+    /// The setting applies to the request: a stage inherits it from its pipeline.
     Request,
-    /// Belongs to the call: a stage inherits it from the service that it calls.
+    /// The setting applies to the call: a stage inherits it from the service that it calls.
     Call,
 }
--- a/lib/src/settings/values/words.rs
+++ b/lib/src/settings/values/words.rs
@@ -1,17 +1,17 @@
-//! Settings that are one of a few words.
+//! Types of the settings that accept one of a fixed set of keywords.
 
 use {
     std::{fmt, str::FromStr},
     thiserror::Error,
 };
 
-/// Reports a text that is none of a setting's words.
+/// Reports that a text is none of the keywords that a setting accepts.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 #[error("{text:?} is not one of {known:?}")]
 pub struct WordError {
     /// The text found.
     pub text: String,
-    /// The words that the setting accepts.
+    /// All keywords that the setting accepts.
     pub known: &'static [&'static str],
 }
 
@@ -46,7 +46,7 @@
 }
 
 word_enum! {
-    /// Order of a request when overload sheds some, and in the queues of engines.
+    /// Rank of a request when the daemon sheds load, and in the queues of engines.
     Priority {
         /// Shed first.
         Low = "low",
@@ -58,23 +58,23 @@
 }
 
 word_enum! {
-    /// Names the mechanism that keeps a call that may not be retried from running twice.
+    /// Mechanism that prevents a call that may not be retried from running twice.
     Guard {
-        /// None: a retry by the caller may run again.
+        /// No mechanism: if the caller retries, the call may run again.
         None = "none",
-        /// The endpoint checks the idempotency key itself.
+        /// The endpoint checks the idempotency key.
         Endpoint = "endpoint",
-        /// All daemons together; none can give it, so that such calls are refused.
+        /// All daemons coordinate. No daemon implements this, so such calls are rejected.
         Fleet = "fleet",
     }
 }
 
 word_enum! {
-    /// Names the implementation that chooses endpoints.
+    /// Algorithm that selects endpoints.
     PolicyKind {
-        /// Chooses by estimated finish, admits by deadline, retries within a budget.
+        /// Selects by estimated finish, admits by deadline, and retries within a budget.
         Estimated = "estimated",
-        /// Round robin, no estimate, a fixed number of retries: the baseline.
+        /// Baseline for comparisons: round robin, without estimates, with a fixed number of retries.
         Naive = "naive",
     }
 }
--- a/lib/tests/test_diff.rs
+++ b/lib/tests/test_diff.rs
@@ -1,4 +1,4 @@
-//! What a change of the tree reaches.
+//! Which nodes a change of the tree affects.
 
 #![allow(clippy::unwrap_used, reason = "a failed unwrap fails the test")]
 
--- a/lib/tests/test_settings_tree.rs
+++ b/lib/tests/test_settings_tree.rs
@@ -1,4 +1,4 @@
-//! The settings tree: inheritance, includes, and all findings at once.
+//! The settings tree: inheritance, includes, and the findings of one check, all reported together.
 
 #![allow(clippy::unwrap_used, reason = "a failed unwrap fails the test")]
 
@@ -17,7 +17,7 @@
     std::collections::BTreeMap,
 };
 
-/// Values of a tree by name.
+/// Texts of a tree's values, by name.
 struct Texts(BTreeMap<&'static str, String>);
 
 impl ValueSource for Texts {
--- a/lib/tests/test_tree_fuzz.rs
+++ b/lib/tests/test_tree_fuzz.rs
@@ -1,4 +1,4 @@
-//! Settings of any damage never panic, and every finding has a place.
+//! Damaged settings never cause a panic, and every finding has a location.
 
 use {
     arbtest::arbitrary::{Result, Unstructured},
@@ -10,7 +10,7 @@
     hazelyoke_testutils::{one_value::OneValue, seeds::for_seeds},
 };
 
-/// Seeds of each test, and the bytes of choices of each run.
+/// Number of seeds of each test, and number of random bytes that each run may consume.
 const SEEDS: u64 = 3_000;
 const CHOICES: u32 = 256;
 
@@ -18,12 +18,12 @@
 const ROOT: &str = include_str!("../../examples/bureau/tree.jsonc");
 const DAEMON: &str = include_str!("../../examples/daemon.jsonc");
 
-/// Pieces that a mutation puts in place of others.
+/// Fragments that a mutation inserts in place of a range.
 const PIECES: [&[u8]; 12] = [
     b"{", b"}", b"[", b"]", b",", b"null", b"\"", b"-1", b"1e999", b"\xff", b"\"4s\"", b"//",
 ];
 
-/// Cuts, doubles or replaces some ranges of a text.
+/// Removes, duplicates or replaces up to four ranges of a text.
 fn mutate(u: &mut Unstructured<'_>, text: &str) -> Result<Vec<u8>> {
     let mut bytes = text.as_bytes().to_vec();
     for _ in 0..u.int_in_range(1..=4)? {
