--- a/lib/src/lib.rs
+++ b/lib/src/lib.rs
@@ -1,7 +1,7 @@
-//! The library behind hazelyoke: decisions, settings and the daemon's parts.
+//! The library of hazelyoke: decision rules, settings, and the components of both daemons.
 //!
-//! Everything that decides is pure and lives in modules without sockets or clocks; everything that
-//! talks stands behind a small trait or in an adapter of its own.
+//! Decisions are pure functions, in modules that use neither sockets nor clocks. Network access is behind small traits
+//! or in separate adapters.
 
 pub mod gateway;
 pub mod pipeline;
--- a/lib/src/report/log_line.rs
+++ b/lib/src/report/log_line.rs
@@ -1,11 +1,11 @@
-//! One line of a daemon's log, as far as a report needs it.
+//! A line of a daemon's log, with the fields that a report needs.
 
 use {serde::Deserialize, std::borrow::Cow};
 
-/// Start of the object of a line; what stands before it was added on the way.
+/// Start of a line's JSON object. Text before it is a prefix that log collectors added.
 const OBJECT: char = '{';
 
-/// The fields of a line; each event has some of them.
+/// The fields of a line. Which of them are present depends on the event.
 #[derive(Debug, Deserialize)]
 pub(super) struct LogLine<'l> {
     pub(super) at_ms: u64,
@@ -35,11 +35,11 @@
     pub(super) made: Option<u64>,
     pub(super) no_room: Option<u64>,
     pub(super) input_gone: Option<u64>,
-    /// Of `log.dropped`.
+    /// Number of dropped lines, in the event `log.dropped`.
     pub(super) lines: Option<u64>,
 }
 
-/// The field `pieces`: the number in a call, or the numbers of a request's stages as text.
+/// The field `pieces`: the number of pieces in a call, or a text with the number of each stage of a request.
 #[derive(Debug, Deserialize)]
 #[serde(untagged)]
 pub(super) enum PieceField {
@@ -50,11 +50,11 @@
 
 /// A line of a log.
 pub(super) enum Line<'l> {
-    /// An event.
+    /// The line has an event.
     Event(Box<LogLine<'l>>),
-    /// It begins like an event and can't be read.
+    /// The line contains the start of a JSON object, but can't be parsed as an event.
     Damaged,
-    /// It is of another program.
+    /// The line contains no JSON object, so another program wrote it.
     Other,
 }
 
--- a/lib/src/report/mod.rs
+++ b/lib/src/report/mod.rs
@@ -1,11 +1,11 @@
-//! What became of the requests in the logs of forwarding daemons, summed up.
+//! A summary of how requests ended, from the logs of forwarding daemons.
 //!
-//! It answers where requests were refused or failed, when, and by which decision: by route, by data centre,
-//! by second, and by service of stages. [`ReportReader`] takes the lines of one host after the other; memory
-//! grows with the requests in flight, routes and seconds, not with the length of the logs.
+//! Shows where and when requests were refused or failed, and by which decision: per route, per data centre, per second,
+//! and per service of stages. [`ReportReader`] takes the lines of one host after the other. Memory use grows with the
+//! number of requests in flight, routes and seconds, not with the length of the logs.
 //!
-//! It owns the sums, and relies on the names of events and fields only, and on nothing else of this library.
-//! The logs don't say when the first event of a stream came, so that late answers aren't told apart.
+//! Depends only on the names of events and fields in the logs, so that it reads logs of any version of the daemon. The
+//! logs don't contain the time of a stream's first event, so late answers can't be distinguished.
 
 mod log_line;
 mod reader;
@@ -15,50 +15,50 @@
 
 use {serde::Serialize, std::collections::BTreeMap};
 
-/// Sums over the logs of one or more hosts.
+/// Report on the logs of one or more hosts.
 #[derive(Debug, Clone, Default, PartialEq, Serialize)]
 pub struct LogReport {
-    /// Lines that were read.
+    /// Counts of the lines that were read.
     pub lines: LineCounts,
     /// Requests by the name of their route.
     pub routes: BTreeMap<String, RouteReport>,
-    /// Requests by the data centre of the host that took them; `-` where the log doesn't name it.
+    /// Requests by the data centre of the host that accepted them; `-` if the log doesn't contain it.
     pub centres: BTreeMap<String, RequestCounts>,
-    /// Requests by the second in which they came, from the first line's second on.
+    /// Requests by the second in which they arrived, counted from the second of the first request.
     pub seconds: BTreeMap<u64, RequestCounts>,
-    /// Problems by what they say of the request.
+    /// Problems, grouped by route, code and outcome.
     pub problems: Vec<ReportedProblem>,
-    /// Calls by the service of their stage.
+    /// Calls by service.
     pub services: BTreeMap<String, CallCounts>,
 }
 
-/// Lines of logs.
+/// Numbers of log lines.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize)]
 pub struct LineCounts {
     /// Lines with an event.
     pub events: u64,
-    /// Lines that begin like an event and can't be read; they are left out.
+    /// Lines with the start of a JSON object that can't be parsed as an event; they are skipped.
     pub damaged: u64,
-    /// Lines of other programs; they are left out.
+    /// Lines of other programs; they are skipped.
     pub others: u64,
-    /// Lines that the daemons dropped because nobody read their logs, as they report at their end.
+    /// Lines that the daemons dropped because nothing read their logs, as they report when they stop.
     pub dropped: u64,
 }
 
-/// What became of requests.
+/// Numbers of requests, by what happened to them.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize)]
 pub struct RequestCounts {
-    /// They came, and their route was found.
+    /// Requests that arrived and whose route was found.
     pub accepted: u64,
-    /// Their stages were begun.
+    /// Requests that were admitted, so that their stages started.
     pub admitted: u64,
-    /// They were answered by an endpoint, whole.
+    /// Requests that an endpoint answered completely.
     pub answered: u64,
-    /// They ended with a problem, and have not run.
+    /// Requests that ended with a problem and didn't run.
     pub refused: u64,
-    /// They ended with a problem after they may have run, or broke off.
+    /// Requests that ended with a problem after they may have run, or whose answer was cut off.
     pub failed: u64,
-    /// Their callers left.
+    /// Requests whose callers disconnected before the end of the answer.
     pub left: u64,
     /// Retries that were allowed, and resumed streams.
     pub retries: u64,
@@ -67,52 +67,53 @@
 /// Requests of one route.
 #[derive(Debug, Clone, Default, PartialEq, Serialize)]
 pub struct RouteReport {
-    /// Time within which an answer is worth most, in milliseconds; nothing for a route without stages.
+    /// Latency objective: time within which an answer has its highest value, in milliseconds. `None` for a route
+    /// without stages.
     pub objective_ms: Option<u64>,
-    /// What became of them.
+    /// Numbers of the route's requests.
     pub counts: RequestCounts,
-    /// Times that admitted ones were expected to take, in milliseconds.
+    /// Estimated durations of admitted requests, in milliseconds.
     pub expected_ms: Spread,
-    /// Times that the stages of admitted ones took until the first attempt, in milliseconds.
+    /// Times from the admission of requests to their first attempts, in milliseconds.
     pub staged_ms: Spread,
-    /// Times until the end of their answers, in milliseconds.
+    /// Times from the arrival of requests to the end of their answers, in milliseconds.
     pub answered_ms: Spread,
 }
 
-/// Requests that ended with the same problem.
+/// Requests of a route that ended with the same code and outcome.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct ReportedProblem {
-    /// Route; `-` where it wasn't found.
+    /// Name of the route; `-` if the route wasn't found.
     pub route: String,
     /// Code of the problem.
     pub code: String,
-    /// What is promised of the request.
+    /// Outcome of the problem, which says whether the request may have run.
     pub outcome: String,
     /// Number of requests.
     pub count: u64,
-    /// Detail of the first one, which has the inputs of the decision.
+    /// Detail of the first problem, which contains the inputs of the decision.
     pub example: String,
 }
 
-/// Calls of pieces of one service.
+/// Calls of one service, which process pieces of stages.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize)]
 pub struct CallCounts {
     /// Calls that were sent.
     pub calls: u64,
-    /// Pieces in them.
+    /// Pieces in all calls.
     pub pieces: u64,
-    /// Pieces in them that had been sent before.
+    /// Pieces that were retries: an earlier call contained them.
     pub repeated: u64,
-    /// Sum of the pieces that waited when calls were planned.
+    /// Sum, over the calls, of the pieces waiting when the call was scheduled.
     pub waiting: u64,
-    /// Pieces that brought a result.
+    /// Pieces for which a call returned a result.
     pub made: u64,
-    /// Pieces for whose results there was no room.
+    /// Pieces for whose results the endpoint had no capacity.
     pub no_room: u64,
-    /// Pieces whose inputs were gone.
+    /// Pieces whose inputs the endpoint no longer had.
     pub input_gone: u64,
-    /// Sum of the times that ended calls took, in milliseconds.
+    /// Sum of the durations of completed calls, in milliseconds.
     pub took_ms: f64,
-    /// Sum of the times that they should have taken, in milliseconds.
+    /// Sum of the durations estimated for these calls, in milliseconds.
     pub expected_ms: f64,
 }
--- a/lib/src/report/reader.rs
+++ b/lib/src/report/reader.rs
@@ -1,4 +1,4 @@
-//! Reads log lines and adds them up.
+//! Reads log lines and aggregates them into a report.
 
 use {
     super::{
@@ -8,31 +8,31 @@
     std::collections::{BTreeMap, HashMap},
 };
 
-/// Name of a route or data centre that the log doesn't tell.
+/// Placeholder for a value that the log doesn't contain, such as the name of a route or a data centre.
 const UNKNOWN: &str = "-";
 
-/// Time after which a request without an end is forgotten, in milliseconds: its host was killed, or lines were dropped.
-/// Well above any deadline.
+/// Time after which an open request is dropped, in milliseconds: its end is missing because the daemon was killed or
+/// log lines were dropped. Far longer than any deadline.
 const FORGET_MS: u64 = 120_000;
 
-/// Requests in flight from which on old ones are looked for.
+/// Number of open requests above which old ones are searched for and dropped.
 const SWEEP_ABOVE: usize = 10_000;
 
 const MS_PER_SECOND: u64 = 1_000;
 
-/// Adds up the lines of logs, of one host after the other.
+/// Aggregates the lines of logs, of one host after the other.
 #[derive(Debug, Default)]
 pub struct ReportReader {
     report: LogReport,
     problems: BTreeMap<ProblemKey, ReportedProblem>,
     open: HashMap<String, OpenRequest>,
-    /// Data centre of the host whose lines are read.
+    /// Data centre of the host whose lines are being read; `None` until its log contains it.
     centre: Option<String>,
-    /// Second of the first line of all.
+    /// Second of the first request counted, since 1970; `None` before it.
     first: Option<u64>,
 }
 
-/// What problems are counted by.
+/// Fields by which problems are grouped.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct ProblemKey {
     route: String,
@@ -40,7 +40,7 @@
     outcome: String,
 }
 
-/// A request whose end wasn't read yet.
+/// A request whose end hasn't been read yet.
 #[derive(Debug)]
 struct OpenRequest {
     route: String,
@@ -49,13 +49,13 @@
 }
 
 impl ReportReader {
-    /// Begins the log of another host.
+    /// Starts the log of another host.
     pub fn begin_host(&mut self) {
         self.centre = None;
         self.open.clear();
     }
 
-    /// Adds a line.
+    /// Adds one line of the current host's log.
     pub fn add(&mut self, text: &str) {
         match Line::parse(text) {
             Line::Event(line) => {
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Returns the sums of all lines.
+    /// Returns the report on all lines.
     pub fn finish(mut self) -> LogReport {
         self.report.problems = self.problems.into_values().collect();
         self.report
@@ -83,7 +83,7 @@
         }
     }
 
-    /// Adds a line about a request.
+    /// Adds an event of a request.
     fn add_step(&mut self, line: &LogLine<'_>) {
         let Some(request) = line.request.as_deref() else {
             return;
@@ -129,7 +129,7 @@
         }
     }
 
-    /// Adds the time of the stages before the first attempt.
+    /// Adds the time from the request's admission to its first attempt, which its stages took.
     fn sent(&mut self, request: &str, line: &LogLine<'_>) {
         let Some(open) = self.open.get_mut(request) else {
             return;
@@ -177,13 +177,13 @@
         });
     }
 
-    /// Counts a request's end, in the second in which it came.
+    /// Counts the end of a request, in the second in which the request arrived.
     fn end(&mut self, request: &str, line: &LogLine<'_>, change: impl Fn(&mut RequestCounts)) {
         self.count(request, line, change);
         self.open.remove(request);
     }
 
-    /// Changes the counts that a request belongs to.
+    /// Applies `change` to the counts of the request's route, data centre and second.
     fn count(&mut self, request: &str, line: &LogLine<'_>, change: impl Fn(&mut RequestCounts)) {
         let came = self.open.get(request).map_or(line.at_ms, |open| open.at_ms);
         let route = self.route_of(request);
@@ -192,7 +192,7 @@
         let first = *self.first.get_or_insert(second);
         change(&mut self.report.routes.entry(route).or_default().counts);
         change(self.report.centres.entry(centre).or_default());
-        // Clocks of hosts differ; what came before the first line's second counts with it.
+        // The clocks of hosts differ. A request before the first second counts in the first second.
         let place = second.saturating_sub(first);
         change(self.report.seconds.entry(place).or_default());
     }
@@ -226,7 +226,7 @@
         self.report.services.entry(service).or_default()
     }
 
-    /// Forgets requests whose ends will not come.
+    /// Drops open requests whose ends will not follow.
     fn forget_old(&mut self, now_ms: u64) {
         if self.open.len() > SWEEP_ABOVE {
             let oldest = now_ms.saturating_sub(FORGET_MS);
--- a/lib/src/report/spread.rs
+++ b/lib/src/report/spread.rs
@@ -1,14 +1,14 @@
-//! The spread of times in bounded memory.
+//! A histogram of times, in bounded memory.
 
 use serde::{Serialize, Serializer, ser::SerializeStruct};
 
-/// Ratio of the bounds of a bucket. A quantile is right to 5 in 100.
+/// Ratio of the upper to the lower bound of a bucket. Quantiles are accurate to 5 %.
 const RATIO: f64 = 1.05;
 
-/// Buckets: they reach 17 minutes.
+/// Number of buckets, which cover times up to 17 minutes.
 const BUCKETS: usize = 285;
 
-/// Times in milliseconds, counted by buckets that grow with the time.
+/// A histogram of times in milliseconds, with exponential buckets.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Spread {
     counts: Vec<u64>,
@@ -16,7 +16,7 @@
 }
 
 impl Spread {
-    /// Counts a time in milliseconds.
+    /// Adds a time in milliseconds.
     pub fn add(&mut self, ms: f64) {
         if self.counts.is_empty() {
             self.counts = vec![0; BUCKETS];
@@ -26,12 +26,12 @@
         self.total += 1;
     }
 
-    /// Returns the number of times.
+    /// Returns the number of times added.
     pub fn total(&self) -> u64 {
         self.total
     }
 
-    /// Returns the time below which a share of the times lies, in milliseconds; nothing without times.
+    /// Returns the quantile `share` (0 to 1) of the times, in milliseconds; `None` if there are no times.
     pub fn quantile(&self, share: f64) -> Option<f64> {
         let wanted = (self.total as f64 * share).ceil().max(1.0) as u64;
         let mut seen = 0;
@@ -45,7 +45,7 @@
     }
 }
 
-/// Written as its number and three quantiles, in whole milliseconds.
+/// Serialised as the number of times and three quantiles, in whole milliseconds.
 impl Serialize for Spread {
     fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
         let quantile = |share| self.quantile(share).map(f64::round);
--- a/lib/src/timeline/host_log.rs
+++ b/lib/src/timeline/host_log.rs
@@ -1,4 +1,4 @@
-//! The log of one host: a JSON object a line, with an `event`, a time of day in `at_ms`, and fields.
+//! The log of one host: one JSON object per line, with an `event`, a time of day in `at_ms`, and other fields.
 
 use {
     super::LogField,
@@ -6,12 +6,12 @@
     std::collections::BTreeSet,
 };
 
-/// Log of one host.
+/// The log of one host, as text.
 #[derive(Debug, Clone)]
 pub struct HostLog {
-    /// Name to show.
+    /// Name of the host, as the timeline shows it.
     pub host: String,
-    /// Its text; everything before the object of a line is ignored.
+    /// Text of the log. In each line, everything before the JSON object is ignored.
     pub text: String,
 }
 
@@ -25,15 +25,14 @@
 pub(super) struct LogEntry {
     /// Time of day on the host, in milliseconds since 1970.
     pub(super) at_ms: u64,
-    /// Latest time in the log up to this line, so that a clock that steps back changes no order.
+    /// Latest time in the log up to this line. Sorting by it keeps the order of lines if the clock steps back.
     pub(super) order: u64,
     pub(super) event: String,
     fields: Map<String, Value>,
 }
 
 impl<'l> ParsedLog<'l> {
-    /// Parses a log; lines without event or time are skipped, because logs hold lines of other
-    /// programs as well.
+    /// Parses a log. Lines without an event or a time are skipped, because logs also contain lines of other programs.
     pub(super) fn parse(log: &'l HostLog) -> Self {
         let mut entries: Vec<_> = log.text.lines().filter_map(LogEntry::parse).collect();
         let mut latest = 0;
@@ -65,34 +64,34 @@
         })
     }
 
-    /// Returns a field that is a string.
+    /// Returns the value of a field that is a string.
     pub(super) fn string(&self, name: &str) -> Option<&str> {
         self.fields.get(name)?.as_str()
     }
 
-    /// Returns any field as text.
+    /// Returns the value of a field as text, whatever its type.
     pub(super) fn text(&self, name: &str) -> Option<String> {
         self.fields.get(name).map(value_text)
     }
 
-    /// Returns the name of the call that the line is about.
+    /// Returns the name of the line's call, if it has one.
     pub(super) fn call(&self) -> Option<&str> {
         self.string("call")
     }
 
-    /// Returns whether the line names the request, alone or in the list of a call's requests.
+    /// Returns whether the line names the request, in the field `request` or in a call's list `requests`.
     pub(super) fn names(&self, request: &str) -> bool {
         let quoted = format!("\"{request}\"");
         let listed = self.string("requests").is_some_and(|l| l.contains(&quoted));
         listed || self.string("request") == Some(request)
     }
 
-    /// Returns whether the line is about one of the calls.
+    /// Returns whether the line is about one of `calls`.
     pub(super) fn is_of_call(&self, calls: &BTreeSet<&str>) -> bool {
         self.call().is_some_and(|call| calls.contains(call))
     }
 
-    /// Returns all fields in the order of their names.
+    /// Returns all other fields, sorted by name.
     pub(super) fn fields(&self) -> impl Iterator<Item = LogField> {
         self.fields.iter().map(|(name, value)| LogField {
             name: name.clone(),
--- a/lib/src/timeline/mod.rs
+++ b/lib/src/timeline/mod.rs
@@ -1,12 +1,11 @@
-//! The timeline of one request, gathered from the logs of several hosts.
+//! The timeline of one request, collected from the logs of several hosts.
 //!
-//! It answers what happened to a request, and why. Lines that name the request are its steps, and
-//! so are those of the calls that carried its pieces. Beside them are observations that the same
-//! hosts logged meanwhile, such as a lost peer or an endpoint set aside. Hosts' clocks may differ:
-//! lines of one host keep their order, and hosts are merged by the times in their lines.
+//! Shows what happened to a request, and why. The steps of a request are the lines that name it, and the lines of the
+//! calls that contained its pieces. Observations are changes that the same hosts logged during that time, such as a
+//! lost peer or an endpoint excluded for a time. The clocks of hosts may differ: lines of one host keep their order,
+//! and the hosts are merged by the times in their lines.
 //!
-//! It owns the choice and order of lines, and reads logs of every version of the daemon: it relies
-//! on the names of events and fields only, and on nothing else of this library.
+//! Depends only on the names of events and fields in the logs, so that it reads logs of any version of the daemon.
 
 mod host_log;
 
@@ -17,10 +16,10 @@
     std::{collections::BTreeSet, fmt, ops::RangeInclusive},
 };
 
-/// Time before a request's first step from which observations are shown, in milliseconds.
+/// How long before a request's first step observations are included, in milliseconds.
 const BEFORE_MS: u64 = 2_000;
 
-/// Beginnings of the names of events that are observations.
+/// Prefixes of the names of events that are observations.
 const OBSERVATIONS: &[&str] = &[
     "daemon.",
     "directory.",
@@ -33,20 +32,20 @@
     "table.",
 ];
 
-/// Field that names an endpoint.
+/// Field that contains the name of an endpoint.
 const ENDPOINT: &str = "endpoint";
 
-/// The steps of one request in the order in which they happened, with observations beside them.
+/// The steps of one request, with observations, in order of time.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RequestTimeline {
-    /// The lines in order; none if no log names the request.
+    /// Steps and observations in order of time; empty if no log names the request.
     pub lines: Vec<TimelineLine>,
 }
 
 /// One line of a timeline.
 #[derive(Debug, Clone, PartialEq)]
 pub struct TimelineLine {
-    /// Host that logged it.
+    /// Host that logged the line.
     pub host: String,
     /// Time of day on that host, in milliseconds since 1970.
     pub at_ms: u64,
@@ -54,16 +53,16 @@
     pub event: String,
     /// Relation of the line to the request.
     pub kind: LineKind,
-    /// The other fields, in the order of their names.
+    /// Other fields of the line, sorted by name.
     pub fields: Vec<LogField>,
 }
 
 /// Relation of a line to the request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LineKind {
-    /// A step of the request itself.
+    /// The line is a step of the request.
     Step,
-    /// A change that the host noticed meanwhile, which may explain the next steps.
+    /// The line is a change that the host logged during the request, which may explain later steps.
     Observation,
 }
 
@@ -72,7 +71,7 @@
 pub struct LogField {
     /// Name of the field.
     pub name: String,
-    /// Its value; strings stand without quotes.
+    /// Value as text; strings have no quotes.
     pub value: String,
 }
 
@@ -90,7 +89,7 @@
     }
 }
 
-/// A log entry chosen for the timeline.
+/// A log entry selected for the timeline.
 struct ChosenEntry<'l> {
     host: &'l str,
     entry: &'l LogEntry,
@@ -98,12 +97,12 @@
 }
 
 impl RequestTimeline {
-    /// Gathers the timeline of a request.
+    /// Collects the timeline of a request.
     pub fn from_logs(request: &str, logs: &[HostLog]) -> Self {
         let logs: Vec<_> = logs.iter().map(ParsedLog::parse).collect();
         let mut chosen = steps(request, &logs);
         chosen.extend(observations(&chosen, &logs));
-        // The sort is stable, so that lines of one host and moment keep their order.
+        // The sort is stable, so lines of one host with the same time keep their order.
         chosen.sort_by_key(|line| line.entry.order);
         Self {
             lines: chosen.iter().map(TimelineLine::from).collect(),
@@ -123,7 +122,7 @@
     }
 }
 
-/// Returns the entries that name the request, and those of calls that carried its pieces.
+/// Returns the entries that name the request, and those of the calls that contained its pieces.
 fn steps<'l>(request: &str, logs: &'l [ParsedLog<'_>]) -> Vec<ChosenEntry<'l>> {
     let mut steps = Vec::new();
     for log in logs {
@@ -138,15 +137,14 @@
     steps
 }
 
-/// Returns the names of the calls by which one host sent the request's pieces; names of calls are
-/// unique within a host only.
+/// Returns the names of the calls in which one host sent the request's pieces. Names of calls are unique only within a
+/// host.
 fn calls_of<'l>(request: &str, log: &'l ParsedLog<'_>) -> BTreeSet<&'l str> {
     let naming = log.entries.iter().filter(|entry| entry.names(request));
     naming.filter_map(LogEntry::call).collect()
 }
 
-/// Returns what the hosts of a request's steps observed from shortly before the first step until
-/// the last one.
+/// Returns the observations of the hosts that logged `steps`, from [`BEFORE_MS`] before the first step to the last.
 fn observations<'l>(steps: &[ChosenEntry<'l>], logs: &'l [ParsedLog<'_>]) -> Vec<ChosenEntry<'l>> {
     let Some(span) = span(steps) else {
         return Vec::new();
@@ -169,7 +167,7 @@
     observations
 }
 
-/// Returns whether an entry is an observation; of endpoints, only those of the request's steps.
+/// Returns whether an entry is an observation. One about an endpoint counts only if a step names the endpoint too.
 fn is_observation(entry: &LogEntry, endpoints: &BTreeSet<String>) -> bool {
     let about = entry.string(ENDPOINT);
     OBSERVATIONS
@@ -178,7 +176,7 @@
         && about.is_none_or(|endpoint| endpoints.contains(endpoint))
 }
 
-/// Returns the time for which observations are shown; none without steps.
+/// Returns the range of times from which observations are included; `None` without steps.
 fn span(steps: &[ChosenEntry<'_>]) -> Option<RangeInclusive<u64>> {
     let first = steps.iter().map(|step| step.entry.order).min()?;
     let last = steps.iter().map(|step| step.entry.order).max()?;
--- a/lib/tests/test_decisions.rs
+++ b/lib/tests/test_decisions.rs
@@ -1,5 +1,5 @@
-//! `docs/DECISIONS.md` names modules, constants, events, metrics and tests that exist, and leaves
-//! out no rule of the forwarding daemon.
+//! `docs/DECISIONS.md` names only modules, constants, events, metrics and tests that exist, and lists every rule of the
+//! forwarding daemon.
 
 use std::{
     collections::BTreeSet,
@@ -7,10 +7,10 @@
     path::{Path, PathBuf},
 };
 
-/// Folders whose test files the page may name.
+/// Folders of the test files that the page may name.
 const TEST_FOLDERS: [&str; 4] = ["lib/tests", "platform/tests", "daemon/tests", "cli/tests"];
 
-/// One row of the page.
+/// One row of the page's table.
 struct Rule {
     module: String,
     constants: Vec<String>,
@@ -26,7 +26,7 @@
     fs::read_to_string(path).unwrap_or_else(|error| panic!("{}: {error}", path.display()))
 }
 
-/// Words in backticks.
+/// Returns the texts in backticks.
 fn quoted(cell: &str) -> Vec<String> {
     cell.split('`')
         .skip(1)
@@ -49,7 +49,7 @@
         .collect()
 }
 
-/// All Rust sources below a folder, one text.
+/// Returns all Rust sources below a folder, concatenated.
 fn sources(folder: &Path) -> String {
     let mut text = String::new();
     for entry in fs::read_dir(folder).expect("a folder of sources") {
@@ -63,7 +63,7 @@
     text
 }
 
-/// Fails with all findings together.
+/// Fails if there are findings, and lists all of them.
 fn report(findings: &[String]) {
     assert!(
         findings.is_empty(),
@@ -96,7 +96,7 @@
     report(&findings);
 }
 
-/// The name under which a metric is registered: without prefix, unit and suffix.
+/// Returns the name under which a metric is registered: without prefix, unit and suffix.
 fn registered(signal: &str) -> &str {
     let name = signal.trim_start_matches("hazelyoke_");
     let name = name.trim_end_matches("_total");
--- a/lib/tests/test_event_names.rs
+++ b/lib/tests/test_event_names.rs
@@ -1,4 +1,4 @@
-//! Every event that the code logs is in the operators' page, and the other way round.
+//! The operators' page lists exactly the events that the code logs.
 
 use std::{
     collections::BTreeSet,
@@ -17,7 +17,7 @@
     }
 }
 
-/// Names in quotes of the form `word.word`, as events are named.
+/// Returns the quoted texts of the form `word.word`, which is the form of event names.
 fn quoted_names(text: &str) -> BTreeSet<String> {
     let is_word =
         |word: &str| !word.is_empty() && word.chars().all(|c| c.is_ascii_lowercase() || c == '_');
--- a/lib/tests/test_layers.rs
+++ b/lib/tests/test_layers.rs
@@ -1,4 +1,4 @@
-//! Modules import downwards only, and in no circle: the table in `docs/ARCHITECTURE.md`.
+//! Modules import only from the layers that the table in `docs/ARCHITECTURE.md` allows, and never in a cycle.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -6,7 +6,7 @@
     path::{Path, PathBuf},
 };
 
-/// Folders, and what each may import beside itself.
+/// Each folder with the other folders from which it may import.
 const ALLOWED: [(&str, &[&str]); 4] = [
     ("shared", &[]),
     ("settings", &["shared"]),
@@ -14,7 +14,7 @@
     ("gateway", &["shared"]),
 ];
 
-/// Values of the forwarding daemon that its rules may use, beside those of other rules.
+/// Modules of value types of the forwarding daemon from which its rules may import, besides other rules.
 const RULE_VALUES: [&str; 7] = [
     "gateway::dialect",
     "gateway::directory::endpoint_entry",
@@ -38,14 +38,14 @@
     }
 }
 
-/// The module of a file, as a path from the crate's root.
+/// Returns the module path of a file, from the crate's root.
 fn module_of(root: &Path, file: &Path) -> String {
     let relative = file.strip_prefix(root).expect("a file below the root");
     let name = relative.with_extension("").display().to_string();
     name.trim_end_matches("/mod").replace('/', "::")
 }
 
-/// Paths that the `use` statements of a source name, with their braces resolved.
+/// Returns the paths in the `use` statements of a source, with nested braces expanded.
 fn used_paths(source: &str) -> Vec<String> {
     let code: String = source
         .lines()
@@ -71,7 +71,7 @@
     }
 }
 
-/// Splits at the commas outside of braces.
+/// Splits a `use` tree at the commas outside of braces.
 fn split_top(tree: &str) -> Vec<&str> {
     let mut depth = 0;
     let mut start = 0;
@@ -92,7 +92,7 @@
     parts
 }
 
-/// The longest module that a path names.
+/// Returns the innermost module that a path names.
 fn imported(path: &str, modules: &BTreeSet<String>) -> Option<String> {
     let mut path = path.strip_prefix("crate::")?;
     loop {
@@ -103,7 +103,7 @@
     }
 }
 
-/// A module may use the parts that it consists of, and they may use it.
+/// Returns whether one module contains the other. Such modules may import from each other.
 fn is_family(one: &str, other: &str) -> bool {
     let contains = |outer: &str, inner: &str| {
         let rest = inner.strip_prefix(outer);
@@ -171,7 +171,7 @@
 #[test]
 fn no_import_circle() {
     let mut left = imports();
-    // A module whose imports are all gone can't be part of a circle.
+    // A module that imports none of the remaining modules can't be part of a cycle.
     loop {
         let done: Vec<String> = left
             .iter()
--- a/lib/tests/test_report.rs
+++ b/lib/tests/test_report.rs
@@ -1,4 +1,4 @@
-//! Sums over the logs of several hosts.
+//! The report on the logs of several hosts.
 
 #![allow(clippy::unwrap_used, reason = "a failed unwrap fails the test")]
 
@@ -49,7 +49,7 @@
     assert_eq!(report.routes["pay"].counts.failed, 1);
     assert_eq!(report.centres["a"].accepted, 1);
     assert_eq!(report.centres["-"].accepted, 2);
-    // Ends count in the second in which their request came.
+    // The end of a request counts in the second in which the request arrived.
     assert_eq!(report.seconds[&0].answered, 1);
     assert_eq!(report.seconds[&2].refused, 1);
     let reasons: Vec<_> = report
@@ -75,7 +75,7 @@
     assert!((calls.took_ms / calls.expected_ms - 0.5).abs() < 1e-9);
 }
 
-/// Damaged lines, lines of other programs and dropped ones are counted, and hide nothing else.
+/// Damaged lines, lines of other programs and dropped lines are counted, and don't affect the counts of other lines.
 #[test]
 fn damaged_lines() {
     let report = report(&[&[
--- a/lib/tests/test_timeline.rs
+++ b/lib/tests/test_timeline.rs
@@ -1,4 +1,4 @@
-//! The timeline of a request is gathered from its id alone.
+//! The timeline of a request is collected from the logs by its id.
 
 use hazelyoke_lib::timeline::{HostLog, LineKind, RequestTimeline};
 
@@ -17,7 +17,7 @@
         .collect()
 }
 
-/// The steps of one request come in order over the logs of several hosts.
+/// The steps of one request are in order of time across the logs of several hosts.
 #[test]
 fn steps_in_order() {
     let entry = log(
--- a/lib/tests/test_units.rs
+++ b/lib/tests/test_units.rs
@@ -1,4 +1,4 @@
-//! Quantities as settings write them: read, written back, and refused.
+//! The text form of quantities in settings: parsing, formatting, and rejection of malformed texts.
 
 #![allow(clippy::unwrap_used, reason = "a failed unwrap fails the test")]
 
@@ -13,7 +13,7 @@
     },
 };
 
-/// Asserts the value of a text, and the text that is written for it.
+/// Asserts that `text` is parsed as `value`, and that `value` is formatted as `written`.
 #[track_caller]
 fn assert_text<T>(text: &str, value: T, written: &str)
 where
