--- a/bench/src/experiment/reader.rs
+++ b/bench/src/experiment/reader.rs
@@ -16,7 +16,7 @@
             values::PolicyKind,
         },
         shared::{
-            findings::{Findings, Place},
+            findings::{Findings, Location},
             ids::{DataCentreId, ServiceId},
             units::{Count, Millis, Share},
         },
@@ -124,7 +124,7 @@
             Err(error) => {
                 let message = format!("{name}: {error}");
                 let findings = root.findings();
-                findings.add(&value.place, name, message, "correct the value");
+                findings.add(&value.location, name, message, "correct the value");
             }
         }
     }
@@ -142,7 +142,7 @@
             None => {
                 let message = format!("{name}: expected a scalar, found {}", value.kind.name());
                 let findings = root.findings();
-                findings.add(&value.place, "settings", message, "correct the value");
+                findings.add(&value.location, "settings", message, "correct the value");
             }
         }
     }
@@ -162,7 +162,7 @@
 }
 
 fn read_weights(root: &mut ObjectReader<'_>, name: &'static str, known: &[String]) -> Weights {
-    let place = root.place().clone();
+    let location = root.location().clone();
     let fields = root.take_fields(name);
     let findings = root.findings();
     let weights: Weights = fields
@@ -171,13 +171,17 @@
         .collect();
     if weights.is_empty() {
         let message = format!("{name} holds no weight");
-        findings.add(&place, name, message, "add some");
+        findings.add(&location, name, message, "add some");
     }
     weights
 }
 
 fn read_weight(
-    Field { place, name, value }: Field,
+    Field {
+        location,
+        name,
+        value,
+    }: Field,
     list: &'static str,
     known: &[String],
     findings: &mut Findings,
@@ -185,19 +189,19 @@
     if !known.contains(&name) {
         let message = format!("unknown name {name:?}");
         let hint = format!("use one of: {}", known.join(", "));
-        findings.add(&place, list, message, hint);
+        findings.add(&location, list, message, hint);
     }
     let weight = document::scalar_text(&value).and_then(|text| text.parse().ok());
     let positive = weight.filter(|weight| *weight > 0.0 && f64::is_finite(*weight));
     if positive.is_none() {
         let message = "the weight is no number above zero";
-        findings.add(&value.place, list, message, "correct the weight");
+        findings.add(&value.location, list, message, "correct the weight");
     }
     Some((name, positive?))
 }
 
 fn read_phases(root: &mut ObjectReader<'_>) -> Vec<Phase> {
-    let place = root.place().clone();
+    let location = root.location().clone();
     let values = root.take_list("phases");
     let findings = root.findings();
     let phases: Vec<_> = values
@@ -205,7 +209,7 @@
         .filter_map(|value| read_phase(value, findings))
         .collect();
     if phases.is_empty() {
-        findings.add(&place, "phases", "there is no phase", "add \"phases\"");
+        findings.add(&location, "phases", "there is no phase", "add \"phases\"");
     }
     phases
 }
@@ -238,7 +242,7 @@
     let kind = reader.take_required::<String>("kind");
     let from = reader.take_required::<Millis>("from");
     let until = reader.take_parsed::<Millis>("until");
-    let kind = kind.and_then(|kind| read_kind(&mut reader, tree, &kind.value, &kind.place));
+    let kind = kind.and_then(|kind| read_kind(&mut reader, tree, &kind.value, &kind.location));
     reader.finish();
     let from = from?.value;
     Some(Fault {
@@ -253,7 +257,7 @@
     reader: &mut ObjectReader<'_>,
     tree: &Tree,
     kind: &str,
-    place: &Place,
+    location: &Location,
 ) -> Option<FaultKind> {
     match kind {
         "config_silent" => Some(FaultKind::ConfigSilent),
@@ -262,7 +266,7 @@
             let service = read_service(reader, tree);
             let count = reader.take_parsed::<Count>("count");
             Some(FaultKind::Endpoints {
-                fault: read_endpoint_fault(reader, kind, place)?,
+                fault: read_endpoint_fault(reader, kind, location)?,
                 service: service?,
                 count: count.map_or(Count(1), |count| count.value),
             })
@@ -275,7 +279,7 @@
     if !tree.data_centres.contains(&centre.value) {
         let message = format!("unknown data centre \"{}\"", centre.value);
         let findings = reader.findings();
-        findings.add(&centre.place, "fault", message, "correct it");
+        findings.add(&centre.location, "fault", message, "correct it");
     }
     Some(centre.value)
 }
@@ -285,7 +289,7 @@
     if !tree.services.contains_key(&service.value) {
         let message = format!("unknown service \"{}\"", service.value);
         let findings = reader.findings();
-        findings.add(&service.place, "fault", message, "correct it");
+        findings.add(&service.location, "fault", message, "correct it");
     }
     Some(service.value)
 }
@@ -293,7 +297,7 @@
 fn read_endpoint_fault(
     reader: &mut ObjectReader<'_>,
     kind: &str,
-    place: &Place,
+    location: &Location,
 ) -> Option<EndpointFault> {
     let fault = match kind {
         "death" => EndpointFault::Death,
@@ -306,7 +310,7 @@
             let Some(damage) = parse_damage(kind) else {
                 let hint = "see bench/experiments for the kinds";
                 let findings = reader.findings();
-                findings.add(place, "fault", format!("unknown kind {kind:?}"), hint);
+                findings.add(location, "fault", format!("unknown kind {kind:?}"), hint);
                 return None;
             };
             let share = reader.take_parsed::<f64>("share");
--- a/cli/src/commands/explain.rs
+++ b/cli/src/commands/explain.rs
@@ -43,7 +43,7 @@
             setting: entry.name,
             value: entry.value,
             node: entry.origin.node.to_string(),
-            place: entry.origin.place.map(|place| place.to_string()),
+            place: entry.origin.location.map(|location| location.to_string()),
         }
     }
 }
--- a/lib/src/gateway/directory/adopt_table.rs
+++ b/lib/src/gateway/directory/adopt_table.rs
@@ -11,7 +11,7 @@
             state::{Gateway, PublishedTable},
             table::{Table, Version},
         },
-        shared::adoption::{ContentMark, VersionVerdict, judge},
+        shared::adoption::{DocumentIdentity, VersionVerdict, compare_versions},
     },
     bytes::Bytes,
     std::rc::Rc,
@@ -50,12 +50,12 @@
             }
         };
         let version = table.version;
-        let read = ContentMark {
+        let read = DocumentIdentity {
             version,
             fingerprint,
         };
         let current = mark(current.as_deref());
-        match judge(Some(current), read) {
+        match compare_versions(Some(current), read) {
             VersionVerdict::Adopt => {
                 log::info!(
                     source,
@@ -111,13 +111,13 @@
 
 /// Returns the mark of the table in force. Before the first table it is the mark of an empty document of
 /// version 0, so that a table needs a version above 0.
-fn mark(current: Option<&PublishedTable>) -> ContentMark<Version> {
+fn mark(current: Option<&PublishedTable>) -> DocumentIdentity<Version> {
     current.map_or_else(
-        || ContentMark {
+        || DocumentIdentity {
             version: Version::default(),
             fingerprint: xxh3_64(&[]),
         },
-        |current| ContentMark {
+        |current| DocumentIdentity {
             version: current.table.version,
             fingerprint: current.fingerprint,
         },
--- a/lib/src/gateway/directory/departed.rs
+++ b/lib/src/gateway/directory/departed.rs
@@ -7,7 +7,7 @@
 use {
     crate::{
         gateway::{directory::endpoint_entry::EndpointEntry, revision::Revision},
-        shared::{ids::EndpointId, recent_map::RecentMap, units::Time},
+        shared::{fifo_map::FifoMap, ids::EndpointId, units::Time},
     },
     foldhash::{HashMap, HashSet},
 };
@@ -22,7 +22,7 @@
 #[derive(Debug, Clone, Default)]
 pub(crate) struct Departed {
     /// Departed endpoints in the order in which they departed.
-    departed: RecentMap<EndpointId, (), MAX_DEPARTED>,
+    departed: FifoMap<EndpointId, (), MAX_DEPARTED>,
     held: HashMap<EndpointId, HeldEntry>,
     /// Revision of the directory when the hold began. An endpoint that writes its entry later is alive.
     hold_start: Revision,
--- a/lib/src/gateway/routing/endpoint_signals.rs
+++ b/lib/src/gateway/routing/endpoint_signals.rs
@@ -5,7 +5,7 @@
 
 use crate::{
     gateway::directory::endpoint_entry::EndpointIncarnation,
-    shared::{recent_map::RecentMap, units::Time},
+    shared::{fifo_map::FifoMap, units::Time},
 };
 
 /// Largest number of incarnations without an entry whose signals are kept.
@@ -78,7 +78,7 @@
 /// running, and earlier signals remain valid then.
 #[derive(Debug, Default)]
 pub(crate) struct RetainedSignals {
-    signals: RecentMap<EndpointIncarnation, EndpointSignals, RETAINED_LIMIT>,
+    signals: FifoMap<EndpointIncarnation, EndpointSignals, RETAINED_LIMIT>,
 }
 
 impl RetainedSignals {
--- a/lib/src/pipeline/daemon.rs
+++ b/lib/src/pipeline/daemon.rs
@@ -15,7 +15,7 @@
             trace::{TraceError, Tracing},
         },
         settings::tree::TreeVersion,
-        shared::adoption::{ContentMark, VersionVerdict, judge},
+        shared::adoption::{DocumentIdentity, VersionVerdict, compare_versions},
     },
     dropshot::{
         ApiDescriptionRegisterError, BuildError, ConfigDropshot, HandlerTaskMode, HttpServer,
@@ -196,14 +196,14 @@
 /// adopted last.
 fn adopt_newer(
     context: &ApiContext,
-    current: &mut Option<ContentMark<TreeVersion>>,
+    current: &mut Option<DocumentIdentity<TreeVersion>>,
     fetched: FetchedTree,
 ) {
-    let read = ContentMark {
+    let read = DocumentIdentity {
         version: fetched.tree.version,
         fingerprint: fetched.fingerprint,
     };
-    match judge(*current, read) {
+    match compare_versions(*current, read) {
         VersionVerdict::Adopt => {
             context.node.adopt(Arc::new(fetched.tree));
             *current = Some(read);
--- a/lib/src/pipeline/daemon_settings.rs
+++ b/lib/src/pipeline/daemon_settings.rs
@@ -8,7 +8,7 @@
         pipeline::api::context::ApiLimits,
         settings::document::{self, ObjectReader},
         shared::{
-            findings::{Findings, Place},
+            findings::{Findings, Location},
             ids::{DataCentreId, HostId},
             units::{ByteSize, Count, Millis, Share},
         },
@@ -120,8 +120,8 @@
         };
         let config = take_config(&mut root);
         let traces = take_traces(&mut root);
-        let place = root.place().clone();
-        check_positive(&mut root, &place, "load_interval", load_interval);
+        let location = root.location().clone();
+        check_positive(&mut root, &location, "load_interval", load_interval);
         root.finish();
         let required = (host, data_centre, listen, config);
         let (Some(host), Some(data_centre), Some(listen), Some(config)) = required else {
@@ -151,28 +151,28 @@
         .map_or(default, |taken| taken.value)
 }
 
-fn check_positive(reader: &mut ObjectReader<'_>, place: &Place, name: &str, value: Millis) {
+fn check_positive(reader: &mut ObjectReader<'_>, location: &Location, name: &str, value: Millis) {
     if value.0 == 0 {
         let message = format!("{name} is zero");
         let hint = "give a time above zero";
-        reader.findings().add(place, "daemon", message, hint);
+        reader.findings().add(location, "daemon", message, hint);
     }
 }
 
 fn take_config(root: &mut ObjectReader<'_>) -> Option<ConfigSettings> {
-    let place = root.place().clone();
+    let location = root.location().clone();
     let Some(value) = root.take("config") else {
         let message = "\"config\" is missing";
         let hint = "add \"config\" with \"address\" and \"tree\"";
-        root.findings().add(&place, "daemon", message, hint);
+        root.findings().add(&location, "daemon", message, hint);
         return None;
     };
     let mut reader = ObjectReader::new("daemon/config", value, root.findings());
     let address = reader.take_required::<SocketAddr>("address");
     let tree = reader.take_required::<String>("tree");
     let poll = take_or(&mut reader, "poll", DEFAULT_POLL);
-    let place = reader.place().clone();
-    check_positive(&mut reader, &place, "poll", poll);
+    let location = reader.location().clone();
+    check_positive(&mut reader, &location, "poll", poll);
     reader.finish();
     Some(ConfigSettings {
         address: address?.value,
--- a/lib/src/pipeline/endpoints/http_get.rs
+++ b/lib/src/pipeline/endpoints/http_get.rs
@@ -8,7 +8,7 @@
     crate::{
         pipeline::decision::endpoint::FailCause,
         shared::{
-            http_body::{BodyError, read_whole},
+            http_body::{BodyError, read_body},
             units::{ByteSize, Millis},
         },
     },
@@ -108,11 +108,11 @@
         uri: uri.to_owned(),
         cause,
     };
-    let body = read_whole(response.into_body(), limit, read_timeout).await;
+    let body = read_body(response.into_body(), limit, read_timeout).await;
     let body = body.map_err(|error| match error {
         BodyError::TooLarge(_) => body_error(FailCause::TooLarge),
-        BodyError::Broken(_) => body_error(FailCause::Broken),
-        BodyError::Silent(_) => timed_out(),
+        BodyError::ConnectionFailed(_) => body_error(FailCause::Broken),
+        BodyError::IdleTimeout(_) => timed_out(),
     })?;
     Ok(HttpReply { status, body })
 }
--- a/lib/src/settings/document/mod.rs
+++ b/lib/src/settings/document/mod.rs
@@ -10,13 +10,13 @@
 
 pub use {object_reader::ObjectReader, parse::parse_bytes};
 
-use crate::shared::findings::Place;
+use crate::shared::findings::Location;
 
 /// A value of a document, with its location.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Value {
     /// Location of the value's first character.
-    pub place: Place,
+    pub location: Location,
     /// The value without its location.
     pub kind: Kind,
 }
@@ -58,14 +58,14 @@
     /// The value.
     pub value: T,
     /// Location of the value, or of the field's name if the value is one.
-    pub place: Place,
+    pub location: Location,
 }
 
 /// One field of an object.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Field {
     /// Location of the field's name.
-    pub place: Place,
+    pub location: Location,
     /// The field's name.
     pub name: String,
     /// The field's value.
--- a/lib/src/settings/document/object_reader.rs
+++ b/lib/src/settings/document/object_reader.rs
@@ -5,7 +5,7 @@
 use {
     crate::{
         settings::document::{Field, Kind, Placed, Value, scalar_text},
-        shared::findings::{Findings, Place},
+        shared::findings::{Findings, Location},
     },
     std::{fmt::Display, str::FromStr},
 };
@@ -14,7 +14,7 @@
 #[derive(Debug)]
 pub struct ObjectReader<'f> {
     node: String,
-    place: Place,
+    location: Location,
     fields: Vec<Field>,
     known: Vec<&'static str>,
     findings: &'f mut Findings,
@@ -30,7 +30,7 @@
             Kind::Object(fields) => fields,
             other => {
                 findings.add(
-                    &value.place,
+                    &value.location,
                     &node,
                     format!("expected an object, found {}", other.name()),
                     "write {...} here",
@@ -40,7 +40,7 @@
         };
         Self {
             node,
-            place: value.place,
+            location: value.location,
             fields,
             known: Vec::new(),
             findings,
@@ -48,8 +48,8 @@
     }
 
     /// Returns the location of the object's first character.
-    pub fn place(&self) -> &Place {
-        &self.place
+    pub fn location(&self) -> &Location {
+        &self.location
     }
 
     /// Returns the findings, to which the caller may add others.
@@ -107,12 +107,12 @@
         match text.parse() {
             Ok(parsed) => Some(Placed {
                 value: parsed,
-                place: value.place,
+                location: value.location,
             }),
             Err(error) => {
                 let message = format!("{name}: {error}");
                 self.findings
-                    .add(&value.place, &self.node, message, "correct the value");
+                    .add(&value.location, &self.node, message, "correct the value");
                 None
             }
         }
@@ -126,7 +126,7 @@
         if !self.fields.iter().any(|field| field.name == name) {
             self.known.push(name);
             self.findings.add(
-                &self.place,
+                &self.location,
                 &self.node,
                 format!("{name:?} is missing"),
                 format!("add \"{name}\""),
@@ -145,13 +145,14 @@
                 format!("remove it; known here: {}", self.known.join(", "))
             };
             let message = format!("unknown field {:?}", field.name);
-            self.findings.add(&field.place, &self.node, message, hint);
+            self.findings
+                .add(&field.location, &self.node, message, hint);
         }
     }
 
     fn wrong_kind(&mut self, name: &str, value: &Value, expected: &str) {
         let message = format!("{name}: expected {expected}, found {}", value.kind.name());
         self.findings
-            .add(&value.place, &self.node, message, "correct the value");
+            .add(&value.location, &self.node, message, "correct the value");
     }
 }
--- a/lib/src/settings/document/parse.rs
+++ b/lib/src/settings/document/parse.rs
@@ -94,13 +94,13 @@
 
 /// Returns the finding for a file that can't be parsed.
 fn refuse(lines: &TextLines<'_>, offset: usize, message: String, hint: &str) -> Findings {
-    Findings::one(&lines.place(offset), lines.file(), message, hint)
+    Findings::single(&lines.location(offset), lines.file(), message, hint)
 }
 
 fn convert(lines: &TextLines<'_>, value: &AstValue<'_>, findings: &mut Findings) -> Value {
     let Range { start, .. } = value.range();
     Value {
-        place: lines.place(start),
+        location: lines.location(start),
         kind: convert_kind(lines, value, findings),
     }
 }
@@ -133,17 +133,21 @@
     let mut fields = Vec::with_capacity(properties.len());
     for property in properties {
         let name = property.name.as_str().to_owned();
-        let place = lines.place(property.range.start);
+        let location = lines.location(property.range.start);
         if !seen.insert(name.clone()) {
             findings.add(
-                &place,
+                &location,
                 &name,
                 format!("field {name:?} appears twice in this object"),
                 "remove or rename one of them",
             );
         }
         let value = convert(lines, &property.value, findings);
-        fields.push(Field { place, name, value });
+        fields.push(Field {
+            location,
+            name,
+            value,
+        });
     }
     fields
 }
--- a/lib/src/settings/document/text_lines.rs
+++ b/lib/src/settings/document/text_lines.rs
@@ -1,6 +1,6 @@
 //! Converts byte offsets of a text to locations with line and column.
 
-use {crate::shared::findings::Place, std::sync::Arc};
+use {crate::shared::findings::Location, std::sync::Arc};
 
 /// Index of the lines of a text, which converts byte offsets to locations.
 pub(super) struct TextLines<'a> {
@@ -21,13 +21,13 @@
     }
 
     /// Returns the location of a byte offset. An offset beyond the end counts as the end.
-    pub(super) fn place(&self, offset: usize) -> Place {
+    pub(super) fn location(&self, offset: usize) -> Location {
         let offset = offset.min(self.text.len());
         let line = self.starts.partition_point(|start| *start <= offset);
         let start = self.starts[line - 1];
         // An offset inside a multi-byte character gets the location of the line's start.
         let before = self.text.get(start..offset).unwrap_or_default();
-        Place {
+        Location {
             file: self.file.clone(),
             line: line as u32,
             col: before.chars().count() as u32 + 1,
--- a/lib/src/settings/raw_tree/customer.rs
+++ b/lib/src/settings/raw_tree/customer.rs
@@ -36,7 +36,7 @@
 impl RawCustomer {
     pub(super) fn read(parent: &str, field: Field, findings: &mut Findings) -> Option<Self> {
         let path = format!("{parent}/customers/{}", field.name);
-        let name = parse_name(&field.name, &field.place, &path, findings)?;
+        let name = parse_name(&field.name, &field.location, &path, findings)?;
         let mut reader = ObjectReader::new(&path, field.value, findings);
         let settings = reader.take_fields("settings");
         let pipelines = reader.take_fields("pipelines");
@@ -54,13 +54,13 @@
 
 impl RawOverride {
     fn read(customer: &str, field: Field, findings: &mut Findings) -> Option<Self> {
-        let name = parse_name(&field.name, &field.place, customer, findings)?;
+        let name = parse_name(&field.name, &field.location, customer, findings)?;
         match field.value.kind {
             Kind::Object(settings) => Some(Self { name, settings }),
             other => {
                 let message = format!("expected an object of settings, found {}", other.name());
                 let hint = "write {\"deadline\": ...}";
-                findings.add(&field.place, customer, message, hint);
+                findings.add(&field.location, customer, message, hint);
                 None
             }
         }
--- a/lib/src/settings/raw_tree/group.rs
+++ b/lib/src/settings/raw_tree/group.rs
@@ -9,7 +9,7 @@
         },
     },
     shared::{
-        findings::{Findings, Place},
+        findings::{Findings, Location},
         ids::PipelineId,
     },
 };
@@ -37,7 +37,7 @@
 /// A reference to the value that contains a group.
 struct Include {
     value: String,
-    place: Place,
+    location: Location,
 }
 
 impl RawGroup {
@@ -74,11 +74,11 @@
         findings: &mut Findings,
     ) -> Option<Self> {
         // Group names have no type; the rules of PipelineId are those of all names.
-        let name = parse_name::<PipelineId>(&field.name, &field.place, parent, findings)?;
+        let name = parse_name::<PipelineId>(&field.name, &field.location, parent, findings)?;
         let path = format!("{parent}/{}", name.value);
         if RESERVED.contains(&name.value.as_str()) {
             let message = format!("a group can't be named {:?}", name.value.as_str());
-            findings.add(&field.place, &path, message, "choose another name");
+            findings.add(&field.location, &path, message, "choose another name");
             return None;
         }
         if let Some(include) = included_value(&field.value) {
@@ -97,7 +97,7 @@
         if let Some(cycle) = values.cycle(&include.value) {
             let message = format!("include cycle: {cycle}");
             let hint = "a value can't include itself; remove one of these includes";
-            findings.add(&include.place, &path, message, hint);
+            findings.add(&include.location, &path, message, hint);
             return None;
         }
         match values.open(&include.value) {
@@ -110,7 +110,7 @@
             Err(inner) => {
                 findings.append(inner);
                 let message = format!("included value {:?} can't be read", include.value);
-                findings.add(&include.place, &path, message, "see its own finding");
+                findings.add(&include.location, &path, message, "see its own finding");
                 None
             }
         }
@@ -128,7 +128,7 @@
     match &only.value.kind {
         Kind::Text(name) if only.name == "include" => Some(Include {
             value: name.clone(),
-            place: only.value.place.clone(),
+            location: only.value.location.clone(),
         }),
         _ => None,
     }
--- a/lib/src/settings/raw_tree/mod.rs
+++ b/lib/src/settings/raw_tree/mod.rs
@@ -22,7 +22,7 @@
     crate::{
         settings::document::{Field, ObjectReader, Placed, scalar_text},
         shared::{
-            findings::{Findings, Place},
+            findings::{Findings, Location},
             ids::{DataCentreId, PipelineId},
         },
     },
@@ -76,7 +76,7 @@
     let names = elements.into_iter().filter_map(|element| {
         // A value that isn't a scalar counts as an empty name, which is reported.
         let text = scalar_text(&element).unwrap_or_default();
-        parse_name(&text, &element.place, "data_centres", root.findings())
+        parse_name(&text, &element.location, "data_centres", root.findings())
     });
     names.collect()
 }
@@ -84,15 +84,15 @@
 /// Parses a name; reports an invalid one for `node`.
 fn parse_name<T: FromStr<Err: Display>>(
     text: &str,
-    place: &Place,
+    location: &Location,
     node: &str,
     findings: &mut Findings,
 ) -> Option<Placed<T>> {
-    let place = place.clone();
+    let location = location.clone();
     match text.parse() {
-        Ok(value) => Some(Placed { value, place }),
+        Ok(value) => Some(Placed { value, location }),
         Err(error) => {
-            findings.add(&place, node, error.to_string(), "rename it");
+            findings.add(&location, node, error.to_string(), "rename it");
             None
         }
     }
--- a/lib/src/settings/raw_tree/pipeline.rs
+++ b/lib/src/settings/raw_tree/pipeline.rs
@@ -40,7 +40,7 @@
 impl RawPipeline {
     pub(super) fn read(parent: &str, field: Field, findings: &mut Findings) -> Option<Self> {
         let path = format!("{parent}/pipelines/{}", field.name);
-        let name = parse_name(&field.name, &field.place, &path, findings)?;
+        let name = parse_name(&field.name, &field.location, &path, findings)?;
         let mut reader = ObjectReader::new(&path, field.value, findings);
         let settings = reader.take_fields("settings");
         let elements = reader.take_list("stages");
--- a/lib/src/settings/raw_tree/service.rs
+++ b/lib/src/settings/raw_tree/service.rs
@@ -47,7 +47,7 @@
 impl RawService {
     pub(super) fn read(parent: &str, field: Field, findings: &mut Findings) -> Option<Self> {
         let path = format!("{parent}/services/{}", field.name);
-        let name = parse_name(&field.name, &field.place, &path, findings)?;
+        let name = parse_name(&field.name, &field.location, &path, findings)?;
         let mut reader = ObjectReader::new(&path, field.value, findings);
         let kind = reader.take_required::<String>("kind");
         let model = reader.take_parsed::<String>("model");
@@ -70,7 +70,7 @@
 impl RawEndpoint {
     fn read(parent: &str, field: Field, findings: &mut Findings) -> Option<Self> {
         let path = format!("{parent}/endpoints/{}", field.name);
-        let name = parse_name(&field.name, &field.place, &path, findings)?;
+        let name = parse_name(&field.name, &field.location, &path, findings)?;
         let mut reader = ObjectReader::new(&path, field.value, findings);
         let address = reader.take_required::<SocketAddr>("address");
         let data_centre = reader.take_required::<DataCentreId>("data_centre");
--- a/lib/src/settings/raw_tree/value_source.rs
+++ b/lib/src/settings/raw_tree/value_source.rs
@@ -5,7 +5,7 @@
 use {
     crate::{
         settings::document::{self, Value},
-        shared::findings::{Findings, Place},
+        shared::findings::{Findings, Location},
     },
     std::fmt::Display,
 };
@@ -46,9 +46,9 @@
     /// Returns findings if the value can't be read or parsed. The stack doesn't change then.
     pub(super) fn open(&mut self, name: &str) -> Result<Value, Findings> {
         let bytes = self.source.read(name).map_err(|error| {
-            let place = Place::start_of(name);
+            let location = Location::start_of(name);
             let hint = "publish the value or correct its name";
-            Findings::one(&place, name, error.to_string(), hint)
+            Findings::single(&location, name, error.to_string(), hint)
         })?;
         let value = document::parse_bytes(name, &bytes)?;
         self.names.push(name.to_owned());
--- a/lib/src/settings/tree_check/customer.rs
+++ b/lib/src/settings/tree_check/customer.rs
@@ -49,12 +49,12 @@
         let Some(pipeline) = self.tree.pipelines.get(&name.value).cloned() else {
             let message = format!("overrides pipeline {}, which doesn't exist", name.value);
             let hint = "define the pipeline or correct the name";
-            self.findings.add(&name.place, &path, message, hint);
+            self.findings.add(&name.location, &path, message, hint);
             return None;
         };
         let parent = &pipeline.settings;
         let settings = self.add_node(&path, parent, &raw.settings);
-        self.check_deadline(&path, &name.place, &settings, &pipeline.stages);
+        self.check_deadline(&path, &name.location, &settings, &pipeline.stages);
         Some(settings)
     }
 }
--- a/lib/src/settings/tree_check/mod.rs
+++ b/lib/src/settings/tree_check/mod.rs
@@ -93,7 +93,7 @@
 
     fn report_duplicate<T: Display>(&mut self, what: &str, name: &Placed<T>, path: &str) {
         self.findings.add(
-            &name.place,
+            &name.location,
             path,
             format!("{what} {} is defined twice", name.value),
             "rename or remove one of them",
--- a/lib/src/settings/tree_check/pipeline.rs
+++ b/lib/src/settings/tree_check/pipeline.rs
@@ -8,7 +8,7 @@
             tree_check::TreeCheck,
             values::{Guard, Settings, check_combination},
         },
-        shared::{findings::Place, ids::StageId},
+        shared::{findings::Location, ids::StageId},
     },
     std::{collections::BTreeSet, sync::Arc},
 };
@@ -20,7 +20,8 @@
         if raw.stages.is_empty() {
             let message = "the pipeline has no stage";
             let hint = "add \"stages\"";
-            self.findings.add(&raw.name.place, &raw.path, message, hint);
+            self.findings
+                .add(&raw.name.location, &raw.path, message, hint);
         }
         let mut names = BTreeSet::new();
         let stages: Vec<_> = raw
@@ -28,7 +29,7 @@
             .iter()
             .filter_map(|stage| self.check_stage(stage, &settings, &mut names))
             .collect();
-        self.check_deadline(&raw.path, &raw.name.place, &settings, &stages);
+        self.check_deadline(&raw.path, &raw.name.location, &settings, &stages);
         let pipeline = Pipeline {
             id: raw.name.value.clone(),
             settings,
@@ -55,7 +56,7 @@
         let Some(service) = self.tree.services.get(&name.value).cloned() else {
             let message = format!("unknown service {}", name.value);
             let hint = "define the service or correct the name";
-            self.findings.add(&name.place, &raw.path, message, hint);
+            self.findings.add(&name.location, &raw.path, message, hint);
             return None;
         };
         let inherited = Arc::new(Settings::for_stage(pipeline, &service.settings));
@@ -77,7 +78,8 @@
         if laxer || unguarded {
             let message = format!("the stage is laxer than service {} allows", service.id);
             let hint = "leave \"repeatable\" and \"guard\" to the service";
-            self.findings.add(&raw.name.place, &raw.path, message, hint);
+            self.findings
+                .add(&raw.name.location, &raw.path, message, hint);
         }
     }
 
@@ -85,7 +87,7 @@
     pub(super) fn check_deadline(
         &mut self,
         path: &str,
-        place: &Place,
+        location: &Location,
         settings: &Settings,
         stages: &[Stage],
     ) {
@@ -95,12 +97,12 @@
         if deadline.value.0 >= least {
             return;
         }
-        let place = deadline.origin.place.as_ref().unwrap_or(place);
+        let location = deadline.origin.location.as_ref().unwrap_or(location);
         let message = format!(
             "deadline {} is shorter than the sum of the stages' floors, {least}ms",
             deadline.value
         );
         let hint = "raise the deadline or lower the stages' \"floor\"";
-        self.findings.add(place, path, message, hint);
+        self.findings.add(location, path, message, hint);
     }
 }
--- a/lib/src/settings/tree_check/service.rs
+++ b/lib/src/settings/tree_check/service.rs
@@ -19,7 +19,8 @@
         if raw.endpoints.is_empty() {
             let hint = "add \"endpoints\"";
             let message = "the service has no endpoint";
-            self.findings.add(&raw.name.place, &raw.path, message, hint);
+            self.findings
+                .add(&raw.name.location, &raw.path, message, hint);
         }
         let endpoints = raw
             .endpoints
@@ -50,19 +51,19 @@
             ("engine", None) => {
                 let message = "an engine needs a model";
                 let hint = "add \"model\"";
-                self.findings.add(&kind.place, &raw.path, message, hint);
+                self.findings.add(&kind.location, &raw.path, message, hint);
                 None
             }
             ("plain", Some(model)) => {
                 let message = "a plain service has no model";
                 let hint = "remove \"model\" or set \"kind\": \"engine\"";
-                self.findings.add(&model.place, &raw.path, message, hint);
+                self.findings.add(&model.location, &raw.path, message, hint);
                 None
             }
             (other, _) => {
                 let message = format!("unknown kind {other:?}");
                 let hint = "use \"engine\" or \"plain\"";
-                self.findings.add(&kind.place, &raw.path, message, hint);
+                self.findings.add(&kind.location, &raw.path, message, hint);
                 None
             }
         }
@@ -78,12 +79,13 @@
         if let Some(other) = self.addresses.insert(address.value, raw.name.value.clone()) {
             let message = format!("address {} is already used by {other}", address.value);
             let hint = "give each endpoint its own address";
-            self.findings.add(&address.place, path, message, hint);
+            self.findings.add(&address.location, path, message, hint);
         }
         if !self.tree.data_centres.contains(&data_centre.value) {
             let message = format!("unknown data centre {}", data_centre.value);
             let hint = "add it to \"data_centres\" or correct the name";
-            self.findings.add(&data_centre.place, path, message, hint);
+            self.findings
+                .add(&data_centre.location, path, message, hint);
         }
         Some(Arc::new(EndpointSpec {
             id: raw.name.value.clone(),
--- a/lib/src/settings/values/mod.rs
+++ b/lib/src/settings/values/mod.rs
@@ -14,7 +14,7 @@
 };
 
 use {
-    crate::shared::units::{ByteSize, Count, Maybe, Millis, Rate, Share},
+    crate::shared::units::{ByteSize, Count, Millis, Optional, Rate, Share},
     overrides::OverrideError,
 };
 
@@ -103,9 +103,9 @@
     /// Rank of a request when the daemon sheds load, and in an engine's queue.
     Request priority: Priority = "normal";
     /// Requests that a customer may send per second, across all daemons.
-    Request rate: Maybe<Rate> = "none";
+    Request rate: Optional<Rate> = "none";
     /// Requests that a customer may have in flight at one daemon.
-    Request concurrency: Maybe<Count> = "none";
+    Request concurrency: Optional<Count> = "none";
     /// Largest request body accepted.
     Request max_body: ByteSize = "256KB";
     /// Whether the call may be retried, at the same or another endpoint.
@@ -119,7 +119,7 @@
     /// Largest number of retries and hedges, as a share of first attempts.
     Call retry_budget: Share = "10%";
     /// Time without a reply after which a repeatable call is also sent to a second endpoint.
-    Call hedge_after: Maybe<Millis> = "none";
+    Call hedge_after: Optional<Millis> = "none";
     /// Largest reply accepted from an endpoint.
     Call max_reply: ByteSize = "1MB";
     /// Largest number of tokens that one generation may have.
--- a/lib/src/settings/values/overrides.rs
+++ b/lib/src/settings/values/overrides.rs
@@ -9,7 +9,7 @@
             values::{Guard, NAMES, Origin, Settings},
         },
         shared::{
-            findings::{Findings, Place},
+            findings::{Findings, Location},
             units::NONE_TEXT,
         },
     },
@@ -52,10 +52,10 @@
 
 impl OverrideError {
     /// Returns the location of the error: the field's name if it is unknown, else its value.
-    fn place<'f>(&self, field: &'f Field) -> &'f Place {
+    fn location<'f>(&self, field: &'f Field) -> &'f Location {
         match self {
-            Self::Unknown { .. } => &field.place,
-            _ => &field.value.place,
+            Self::Unknown { .. } => &field.location,
+            _ => &field.value.location,
         }
     }
 
@@ -87,12 +87,12 @@
     for field in fields {
         let origin = Origin {
             node: node_name.clone(),
-            place: Some(field.value.place.clone()),
+            location: Some(field.value.location.clone()),
         };
         let overridden =
             new_text(parent, field).and_then(|text| settings.set(&field.name, &text, origin));
         if let Err(error) = overridden {
-            findings.add(error.place(field), node, error.to_string(), error.hint());
+            findings.add(error.location(field), node, error.to_string(), error.hint());
         }
     }
     check_combination(node, &settings, findings);
@@ -121,11 +121,11 @@
     }
     let origin = &settings.guard.origin;
     // Descendants inherit the contradiction. It is reported only once, at the node that sets the guard.
-    if let Some(place) = &origin.place
+    if let Some(location) = &origin.location
         && &*origin.node == node
     {
         findings.add(
-            place,
+            location,
             node,
             format!("guard is {} for a repeatable call", settings.guard.value),
             "set \"repeatable\": false beside it",
--- a/lib/src/settings/values/setting.rs
+++ b/lib/src/settings/values/setting.rs
@@ -1,7 +1,7 @@
 //! An effective value of a node, with the node that set it.
 
 use {
-    crate::shared::findings::Place,
+    crate::shared::findings::Location,
     std::{fmt, sync::Arc},
 };
 
@@ -11,7 +11,7 @@
     /// Path of the node, or `built-in` for a default.
     pub node: Arc<str>,
     /// Location of the value; absent for a built-in default.
-    pub place: Option<Place>,
+    pub location: Option<Location>,
 }
 
 impl Origin {
@@ -19,15 +19,15 @@
     pub fn built_in() -> Self {
         Self {
             node: "built-in".into(),
-            place: None,
+            location: None,
         }
     }
 }
 
 impl fmt::Display for Origin {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match &self.place {
-            Some(place) => write!(f, "{} at {place}", self.node),
+        match &self.location {
+            Some(location) => write!(f, "{} at {location}", self.node),
             None => f.write_str(&self.node),
         }
     }
--- a/lib/src/shared/adoption.rs
+++ b/lib/src/shared/adoption.rs
@@ -16,7 +16,7 @@
 
 /// Version and fingerprint of a document.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct ContentMark<V> {
+pub struct DocumentIdentity<V> {
     /// Version that the publisher gave the document.
     pub version: V,
     /// Hash of the document's content.
@@ -37,7 +37,10 @@
 }
 
 /// Compares a document that was read with the one in force.
-pub fn judge<V: Ord>(current: Option<ContentMark<V>>, read: ContentMark<V>) -> VersionVerdict {
+pub fn compare_versions<V: Ord>(
+    current: Option<DocumentIdentity<V>>,
+    read: DocumentIdentity<V>,
+) -> VersionVerdict {
     let Some(current) = current else {
         return VersionVerdict::Adopt;
     };
--- a/lib/src/shared/clock.rs
+++ b/lib/src/shared/clock.rs
@@ -17,14 +17,14 @@
 pub struct Clock {
     start: Duration,
     /// Time by which a test has advanced the clock.
-    turned: Cell<Duration>,
+    advanced: Cell<Duration>,
 }
 
 impl Default for Clock {
     fn default() -> Self {
         Self {
-            start: since_boot(),
-            turned: Cell::default(),
+            start: time_since_boot(),
+            advanced: Cell::default(),
         }
     }
 }
@@ -32,7 +32,7 @@
 impl Clock {
     /// Returns the time since the clock was started.
     pub fn now(&self) -> Time {
-        let elapsed = since_boot().saturating_sub(self.start) + self.turned.get();
+        let elapsed = time_since_boot().saturating_sub(self.start) + self.advanced.get();
         Time(elapsed.as_micros() as u64)
     }
 
@@ -42,13 +42,13 @@
     }
 
     /// Advances the clock as if the host had been suspended. Timers aren't affected.
-    pub fn turn(&self, time: Duration) {
-        self.turned.set(self.turned.get() + time);
+    pub fn advance(&self, time: Duration) {
+        self.advanced.set(self.advanced.get() + time);
     }
 }
 
 /// Returns the time since the host was started, suspended time included.
-fn since_boot() -> Duration {
+fn time_since_boot() -> Duration {
     let time = clock_gettime(ClockId::Boottime);
     // CLOCK_BOOTTIME is never negative.
     Duration::new(
--- a/lib/src/shared/recent_map.rs
+++ b/lib/src/shared/fifo_map.rs
@@ -7,12 +7,12 @@
 
 /// A map of at most `CAPACITY` entries that evicts the entry added first.
 #[derive(Debug, Clone)]
-pub(crate) struct RecentMap<K, V, const CAPACITY: usize> {
+pub(crate) struct FifoMap<K, V, const CAPACITY: usize> {
     entries: HashMap<K, V>,
     order: VecDeque<K>,
 }
 
-impl<K, V, const CAPACITY: usize> Default for RecentMap<K, V, CAPACITY> {
+impl<K, V, const CAPACITY: usize> Default for FifoMap<K, V, CAPACITY> {
     fn default() -> Self {
         Self {
             entries: HashMap::default(),
@@ -21,7 +21,7 @@
     }
 }
 
-impl<K: Clone + Eq + Hash, V: Default, const CAPACITY: usize> RecentMap<K, V, CAPACITY> {
+impl<K: Clone + Eq + Hash, V: Default, const CAPACITY: usize> FifoMap<K, V, CAPACITY> {
     /// Returns the value of a key. If there is none, inserts the default, and evicts the oldest entry from a full map.
     pub(crate) fn entry(&mut self, key: K) -> &mut V {
         if !self.entries.contains_key(&key) {
--- a/lib/src/shared/findings.rs
+++ b/lib/src/shared/findings.rs
@@ -10,7 +10,7 @@
 
 /// A location in a settings file, written `file:line:col`.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Place {
+pub struct Location {
     /// File name as it was passed to the reader.
     pub file: Arc<str>,
     /// Line, from 1.
@@ -19,7 +19,7 @@
     pub col: u32,
 }
 
-impl Place {
+impl Location {
     /// Returns the location of a file's first character.
     pub fn start_of(file: &str) -> Self {
         Self {
@@ -30,13 +30,13 @@
     }
 }
 
-impl fmt::Display for Place {
+impl fmt::Display for Location {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}:{}:{}", self.file, self.line, self.col)
     }
 }
 
-impl Serialize for Place {
+impl Serialize for Location {
     fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
         serializer.collect_str(self)
     }
@@ -46,7 +46,8 @@
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 pub struct Finding {
     /// Location of the error.
-    pub place: Place,
+    #[serde(rename = "place")]
+    pub location: Location,
     /// Path of the tree node that contains the error.
     pub node: String,
     /// Describes the error.
@@ -60,7 +61,7 @@
         write!(
             f,
             "{}: {}: {}; {}",
-            self.place, self.node, self.message, self.hint
+            self.location, self.node, self.message, self.hint
         )
     }
 }
@@ -72,27 +73,27 @@
 
 impl Findings {
     /// Returns a list of one finding.
-    pub fn one(
-        place: &Place,
+    pub fn single(
+        location: &Location,
         node: impl fmt::Display,
         message: impl Into<String>,
         hint: impl Into<String>,
     ) -> Self {
         let mut findings = Self::default();
-        findings.add(place, node, message, hint);
+        findings.add(location, node, message, hint);
         findings
     }
 
     /// Adds one finding.
     pub fn add(
         &mut self,
-        place: &Place,
+        location: &Location,
         node: impl fmt::Display,
         message: impl Into<String>,
         hint: impl Into<String>,
     ) {
         self.0.push(Finding {
-            place: place.clone(),
+            location: location.clone(),
             node: node.to_string(),
             message: message.into(),
             hint: hint.into(),
--- a/lib/src/shared/http_body.rs
+++ b/lib/src/shared/http_body.rs
@@ -21,31 +21,31 @@
     TooLarge(ByteSize),
     /// The connection failed before the end of the body.
     #[error("reading the body failed: {0}")]
-    Broken(String),
+    ConnectionFailed(String),
     /// No part of the body arrived within the idle timeout.
     #[error("no data of the body arrived for {0:?}")]
-    Silent(Duration),
+    IdleTimeout(Duration),
 }
 
 /// Reads a complete body of at most `limit` bytes.
 ///
 /// # Errors
 ///
-/// Returns an error if the body is larger than `limit`, if the connection fails, or if no data arrives for `silence`.
-pub async fn read_whole(
+/// Returns an error if the body is larger than `limit`, if the connection fails, or if no data arrives for `idle_timeout`.
+pub async fn read_body(
     mut body: Incoming,
     limit: ByteSize,
-    silence: Duration,
+    idle_timeout: Duration,
 ) -> Result<Bytes, BodyError> {
     let mut bytes = BytesMut::new();
     loop {
-        let frame = timeout(silence, body.frame())
+        let frame = timeout(idle_timeout, body.frame())
             .await
-            .map_err(|_| BodyError::Silent(silence))?;
+            .map_err(|_| BodyError::IdleTimeout(idle_timeout))?;
         let Some(frame) = frame else {
             return Ok(bytes.freeze());
         };
-        let frame = frame.map_err(|error| BodyError::Broken(error.to_string()))?;
+        let frame = frame.map_err(|error| BodyError::ConnectionFailed(error.to_string()))?;
         // Trailers aren't used.
         let Ok(data) = frame.into_data() else {
             continue;
--- a/lib/src/shared/mod.rs
+++ b/lib/src/shared/mod.rs
@@ -4,6 +4,7 @@
 
 pub mod adoption;
 pub mod clock;
+pub(crate) mod fifo_map;
 pub mod findings;
 pub mod health;
 pub mod http_body;
@@ -11,7 +12,6 @@
 pub(crate) mod invariant;
 pub(crate) mod json;
 pub mod problem;
-pub(crate) mod recent_map;
 pub mod sse;
 pub mod status;
 pub mod units;
--- a/lib/src/shared/sse.rs
+++ b/lib/src/shared/sse.rs
@@ -9,18 +9,18 @@
 };
 
 /// Longest event accepted from an engine, in bytes.
-const MAX_EVENT: usize = 64 * 1024;
+const MAX_EVENT_BYTES: usize = 64 * 1024;
 
 /// Blank line that ends an event.
 const EVENT_END: &[u8] = b"\n\n";
 
 /// Start of an event's data field, on the event's first line and on a later line.
 const DATA_FIELD: &[u8] = b"data:";
-const DATA_LINE: &[u8] = b"\ndata:";
+const LATER_DATA_FIELD: &[u8] = b"\ndata:";
 
 /// Reports that an event is longer than the reader accepts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
-#[error("a server-sent event exceeds {MAX_EVENT} bytes")]
+#[error("a server-sent event exceeds {MAX_EVENT_BYTES} bytes")]
 pub struct EventTooLong;
 
 /// Splits a stream of bytes into the data of its events.
@@ -37,7 +37,8 @@
     /// Returns an error if an incomplete event is longer than the reader accepts.
     pub fn feed(&mut self, chunk: &[u8]) -> Result<(), EventTooLong> {
         self.buffer.extend_from_slice(chunk);
-        let unfinished = self.buffer.len() > MAX_EVENT && find_end(&self.buffer).is_none();
+        let unfinished =
+            self.buffer.len() > MAX_EVENT_BYTES && find_event_end(&self.buffer).is_none();
         if unfinished {
             return Err(EventTooLong);
         }
@@ -47,7 +48,7 @@
     /// Returns the data of the next complete event, if one has arrived. Skips events without data.
     pub fn next_event(&mut self) -> Option<Bytes> {
         loop {
-            let end = find_end(&self.buffer)?;
+            let end = find_event_end(&self.buffer)?;
             let event = self.buffer.split_to(end + EVENT_END.len()).freeze();
             if let Some(start) = data_start(&event) {
                 return Some(event.slice(start..end));
@@ -62,16 +63,16 @@
         DATA_FIELD.len()
     } else {
         let line = event
-            .windows(DATA_LINE.len())
-            .position(|bytes| bytes == DATA_LINE)?;
-        line + DATA_LINE.len()
+            .windows(LATER_DATA_FIELD.len())
+            .position(|bytes| bytes == LATER_DATA_FIELD)?;
+        line + LATER_DATA_FIELD.len()
     };
     let space = usize::from(event.get(start) == Some(&b' '));
     Some(start + space)
 }
 
 /// Returns the offset of the blank line that ends the first event; `None` if the event is incomplete.
-fn find_end(buffer: &[u8]) -> Option<usize> {
+fn find_event_end(buffer: &[u8]) -> Option<usize> {
     buffer
         .windows(EVENT_END.len())
         .position(|bytes| bytes == EVENT_END)
--- a/lib/src/shared/units/mod.rs
+++ b/lib/src/shared/units/mod.rs
@@ -13,7 +13,7 @@
 pub use {
     capacity::Capacity,
     count::Count,
-    quantity::{Maybe, NONE_TEXT, UnitError},
+    quantity::{NONE_TEXT, Optional, UnitError},
     rate::{BitRate, Rate, Share},
     size::ByteSize,
     time::{Millis, Time, WorkMillis},
--- a/lib/src/shared/units/quantity.rs
+++ b/lib/src/shared/units/quantity.rs
@@ -24,14 +24,14 @@
 }
 
 /// A number and the unit that follows it, such as `250` and `ms`, as split from a text.
-pub(super) struct Written<'t> {
+pub(super) struct NumberWithUnit<'t> {
     /// The number; finite and not negative.
     pub(super) number: f64,
     /// The unit; empty if the text is a bare number.
     pub(super) unit: &'t str,
 }
 
-impl<'t> Written<'t> {
+impl<'t> NumberWithUnit<'t> {
     /// Splits a text into its number and its unit; `None` if it doesn't start with a number.
     pub(super) fn parse(text: &'t str) -> Option<Self> {
         let end = text
@@ -45,12 +45,12 @@
 
 /// A quantity that may be absent, which settings write as `none`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd)]
-pub struct Maybe<T>(pub Option<T>);
+pub struct Optional<T>(pub Option<T>);
 
 /// Text of an absent quantity.
 pub const NONE_TEXT: &str = "none";
 
-impl<T: FromStr> FromStr for Maybe<T> {
+impl<T: FromStr> FromStr for Optional<T> {
     type Err = T::Err;
 
     fn from_str(text: &str) -> Result<Self, T::Err> {
@@ -61,7 +61,7 @@
     }
 }
 
-impl<T: fmt::Display> fmt::Display for Maybe<T> {
+impl<T: fmt::Display> fmt::Display for Optional<T> {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match &self.0 {
             Some(value) => value.fmt(f),
--- a/lib/src/shared/units/rate.rs
+++ b/lib/src/shared/units/rate.rs
@@ -2,7 +2,7 @@
 
 use {
     super::{
-        quantity::{UnitError, Written, unit_error},
+        quantity::{NumberWithUnit, UnitError, unit_error},
         size::ByteSize,
     },
     std::{fmt, str::FromStr, time::Duration},
@@ -21,8 +21,8 @@
     type Err = UnitError;
 
     fn from_str(text: &str) -> Result<Self, UnitError> {
-        match Written::parse(text) {
-            Some(Written { number, unit: "/s" }) if number > 0.0 => Ok(Self(number)),
+        match NumberWithUnit::parse(text) {
+            Some(NumberWithUnit { number, unit: "/s" }) if number > 0.0 => Ok(Self(number)),
             _ => unit_error(text, Self::EXPECTED),
         }
     }
@@ -39,22 +39,22 @@
 pub struct BitRate(pub f64);
 
 /// Bits in one megabit: a power of ten, as in the ratings of links.
-const MEGABIT: f64 = 1e6;
+const BITS_PER_MEGABIT: f64 = 1e6;
 
 /// Bits in a byte.
-const BYTE: f64 = 8.0;
+const BITS_PER_BYTE: f64 = 8.0;
 
 impl BitRate {
     const EXPECTED: &'static str = "a bandwidth such as \"10Mbit/s\"";
 
     /// Returns the bandwidth of a number of megabits per second.
     pub fn from_megabits(megabits: f64) -> Self {
-        Self(megabits * MEGABIT)
+        Self(megabits * BITS_PER_MEGABIT)
     }
 
     /// Returns the time it takes to transfer `size` at this rate.
     pub fn time(self, size: ByteSize) -> Duration {
-        Duration::from_secs_f64(size.0 as f64 * BYTE / self.0)
+        Duration::from_secs_f64(size.0 as f64 * BITS_PER_BYTE / self.0)
     }
 }
 
@@ -63,8 +63,8 @@
     type Err = UnitError;
 
     fn from_str(text: &str) -> Result<Self, UnitError> {
-        match Written::parse(text) {
-            Some(Written {
+        match NumberWithUnit::parse(text) {
+            Some(NumberWithUnit {
                 number,
                 unit: "Mbit/s",
             }) if number > 0.0 => Ok(Self::from_megabits(number)),
@@ -75,7 +75,7 @@
 
 impl fmt::Display for BitRate {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}Mbit/s", self.0 / MEGABIT)
+        write!(f, "{}Mbit/s", self.0 / BITS_PER_MEGABIT)
     }
 }
 
@@ -87,7 +87,7 @@
 const PERCENT: f64 = 100.0;
 
 /// Steps per percent to which a written share is rounded: four decimal places.
-const DIGITS: f64 = 1e4;
+const STEPS_PER_PERCENT: f64 = 1e4;
 
 impl Share {
     const EXPECTED: &'static str = "a share such as \"10%\", 100% at most";
@@ -98,8 +98,10 @@
     type Err = UnitError;
 
     fn from_str(text: &str) -> Result<Self, UnitError> {
-        match Written::parse(text) {
-            Some(Written { number, unit: "%" }) if number <= PERCENT => Ok(Self(number / PERCENT)),
+        match NumberWithUnit::parse(text) {
+            Some(NumberWithUnit { number, unit: "%" }) if number <= PERCENT => {
+                Ok(Self(number / PERCENT))
+            }
             _ => unit_error(text, Self::EXPECTED),
         }
     }
@@ -108,6 +110,10 @@
 /// Writes the percentage with at most four decimal places.
 impl fmt::Display for Share {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}%", (self.0 * (PERCENT * DIGITS)).round() / DIGITS)
+        write!(
+            f,
+            "{}%",
+            (self.0 * (PERCENT * STEPS_PER_PERCENT)).round() / STEPS_PER_PERCENT
+        )
     }
 }
--- a/lib/src/shared/units/size.rs
+++ b/lib/src/shared/units/size.rs
@@ -1,7 +1,7 @@
 //! Sizes in bytes.
 
 use {
-    super::quantity::{UnitError, Written, unit_error},
+    super::quantity::{NumberWithUnit, UnitError, unit_error},
     std::{fmt, str::FromStr},
 };
 
@@ -33,7 +33,7 @@
             "GB" => Some(GB),
             _ => None,
         };
-        let parsed = Written::parse(text)
+        let parsed = NumberWithUnit::parse(text)
             .and_then(|written| Some(written.number * factor(written.unit)? as f64));
         match parsed {
             Some(bytes) if bytes <= Self::MAX.0 as f64 => Ok(Self(bytes.round() as u64)),
--- a/lib/src/shared/units/time.rs
+++ b/lib/src/shared/units/time.rs
@@ -1,7 +1,7 @@
 //! Durations in milliseconds, and points in time in microseconds.
 
 use {
-    super::quantity::{UnitError, Written, unit_error},
+    super::quantity::{NumberWithUnit, UnitError, unit_error},
     serde::{Deserialize, Serialize},
     std::{fmt, ops, str::FromStr, time::Duration},
 };
@@ -45,7 +45,7 @@
             "h" => Some(MILLIS_PER_HOUR),
             _ => None,
         };
-        let parsed = Written::parse(text)
+        let parsed = NumberWithUnit::parse(text)
             .and_then(|written| Some(written.number * factor(written.unit)? as f64));
         match parsed {
             Some(millis) if millis <= Self::MAX.0 as f64 => Ok(Self(millis.round() as u64)),
--- a/lib/tests/test_config_watch.rs
+++ b/lib/tests/test_config_watch.rs
@@ -6,14 +6,14 @@
 use {
     hazelyoke_lib::{
         settings::tree::TreeVersion,
-        shared::adoption::{ContentMark, VersionVerdict, judge},
+        shared::adoption::{DocumentIdentity, VersionVerdict, compare_versions},
     },
     hazelyoke_testutils::fixture::{Fixture, TREE, wait_for},
     std::time::Duration,
 };
 
-fn mark(version: u64, fingerprint: u64) -> ContentMark<TreeVersion> {
-    ContentMark {
+fn mark(version: u64, fingerprint: u64) -> DocumentIdentity<TreeVersion> {
+    DocumentIdentity {
         version: TreeVersion(version),
         fingerprint,
     }
@@ -21,16 +21,19 @@
 
 #[test]
 fn upward_only() {
-    assert_eq!(judge(None, mark(5, 1)), VersionVerdict::Adopt);
+    assert_eq!(compare_versions(None, mark(5, 1)), VersionVerdict::Adopt);
     let current = Some(mark(5, 1));
-    assert_eq!(judge(current, mark(6, 2)), VersionVerdict::Adopt);
-    assert_eq!(judge(current, mark(5, 1)), VersionVerdict::Same);
-    assert_eq!(judge(current, mark(4, 1)), VersionVerdict::Older);
-    assert_eq!(judge(current, mark(5, 2)), VersionVerdict::Conflict);
+    assert_eq!(compare_versions(current, mark(6, 2)), VersionVerdict::Adopt);
+    assert_eq!(compare_versions(current, mark(5, 1)), VersionVerdict::Same);
+    assert_eq!(compare_versions(current, mark(4, 1)), VersionVerdict::Older);
+    assert_eq!(
+        compare_versions(current, mark(5, 2)),
+        VersionVerdict::Conflict
+    );
     // The version counts before the fingerprint.
-    assert_eq!(judge(current, mark(6, 1)), VersionVerdict::Adopt);
-    assert_eq!(judge(current, mark(4, 2)), VersionVerdict::Older);
-    assert_eq!(judge(None, mark(0, 0)), VersionVerdict::Adopt);
+    assert_eq!(compare_versions(current, mark(6, 1)), VersionVerdict::Adopt);
+    assert_eq!(compare_versions(current, mark(4, 2)), VersionVerdict::Older);
+    assert_eq!(compare_versions(None, mark(0, 0)), VersionVerdict::Adopt);
 }
 
 #[tokio::test]
--- a/lib/tests/test_retry.rs
+++ b/lib/tests/test_retry.rs
@@ -3,7 +3,7 @@
 use hazelyoke_lib::{
     pipeline::decision::retry::{AttemptKind, NextStep, StageProgress, hedge_wait},
     settings::values::Settings,
-    shared::units::{Count, Maybe, Millis},
+    shared::units::{Count, Millis, Optional},
 };
 
 /// A stage whose only attempt so far has just ended.
@@ -86,7 +86,7 @@
 fn hedge_waits() {
     let mut settings = Settings::built_in();
     assert_eq!(hedge_wait(&settings, AttemptKind::Regular), None);
-    settings.hedge_after.value = Maybe(Some(Millis(40)));
+    settings.hedge_after.value = Optional(Some(Millis(40)));
     assert_eq!(
         hedge_wait(&settings, AttemptKind::Regular),
         Some(Millis(40))
--- a/lib/tests/test_tree_fuzz.rs
+++ b/lib/tests/test_tree_fuzz.rs
@@ -42,7 +42,7 @@
 fn assert_places(findings: &Findings) {
     assert!(!findings.is_empty(), "refused without a finding");
     for finding in findings.iter() {
-        assert!(finding.place.line >= 1 && finding.place.col >= 1);
+        assert!(finding.location.line >= 1 && finding.location.col >= 1);
         assert!(!finding.message.is_empty() && !finding.hint.is_empty());
     }
 }
--- a/lib/tests/test_units.rs
+++ b/lib/tests/test_units.rs
@@ -4,7 +4,8 @@
 
 use {
     hazelyoke_lib::shared::units::{
-        BitRate, ByteSize, Capacity, Count, Maybe, Millis, Rate, Share, Time, UnitError, WorkMillis,
+        BitRate, ByteSize, Capacity, Count, Millis, Optional, Rate, Share, Time, UnitError,
+        WorkMillis,
     },
     std::{
         fmt::{Debug, Display},
@@ -98,7 +99,7 @@
 
 #[test]
 fn left_out() {
-    assert_text("none", Maybe(None::<Millis>), "none");
-    assert_text("4s", Maybe(Some(Millis(4_000))), "4s");
-    assert_refused::<Maybe<Millis>>(&["", "None"]);
+    assert_text("none", Optional(None::<Millis>), "none");
+    assert_text("4s", Optional(Some(Millis(4_000))), "4s");
+    assert_refused::<Optional<Millis>>(&["", "None"]);
 }
