--- a/lib/src/settings/diff/change.rs
+++ b/lib/src/settings/diff/change.rs
@@ -30,7 +30,7 @@
 /// One change of a node.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case", tag = "change")]
-pub enum Detail {
+pub enum ChangeDetail {
     /// Only the new tree has the node.
     Added,
     /// Only the old tree has the node.
@@ -48,7 +48,7 @@
     },
 }
 
-impl Detail {
+impl ChangeDetail {
     /// Returns the change of a value that isn't a setting.
     pub(super) fn value(name: &str, old: &str, new: &str) -> Self {
         Self::Value {
@@ -60,7 +60,7 @@
     }
 
     /// Converts the change of a node to the change of a value of its parent, with `part` as a prefix of the name.
-    pub(super) fn within(self, part: &str) -> Self {
+    pub(super) fn nested_in(self, part: &str) -> Self {
         match self {
             Self::Added => Self::value(part, "", OVERRIDDEN),
             Self::Removed => Self::value(part, OVERRIDDEN, ""),
@@ -79,12 +79,12 @@
     }
 }
 
-impl fmt::Display for Detail {
+impl fmt::Display for ChangeDetail {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Detail::Added => f.write_str("added"),
-            Detail::Removed => f.write_str("removed"),
-            Detail::Value {
+            ChangeDetail::Added => f.write_str("added"),
+            ChangeDetail::Removed => f.write_str("removed"),
+            ChangeDetail::Value {
                 name,
                 old,
                 new,
@@ -113,5 +113,5 @@
     /// Name of the node.
     pub name: String,
     /// Changes of the node; never empty.
-    pub details: Vec<Detail>,
+    pub details: Vec<ChangeDetail>,
 }
--- a/lib/src/settings/diff/mod.rs
+++ b/lib/src/settings/diff/mod.rs
@@ -5,7 +5,7 @@
 
 mod change;
 
-pub use change::{Detail, NodeChange, NodeKind};
+pub use change::{ChangeDetail, NodeChange, NodeKind};
 
 use {
     crate::{
@@ -23,7 +23,7 @@
 };
 
 /// Scope of the settings of customers and pipelines. Calls inherit their settings from services.
-const REQUEST: Option<Scope> = Some(Scope::Request);
+const REQUEST_SCOPE: Option<Scope> = Some(Scope::Request);
 
 /// Compares two trees. Lists services, then customers, then pipelines, each sorted by name.
 pub fn diff(old: &Tree, new: &Tree) -> Vec<NodeChange> {
@@ -39,7 +39,7 @@
     kind: NodeKind,
     old: &BTreeMap<K, Arc<N>>,
     new: &BTreeMap<K, Arc<N>>,
-    compare: impl Fn(&N, &N, &mut Vec<Detail>),
+    compare: impl Fn(&N, &N, &mut Vec<ChangeDetail>),
 ) -> Vec<NodeChange> {
     let names: BTreeSet<_> = old.keys().chain(new.keys()).collect();
     let details_of = |name: &K| match (old.get(name), new.get(name)) {
@@ -48,8 +48,8 @@
             compare(old, new, &mut details);
             details
         }
-        (Some(_), None) => vec![Detail::Removed],
-        (None, _) => vec![Detail::Added],
+        (Some(_), None) => vec![ChangeDetail::Removed],
+        (None, _) => vec![ChangeDetail::Added],
     };
     let changes = names.into_iter().map(|name| NodeChange {
         kind,
@@ -61,9 +61,9 @@
         .collect()
 }
 
-fn push_value(out: &mut Vec<Detail>, name: &str, old: &str, new: &str) {
+fn push_value(out: &mut Vec<ChangeDetail>, name: &str, old: &str, new: &str) {
     if old != new {
-        out.push(Detail::value(name, old, new));
+        out.push(ChangeDetail::value(name, old, new));
     }
 }
 
@@ -73,12 +73,12 @@
     scope: Option<Scope>,
     old: &Settings,
     new: &Settings,
-    out: &mut Vec<Detail>,
+    out: &mut Vec<ChangeDetail>,
 ) {
     for (old, new) in old.entries().into_iter().zip(new.entries()) {
         let applies = scope.is_none_or(|scope| scope == new.scope);
         if applies && old.value != new.value {
-            out.push(Detail::Value {
+            out.push(ChangeDetail::Value {
                 name: format!("{prefix}{}", new.name),
                 old: old.value,
                 new: new.value,
@@ -91,14 +91,14 @@
 fn diff_overrides(
     old: &BTreeMap<PipelineId, Arc<Settings>>,
     new: &BTreeMap<PipelineId, Arc<Settings>>,
-    out: &mut Vec<Detail>,
+    out: &mut Vec<ChangeDetail>,
 ) {
     let changes = diff_nodes(NodeKind::Pipeline, old, new, |old, new, out| {
-        diff_settings("", REQUEST, old, new, out);
+        diff_settings("", REQUEST_SCOPE, old, new, out);
     });
     for change in changes {
         let part = format!("pipelines.{}", change.name);
-        out.extend(change.details.into_iter().map(|d| d.within(&part)));
+        out.extend(change.details.into_iter().map(|d| d.nested_in(&part)));
     }
 }
 
@@ -118,7 +118,7 @@
     texts.collect()
 }
 
-fn diff_service(old: &Service, new: &Service, out: &mut Vec<Detail>) {
+fn diff_service(old: &Service, new: &Service, out: &mut Vec<ChangeDetail>) {
     push_value(out, "kind", &kind_text(&old.kind), &kind_text(&new.kind));
     diff_settings("", None, &old.settings, &new.settings, out);
     let (old, new) = (endpoint_texts(old), endpoint_texts(new));
@@ -138,14 +138,14 @@
     texts.join(", ")
 }
 
-fn diff_customer(old: &Customer, new: &Customer, out: &mut Vec<Detail>) {
-    diff_settings("", REQUEST, &old.settings, &new.settings, out);
+fn diff_customer(old: &Customer, new: &Customer, out: &mut Vec<ChangeDetail>) {
+    diff_settings("", REQUEST_SCOPE, &old.settings, &new.settings, out);
     diff_overrides(&old.pipelines, &new.pipelines, out);
 }
 
-fn diff_pipeline(old: &Pipeline, new: &Pipeline, out: &mut Vec<Detail>) {
+fn diff_pipeline(old: &Pipeline, new: &Pipeline, out: &mut Vec<ChangeDetail>) {
     push_value(out, "stages", &stages_text(old), &stages_text(new));
-    diff_settings("", REQUEST, &old.settings, &new.settings, out);
+    diff_settings("", REQUEST_SCOPE, &old.settings, &new.settings, out);
     for stage in &new.stages {
         if let Some(before) = old.stages.iter().find(|other| other.id == stage.id) {
             let prefix = format!("stages.{}.", stage.id);
--- a/lib/src/settings/document/text_lines.rs
+++ b/lib/src/settings/document/line_index.rs
@@ -3,13 +3,13 @@
 use {crate::shared::findings::Location, std::sync::Arc};
 
 /// Index of the lines of a text, which converts byte offsets to locations.
-pub(super) struct TextLines<'a> {
+pub(super) struct LineIndex<'a> {
     file: Arc<str>,
     text: &'a str,
     starts: Vec<usize>,
 }
 
-impl<'a> TextLines<'a> {
+impl<'a> LineIndex<'a> {
     /// Indexes the lines of `text`. `file` is the file name that locations contain.
     pub(super) fn new(file: &str, text: &'a str) -> Self {
         let after_break = text.match_indices('\n').map(|(i, _)| i + 1);
--- a/lib/src/settings/document/mod.rs
+++ b/lib/src/settings/document/mod.rs
@@ -4,9 +4,9 @@
 //! every field that is missing, malformed or unknown. This module defines the syntax of settings files, and knows no
 //! individual setting.
 
+mod line_index;
 mod object_reader;
 mod parse;
-mod text_lines;
 
 pub use {object_reader::ObjectReader, parse::parse_bytes};
 
@@ -18,12 +18,12 @@
     /// Location of the value's first character.
     pub location: Location,
     /// The value without its location.
-    pub kind: Kind,
+    pub kind: ValueKind,
 }
 
 /// A JSON value. The values that it contains have locations.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Kind {
+pub enum ValueKind {
     /// `null`.
     Null,
     /// `true` or `false`.
@@ -38,23 +38,23 @@
     Object(Vec<Field>),
 }
 
-impl Kind {
+impl ValueKind {
     /// Returns the name of the kind, for messages.
     pub fn name(&self) -> &'static str {
         match self {
-            Kind::Null => "null",
-            Kind::Bool(_) => "a boolean",
-            Kind::Number(_) => "a number",
-            Kind::Text(_) => "a string",
-            Kind::List(_) => "a list",
-            Kind::Object(_) => "an object",
+            ValueKind::Null => "null",
+            ValueKind::Bool(_) => "a boolean",
+            ValueKind::Number(_) => "a number",
+            ValueKind::Text(_) => "a string",
+            ValueKind::List(_) => "a list",
+            ValueKind::Object(_) => "an object",
         }
     }
 }
 
 /// A validated value of a document, with its location.
 #[derive(Debug, Clone)]
-pub struct Placed<T> {
+pub struct Located<T> {
     /// The value.
     pub value: T,
     /// Location of the value, or of the field's name if the value is one.
@@ -75,8 +75,8 @@
 /// Returns the text of a string, number or boolean; `None` for any other value.
 pub fn scalar_text(value: &Value) -> Option<String> {
     match &value.kind {
-        Kind::Text(text) | Kind::Number(text) => Some(text.clone()),
-        Kind::Bool(flag) => Some(flag.to_string()),
-        Kind::Null | Kind::List(_) | Kind::Object(_) => None,
+        ValueKind::Text(text) | ValueKind::Number(text) => Some(text.clone()),
+        ValueKind::Bool(flag) => Some(flag.to_string()),
+        ValueKind::Null | ValueKind::List(_) | ValueKind::Object(_) => None,
     }
 }
--- a/lib/src/settings/document/object_reader.rs
+++ b/lib/src/settings/document/object_reader.rs
@@ -4,7 +4,7 @@
 
 use {
     crate::{
-        settings::document::{Field, Kind, Placed, Value, scalar_text},
+        settings::document::{Field, Located, Value, ValueKind, scalar_text},
         shared::findings::{Findings, Location},
     },
     std::{fmt::Display, str::FromStr},
@@ -27,7 +27,7 @@
     pub fn new(node: impl Display, value: Value, findings: &'f mut Findings) -> Self {
         let node = node.to_string();
         let fields = match value.kind {
-            Kind::Object(fields) => fields,
+            ValueKind::Object(fields) => fields,
             other => {
                 findings.add(
                     &value.location,
@@ -69,11 +69,11 @@
         match self.take(name) {
             None => Vec::new(),
             Some(Value {
-                kind: Kind::Object(fields),
+                kind: ValueKind::Object(fields),
                 ..
             }) => fields,
             Some(other) => {
-                self.wrong_kind(name, &other, "an object");
+                self.report_wrong_kind(name, &other, "an object");
                 Vec::new()
             }
         }
@@ -84,28 +84,28 @@
         match self.take(name) {
             None => Vec::new(),
             Some(Value {
-                kind: Kind::List(elements),
+                kind: ValueKind::List(elements),
                 ..
             }) => elements,
             Some(other) => {
-                self.wrong_kind(name, &other, "a list");
+                self.report_wrong_kind(name, &other, "a list");
                 Vec::new()
             }
         }
     }
 
     /// Takes and parses an optional field. Reports a malformed value.
-    pub fn take_parsed<T>(&mut self, name: &'static str) -> Option<Placed<T>>
+    pub fn take_parsed<T>(&mut self, name: &'static str) -> Option<Located<T>>
     where
         T: FromStr<Err: Display>,
     {
         let value = self.take(name)?;
         let Some(text) = scalar_text(&value) else {
-            self.wrong_kind(name, &value, "a string, number or boolean");
+            self.report_wrong_kind(name, &value, "a string, number or boolean");
             return None;
         };
         match text.parse() {
-            Ok(parsed) => Some(Placed {
+            Ok(parsed) => Some(Located {
                 value: parsed,
                 location: value.location,
             }),
@@ -119,7 +119,7 @@
     }
 
     /// Takes and parses a required field. Reports an absent field or a malformed value.
-    pub fn take_required<T>(&mut self, name: &'static str) -> Option<Placed<T>>
+    pub fn take_required<T>(&mut self, name: &'static str) -> Option<Located<T>>
     where
         T: FromStr<Err: Display>,
     {
@@ -150,7 +150,7 @@
         }
     }
 
-    fn wrong_kind(&mut self, name: &str, value: &Value, expected: &str) {
+    fn report_wrong_kind(&mut self, name: &str, value: &Value, expected: &str) {
         let message = format!("{name}: expected {expected}, found {}", value.kind.name());
         self.findings
             .add(&value.location, &self.node, message, "correct the value");
--- a/lib/src/settings/document/parse.rs
+++ b/lib/src/settings/document/parse.rs
@@ -4,7 +4,7 @@
 
 use {
     crate::{
-        settings::document::{Field, Kind, Value, text_lines::TextLines},
+        settings::document::{Field, Value, ValueKind, line_index::LineIndex},
         shared::findings::Findings,
     },
     jsonc_parser::{
@@ -21,7 +21,7 @@
 const MAX_DEPTH: usize = 64;
 
 /// Accepts JSON with comments and trailing commas, and no other extension.
-const OPTIONS: ParseOptions = ParseOptions {
+const PARSE_OPTIONS: ParseOptions = ParseOptions {
     allow_comments: true,
     allow_loose_object_property_names: false,
     allow_trailing_commas: true,
@@ -37,7 +37,7 @@
 /// Returns the byte offset at which nesting first exceeds [`MAX_DEPTH`].
 ///
 /// Counts brackets inside strings as well. No legitimate string contains that many, and at worst the file is rejected.
-fn first_too_deep(text: &str) -> Option<usize> {
+fn find_excess_depth(text: &str) -> Option<usize> {
     let mut depth = 0usize;
     for (i, byte) in text.bytes().enumerate() {
         match byte {
@@ -54,20 +54,21 @@
 
 /// Parses text. Returns the first syntax error, or a finding for each duplicate field of an object.
 fn parse(file: &str, text: &str) -> Result<Value, Findings> {
-    let lines = TextLines::new(file, text);
-    if let Some(offset) = first_too_deep(text) {
+    let lines = LineIndex::new(file, text);
+    if let Some(offset) = find_excess_depth(text) {
         let message = format!("values are nested more than {MAX_DEPTH} deep");
         return Err(refuse(&lines, offset, message, "flatten the file"));
     }
-    let parsed = parse_to_ast(text, &CollectOptions::default(), &OPTIONS).map_err(|error| {
-        let message = format!("syntax error: {}", error.kind());
-        refuse(
-            &lines,
-            error.range().start,
-            message,
-            "correct the JSON here",
-        )
-    })?;
+    let parsed =
+        parse_to_ast(text, &CollectOptions::default(), &PARSE_OPTIONS).map_err(|error| {
+            let message = format!("syntax error: {}", error.kind());
+            refuse(
+                &lines,
+                error.range().start,
+                message,
+                "correct the JSON here",
+            )
+        })?;
     let root = parsed.value.ok_or_else(|| {
         let message = "the file holds no value".to_owned();
         refuse(&lines, 0, message, "write an object")
@@ -85,7 +86,7 @@
 pub fn parse_bytes(file: &str, bytes: &[u8]) -> Result<Value, Findings> {
     let text = str::from_utf8(bytes).map_err(|error| {
         let valid = String::from_utf8_lossy(&bytes[..error.valid_up_to()]);
-        let lines = TextLines::new(file, &valid);
+        let lines = LineIndex::new(file, &valid);
         let message = "invalid UTF-8".to_owned();
         refuse(&lines, valid.len(), message, "save the file as UTF-8")
     })?;
@@ -93,11 +94,11 @@
 }
 
 /// Returns the finding for a file that can't be parsed.
-fn refuse(lines: &TextLines<'_>, offset: usize, message: String, hint: &str) -> Findings {
+fn refuse(lines: &LineIndex<'_>, offset: usize, message: String, hint: &str) -> Findings {
     Findings::single(&lines.location(offset), lines.file(), message, hint)
 }
 
-fn convert(lines: &TextLines<'_>, value: &AstValue<'_>, findings: &mut Findings) -> Value {
+fn convert(lines: &LineIndex<'_>, value: &AstValue<'_>, findings: &mut Findings) -> Value {
     let Range { start, .. } = value.range();
     Value {
         location: lines.location(start),
@@ -105,13 +106,13 @@
     }
 }
 
-fn convert_kind(lines: &TextLines<'_>, value: &AstValue<'_>, findings: &mut Findings) -> Kind {
+fn convert_kind(lines: &LineIndex<'_>, value: &AstValue<'_>, findings: &mut Findings) -> ValueKind {
     match value {
-        AstValue::NullKeyword(_) => Kind::Null,
-        AstValue::BooleanLit(lit) => Kind::Bool(lit.value),
-        AstValue::NumberLit(lit) => Kind::Number(lit.value.to_owned()),
-        AstValue::StringLit(lit) => Kind::Text(lit.value.clone().into_owned()),
-        AstValue::Array(array) => Kind::List(
+        AstValue::NullKeyword(_) => ValueKind::Null,
+        AstValue::BooleanLit(lit) => ValueKind::Bool(lit.value),
+        AstValue::NumberLit(lit) => ValueKind::Number(lit.value.to_owned()),
+        AstValue::StringLit(lit) => ValueKind::Text(lit.value.clone().into_owned()),
+        AstValue::Array(array) => ValueKind::List(
             array
                 .elements
                 .iter()
@@ -119,13 +120,13 @@
                 .collect(),
         ),
         AstValue::Object(object) => {
-            Kind::Object(convert_fields(lines, &object.properties, findings))
+            ValueKind::Object(convert_fields(lines, &object.properties, findings))
         }
     }
 }
 
 fn convert_fields(
-    lines: &TextLines<'_>,
+    lines: &LineIndex<'_>,
     properties: &[ObjectProp<'_>],
     findings: &mut Findings,
 ) -> Vec<Field> {
--- a/lib/src/settings/raw_tree/customer.rs
+++ b/lib/src/settings/raw_tree/customer.rs
@@ -2,7 +2,7 @@
 
 use crate::{
     settings::{
-        document::{Field, Kind, ObjectReader, Placed},
+        document::{Field, Located, ObjectReader, ValueKind},
         raw_tree::{parse_name, read_all},
     },
     shared::{
@@ -17,7 +17,7 @@
     /// Path from the root.
     pub path: String,
     /// Name of the customer.
-    pub name: Placed<CustomerId>,
+    pub name: Located<CustomerId>,
     /// Settings that the customer overrides for all pipelines.
     pub settings: Vec<Field>,
     /// Settings that the customer overrides for single pipelines.
@@ -28,7 +28,7 @@
 #[derive(Debug, Clone)]
 pub struct RawOverride {
     /// Name of the pipeline.
-    pub name: Placed<PipelineId>,
+    pub name: Located<PipelineId>,
     /// Settings that the customer overrides.
     pub settings: Vec<Field>,
 }
@@ -56,7 +56,7 @@
     fn read(customer: &str, field: Field, findings: &mut Findings) -> Option<Self> {
         let name = parse_name(&field.name, &field.location, customer, findings)?;
         match field.value.kind {
-            Kind::Object(settings) => Some(Self { name, settings }),
+            ValueKind::Object(settings) => Some(Self { name, settings }),
             other => {
                 let message = format!("expected an object of settings, found {}", other.name());
                 let hint = "write {\"deadline\": ...}";
--- a/lib/src/settings/raw_tree/group.rs
+++ b/lib/src/settings/raw_tree/group.rs
@@ -2,10 +2,10 @@
 
 use crate::{
     settings::{
-        document::{Field, Kind, ObjectReader, Value},
+        document::{Field, ObjectReader, Value, ValueKind},
         raw_tree::{
             RawCustomer, RawPipeline, RawService, ValueSource, parse_name, read_all,
-            value_source::OpenValues,
+            value_source::IncludeStack,
         },
     },
     shared::{
@@ -32,7 +32,7 @@
 }
 
 /// Names that a group can't have, because node paths use them for the kinds of nodes.
-const RESERVED: [&str; 4] = ["services", "customers", "pipelines", "stages"];
+const RESERVED_NAMES: [&str; 4] = ["services", "customers", "pipelines", "stages"];
 
 /// A reference to the value that contains a group.
 struct Include {
@@ -43,7 +43,7 @@
 impl RawGroup {
     /// Reads a group from the remaining fields of `reader`, with all groups below it.
     pub(super) fn read<S: ValueSource>(
-        values: &mut OpenValues<'_, S>,
+        includes: &mut IncludeStack<'_, S>,
         path: String,
         mut reader: ObjectReader<'_>,
     ) -> Self {
@@ -59,7 +59,7 @@
             customers: read_all(customers, |field| RawCustomer::read(&path, field, found)),
             pipelines: read_all(pipelines, |field| RawPipeline::read(&path, field, found)),
             groups: read_all(groups, |field| {
-                Self::read_child(values, &path, field, found)
+                Self::read_child(includes, &path, field, found)
             }),
             path,
         };
@@ -68,7 +68,7 @@
     }
 
     fn read_child<S: ValueSource>(
-        values: &mut OpenValues<'_, S>,
+        includes: &mut IncludeStack<'_, S>,
         parent: &str,
         field: Field,
         findings: &mut Findings,
@@ -76,35 +76,35 @@
         // Group names have no type; the rules of PipelineId are those of all names.
         let name = parse_name::<PipelineId>(&field.name, &field.location, parent, findings)?;
         let path = format!("{parent}/{}", name.value);
-        if RESERVED.contains(&name.value.as_str()) {
+        if RESERVED_NAMES.contains(&name.value.as_str()) {
             let message = format!("a group can't be named {:?}", name.value.as_str());
             findings.add(&field.location, &path, message, "choose another name");
             return None;
         }
-        if let Some(include) = included_value(&field.value) {
-            return Self::read_included(values, path, &include, findings);
+        if let Some(include) = parse_include(&field.value) {
+            return Self::read_included(includes, path, &include, findings);
         }
         let reader = ObjectReader::new(&path, field.value, findings);
-        Some(Self::read(values, path, reader))
+        Some(Self::read(includes, path, reader))
     }
 
     fn read_included<S: ValueSource>(
-        values: &mut OpenValues<'_, S>,
+        includes: &mut IncludeStack<'_, S>,
         path: String,
         include: &Include,
         findings: &mut Findings,
     ) -> Option<Self> {
-        if let Some(cycle) = values.cycle(&include.value) {
+        if let Some(cycle) = includes.find_cycle(&include.value) {
             let message = format!("include cycle: {cycle}");
             let hint = "a value can't include itself; remove one of these includes";
             findings.add(&include.location, &path, message, hint);
             return None;
         }
-        match values.open(&include.value) {
+        match includes.open(&include.value) {
             Ok(value) => {
                 let reader = ObjectReader::new(&path, value, findings);
-                let group = Self::read(values, path, reader);
-                values.close();
+                let group = Self::read(includes, path, reader);
+                includes.close();
                 Some(group)
             }
             Err(inner) => {
@@ -118,15 +118,15 @@
 }
 
 /// Returns the reference of a group that is written as `{"include": "..."}`; `None` for any other value.
-fn included_value(value: &Value) -> Option<Include> {
-    let Kind::Object(fields) = &value.kind else {
+fn parse_include(value: &Value) -> Option<Include> {
+    let ValueKind::Object(fields) = &value.kind else {
         return None;
     };
     let [only] = fields.as_slice() else {
         return None;
     };
     match &only.value.kind {
-        Kind::Text(name) if only.name == "include" => Some(Include {
+        ValueKind::Text(name) if only.name == "include" => Some(Include {
             value: name.clone(),
             location: only.value.location.clone(),
         }),
--- a/lib/src/settings/raw_tree/mod.rs
+++ b/lib/src/settings/raw_tree/mod.rs
@@ -20,14 +20,14 @@
 
 use {
     crate::{
-        settings::document::{Field, ObjectReader, Placed, scalar_text},
+        settings::document::{Field, Located, ObjectReader, scalar_text},
         shared::{
             findings::{Findings, Location},
             ids::{DataCentreId, PipelineId},
         },
     },
     std::{fmt::Display, str::FromStr},
-    value_source::OpenValues,
+    value_source::IncludeStack,
 };
 
 /// A complete tree, parsed but not resolved.
@@ -36,7 +36,7 @@
     /// Version of the tree. Daemons adopt higher versions only.
     pub version: u64,
     /// Data centres that hosts of endpoints may be in.
-    pub data_centres: Vec<Placed<DataCentreId>>,
+    pub data_centres: Vec<Located<DataCentreId>>,
     /// The root group.
     pub root: RawGroup,
     /// All errors found while reading.
@@ -51,8 +51,8 @@
     /// Returns findings if the root value can't be read or parsed. All other findings are kept in the tree, and
     /// reported when it is checked.
     pub fn read(source: &impl ValueSource, name: &str) -> Result<Self, Findings> {
-        let mut values = OpenValues::new(source);
-        let value = values.open(name)?;
+        let mut includes = IncludeStack::new(source);
+        let value = includes.open(name)?;
         let mut findings = Findings::default();
         let mut root = ObjectReader::new(name, value, &mut findings);
         let version = root.take_required::<u64>("version");
@@ -60,7 +60,7 @@
         let tree_name = root.take_required::<PipelineId>("name");
         let data_centres = read_data_centres(&mut root);
         let path = tree_name.map_or_else(|| name.to_owned(), |name| name.value.to_string());
-        let root = RawGroup::read(&mut values, path, root);
+        let root = RawGroup::read(&mut includes, path, root);
         Ok(Self {
             // A missing version is reported, so a tree with this 0 is never adopted.
             version: version.map_or(0, |version| version.value),
@@ -71,7 +71,7 @@
     }
 }
 
-fn read_data_centres(root: &mut ObjectReader<'_>) -> Vec<Placed<DataCentreId>> {
+fn read_data_centres(root: &mut ObjectReader<'_>) -> Vec<Located<DataCentreId>> {
     let elements = root.take_list("data_centres");
     let names = elements.into_iter().filter_map(|element| {
         // A value that isn't a scalar counts as an empty name, which is reported.
@@ -87,10 +87,10 @@
     location: &Location,
     node: &str,
     findings: &mut Findings,
-) -> Option<Placed<T>> {
+) -> Option<Located<T>> {
     let location = location.clone();
     match text.parse() {
-        Ok(value) => Some(Placed { value, location }),
+        Ok(value) => Some(Located { value, location }),
         Err(error) => {
             findings.add(&location, node, error.to_string(), "rename it");
             None
--- a/lib/src/settings/raw_tree/pipeline.rs
+++ b/lib/src/settings/raw_tree/pipeline.rs
@@ -2,7 +2,7 @@
 
 use crate::{
     settings::{
-        document::{Field, ObjectReader, Placed, Value},
+        document::{Field, Located, ObjectReader, Value},
         raw_tree::parse_name,
     },
     shared::{
@@ -17,7 +17,7 @@
     /// Path from the root.
     pub path: String,
     /// Name of the pipeline.
-    pub name: Placed<PipelineId>,
+    pub name: Located<PipelineId>,
     /// Settings that the pipeline overrides.
     pub settings: Vec<Field>,
     /// Stages in the order of execution.
@@ -30,9 +30,9 @@
     /// Path from the root.
     pub path: String,
     /// Name of the stage.
-    pub name: Placed<StageId>,
+    pub name: Located<StageId>,
     /// Service that the stage calls; `None` if the name is missing or malformed, which is reported.
-    pub service: Option<Placed<ServiceId>>,
+    pub service: Option<Located<ServiceId>>,
     /// Settings that the stage overrides.
     pub settings: Vec<Field>,
 }
--- a/lib/src/settings/raw_tree/service.rs
+++ b/lib/src/settings/raw_tree/service.rs
@@ -3,7 +3,7 @@
 use {
     crate::{
         settings::{
-            document::{Field, ObjectReader, Placed},
+            document::{Field, Located, ObjectReader},
             raw_tree::{parse_name, read_all},
         },
         shared::{
@@ -20,11 +20,11 @@
     /// Path from the root.
     pub path: String,
     /// Name of the service.
-    pub name: Placed<ServiceId>,
+    pub name: Located<ServiceId>,
     /// Kind of the endpoints, `engine` or `plain`; `None` if the field is missing or malformed, which is reported.
-    pub kind: Option<Placed<String>>,
+    pub kind: Option<Located<String>>,
     /// Model that the engines serve; only engines have one.
-    pub model: Option<Placed<String>>,
+    pub model: Option<Located<String>>,
     /// Settings that the service overrides.
     pub settings: Vec<Field>,
     /// Endpoints of the service.
@@ -35,11 +35,11 @@
 #[derive(Debug, Clone)]
 pub struct RawEndpoint {
     /// Name of the endpoint.
-    pub name: Placed<EndpointId>,
+    pub name: Located<EndpointId>,
     /// Address on which the endpoint listens; `None` if the field is missing or malformed, which is reported.
-    pub address: Option<Placed<SocketAddr>>,
+    pub address: Option<Located<SocketAddr>>,
     /// Data centre of the endpoint's host; `None` if the field is missing or malformed, which is reported.
-    pub data_centre: Option<Placed<DataCentreId>>,
+    pub data_centre: Option<Located<DataCentreId>>,
     /// Whether operators are taking the endpoint out of service.
     pub leaving: bool,
 }
--- a/lib/src/settings/raw_tree/value_source.rs
+++ b/lib/src/settings/raw_tree/value_source.rs
@@ -27,19 +27,19 @@
 }
 
 /// Stack of the values being read, from the root to the one that contains the current group.
-pub(super) struct OpenValues<'s, S> {
+pub(super) struct IncludeStack<'s, S> {
     source: &'s S,
     names: Vec<String>,
 }
 
-impl<'s, S: ValueSource> OpenValues<'s, S> {
+impl<'s, S: ValueSource> IncludeStack<'s, S> {
     /// Creates an empty stack.
     pub(super) fn new(source: &'s S) -> Self {
         let names = Vec::new();
         Self { source, names }
     }
 
-    /// Reads and parses a value, and pushes its name on the stack until [`OpenValues::close`].
+    /// Reads and parses a value, and pushes its name on the stack until [`IncludeStack::close`].
     ///
     /// # Errors
     ///
@@ -61,7 +61,7 @@
     }
 
     /// Returns the include cycle that opening `name` would cause, as text; `None` if there is none.
-    pub(super) fn cycle(&self, name: &str) -> Option<String> {
+    pub(super) fn find_cycle(&self, name: &str) -> Option<String> {
         let is_open = self.names.iter().any(|open| open == name);
         is_open.then(|| format!("{} -> {name}", self.names.join(" -> ")))
     }
--- a/lib/src/settings/tree.rs
+++ b/lib/src/settings/tree.rs
@@ -158,8 +158,8 @@
         }
         let ending = format!("/{name}");
         let nodes = self.nodes.values();
-        let fits: Vec<_> = nodes.filter(|node| node.path.ends_with(&ending)).collect();
-        match fits.as_slice() {
+        let matches: Vec<_> = nodes.filter(|node| node.path.ends_with(&ending)).collect();
+        match matches.as_slice() {
             [] => Err(NodeError::Unknown { name: name.into() }),
             [only] => Ok(*only),
             several => Err(NodeError::Ambiguous {
--- a/lib/src/settings/tree_check/mod.rs
+++ b/lib/src/settings/tree_check/mod.rs
@@ -11,7 +11,7 @@
 use {
     crate::{
         settings::{
-            document::{Field, Placed},
+            document::{Field, Located},
             raw_tree::{RawGroup, RawTree},
             tree::{Tree, TreeNode, TreeVersion},
             values::{Settings, override_settings},
@@ -36,7 +36,7 @@
         let mut check = TreeCheck::new(raw.version, raw.findings);
         check.add_data_centres(&raw.data_centres);
         let built_in = Arc::new(Settings::built_in());
-        check.add_providers(&raw.root, &built_in);
+        check.add_groups(&raw.root, &built_in);
         check.add_pipelines(&raw.root);
         check.add_overrides(&raw.root);
         check.findings.into_result(check.tree)
@@ -81,7 +81,7 @@
         settings
     }
 
-    fn add_data_centres(&mut self, names: &[Placed<DataCentreId>]) {
+    fn add_data_centres(&mut self, names: &[Located<DataCentreId>]) {
         for name in names {
             if self.tree.data_centres.contains(&name.value) {
                 self.report_duplicate("data centre", name, "data_centres");
@@ -91,7 +91,7 @@
         }
     }
 
-    fn report_duplicate<T: Display>(&mut self, what: &str, name: &Placed<T>, path: &str) {
+    fn report_duplicate<T: Display>(&mut self, what: &str, name: &Located<T>, path: &str) {
         self.findings.add(
             &name.location,
             path,
@@ -101,7 +101,7 @@
     }
 
     /// Adds a group with its services, customers and child groups, to which pipelines refer.
-    fn add_providers(&mut self, group: &RawGroup, parent: &Arc<Settings>) {
+    fn add_groups(&mut self, group: &RawGroup, parent: &Arc<Settings>) {
         let settings = self.add_node(&group.path, parent, &group.settings);
         for service in &group.services {
             self.add_service(service, &settings);
@@ -110,7 +110,7 @@
             self.add_customer(customer, &settings);
         }
         for child in &group.groups {
-            self.add_providers(child, &settings);
+            self.add_groups(child, &settings);
         }
     }
 
--- a/lib/src/settings/tree_check/pipeline.rs
+++ b/lib/src/settings/tree_check/pipeline.rs
@@ -6,7 +6,7 @@
             raw_tree::{RawPipeline, RawStage},
             tree::{Pipeline, Service, Stage},
             tree_check::TreeCheck,
-            values::{Guard, Settings, check_combination},
+            values::{Guard, Settings, check_guard},
         },
         shared::{findings::Location, ids::StageId},
     },
@@ -71,7 +71,7 @@
 
     /// Reports a stage that allows retries, or goes without a guard, where the service it calls doesn't permit this.
     fn check_strictness(&mut self, raw: &RawStage, service: &Service, settings: &Settings) {
-        check_combination(&raw.path, settings, &mut self.findings);
+        check_guard(&raw.path, settings, &mut self.findings);
         let strict = &service.settings;
         let laxer = settings.repeatable.value && !strict.repeatable.value;
         let unguarded = settings.guard.value == Guard::None && strict.guard.value != Guard::None;
--- a/lib/src/settings/values/words.rs
+++ b/lib/src/settings/values/keywords.rs
@@ -8,14 +8,14 @@
 /// Reports that a text is none of the keywords that a setting accepts.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 #[error("{text:?} is not one of {known:?}")]
-pub struct WordError {
+pub struct KeywordError {
     /// The text found.
     pub text: String,
     /// All keywords that the setting accepts.
     pub known: &'static [&'static str],
 }
 
-macro_rules! word_enum {
+macro_rules! keyword_enum {
     ($(#[$doc:meta])* $name:ident { $($(#[$vdoc:meta])* $variant:ident = $text:literal,)* }) => {
         $(#[$doc])*
         #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -24,12 +24,12 @@
         }
 
         impl FromStr for $name {
-            type Err = WordError;
+            type Err = KeywordError;
 
-            fn from_str(text: &str) -> Result<Self, WordError> {
+            fn from_str(text: &str) -> Result<Self, KeywordError> {
                 match text {
                     $($text => Ok(Self::$variant),)*
-                    _ => Err(WordError {
+                    _ => Err(KeywordError {
                         text: text.to_owned(),
                         known: &[$($text),*],
                     }),
@@ -45,7 +45,7 @@
     };
 }
 
-word_enum! {
+keyword_enum! {
     /// Rank of a request when the daemon sheds load, and in the queues of engines.
     Priority {
         /// Shed first.
@@ -57,7 +57,7 @@
     }
 }
 
-word_enum! {
+keyword_enum! {
     /// Mechanism that prevents a call that may not be retried from running twice.
     Guard {
         /// No mechanism: if the caller retries, the call may run again.
@@ -69,7 +69,7 @@
     }
 }
 
-word_enum! {
+keyword_enum! {
     /// Algorithm that selects endpoints.
     PolicyKind {
         /// Selects by estimated finish, admits by deadline, and retries within a budget.
--- a/lib/src/settings/values/mod.rs
+++ b/lib/src/settings/values/mod.rs
@@ -1,16 +1,16 @@
 //! Settings that every node of the tree inherits from its parent unless it overrides them.
 //!
 //! Contains the table of settings with their types, scopes and defaults. `overrides` applies the values that a node
-//! sets, `setting` records the origin of a value, `words` defines the settings that are enumerations.
+//! sets, `setting` records the origin of a value, `keywords` defines the settings that are enumerations.
 
+mod keywords;
 mod overrides;
 mod setting;
-mod words;
 
-pub(crate) use overrides::{check_combination, override_settings};
+pub(crate) use overrides::{check_guard, override_settings};
 pub use {
+    keywords::{Guard, KeywordError, PolicyKind, Priority},
     setting::{Origin, Scope, Setting, SettingEntry},
-    words::{Guard, PolicyKind, Priority, WordError},
 };
 
 use {
@@ -27,7 +27,7 @@
         }
 
         /// Names of all settings, in the order in which reports list them.
-        pub const NAMES: &[&str] = &[$(stringify!($name)),*];
+        pub const SETTING_NAMES: &[&str] = &[$(stringify!($name)),*];
 
         impl Settings {
             /// Returns the built-in defaults.
--- a/lib/src/settings/values/overrides.rs
+++ b/lib/src/settings/values/overrides.rs
@@ -5,8 +5,8 @@
 use {
     crate::{
         settings::{
-            document::{Field, Kind, scalar_text},
-            values::{Guard, NAMES, Origin, Settings},
+            document::{Field, ValueKind, scalar_text},
+            values::{Guard, Origin, SETTING_NAMES, Settings},
         },
         shared::{
             findings::{Findings, Location},
@@ -61,7 +61,7 @@
 
     fn hint(&self) -> String {
         match self {
-            Self::Unknown { .. } => format!("remove it; known: {}", NAMES.join(", ")),
+            Self::Unknown { .. } => format!("remove it; known: {}", SETTING_NAMES.join(", ")),
             Self::NothingToClear { .. } => "remove this line".to_owned(),
             Self::NotScalar { .. } => "write a string, number or boolean".to_owned(),
             Self::BadValue { .. } => "correct the value or unit".to_owned(),
@@ -90,19 +90,19 @@
             location: Some(field.value.location.clone()),
         };
         let overridden =
-            new_text(parent, field).and_then(|text| settings.set(&field.name, &text, origin));
+            override_text(parent, field).and_then(|text| settings.set(&field.name, &text, origin));
         if let Err(error) = overridden {
             findings.add(error.location(field), node, error.to_string(), error.hint());
         }
     }
-    check_combination(node, &settings, findings);
+    check_guard(node, &settings, findings);
     Arc::new(settings)
 }
 
 /// Returns the text that a field sets: its value, or `none` for `null`, which clears the setting.
-fn new_text(parent: &Settings, field: &Field) -> Result<String, OverrideError> {
+fn override_text(parent: &Settings, field: &Field) -> Result<String, OverrideError> {
     let name = &field.name;
-    if field.value.kind != Kind::Null {
+    if field.value.kind != ValueKind::Null {
         return scalar_text(&field.value).ok_or_else(|| OverrideError::NotScalar {
             name: name.clone(),
             found: field.value.kind.name(),
@@ -115,7 +115,7 @@
 }
 
 /// Reports a guard on a call that may be retried, because the two contradict each other.
-pub(crate) fn check_combination(node: &str, settings: &Settings, findings: &mut Findings) {
+pub(crate) fn check_guard(node: &str, settings: &Settings, findings: &mut Findings) {
     if !settings.repeatable.value || settings.guard.value == Guard::None {
         return;
     }
--- a/lib/tests/test_settings_tree.rs
+++ b/lib/tests/test_settings_tree.rs
@@ -7,7 +7,7 @@
         settings::{
             raw_tree::{RawTree, ValueSource},
             tree::Tree,
-            values::{Guard, NAMES, Settings},
+            values::{Guard, SETTING_NAMES, Settings},
         },
         shared::{
             findings::Findings,
@@ -100,7 +100,7 @@
 fn built_in_defaults() {
     let entries = Settings::built_in().entries();
     let names: Vec<_> = entries.iter().map(|entry| entry.name).collect();
-    assert_eq!(names, NAMES);
+    assert_eq!(names, SETTING_NAMES);
 }
 
 #[test]
--- a/lib/tests/test_tree_fuzz.rs
+++ b/lib/tests/test_tree_fuzz.rs
@@ -19,7 +19,7 @@
 const DAEMON: &str = include_str!("../../examples/daemon.jsonc");
 
 /// Fragments that a mutation inserts in place of a range.
-const PIECES: [&[u8]; 12] = [
+const FRAGMENTS: [&[u8]; 12] = [
     b"{", b"}", b"[", b"]", b",", b"null", b"\"", b"-1", b"1e999", b"\xff", b"\"4s\"", b"//",
 ];
 
@@ -29,17 +29,17 @@
     for _ in 0..u.int_in_range(1..=4)? {
         let from = u.int_in_range(0..=bytes.len())?;
         let to = (from + u.int_in_range(0..=20)?).min(bytes.len());
-        let piece: Vec<u8> = match u.int_in_range(0..=2)? {
+        let fragment: Vec<u8> = match u.int_in_range(0..=2)? {
             0 => Vec::new(),
             1 => bytes[from..to].repeat(2),
-            _ => u.choose(&PIECES)?.to_vec(),
+            _ => u.choose(&FRAGMENTS)?.to_vec(),
         };
-        bytes.splice(from..to, piece);
+        bytes.splice(from..to, fragment);
     }
     Ok(bytes)
 }
 
-fn assert_places(findings: &Findings) {
+fn assert_locations(findings: &Findings) {
     assert!(!findings.is_empty(), "refused without a finding");
     for finding in findings.iter() {
         assert!(finding.location.line >= 1 && finding.location.col >= 1);
@@ -54,7 +54,7 @@
         let source = OneValue(mutate(u, text)?);
         let checked = RawTree::read(&source, "root").and_then(Tree::try_from);
         if let Err(findings) = checked {
-            assert_places(&findings);
+            assert_locations(&findings);
         }
         Ok(())
     });
@@ -66,7 +66,7 @@
         let bytes = mutate(u, DAEMON)?;
         let checked = RawDaemonSettings::parse("f", &bytes).and_then(DaemonSettings::try_from);
         if let Err(findings) = checked {
-            assert_places(&findings);
+            assert_locations(&findings);
         }
         Ok(())
     });
