--- a/cli/src/commands/report.rs
+++ b/cli/src/commands/report.rs
@@ -5,7 +5,7 @@
     anyhow::{Context, Result},
     argh::FromArgs,
     hazelyoke_lib::report::{
-        CallCounts, LogReport, ReportReader, RequestCounts, RouteReport, Spread,
+        CallCounts, Histogram, LogReport, ReportReader, RequestCounts, RouteReport,
     },
     std::{
         fs::File,
@@ -15,7 +15,7 @@
 };
 
 /// Heading of the columns of request counts.
-const COUNTS: [&str; 7] = [
+const COUNT_COLUMNS: [&str; 7] = [
     "accepted", "admitted", "answered", "refused", "failed", "left", "retries",
 ];
 
@@ -112,15 +112,15 @@
 
 fn times_row(name: &str, route: &RouteReport) -> Vec<String> {
     let objective = route.objective_ms.map_or_else(dash, |ms| ms.to_string());
-    let spreads = [&route.expected_ms, &route.staged_ms, &route.answered_ms];
+    let histograms = [&route.expected_ms, &route.staged_ms, &route.answered_ms];
     let mut row = vec![name.to_owned(), objective];
-    row.extend(spreads.into_iter().map(spread_text));
+    row.extend(histograms.into_iter().map(quantiles_text));
     row
 }
 
-fn spread_text(spread: &Spread) -> String {
+fn quantiles_text(histogram: &Histogram) -> String {
     let quantile = |share| {
-        let value = spread.quantile(share);
+        let value = histogram.quantile(share);
         value.map_or_else(dash, |ms| format!("{ms:.0}"))
     };
     format!("{}/{}/{}", quantile(0.1), quantile(0.5), quantile(0.9))
@@ -131,7 +131,7 @@
 }
 
 fn print_counts<'a>(title: &str, rows: impl Iterator<Item = (String, &'a RequestCounts)>) {
-    let header: Vec<&str> = [title].into_iter().chain(COUNTS).collect();
+    let header: Vec<&str> = [title].into_iter().chain(COUNT_COLUMNS).collect();
     let mut table = plain_table(&header);
     for (name, counts) in rows {
         let RequestCounts {
--- a/lib/src/report/spread.rs
+++ b/lib/src/report/histogram.rs
@@ -3,26 +3,26 @@
 use serde::{Serialize, Serializer, ser::SerializeStruct};
 
 /// Ratio of the upper to the lower bound of a bucket. Quantiles are accurate to 5 %.
-const RATIO: f64 = 1.05;
+const BUCKET_RATIO: f64 = 1.05;
 
 /// Number of buckets, which cover times up to 17 minutes.
-const BUCKETS: usize = 285;
+const BUCKET_COUNT: usize = 285;
 
 /// A histogram of times in milliseconds, with exponential buckets.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct Spread {
+pub struct Histogram {
     counts: Vec<u64>,
     total: u64,
 }
 
-impl Spread {
+impl Histogram {
     /// Adds a time in milliseconds.
     pub fn add(&mut self, ms: f64) {
         if self.counts.is_empty() {
-            self.counts = vec![0; BUCKETS];
+            self.counts = vec![0; BUCKET_COUNT];
         }
-        let bucket = ms.max(1.0).log(RATIO) as usize;
-        self.counts[bucket.min(BUCKETS - 1)] += 1;
+        let bucket = ms.max(1.0).log(BUCKET_RATIO) as usize;
+        self.counts[bucket.min(BUCKET_COUNT - 1)] += 1;
         self.total += 1;
     }
 
@@ -38,7 +38,7 @@
         for (bucket, count) in self.counts.iter().enumerate() {
             seen += count;
             if seen >= wanted {
-                return Some(RATIO.powf(bucket as f64 + 0.5));
+                return Some(BUCKET_RATIO.powf(bucket as f64 + 0.5));
             }
         }
         None
@@ -46,7 +46,7 @@
 }
 
 /// Serialised as the number of times and three quantiles, in whole milliseconds.
-impl Serialize for Spread {
+impl Serialize for Histogram {
     fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
         let quantile = |share| self.quantile(share).map(f64::round);
         let mut fields = serializer.serialize_struct("Spread", 4)?;
--- a/lib/src/report/log_line.rs
+++ b/lib/src/report/log_line.rs
@@ -3,7 +3,7 @@
 use {serde::Deserialize, std::borrow::Cow};
 
 /// Start of a line's JSON object. Text before it is a prefix that log collectors added.
-const OBJECT: char = '{';
+const OBJECT_START: char = '{';
 
 /// The fields of a line. Which of them are present depends on the event.
 #[derive(Debug, Deserialize)]
@@ -60,7 +60,7 @@
 
 impl<'l> Line<'l> {
     pub(super) fn parse(text: &'l str) -> Self {
-        let Some(start) = text.find(OBJECT) else {
+        let Some(start) = text.find(OBJECT_START) else {
             return Self::Other;
         };
         match serde_json::from_str(text[start..].trim_end()) {
--- a/lib/src/report/mod.rs
+++ b/lib/src/report/mod.rs
@@ -7,11 +7,11 @@
 //! Depends only on the names of events and fields in the logs, so that it reads logs of any version of the daemon. The
 //! logs don't contain the time of a stream's first event, so late answers can't be distinguished.
 
+mod histogram;
 mod log_line;
 mod reader;
-mod spread;
 
-pub use {reader::ReportReader, spread::Spread};
+pub use {histogram::Histogram, reader::ReportReader};
 
 use {serde::Serialize, std::collections::BTreeMap};
 
@@ -73,11 +73,11 @@
     /// Numbers of the route's requests.
     pub counts: RequestCounts,
     /// Estimated durations of admitted requests, in milliseconds.
-    pub expected_ms: Spread,
+    pub expected_ms: Histogram,
     /// Times from the admission of requests to their first attempts, in milliseconds.
-    pub staged_ms: Spread,
+    pub staged_ms: Histogram,
     /// Times from the arrival of requests to the end of their answers, in milliseconds.
-    pub answered_ms: Spread,
+    pub answered_ms: Histogram,
 }
 
 /// Requests of a route that ended with the same code and outcome.
--- a/lib/src/report/reader.rs
+++ b/lib/src/report/reader.rs
@@ -9,14 +9,14 @@
 };
 
 /// Placeholder for a value that the log doesn't contain, such as the name of a route or a data centre.
-const UNKNOWN: &str = "-";
+const UNKNOWN_NAME: &str = "-";
 
 /// Time after which an open request is dropped, in milliseconds: its end is missing because the daemon was killed or
 /// log lines were dropped. Far longer than any deadline.
-const FORGET_MS: u64 = 120_000;
+const MAX_OPEN_MS: u64 = 120_000;
 
 /// Number of open requests above which old ones are searched for and dropped.
-const SWEEP_ABOVE: usize = 10_000;
+const SWEEP_THRESHOLD: usize = 10_000;
 
 const MS_PER_SECOND: u64 = 1_000;
 
@@ -27,9 +27,9 @@
     problems: BTreeMap<ProblemKey, ReportedProblem>,
     open: HashMap<String, OpenRequest>,
     /// Data centre of the host whose lines are being read; `None` until its log contains it.
-    centre: Option<String>,
+    data_centre: Option<String>,
     /// Second of the first request counted, since 1970; `None` before it.
-    first: Option<u64>,
+    first_second: Option<u64>,
 }
 
 /// Fields by which problems are grouped.
@@ -44,14 +44,14 @@
 #[derive(Debug)]
 struct OpenRequest {
     route: String,
-    at_ms: u64,
-    admitted: Option<u64>,
+    arrived_ms: u64,
+    admitted_ms: Option<u64>,
 }
 
 impl ReportReader {
     /// Starts the log of another host.
     pub fn begin_host(&mut self) {
-        self.centre = None;
+        self.data_centre = None;
         self.open.clear();
     }
 
@@ -75,7 +75,7 @@
 
     fn add_event(&mut self, line: &LogLine<'_>) {
         match &*line.event {
-            "daemon.started" => self.centre = line.data_centre.as_deref().map(str::to_owned),
+            "daemon.started" => self.data_centre = line.data_centre.as_deref().map(str::to_owned),
             "log.dropped" => self.report.lines.dropped += line.lines.unwrap_or(0),
             "pieces.sent" => self.call_sent(line),
             "pieces.ended" => self.call_ended(line),
@@ -105,12 +105,12 @@
     }
 
     fn accepted(&mut self, request: &str, line: &LogLine<'_>) {
-        self.forget_old(line.at_ms);
-        let route = line.route.as_deref().unwrap_or(UNKNOWN).to_owned();
+        self.drop_old(line.at_ms);
+        let route = line.route.as_deref().unwrap_or(UNKNOWN_NAME).to_owned();
         let open = OpenRequest {
             route,
-            at_ms: line.at_ms,
-            admitted: None,
+            arrived_ms: line.at_ms,
+            admitted_ms: None,
         };
         self.open.insert(request.to_owned(), open);
         self.count(request, line, |counts| counts.accepted += 1);
@@ -121,7 +121,7 @@
         let Some(open) = self.open.get_mut(request) else {
             return;
         };
-        open.admitted = Some(line.at_ms);
+        open.admitted_ms = Some(line.at_ms);
         let route = self.report.routes.entry(open.route.clone()).or_default();
         route.objective_ms = line.objective_ms.or(route.objective_ms);
         if let Some(expected) = line.expected_ms {
@@ -134,7 +134,7 @@
         let Some(open) = self.open.get_mut(request) else {
             return;
         };
-        if let Some(admitted) = open.admitted.take() {
+        if let Some(admitted) = open.admitted_ms.take() {
             let route = self.report.routes.entry(open.route.clone()).or_default();
             let staged = line.at_ms.saturating_sub(admitted);
             route.staged_ms.add(staged as f64);
@@ -153,7 +153,7 @@
 
     fn problem(&mut self, request: &str, line: &LogLine<'_>) {
         let route = self.route_of(request);
-        let text = |field: &Option<_>| field.as_deref().unwrap_or(UNKNOWN).to_owned();
+        let text = |field: &Option<_>| field.as_deref().unwrap_or(UNKNOWN_NAME).to_owned();
         let key = ProblemKey {
             route: route.clone(),
             code: text(&line.code),
@@ -185,21 +185,28 @@
 
     /// Applies `change` to the counts of the request's route, data centre and second.
     fn count(&mut self, request: &str, line: &LogLine<'_>, change: impl Fn(&mut RequestCounts)) {
-        let came = self.open.get(request).map_or(line.at_ms, |open| open.at_ms);
+        let arrived_ms = self
+            .open
+            .get(request)
+            .map_or(line.at_ms, |open| open.arrived_ms);
         let route = self.route_of(request);
-        let centre = self.centre.as_deref().unwrap_or(UNKNOWN).to_owned();
-        let second = came / MS_PER_SECOND;
-        let first = *self.first.get_or_insert(second);
+        let data_centre = self
+            .data_centre
+            .as_deref()
+            .unwrap_or(UNKNOWN_NAME)
+            .to_owned();
+        let second = arrived_ms / MS_PER_SECOND;
+        let first = *self.first_second.get_or_insert(second);
         change(&mut self.report.routes.entry(route).or_default().counts);
-        change(self.report.centres.entry(centre).or_default());
+        change(self.report.centres.entry(data_centre).or_default());
         // The clocks of hosts differ. A request before the first second counts in the first second.
-        let place = second.saturating_sub(first);
-        change(self.report.seconds.entry(place).or_default());
+        let offset = second.saturating_sub(first);
+        change(self.report.seconds.entry(offset).or_default());
     }
 
     fn route_of(&self, request: &str) -> String {
         let open = self.open.get(request);
-        open.map_or_else(|| UNKNOWN.to_owned(), |open| open.route.clone())
+        open.map_or_else(|| UNKNOWN_NAME.to_owned(), |open| open.route.clone())
     }
 
     fn call_sent(&mut self, line: &LogLine<'_>) {
@@ -222,15 +229,15 @@
     }
 
     fn service(&mut self, line: &LogLine<'_>) -> &mut CallCounts {
-        let service = line.service.as_deref().unwrap_or(UNKNOWN).to_owned();
+        let service = line.service.as_deref().unwrap_or(UNKNOWN_NAME).to_owned();
         self.report.services.entry(service).or_default()
     }
 
     /// Drops open requests whose ends will not follow.
-    fn forget_old(&mut self, now_ms: u64) {
-        if self.open.len() > SWEEP_ABOVE {
-            let oldest = now_ms.saturating_sub(FORGET_MS);
-            self.open.retain(|_, open| open.at_ms >= oldest);
+    fn drop_old(&mut self, now_ms: u64) {
+        if self.open.len() > SWEEP_THRESHOLD {
+            let oldest = now_ms.saturating_sub(MAX_OPEN_MS);
+            self.open.retain(|_, open| open.arrived_ms >= oldest);
         }
     }
 }
--- a/lib/src/timeline/host_log.rs
+++ b/lib/src/timeline/host_log.rs
@@ -26,7 +26,7 @@
     /// Time of day on the host, in milliseconds since 1970.
     pub(super) at_ms: u64,
     /// Latest time in the log up to this line. Sorting by it keeps the order of lines if the clock steps back.
-    pub(super) order: u64,
+    pub(super) order_ms: u64,
     pub(super) event: String,
     fields: Map<String, Value>,
 }
@@ -38,7 +38,7 @@
         let mut latest = 0;
         for entry in &mut entries {
             latest = entry.at_ms.max(latest);
-            entry.order = latest;
+            entry.order_ms = latest;
         }
         Self {
             host: &log.host,
@@ -58,7 +58,7 @@
         fields.remove("level");
         Some(Self {
             at_ms,
-            order: at_ms,
+            order_ms: at_ms,
             event,
             fields,
         })
@@ -80,14 +80,14 @@
     }
 
     /// Returns whether the line names the request, in the field `request` or in a call's list `requests`.
-    pub(super) fn names(&self, request: &str) -> bool {
+    pub(super) fn names_request(&self, request: &str) -> bool {
         let quoted = format!("\"{request}\"");
         let listed = self.string("requests").is_some_and(|l| l.contains(&quoted));
         listed || self.string("request") == Some(request)
     }
 
     /// Returns whether the line is about one of `calls`.
-    pub(super) fn is_of_call(&self, calls: &BTreeSet<&str>) -> bool {
+    pub(super) fn is_about_call(&self, calls: &BTreeSet<&str>) -> bool {
         self.call().is_some_and(|call| calls.contains(call))
     }
 
--- a/lib/src/timeline/mod.rs
+++ b/lib/src/timeline/mod.rs
@@ -17,10 +17,10 @@
 };
 
 /// How long before a request's first step observations are included, in milliseconds.
-const BEFORE_MS: u64 = 2_000;
+const OBSERVED_BEFORE_MS: u64 = 2_000;
 
 /// Prefixes of the names of events that are observations.
-const OBSERVATIONS: &[&str] = &[
+const OBSERVATION_PREFIXES: &[&str] = &[
     "daemon.",
     "directory.",
     "endpoint.",
@@ -33,7 +33,7 @@
 ];
 
 /// Field that contains the name of an endpoint.
-const ENDPOINT: &str = "endpoint";
+const ENDPOINT_FIELD: &str = "endpoint";
 
 /// The steps of one request, with observations, in order of time.
 #[derive(Debug, Clone, PartialEq)]
@@ -103,7 +103,7 @@
         let mut chosen = steps(request, &logs);
         chosen.extend(observations(&chosen, &logs));
         // The sort is stable, so lines of one host with the same time keep their order.
-        chosen.sort_by_key(|line| line.entry.order);
+        chosen.sort_by_key(|line| line.entry.order_ms);
         Self {
             lines: chosen.iter().map(TimelineLine::from).collect(),
         }
@@ -126,8 +126,9 @@
 fn steps<'l>(request: &str, logs: &'l [ParsedLog<'_>]) -> Vec<ChosenEntry<'l>> {
     let mut steps = Vec::new();
     for log in logs {
-        let calls = calls_of(request, log);
-        let is_step = |entry: &&LogEntry| entry.names(request) || entry.is_of_call(&calls);
+        let calls = request_calls(request, log);
+        let is_step =
+            |entry: &&LogEntry| entry.names_request(request) || entry.is_about_call(&calls);
         steps.extend(log.entries.iter().filter(is_step).map(|entry| ChosenEntry {
             host: log.host,
             entry,
@@ -139,24 +140,31 @@
 
 /// Returns the names of the calls in which one host sent the request's pieces. Names of calls are unique only within a
 /// host.
-fn calls_of<'l>(request: &str, log: &'l ParsedLog<'_>) -> BTreeSet<&'l str> {
-    let naming = log.entries.iter().filter(|entry| entry.names(request));
+fn request_calls<'l>(request: &str, log: &'l ParsedLog<'_>) -> BTreeSet<&'l str> {
+    let naming = log
+        .entries
+        .iter()
+        .filter(|entry| entry.names_request(request));
     naming.filter_map(LogEntry::call).collect()
 }
 
-/// Returns the observations of the hosts that logged `steps`, from [`BEFORE_MS`] before the first step to the last.
+/// Returns the observations of the hosts that logged `steps`, from [`OBSERVED_BEFORE_MS`] before the first step to the
+/// last.
 fn observations<'l>(steps: &[ChosenEntry<'l>], logs: &'l [ParsedLog<'_>]) -> Vec<ChosenEntry<'l>> {
-    let Some(span) = span(steps) else {
+    let Some(time_range) = time_range(steps) else {
         return Vec::new();
     };
     let hosts: BTreeSet<&str> = steps.iter().map(|step| step.host).collect();
     let endpoints: BTreeSet<String> = steps
         .iter()
-        .filter_map(|step| step.entry.text(ENDPOINT))
+        .filter_map(|step| step.entry.text(ENDPOINT_FIELD))
         .collect();
     let mut observations = Vec::new();
     for log in logs.iter().filter(|log| hosts.contains(log.host)) {
-        let meanwhile = log.entries.iter().filter(|e| span.contains(&e.order));
+        let meanwhile = log
+            .entries
+            .iter()
+            .filter(|e| time_range.contains(&e.order_ms));
         let noticed = meanwhile.filter(|entry| is_observation(entry, &endpoints));
         observations.extend(noticed.map(|entry| ChosenEntry {
             host: log.host,
@@ -169,16 +177,16 @@
 
 /// Returns whether an entry is an observation. One about an endpoint counts only if a step names the endpoint too.
 fn is_observation(entry: &LogEntry, endpoints: &BTreeSet<String>) -> bool {
-    let about = entry.string(ENDPOINT);
-    OBSERVATIONS
+    let about = entry.string(ENDPOINT_FIELD);
+    OBSERVATION_PREFIXES
         .iter()
-        .any(|begin| entry.event.starts_with(begin))
+        .any(|prefix| entry.event.starts_with(prefix))
         && about.is_none_or(|endpoint| endpoints.contains(endpoint))
 }
 
 /// Returns the range of times from which observations are included; `None` without steps.
-fn span(steps: &[ChosenEntry<'_>]) -> Option<RangeInclusive<u64>> {
-    let first = steps.iter().map(|step| step.entry.order).min()?;
-    let last = steps.iter().map(|step| step.entry.order).max()?;
-    Some(first.saturating_sub(BEFORE_MS)..=last)
+fn time_range(steps: &[ChosenEntry<'_>]) -> Option<RangeInclusive<u64>> {
+    let first = steps.iter().map(|step| step.entry.order_ms).min()?;
+    let last = steps.iter().map(|step| step.entry.order_ms).max()?;
+    Some(first.saturating_sub(OBSERVED_BEFORE_MS)..=last)
 }
--- a/lib/tests/test_report.rs
+++ b/lib/tests/test_report.rs
@@ -2,7 +2,7 @@
 
 #![allow(clippy::unwrap_used, reason = "a failed unwrap fails the test")]
 
-use hazelyoke_lib::report::{LogReport, ReportReader, RequestCounts, Spread};
+use hazelyoke_lib::report::{Histogram, LogReport, ReportReader, RequestCounts};
 
 fn report(hosts: &[&[&str]]) -> LogReport {
     let mut reader = ReportReader::default();
@@ -95,13 +95,13 @@
 
 #[test]
 fn spread_quantiles() {
-    let mut spread = Spread::default();
-    assert_eq!(spread.quantile(0.5), None);
+    let mut histogram = Histogram::default();
+    assert_eq!(histogram.quantile(0.5), None);
     for ms in 1..=1_000 {
-        spread.add(f64::from(ms));
+        histogram.add(f64::from(ms));
     }
     for (share, exact) in [(0.1, 100.0), (0.5, 500.0), (0.9, 900.0)] {
-        let found = spread.quantile(share).unwrap();
+        let found = histogram.quantile(share).unwrap();
         assert!((found / exact - 1.0).abs() < 0.05, "{share}: {found}");
     }
 }
