--- a/cli/src/commands/check.rs
+++ b/cli/src/commands/check.rs
@@ -1,4 +1,4 @@
-//! `hazelyoke check`: reports everything that is wrong in settings trees.
+//! `hazelyoke check`: reports all errors in settings trees.
 
 use {
     crate::{
@@ -29,7 +29,7 @@
     ///
     /// # Errors
     ///
-    /// Returns an error when no file is given, or findings can't be written as JSON.
+    /// Returns an error if no file is given or the findings can't be serialised as JSON.
     pub fn run(self) -> Result<Exit> {
         if self.files.is_empty() {
             bail!("check needs a file; try: hazelyoke check examples/bureau/tree.jsonc");
--- a/cli/src/commands/check_platform.rs
+++ b/cli/src/commands/check_platform.rs
@@ -27,7 +27,7 @@
     ///
     /// # Errors
     ///
-    /// Returns an error when nothing is named or the configuration's file can't be read.
+    /// Returns an error if no file is given or the configuration file can't be read.
     pub fn run(self) -> Result<Exit> {
         if self.settings.is_none() && self.config.is_none() {
             anyhow::bail!("name a file with --settings or --config");
--- a/cli/src/commands/diff.rs
+++ b/cli/src/commands/diff.rs
@@ -1,4 +1,4 @@
-//! `hazelyoke diff`: shows which services, customers and pipelines a change reaches, and how.
+//! `hazelyoke diff`: shows which services, customers and pipelines a change of a tree affects, and how.
 
 use {
     crate::{
@@ -33,7 +33,7 @@
     ///
     /// # Errors
     ///
-    /// Returns an error when the changes can't be written as JSON.
+    /// Returns an error if the changes can't be serialised as JSON.
     pub fn run(self) -> Result<Exit> {
         let (old, new) = match (read_tree(&self.old), read_tree(&self.new)) {
             (Ok(old), Ok(new)) => (old, new),
--- a/cli/src/commands/explain.rs
+++ b/cli/src/commands/explain.rs
@@ -53,7 +53,7 @@
     ///
     /// # Errors
     ///
-    /// Returns an error when no node, or more than one, has the given name.
+    /// Returns an error if no node, or more than one, has the given name.
     pub fn run(self) -> Result<Exit> {
         let tree = match read_tree(&self.file) {
             Ok(tree) => tree,
--- a/cli/src/commands/mod.rs
+++ b/cli/src/commands/mod.rs
@@ -1,4 +1,4 @@
-//! The commands: each has a file with its arguments, its run and its output.
+//! The commands. Each has a file with its arguments, its implementation and its output.
 
 mod check;
 mod check_platform;
@@ -34,7 +34,7 @@
 ///
 /// # Errors
 ///
-/// Returns an error when the command can't be carried out as it was given.
+/// Returns an error if the command can't run with the given arguments.
 pub fn run(command: Command) -> Result<Exit> {
     match command {
         Command::Check(command) => command.run(),
--- a/cli/src/commands/report.rs
+++ b/cli/src/commands/report.rs
@@ -1,4 +1,4 @@
-//! `hazelyoke report`: sums up what became of the requests in logs.
+//! `hazelyoke report`: summarises from logs how requests ended.
 
 use {
     crate::output::{Exit, Format, plain_table, print_json},
@@ -14,7 +14,7 @@
     },
 };
 
-/// Heading of the columns of request counts.
+/// Headers of the columns of request counts.
 const COUNT_COLUMNS: [&str; 7] = [
     "accepted", "admitted", "answered", "refused", "failed", "left", "retries",
 ];
@@ -37,7 +37,7 @@
     ///
     /// # Errors
     ///
-    /// Returns an error when a log can't be read.
+    /// Returns an error if a log can't be read, or the report can't be serialised as JSON.
     pub fn run(self) -> Result<Exit> {
         let mut reader = ReportReader::default();
         for path in &self.logs {
@@ -63,7 +63,7 @@
     let mut file = BufReader::new(File::open(path)?);
     let mut line = Vec::new();
     while file.read_until(b'\n', &mut line)? > 0 {
-        // A log may hold lines of other programs in any encoding; they aren't events.
+        // A log may contain lines of other programs in any encoding. They aren't events.
         reader.add(&String::from_utf8_lossy(&line));
         line.clear();
     }
@@ -196,7 +196,7 @@
     ]
 }
 
-/// Returns a ratio as text; a dash where there is nothing to divide by.
+/// Returns the ratio of `part` to `whole` as text; a dash if `whole` is zero.
 fn ratio(part: f64, whole: f64) -> String {
     if whole > 0.0 {
         format!("{:.2}", part / whole)
--- a/cli/src/commands/status.rs
+++ b/cli/src/commands/status.rs
@@ -26,8 +26,8 @@
     ///
     /// # Errors
     ///
-    /// Returns an error when the runtime can't start or the state can't be written as JSON. A daemon
-    /// that doesn't answer is a finding, not an error.
+    /// Returns an error if the runtime can't start or the state can't be serialised as JSON. A daemon that doesn't
+    /// answer is a finding, not an error.
     pub fn run(self) -> Result<Exit> {
         let runtime = tokio::runtime::Builder::new_current_thread()
             .enable_all()
--- a/cli/src/commands/why.rs
+++ b/cli/src/commands/why.rs
@@ -29,7 +29,7 @@
     ///
     /// # Errors
     ///
-    /// Returns an error when a log can't be read.
+    /// Returns an error if a log can't be read.
     pub fn run(self) -> Result<Exit> {
         let logs = self.logs.iter().map(|path| read_log(path));
         let logs = logs.collect::<Result<Vec<_>>>()?;
@@ -45,14 +45,14 @@
     }
 }
 
-/// Reads the log of one host, which is named like the file.
+/// Reads the log of one host. The name of the host is that of the file, without its extension.
 fn read_log(path: &Path) -> Result<HostLog> {
     let name = path.display().to_string();
     let bytes = fs::read(path).with_context(|| format!("can't read {name}"))?;
     let stem = path.file_stem();
     Ok(HostLog {
         host: stem.map_or(name, |stem| stem.to_string_lossy().into_owned()),
-        // A log may hold lines of other programs in any encoding; they are skipped later.
+        // A log may contain lines of other programs in any encoding. They are skipped later.
         text: String::from_utf8_lossy(&bytes).into_owned(),
     })
 }
--- a/cli/src/main.rs
+++ b/cli/src/main.rs
@@ -1,7 +1,7 @@
-//! The command line of hazelyoke: checks, explains and compares settings trees, and asks daemons.
+//! The command line of hazelyoke: checks, explains and compares settings trees, evaluates logs, and queries daemons.
 //!
-//! It owns the terminal: arguments, printing and exit codes. Each command has a file in `commands`;
-//! the library makes all decisions and prints nothing.
+//! This crate handles arguments, output and exit codes. Each command has a file in `commands`. The library makes all
+//! decisions and prints nothing.
 
 mod commands;
 mod output;
@@ -27,7 +27,7 @@
     exit.into()
 }
 
-/// Runs the command; one that could not run counts as bad use.
+/// Runs the command. Prints the error of a command that couldn't run.
 fn run(args: CliArgs) -> Exit {
     commands::run(args.command).unwrap_or_else(|error| {
         eprintln!("hazelyoke: {error:#}");
@@ -35,7 +35,10 @@
     })
 }
 
-/// Parses the arguments; a request for help is a success, arguments that can't be parsed are bad use.
+/// Parses the arguments.
+///
+/// Prints the help and returns [`Exit::Success`] if it is requested. Prints an error and returns [`Exit::BadUse`] if
+/// the arguments are invalid.
 fn parse_args() -> Result<CliArgs, Exit> {
     let words: Vec<String> = std::env::args().collect();
     let words: Vec<&str> = words.iter().map(String::as_str).collect();
--- a/cli/src/output.rs
+++ b/cli/src/output.rs
@@ -1,6 +1,6 @@
 //! Output of commands: exit codes, formats, JSON and tables.
 //!
-//! It owns everything that the commands print alike; the library prints nothing.
+//! Contains the output code that commands share. The library prints nothing.
 
 use {
     anyhow::Result,
@@ -11,14 +11,14 @@
     thiserror::Error,
 };
 
-/// Result of a command, as the process's exit code.
+/// Result of a command, which determines the exit code of the process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Exit {
-    /// Nothing is wrong: 0.
+    /// The command found no error (exit code 0).
     Success,
-    /// The command found something wrong, and printed it: 1.
+    /// The command found errors and printed them (exit code 1).
     Findings,
-    /// The command's arguments are wrong, or it could not run: 2.
+    /// The arguments are invalid, or the command couldn't run (exit code 2).
     BadUse,
 }
 
@@ -35,14 +35,14 @@
 /// Format of the output.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum Format {
-    /// For people.
+    /// Text for people.
     #[default]
     Text,
-    /// For programs.
+    /// JSON for programs.
     Json,
 }
 
-/// Reports a name that is no format.
+/// Reports that a text isn't the name of a format.
 #[derive(Debug, Error)]
 #[error("{0:?} is neither \"text\" nor \"json\"")]
 pub struct FormatError(String);
@@ -63,7 +63,7 @@
 ///
 /// # Errors
 ///
-/// Returns an error when the value can't be written as JSON.
+/// Returns an error if the value can't be serialised as JSON.
 pub fn print_json(value: &impl Serialize) -> Result<()> {
     println!("{}", serde_json::to_string_pretty(value)?);
     Ok(())
@@ -73,7 +73,7 @@
 ///
 /// # Errors
 ///
-/// Returns an error when the findings can't be written as JSON.
+/// Returns an error if the findings can't be serialised as JSON.
 pub fn print_findings(findings: &Findings, format: Format) -> Result<()> {
     match format {
         Format::Text => println!("{findings}"),
--- a/cli/src/tree_file.rs
+++ b/cli/src/tree_file.rs
@@ -1,7 +1,7 @@
-//! Reads settings trees from files; included values stand beside their root file.
+//! Reads settings trees from files.
 //!
-//! It owns the mapping of values to files: a value's name is its path from the root file's folder,
-//! and only names that the configuration service accepts are read.
+//! Maps values to files: the name of a value is the path of its file, relative to the folder of the root file. Only
+//! names that the configuration service accepts are read.
 
 use {
     hazelyoke_lib::{
@@ -19,16 +19,16 @@
     thiserror::Error,
 };
 
-/// Reads values from the folder of a tree's root file.
+/// Folder of a tree's root file, from which values are read.
 struct Folder(PathBuf);
 
-/// Reports a value that can't be read from its folder.
+/// Reports why a value can't be read from its file.
 #[derive(Debug, Error)]
 enum FileError {
-    /// The configuration service couldn't hold a value of this name.
+    /// The configuration service doesn't accept the name.
     #[error("{name:?} can't be the name of a value")]
     BadName {
-        /// The name that the tree includes.
+        /// Name of the value.
         name: String,
     },
     /// The file can't be read.
@@ -36,7 +36,7 @@
     Unreadable {
         /// Path of the file.
         path: PathBuf,
-        /// Says why.
+        /// Error of the operating system.
         #[source]
         error: io::Error,
     },
@@ -55,11 +55,11 @@
     }
 }
 
-/// Reads and checks a tree.
+/// Reads and validates a tree.
 ///
 /// # Errors
 ///
-/// Returns all findings of the tree; a file that can't be read is a finding as well.
+/// Returns all findings of the tree. A file that can't be read is one of them.
 pub fn read_tree(path: &Path) -> Result<Tree, Findings> {
     let folder = path.parent().map(Path::to_owned).unwrap_or_default();
     let name = path.file_name().unwrap_or(path.as_os_str());
--- a/daemon/src/forwarding.rs
+++ b/daemon/src/forwarding.rs
@@ -1,4 +1,4 @@
-//! Runs the forwarding daemon on the users' platform, from the settings file that it writes.
+//! Runs the forwarding daemon on the users' platform, with the settings file that the platform writes.
 
 use {
     crate::signals::Signals,
@@ -12,17 +12,17 @@
 /// Ports of this host that the command line adds to the settings.
 #[derive(Debug, Clone, Copy)]
 pub struct ExtraPorts {
-    /// For metrics, beside the settings' own address.
+    /// Additional port for metrics; the address in the settings also serves them.
     pub metrics: Option<u16>,
-    /// At which other daemons reach this one.
+    /// Port at which other daemons reach this one, if it differs from the port in the settings.
     pub advertised: Option<u16>,
 }
 
-/// Serves until a signal stops the daemon.
+/// Serves requests until a signal stops the daemon.
 ///
 /// # Errors
 ///
-/// Returns an error when the settings can't be used or an address can't be had.
+/// Returns an error if the settings are invalid or the daemon can't listen on an address.
 pub fn run(path: &Path, ports: ExtraPorts) -> Result<()> {
     let runtime = Builder::new_current_thread().enable_all().build()?;
     LocalSet::new().block_on(&runtime, async {
@@ -40,7 +40,7 @@
     })
 }
 
-/// The settings file, and what the command line adds to it.
+/// The settings file, with the ports that the command line adds to it.
 struct SettingsFile<'a> {
     path: &'a Path,
     ports: ExtraPorts,
@@ -56,8 +56,8 @@
         Ok(settings)
     }
 
-    /// Reads the file again, puts what can change in force, and logs what did. A damaged file
-    /// changes nothing.
+    /// Reads the file again, applies the fields that can change while the daemon runs, and logs which were applied and
+    /// which need a restart. An invalid file changes nothing.
     fn reload<D: Dialect>(&self, gateway: &Gateway<D>, store: SocketAddr) {
         let settings = match self.read() {
             Ok(settings) => settings,
--- a/daemon/src/log_lines.rs
+++ b/daemon/src/log_lines.rs
@@ -1,7 +1,7 @@
-//! Structured logs on standard output: one JSON object a line, written by a thread of its own.
+//! Structured logs on standard output: one JSON object per line, written by a separate thread.
 //!
-//! The queue is bounded. When nobody reads, lines are dropped and counted, and no request waits. Owns
-//! the writer's thread.
+//! The queue to the thread is bounded. If nothing reads the output, lines are dropped and counted, so that no request
+//! waits for the log.
 
 use {
     env_logger::{Builder, Env, Target, fmt::Formatter},
@@ -19,16 +19,16 @@
     tracing_appender::non_blocking::{ErrorCounter, NonBlocking, NonBlockingBuilder, WorkerGuard},
 };
 
-/// Lines that may wait for the writer.
+/// Largest number of lines that wait for the writer thread.
 const QUEUE: usize = 16_384;
 
-/// Bytes of most lines.
+/// Initial capacity of a line's buffer, in bytes; most lines fit.
 const USUAL_LINE: usize = 256;
 
-/// Factor that keeps one digit of a number after the point.
+/// Factor by which numbers are scaled to round them to one decimal place.
 const ONE_DIGIT: f64 = 10.0;
 
-/// Keeps the writer's thread; dropping it writes what is queued.
+/// Keeps the writer thread running. Dropping the guard writes the queued lines.
 pub struct LogGuard {
     _worker: WorkerGuard,
     dropped: ErrorCounter,
@@ -41,7 +41,7 @@
     }
 }
 
-/// Starts to write logs; `RUST_LOG` chooses the level.
+/// Starts the log. The environment variable `RUST_LOG` sets the level, `info` by default.
 pub fn start() -> LogGuard {
     let (writer, worker): (NonBlocking, WorkerGuard) = NonBlockingBuilder::default()
         .lossy(true)
@@ -58,15 +58,15 @@
     }
 }
 
-/// Writes a line without building a map of its fields first, and nothing strips colours from it: lines would take a
-/// large part of the processor.
+/// Writes a line directly, without building a map of its fields and without a filter that strips colours. Either would
+/// use a large share of the CPU time.
 fn write_line(formatter: &mut Formatter, record: &Record<'_>) -> io::Result<()> {
     let mut line = Vec::with_capacity(USUAL_LINE);
     let mut serializer = Serializer::new(&mut line);
     let mut fields = serializer.serialize_map(None)?;
     let at = SystemTime::now()
         .duration_since(UNIX_EPOCH)
-        // A clock that stands before 1970 gives the line the time 0; the line itself counts more.
+        // If the clock is before 1970, the line gets the time 0 rather than being lost.
         .map_or(0, |since| since.as_millis() as u64);
     fields.serialize_entry("at_ms", &at)?;
     fields.serialize_entry("level", record.level().as_str())?;
@@ -80,7 +80,7 @@
     formatter.write_all(&line)
 }
 
-/// A value that is written as text.
+/// A value that is serialised as its `Display` text.
 struct Text<T>(T);
 
 impl<T: Display> Serialize for Text<T> {
@@ -89,7 +89,7 @@
     }
 }
 
-/// Writes the fields of a line as they are visited.
+/// Serialises the fields of a line as they are visited.
 struct Fields<'a, M>(&'a mut M);
 
 impl<'kvs, M: SerializeMap> VisitSource<'kvs> for Fields<'_, M> {
--- a/daemon/src/main.rs
+++ b/daemon/src/main.rs
@@ -1,7 +1,7 @@
-//! The hazelyoke daemon: reads its settings, serves callers, stops cleanly on SIGTERM or SIGINT.
+//! The hazelyoke daemon: reads its settings, serves callers, and stops gracefully on SIGTERM or SIGINT.
 //!
-//! It runs in one of two ways: [`forwarding`] on the users' platform, [`pipelines`] with a settings
-//! tree. The library does the work; here are the arguments, the signals and the log's format.
+//! The daemon has two modes: [`forwarding`] on the users' platform, and [`pipelines`] with a settings tree. The library
+//! implements both; this crate handles the arguments, the signals and the format of the log.
 
 mod args;
 mod forwarding;
@@ -41,7 +41,7 @@
     pipelines::run(&path)
 }
 
-/// Logs how many lines were dropped because nobody read the log fast enough.
+/// Logs the number of lines that were dropped because the log wasn't read fast enough, if any.
 fn log_dropped(logs: &LogGuard) {
     let lines = logs.dropped();
     if lines > 0 {
--- a/daemon/src/pipelines.rs
+++ b/daemon/src/pipelines.rs
@@ -1,4 +1,4 @@
-//! Runs the daemon that serves the pipelines of a settings tree, from its own settings file.
+//! Runs the pipeline daemon, which serves the pipelines of a settings tree and has a settings file besides.
 
 use {
     crate::signals::Signals,
@@ -11,17 +11,17 @@
     tokio::runtime::Builder,
 };
 
-/// Serves until a signal stops the daemon.
+/// Serves requests until a signal stops the daemon.
 ///
 /// # Errors
 ///
-/// Returns an error when the settings can't be used or the daemon can't start.
+/// Returns an error if the settings are invalid or the daemon can't start.
 pub fn run(path: &Path) -> Result<()> {
     let runtime = Builder::new_multi_thread().enable_all().build()?;
     runtime.block_on(async {
         let mut signals = Signals::install()?;
         let daemon = Daemon::start(read_settings(path)?)?;
-        // The daemon reads its settings tree again and again; its own file holds until a restart.
+        // The daemon polls the settings tree, but reads its settings file only when it starts.
         signals.wait_for_stop(|| {}).await;
         daemon.stop().await;
         Ok(())
--- a/daemon/src/signals.rs
+++ b/daemon/src/signals.rs
@@ -1,13 +1,14 @@
-//! Signals that the daemon handles: SIGTERM and SIGINT stop it, SIGHUP reloads.
+//! Signals that the daemon handles: SIGTERM and SIGINT stop it, SIGHUP reloads its settings.
 
 use {
     anyhow::Result,
     tokio::signal::unix::{Signal, SignalKind, signal},
 };
 
-/// Handlers of the signals. They are installed before anything else is done, since a signal that
-/// comes while the daemon starts would end the process otherwise; it takes effect once the daemon
-/// runs.
+/// Handlers of the signals.
+///
+/// They must be installed before anything else, because a signal during startup would terminate the process otherwise.
+/// Such a signal takes effect once the daemon runs.
 pub struct Signals {
     terminate: Signal,
     interrupt: Signal,
@@ -19,7 +20,7 @@
     ///
     /// # Errors
     ///
-    /// Returns an error when the system refuses one.
+    /// Returns an error if the operating system rejects a handler.
     pub fn install() -> Result<Self> {
         Ok(Self {
             terminate: signal(SignalKind::terminate())?,
@@ -28,7 +29,7 @@
         })
     }
 
-    /// Waits for SIGTERM or SIGINT; SIGHUP calls `reload` and never ends the process.
+    /// Waits for SIGTERM or SIGINT. Calls `reload` for each SIGHUP.
     pub async fn wait_for_stop(&mut self, mut reload: impl FnMut()) {
         loop {
             tokio::select! {
