--- a/cli/src/main.rs
+++ b/cli/src/main.rs
@@ -31,18 +31,18 @@
 fn run(args: CliArgs) -> Exit {
     commands::run(args.command).unwrap_or_else(|error| {
         eprintln!("hazelyoke: {error:#}");
-        Exit::BadUse
+        Exit::Failed
     })
 }
 
 /// Parses the arguments.
 ///
-/// Prints the help and returns [`Exit::Success`] if it is requested. Prints an error and returns [`Exit::BadUse`] if
+/// Prints the help and returns [`Exit::Success`] if it is requested. Prints an error and returns [`Exit::Failed`] if
 /// the arguments are invalid.
 fn parse_args() -> Result<CliArgs, Exit> {
-    let words: Vec<String> = std::env::args().collect();
-    let words: Vec<&str> = words.iter().map(String::as_str).collect();
-    let (name, rest) = words.split_first().unwrap_or((&"hazelyoke", &[]));
+    let args: Vec<String> = std::env::args().collect();
+    let args: Vec<&str> = args.iter().map(String::as_str).collect();
+    let (name, rest) = args.split_first().unwrap_or((&"hazelyoke", &[]));
     let name = name.rsplit('/').next().unwrap_or(name);
     CliArgs::from_args(&[name], rest).map_err(|EarlyExit { output, status }| match status {
         Ok(()) => {
@@ -51,7 +51,7 @@
         }
         Err(()) => {
             eprintln!("{output}");
-            Exit::BadUse
+            Exit::Failed
         }
     })
 }
--- a/cli/src/output.rs
+++ b/cli/src/output.rs
@@ -19,7 +19,7 @@
     /// The command found errors and printed them (exit code 1).
     Findings,
     /// The arguments are invalid, or the command couldn't run (exit code 2).
-    BadUse,
+    Failed,
 }
 
 impl From<Exit> for ExitCode {
@@ -27,7 +27,7 @@
         ExitCode::from(match exit {
             Exit::Success => 0,
             Exit::Findings => 1,
-            Exit::BadUse => 2,
+            Exit::Failed => 2,
         })
     }
 }
--- a/daemon/src/log_lines.rs
+++ b/daemon/src/log_lines.rs
@@ -20,13 +20,13 @@
 };
 
 /// Largest number of lines that wait for the writer thread.
-const QUEUE: usize = 16_384;
+const MAX_QUEUED_LINES: usize = 16_384;
 
 /// Initial capacity of a line's buffer, in bytes; most lines fit.
-const USUAL_LINE: usize = 256;
+const LINE_CAPACITY: usize = 256;
 
 /// Factor by which numbers are scaled to round them to one decimal place.
-const ONE_DIGIT: f64 = 10.0;
+const DECIMAL_FACTOR: f64 = 10.0;
 
 /// Keeps the writer thread running. Dropping the guard writes the queued lines.
 pub struct LogGuard {
@@ -45,7 +45,7 @@
 pub fn start() -> LogGuard {
     let (writer, worker): (NonBlocking, WorkerGuard) = NonBlockingBuilder::default()
         .lossy(true)
-        .buffered_lines_limit(QUEUE)
+        .buffered_lines_limit(MAX_QUEUED_LINES)
         .finish(io::stdout());
     let dropped = writer.error_counter();
     Builder::from_env(Env::default().default_filter_or("info"))
@@ -61,7 +61,7 @@
 /// Writes a line directly, without building a map of its fields and without a filter that strips colours. Either would
 /// use a large share of the CPU time.
 fn write_line(formatter: &mut Formatter, record: &Record<'_>) -> io::Result<()> {
-    let mut line = Vec::with_capacity(USUAL_LINE);
+    let mut line = Vec::with_capacity(LINE_CAPACITY);
     let mut serializer = Serializer::new(&mut line);
     let mut fields = serializer.serialize_map(None)?;
     let at = SystemTime::now()
@@ -95,16 +95,16 @@
 impl<'kvs, M: SerializeMap> VisitSource<'kvs> for Fields<'_, M> {
     fn visit_pair(&mut self, key: Key<'kvs>, value: Value<'kvs>) -> Result<(), log::kv::Error> {
         let key = key.as_str();
-        let written = if let Some(number) = value.to_u64() {
+        let result = if let Some(number) = value.to_u64() {
             self.0.serialize_entry(key, &number)
         } else if let Some(number) = value.to_f64() {
-            let rounded = (number * ONE_DIGIT).round() / ONE_DIGIT;
+            let rounded = (number * DECIMAL_FACTOR).round() / DECIMAL_FACTOR;
             self.0.serialize_entry(key, &rounded)
         } else if let Some(flag) = value.to_bool() {
             self.0.serialize_entry(key, &flag)
         } else {
             self.0.serialize_entry(key, &Text(value))
         };
-        written.map_err(|error| log::kv::Error::boxed(error.to_string()))
+        result.map_err(|error| log::kv::Error::boxed(error.to_string()))
     }
 }
