--- a/lib/testutils/src/collector.rs
+++ b/lib/testutils/src/collector.rs
@@ -1,7 +1,7 @@
-//! A stand-in for an OTLP collector that keeps the spans' names and ids.
+//! A test double for an OTLP collector that records the names and ids of spans.
 //!
-//! An export that it can't read breaks the connection off, and a field that is missing is empty: a
-//! test that looks for a span fails either way.
+//! It closes the connection on an export that it can't parse, and treats a missing field as empty. In both cases a test
+//! that looks for the span fails.
 
 use {
     crate::http_server::{Server, whole_body},
@@ -15,16 +15,16 @@
     },
 };
 
-/// One span as it was exported.
+/// One exported span.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SpanRecord {
-    /// Name of the hop.
+    /// Name of the span.
     pub name: String,
-    /// Trace that it belongs to.
+    /// Id of the trace to which the span belongs.
     pub trace: String,
-    /// Its id.
+    /// Id of the span.
     pub span: String,
-    /// Its parent's id; empty for a root.
+    /// Id of the parent span; empty for a root.
     pub parent: String,
 }
 
@@ -40,7 +40,7 @@
     ///
     /// # Errors
     ///
-    /// Returns an error when no port is free.
+    /// Returns an error if no port is free.
     pub async fn start() -> io::Result<Self> {
         let spans = Arc::new(Mutex::new(Vec::new()));
         let shared = spans.clone();
@@ -62,7 +62,7 @@
         Ok(Self { spans, server })
     }
 
-    /// Returns the address that is served.
+    /// Returns the address on which the collector listens.
     pub fn address(&self) -> SocketAddr {
         self.server.address()
     }
--- a/lib/testutils/src/config_service.rs
+++ b/lib/testutils/src/config_service.rs
@@ -1,4 +1,4 @@
-//! A stand-in for the platform's configuration service.
+//! A test double for the platform's configuration service.
 
 use {
     crate::http_server::{ReplyBody, Server, empty_body, whole_body},
@@ -15,7 +15,7 @@
     },
 };
 
-/// Where values are read.
+/// Prefix of the path of a value.
 const VALUES_PATH: &str = "/v1/values/";
 
 #[derive(Debug, Default)]
@@ -37,7 +37,7 @@
     ///
     /// # Errors
     ///
-    /// Returns an error when no port is free.
+    /// Returns an error if no port is free.
     pub async fn start() -> io::Result<Self> {
         let state = Arc::new(State::default());
         let shared = state.clone();
@@ -50,7 +50,7 @@
         Ok(Self { state, server })
     }
 
-    /// Returns the address that is served.
+    /// Returns the address on which the service listens.
     pub fn address(&self) -> SocketAddr {
         self.server.address()
     }
@@ -61,12 +61,12 @@
         values.insert(name.to_owned(), value.into());
     }
 
-    /// Makes the service break off every connection, or serve again.
+    /// Sets whether the service closes every connection without a reply.
     pub fn silence(&self, silent: bool) {
         self.state.silent.store(silent, Ordering::Relaxed);
     }
 
-    /// Returns how many values were read, each read counting as one.
+    /// Returns the number of reads of values so far.
     pub fn reads(&self) -> u64 {
         self.state.reads.load(Ordering::Relaxed)
     }
--- a/lib/testutils/src/draws.rs
+++ b/lib/testutils/src/draws.rs
@@ -1,16 +1,16 @@
-//! Numbers drawn from a fixed seed: the same ones on every machine and in every run.
+//! A random number generator with a fixed seed, which gives the same numbers on every host and in every run.
 
-/// A series of numbers that depends on its seed alone (`SplitMix64`).
+/// A random number generator (`SplitMix64`) whose numbers depend only on its seed.
 #[derive(Debug, Clone)]
 pub struct Draws(u64);
 
 impl Draws {
-    /// Starts a series.
+    /// Creates a generator.
     pub fn new(seed: u64) -> Self {
         Self(seed)
     }
 
-    /// Draws a number below `bound`, which must not be zero.
+    /// Returns a random number below `bound`, which must not be zero.
     pub fn below(&mut self, bound: u64) -> u64 {
         self.0 = self.0.wrapping_add(0x9e37_79b9_7f4a_7c15);
         let mut bits = self.0;
@@ -19,12 +19,12 @@
         (bits ^ (bits >> 31)) % bound
     }
 
-    /// Draws whether something happens that happens in so many of a hundred cases.
+    /// Returns true with a probability of `share` percent.
     pub fn percent(&mut self, share: u64) -> bool {
         self.below(100) < share
     }
 
-    /// Draws one of some values, which must not be none.
+    /// Returns a random element of `values`, which must not be empty.
     pub fn pick<'a, T>(&mut self, values: &'a [T]) -> &'a T {
         &values[self.below(values.len() as u64) as usize]
     }
--- a/lib/testutils/src/endpoint.rs
+++ b/lib/testutils/src/endpoint.rs
@@ -1,6 +1,6 @@
-//! Common parts of both kinds of stand-in endpoints: slots, load reports, a record of what ran.
+//! Common parts of both kinds of test endpoints: slots, load reports, a record of the calls that ran.
 //!
-//! Owns the state of one life of an endpoint; `plain` and `engine` serve it over HTTP.
+//! Holds the state of one incarnation of an endpoint. `plain` and `engine` serve it over HTTP.
 
 use {
     crate::{
@@ -27,46 +27,46 @@
     },
 };
 
-/// Bytes of a reply that is larger than any limit.
+/// Size of a reply that exceeds every limit, in bytes.
 const TOO_MUCH: usize = 32 << 20;
 
-/// Age of the reports that a stand-in gives, as real ones lag.
+/// Age that load reports state, because reports of real endpoints lag too.
 const REPORT_LAG: Millis = Millis(50);
 
-/// One run of work at an endpoint.
+/// One call that ran at an endpoint.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Run {
-    /// Request that it served.
+    /// Id of the request.
     pub request: String,
-    /// Stage of the request.
+    /// Id of the request's stage.
     pub stage: String,
-    /// Attempt at the stage.
+    /// Id of the attempt at the stage.
     pub attempt: String,
-    /// Idempotency key, if there was one.
+    /// Idempotency key, if the call had one.
     pub key: Option<String>,
-    /// First token that was asked for, if another replica had begun.
+    /// Index of the first token to generate; 0 unless the call resumes the stream of another endpoint.
     pub resumed: u32,
 }
 
-/// Bytes of prompts.
+/// Sizes of prompts, in bytes.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct PromptBytes {
     /// Bytes that weren't in the prefix cache.
     pub uncached: u64,
-    /// All bytes.
+    /// All bytes, cached or not.
     pub all: u64,
 }
 
-/// State of one stand-in endpoint.
+/// State of one test endpoint.
 #[derive(Debug)]
 pub struct Endpoint {
-    /// Service, or model of an engine.
+    /// Name of the service, or of an engine's model.
     pub name: Arc<str>,
-    /// Faults, changeable while it runs.
+    /// Injected faults, which may change while the endpoint runs.
     pub faults: Faults,
-    /// Calls worked on at the same time.
+    /// Number of calls that run at the same time.
     pub slots: u32,
-    /// Usual time of one call.
+    /// Duration of one call without faults.
     pub usual: Duration,
     permits: Semaphore,
     present: AtomicU32,
@@ -79,23 +79,23 @@
     report: Mutex<Option<LoadReport>>,
 }
 
-/// A running stand-in endpoint; dropping it is the death of its process.
+/// A running test endpoint. Dropping it simulates the end of its process.
 #[derive(Debug)]
 pub struct EndpointServer {
-    /// Its state.
+    /// State of the endpoint.
     pub endpoint: Arc<Endpoint>,
-    /// Its server.
+    /// HTTP server of the endpoint.
     pub server: Server,
 }
 
 impl EndpointServer {
-    /// Returns the address that is served.
+    /// Returns the address on which the endpoint listens.
     pub fn address(&self) -> SocketAddr {
         self.server.address()
     }
 }
 
-/// Counts a call as present until it ends, however it ends.
+/// Counts a call as waiting or running until dropped.
 #[derive(Debug)]
 pub struct Presence<'e>(&'e AtomicU32);
 
@@ -105,7 +105,7 @@
     }
 }
 
-/// Holds a slot and counts how long, however the call ends.
+/// Occupies a slot until dropped, and then adds the time to the endpoint's busy time.
 #[derive(Debug)]
 pub struct SlotHold<'e> {
     endpoint: &'e Endpoint,
@@ -124,7 +124,7 @@
 }
 
 impl Endpoint {
-    /// Builds the state of an endpoint.
+    /// Creates the state of an endpoint.
     pub fn new(name: &str, slots: u32, usual: Duration) -> Self {
         Self {
             name: name.into(),
@@ -143,13 +143,13 @@
         }
     }
 
-    /// Notes a call in the queue.
+    /// Counts a call that has arrived, which may have to wait for a slot.
     pub fn enter(&self) -> Presence<'_> {
         self.present.fetch_add(1, Ordering::Relaxed);
         Presence(&self.present)
     }
 
-    /// Waits for a slot.
+    /// Waits for a free slot and occupies it.
     pub async fn slot(&self) -> SlotHold<'_> {
         let permit = self.permits.acquire().await.expect("never closed");
         self.running.fetch_add(1, Ordering::Relaxed);
@@ -160,13 +160,13 @@
         }
     }
 
-    /// Counts the bytes of a prompt.
+    /// Adds the bytes of a prompt to the totals.
     pub fn count_prompt(&self, prompt: PromptBytes) {
         self.uncached.fetch_add(prompt.uncached, Ordering::Relaxed);
         self.prompted.fetch_add(prompt.all, Ordering::Relaxed);
     }
 
-    /// Returns the bytes of all prompts.
+    /// Returns the totals over all prompts.
     pub fn prompt_bytes(&self) -> PromptBytes {
         PromptBytes {
             uncached: self.uncached.load(Ordering::Relaxed),
@@ -174,27 +174,27 @@
         }
     }
 
-    /// Returns the time that slots were held, whether or not a reply followed.
+    /// Returns the total time for which slots were occupied, whether or not a reply followed.
     pub fn busy(&self) -> Duration {
         Duration::from_micros(self.busy_micros.load(Ordering::Relaxed))
     }
 
-    /// Returns the number of calls being worked on.
+    /// Returns the number of calls that are running.
     pub fn running(&self) -> u32 {
         self.running.load(Ordering::Relaxed)
     }
 
-    /// Returns the calls cancelled by message.
+    /// Returns the number of calls that were cancelled by a message.
     pub fn cancelled(&self) -> u32 {
         self.cancelled.load(Ordering::Relaxed)
     }
 
-    /// Notes a call cancelled by message.
+    /// Counts a call that was cancelled by a message.
     pub fn cancel(&self) {
         self.cancelled.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Notes that the work of a call ran.
+    /// Records that a call ran.
     pub fn record(&self, headers: &HeaderMap, resumed: u32) {
         let text = |name: &str| {
             headers
@@ -212,17 +212,17 @@
         self.runs.lock().expect("no panic while held").push(run);
     }
 
-    /// Returns everything that ran here.
+    /// Returns all calls that ran at this endpoint.
     pub fn runs(&self) -> Vec<Run> {
         self.runs.lock().expect("no panic while held").clone()
     }
 
-    /// Returns a time multiplied by the endpoint's slowness.
+    /// Returns a duration multiplied by the endpoint's slowness.
     pub fn slowed(&self, usual: Duration) -> Duration {
         usual.mul_f64(self.faults.slowness())
     }
 
-    /// Returns the load report; a frozen one stays what it was.
+    /// Returns the load report: the current one, or the last one while reports are frozen.
     pub fn report(&self) -> LoadReport {
         let mut last = self.report.lock().expect("no panic while held");
         if let Some(report) = *last
@@ -249,7 +249,7 @@
         Response::new(whole_body(json))
     }
 
-    /// Starts a response that carries the ids of its call.
+    /// Starts a response with the ids of its call in the headers.
     pub fn reply_head(&self, headers: &HeaderMap, started: Instant) -> Builder {
         let mut builder = Response::builder();
         for name in [
@@ -265,7 +265,7 @@
         builder.header(wire::SERVED_HEADER, format!("{ms:.3}"))
     }
 
-    /// Builds the refusal of a call that was not run.
+    /// Builds the reply that refuses a call, which didn't run.
     pub fn refusal(&self, headers: &HeaderMap, cause: &str) -> Option<Response<ReplyBody>> {
         self.reply_head(headers, Instant::now())
             .status(StatusCode::SERVICE_UNAVAILABLE)
@@ -274,7 +274,7 @@
             .ok()
     }
 
-    /// Builds a damaged reply; `None` breaks the connection off.
+    /// Builds a damaged reply; `None` closes the connection without a reply.
     pub fn damaged(
         &self,
         damage: Damage,
@@ -301,7 +301,7 @@
                 .status(StatusCode::INTERNAL_SERVER_ERROR)
                 .body(empty_body())
                 .ok(),
-            // The length promises more than the body has.
+            // The content length exceeds the length of the body.
             Damage::Truncated => head
                 .header(http::header::CONTENT_LENGTH, body.len() + 10)
                 .body(truncated_body(body))
--- a/lib/testutils/src/engine.rs
+++ b/lib/testutils/src/engine.rs
@@ -1,6 +1,6 @@
-//! A stand-in for a model engine: batches continuously, streams tokens, resumes and is cancelled.
+//! A test double for a model engine with continuous batching, token streams, resumption and cancellation.
 //!
-//! Speaks the engine's half of `docs/PROTOCOLS.md`; its tokens come from `expect`.
+//! Implements the engine's side of `docs/PROTOCOLS.md`. `expect` determines its tokens.
 
 use {
     crate::{
@@ -31,23 +31,23 @@
     tokio::{sync::mpsc, time::Instant},
 };
 
-/// Events that may wait for a slow reader.
+/// Number of events that are buffered for a slow reader.
 const QUEUE: usize = 16;
 
-/// An engine's times and batch.
+/// Timing and capacity of an engine.
 #[derive(Debug, Clone, Copy)]
 pub struct EngineModel {
-    /// Time of the prefill for one byte of input.
+    /// Prefill time per byte of input.
     pub prefill_byte: Duration,
-    /// Time between two tokens of a single sequence.
+    /// Time between two tokens of a sequence that runs alone.
     pub token: Duration,
-    /// Sequences in one batch.
+    /// Largest number of sequences in a batch.
     pub batch: u32,
-    /// Share by which a full batch slows each sequence down.
+    /// Fraction by which a full batch increases the time between two tokens.
     pub batch_cost: f64,
-    /// Tokens of one generation, unless the call allows less.
+    /// Number of tokens of one generation, unless the call allows fewer.
     pub tokens: u32,
-    /// Blocks that its prefix cache holds.
+    /// Capacity of the prefix cache, in blocks.
     pub cache_blocks: usize,
 }
 
@@ -73,7 +73,7 @@
 /// A prefix cache that several engines can share.
 pub type SharedCache = Arc<Mutex<PrefixCache>>;
 
-/// Builds an engine's prefix cache.
+/// Creates an empty prefix cache for an engine.
 pub fn new_cache(model: &EngineModel) -> SharedCache {
     Arc::new(Mutex::new(PrefixCache::new(model.cache_blocks)))
 }
@@ -82,7 +82,7 @@
 ///
 /// # Errors
 ///
-/// Returns an error when the address can't be bound.
+/// Returns an error if the address can't be bound.
 pub async fn start(
     name: &str,
     address: SocketAddr,
@@ -91,12 +91,12 @@
     start_sharing(name, address, model, new_cache(&model)).await
 }
 
-/// Starts an engine on a cache that others may share, as if engines exchanged their caches at once
-/// and for nothing.
+/// Starts an engine with a cache that other engines may share, as if engines exchanged their caches instantly and at no
+/// cost.
 ///
 /// # Errors
 ///
-/// Returns an error when the address can't be bound.
+/// Returns an error if the address can't be bound.
 pub async fn start_sharing(
     name: &str,
     address: SocketAddr,
@@ -123,15 +123,14 @@
 impl Engine {
     fn cache_events(&self, query: Option<&str>) -> Response<ReplyBody> {
         let after = query.and_then(|query| query.strip_prefix("after="));
-        // Who names no change hears of all.
+        // Without a change number in the query, all changes are returned.
         let after = after.and_then(|text| text.parse().ok()).unwrap_or(0);
         let cache = self.cache.lock().expect("no panic while held");
         let json = serde_json::to_vec(&cache.events(after)).expect("events are plain JSON");
         Response::new(whole_body(json))
     }
 
-    /// Looks a prompt up in the cache and adds it; returns the time of its prefill and its bytes
-    /// that were cached.
+    /// Looks up a prompt in the cache and adds it. Returns the prefill time and the number of cached bytes.
     fn prefill(&self, input: &[u8]) -> (Duration, u64) {
         let mut cache = self.cache.lock().expect("no panic while held");
         let cached = cache.insert(input);
@@ -200,7 +199,7 @@
     reply.body(StreamBody::new(frames).boxed_unsync()).ok()
 }
 
-/// One generation as it was asked for.
+/// Parameters of one generation.
 struct Generation {
     input: Bytes,
     from: u32,
@@ -211,10 +210,10 @@
 
 type Events = mpsc::Sender<Result<Frame<Bytes>, io::Error>>;
 
-/// The stream takes nothing more: its reader has left, or it was broken off.
+/// Reports that a stream accepts no more events: its reader disconnected, or the stream was broken off.
 struct StreamEnded;
 
-/// Generates until the end or until nobody listens: a closed channel is a cancelled stream.
+/// Generates until the end or until the reader disconnects, which closes the channel and cancels the generation.
 async fn run(engine: Arc<Engine>, headers: HeaderMap, generation: Generation, events: Events) {
     let endpoint = &engine.endpoint;
     let _present = endpoint.enter();
@@ -225,7 +224,7 @@
     endpoint.record(&headers, generation.from);
     let started = Instant::now();
     let (prefill, cached_bytes) = engine.prefill(&generation.input);
-    // An error means that the caller has left, so there is nobody to tell.
+    // An error means that the reader has disconnected, so there is no one to report it to.
     let _ = async {
         generate_tokens(&engine, &generation, &events, started + prefill).await?;
         end_stream(&generation, &events, || StreamEvent::Done {
@@ -255,7 +254,7 @@
     let Engine {
         endpoint, model, ..
     } = engine;
-    // Points in time, not pauses: the timer's rounding would else add up over a generation.
+    // Sleeps until points in time rather than for durations, whose rounding by the timer would add up.
     tokio::time::sleep_until(next).await;
     for index in generation.from..generation.to {
         if let Some(at) = &generation.stream_break
@@ -273,17 +272,17 @@
     Ok(())
 }
 
-/// Breaks a stream off as soon as its reader has all tokens before the break.
+/// Breaks off a stream as soon as its reader has received all tokens before the break.
 async fn break_off(at: &StreamBreak, events: &Events) -> Result<(), StreamEnded> {
     let mut received = at.received.clone();
     let caught_up = received.wait_for(|&tokens| tokens >= at.token).await;
-    // An error means that the reader is gone.
+    // An error means that the reader has disconnected.
     caught_up.map_err(|_| StreamEnded)?;
     send_frame(events, Err(io::Error::other("broken off"))).await?;
     Err(StreamEnded)
 }
 
-/// Ends a stream as its damage says.
+/// Ends a stream: with the final event, or with the damage of the generation.
 async fn end_stream(
     generation: &Generation,
     events: &Events,
@@ -294,7 +293,7 @@
             let garbage = Bytes::from_static(b"data: \xff\xfe\n\n");
             send_frame(events, Ok(Frame::data(garbage))).await
         }
-        // The stream ends without its announced end.
+        // The stream ends without the final event.
         Some(_) => Ok(()),
         None => send(events, &done()).await,
     }
--- a/lib/testutils/src/expect.rs
+++ b/lib/testutils/src/expect.rs
@@ -1,8 +1,7 @@
-//! What the stand-ins answer: a value that only the request itself can give.
+//! The answers of the test doubles, which depend on the request.
 //!
-//! Each stage's output is a hash over its service's name and its input, so an answer that was
-//! lost, doubled, crossed or taken from another stage doesn't have the value that its caller
-//! works out.
+//! The output of a stage is a hash of its service's name and its input. The caller computes the expected answer, and so
+//! detects an answer that was lost, duplicated, or taken from another request or stage.
 
 use {
     bytes::Bytes,
@@ -16,24 +15,24 @@
     BuildHasherDefault::<DefaultHasher>::default().hash_one(parts)
 }
 
-/// Output of a plain service for an input.
+/// Returns the output of a plain service for an input.
 pub fn plain_output(service: &str, input: &[u8]) -> Bytes {
     let mark = hash(&[service.as_bytes(), input]);
     Bytes::from(format!("{{\"mark\":\"{mark:016x}\"}}"))
 }
 
-/// One token of an engine's generation for an input.
+/// Returns one token of an engine's generation for an input.
 pub fn token(model: &str, input: &[u8], index: u32) -> String {
     let mark = hash(&[model.as_bytes(), input, &index.to_le_bytes()]);
     format!("{:04x} ", mark & 0xffff)
 }
 
-/// Text of a whole generation.
+/// Returns the text of a complete generation.
 pub fn generation(model: &str, input: &[u8], tokens: u32) -> String {
     (0..tokens).map(|i| token(model, input, i)).collect()
 }
 
-/// One stage as the caller's expectation needs it.
+/// A stage of a pipeline, for the computation of the expected answer.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Step {
     /// A plain service.
@@ -42,7 +41,7 @@
     Engine(Arc<str>, u32),
 }
 
-/// Works out the whole answer of a pipeline for a body.
+/// Computes the complete answer of a pipeline for a body.
 pub fn answer(steps: &[Step], body: &[u8]) -> Bytes {
     let mut value = Bytes::copy_from_slice(body);
     for step in steps {
--- a/lib/testutils/src/faults.rs
+++ b/lib/testutils/src/faults.rs
@@ -1,4 +1,4 @@
-//! How a stand-in endpoint misbehaves, changeable while it runs.
+//! Fault injection for test endpoints, which may change while an endpoint runs.
 
 use {
     std::sync::{
@@ -8,29 +8,29 @@
     tokio::sync::watch,
 };
 
-/// Damage of a reply.
+/// Kind of damage to a reply.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Damage {
-    /// Bytes that aren't JSON or events.
+    /// The reply contains bytes that are neither JSON nor events.
     Garbage,
-    /// The ids of another call.
+    /// The reply has the ids of another call.
     WrongIds,
-    /// More bytes than any limit allows.
+    /// The reply exceeds every size limit.
     TooMuch,
-    /// A body that breaks off.
+    /// The reply's body ends too early.
     Truncated,
-    /// No reply at all: the connection breaks off after the work ran.
+    /// The connection is closed without a reply after the call ran.
     Nothing,
-    /// A server error after the work ran.
+    /// The reply is a server error after the call ran.
     ServerError,
-    /// A refusal before the work ran.
+    /// The call is refused before it runs.
     NotRun,
 }
 
-/// A share of one in thousandths: the scale of draws.
+/// Scale of shares and factors that are stored as integers: thousandths.
 const WHOLE: u64 = 1_000;
 
-/// Damage of a share of replies.
+/// Damage to a share of the replies.
 #[derive(Debug)]
 struct DamagePlan {
     damage: Damage,
@@ -40,9 +40,8 @@
 
 /// A break of one stream at a fixed token.
 ///
-/// An HTTP server that fails a body drops what it hasn't written yet, so a break right after a
-/// token may lose any number of tokens before it. A break therefore waits until the reader has all
-/// of them.
+/// When a body fails, the HTTP server drops the data that it hasn't written yet, so a break right after a token could
+/// lose any number of previous tokens. A break therefore waits until the reader has received all of them.
 #[derive(Debug, Clone)]
 pub struct StreamBreak {
     /// Token before which the stream breaks off.
@@ -51,10 +50,10 @@
     pub received: watch::Receiver<u32>,
 }
 
-/// Faults of one endpoint.
+/// Faults injected into one endpoint.
 #[derive(Debug)]
 pub struct Faults {
-    /// Factor on all times, in thousandths.
+    /// Factor by which all durations are multiplied, in thousandths.
     slowness: AtomicU32,
     damage: Mutex<Option<DamagePlan>>,
     frozen: AtomicBool,
@@ -76,18 +75,18 @@
 }
 
 impl Faults {
-    /// Makes everything take `factor` times as long.
+    /// Multiplies all durations by `factor`.
     pub fn slow_down(&self, factor: f64) {
         let thousandths = (factor * WHOLE as f64) as u32;
         self.slowness.store(thousandths, Ordering::Relaxed);
     }
 
-    /// Returns the factor on all times.
+    /// Returns the factor by which all durations are multiplied.
     pub fn slowness(&self) -> f64 {
         f64::from(self.slowness.load(Ordering::Relaxed)) / WHOLE as f64
     }
 
-    /// Damages this share of replies, from 0 to 1.
+    /// Damages a share of the replies, from 0 to 1.
     pub fn damage(&self, damage: Damage, share: f64) {
         let thousandths = (share * WHOLE as f64) as u64;
         let mut plan = self.damage.lock().expect("no panic while held");
@@ -99,8 +98,9 @@
         });
     }
 
-    /// Draws whether the next reply is damaged. Draws are spread evenly, not at random, so that a
-    /// share of 0.5 damages every other reply in every run.
+    /// Returns the damage of the next reply, if it is to be damaged.
+    ///
+    /// Damaged replies are spaced evenly rather than at random: a share of 0.5 damages every other reply in every run.
     pub fn draw(&self) -> Option<Damage> {
         let mut plan = self.damage.lock().expect("no panic while held");
         let plan = plan.as_mut().filter(|plan| plan.thousandths > 0)?;
@@ -110,7 +110,7 @@
         (after > before).then_some(plan.damage)
     }
 
-    /// Freezes the load report, or thaws it.
+    /// Sets whether the load report is frozen.
     pub fn freeze_report(&self, frozen: bool) {
         self.frozen.store(frozen, Ordering::Relaxed);
     }
@@ -120,7 +120,7 @@
         self.frozen.load(Ordering::Relaxed)
     }
 
-    /// Makes the endpoint refuse new work because it is leaving.
+    /// Sets whether the endpoint is leaving, and so refuses new calls.
     pub fn leave(&self, leaving: bool) {
         self.leaving.store(leaving, Ordering::Relaxed);
     }
@@ -130,12 +130,12 @@
         self.leaving.load(Ordering::Relaxed)
     }
 
-    /// Breaks the next stream off, once.
+    /// Sets a break for the next stream only.
     pub fn break_stream(&self, at: StreamBreak) {
         *self.stream_break.lock().expect("no panic while held") = Some(at);
     }
 
-    /// Takes the break of the next stream.
+    /// Returns the break of the next stream, if there is one, and clears it.
     pub fn take_break(&self) -> Option<StreamBreak> {
         self.stream_break
             .lock()
--- a/lib/testutils/src/fixture.rs
+++ b/lib/testutils/src/fixture.rs
@@ -1,6 +1,6 @@
-//! A whole small installation on loopback: configuration service, endpoints, daemons.
+//! A complete small installation on loopback: configuration service, endpoints, daemons.
 //!
-//! Everything panics where it can't be started, since only tests and the bench use it.
+//! Functions panic if something can't be started, because only tests and the bench call them.
 
 use {
     crate::{
@@ -23,19 +23,19 @@
     std::{collections::BTreeMap, net::SocketAddr, time::Duration},
 };
 
-/// Longest wait for something that has to happen: far above what it takes.
+/// Timeout of [`wait_for`], far longer than the conditions take.
 const PATIENCE: Duration = Duration::from_secs(20);
 
-/// Model that the fixture's engines serve.
+/// Name of the model that the fixture's engines serve.
 pub const MODEL: &str = "small";
 
-/// Tokens of one generation in the fixture.
+/// Number of tokens of one generation in the fixture.
 pub const TOKENS: u32 = 8;
 
 /// Name of the tree's root value.
 pub const TREE: &str = "tree.jsonc";
 
-/// Customers of the tree; one of them has a rate that a second request exceeds.
+/// Customers of the tree. One of them has a rate limit that a second request exceeds.
 const CUSTOMERS: &str = r#"  "customers": {
     "market": {},
     "tiny": { "settings": { "rate": "1/s" } }
@@ -59,27 +59,27 @@
     }
   }"#;
 
-/// A small installation: two endpoints a service, one pipeline of four stages.
+/// A small installation: two endpoints per service, a pipeline of four stages and one of two.
 pub struct Fixture {
     /// The configuration service.
     pub config: ConfigService,
     /// Endpoints by service.
     pub endpoints: BTreeMap<&'static str, Vec<EndpointServer>>,
-    /// Settings in force at the tree's root, as JSON fields.
+    /// Settings that the tree's root overrides, as JSON fields.
     pub root_settings: String,
     version: u64,
 }
 
-/// Any free port on loopback.
+/// Returns the address to bind for any free port on loopback.
 pub fn any_address() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
 
-/// Plain services of the fixture.
+/// Names of the fixture's plain services.
 pub const PLAIN: [&str; 4] = ["encoder", "retriever", "reranker", "pay"];
 
 impl Fixture {
-    /// Starts the outside systems and publishes the tree.
+    /// Starts the endpoints and the configuration service, and publishes the tree.
     pub async fn start() -> Self {
         test_log::start();
         let mut endpoints = BTreeMap::new();
@@ -102,13 +102,13 @@
         fixture
     }
 
-    /// Publishes the tree under the next version.
+    /// Publishes the tree with the next version.
     pub fn publish(&mut self) {
         self.version += 1;
         self.config.publish(TREE, self.tree(self.version));
     }
 
-    /// Writes the tree with the endpoints that run now.
+    /// Returns the text of the tree, with the endpoints that are running now.
     pub fn tree(&self, version: u64) -> String {
         let settings = &self.root_settings;
         let services: Vec<_> = self
@@ -183,11 +183,11 @@
     (daemon, caller)
 }
 
-/// Waits until `check` holds.
+/// Waits until `check` returns true.
 ///
 /// # Panics
 ///
-/// Panics if it doesn't within a long bound.
+/// Panics with the description `what` if `check` doesn't return true within 20 seconds.
 pub async fn wait_for(what: &str, mut check: impl AsyncFnMut() -> bool) {
     let waited = tokio::time::timeout(PATIENCE, async {
         while !check().await {
@@ -197,7 +197,7 @@
     assert!(waited.await.is_ok(), "waited in vain for {what}");
 }
 
-/// Steps of the pipeline `summary`, for its expected answer.
+/// Returns the steps of the pipeline `summary`, from which `expect` computes the expected answer.
 pub fn summary_steps() -> Vec<Step> {
     vec![
         Step::Plain("encoder".into()),
--- a/lib/testutils/src/held_port.rs
+++ b/lib/testutils/src/held_port.rs
@@ -1,12 +1,13 @@
-//! A port on loopback that refuses every connection.
+//! A port that refuses every connection.
 
 use {
     std::{io, net::SocketAddr},
     tokio::net::TcpSocket,
 };
 
-/// A port that is bound and not listened at, so that nobody else gets it meanwhile: one that was given back went to
-/// servers of other tests, which answered.
+/// A port that is bound, but not listened on.
+///
+/// Binding it reserves it: a port that was released instead was reused by servers of other tests, which answered.
 #[derive(Debug)]
 pub struct HeldPort {
     address: SocketAddr,
@@ -14,11 +15,11 @@
 }
 
 impl HeldPort {
-    /// Binds an address; port 0 chooses a free one.
+    /// Binds an address. Port 0 selects a free one.
     ///
     /// # Errors
     ///
-    /// Returns an error when the address can't be bound.
+    /// Returns an error if the address can't be bound.
     pub fn bind(address: SocketAddr) -> io::Result<Self> {
         let socket = TcpSocket::new_v4()?;
         socket.bind(address)?;
--- a/lib/testutils/src/http_client.rs
+++ b/lib/testutils/src/http_client.rs
@@ -1,4 +1,4 @@
-//! A caller of the daemons' interface, for tests and the bench.
+//! An HTTP client for the daemons' interface, for tests and the bench.
 
 use {
     bytes::{Bytes, BytesMut},
@@ -12,17 +12,17 @@
     std::{net::SocketAddr, time::Duration},
 };
 
-/// Longest wait of a caller: far above every deadline in tests.
+/// Timeout of a caller, far longer than every deadline in tests.
 const PATIENCE: Duration = Duration::from_secs(60);
 
-/// One call of the interface.
+/// One request to the interface.
 #[derive(Debug, Clone)]
 pub struct CallerRequest {
     /// Path, such as `/v1/pipelines/summary`.
     pub path: String,
-    /// Headers by name.
+    /// Names and values of the headers.
     pub headers: Vec<(&'static str, String)>,
-    /// Body.
+    /// Request body.
     pub body: Bytes,
 }
 
@@ -43,29 +43,29 @@
     }
 }
 
-/// A whole response.
+/// A complete response.
 #[derive(Debug, Clone)]
 pub struct CallerReply {
     /// HTTP status.
     pub status: StatusCode,
-    /// Headers.
+    /// Response headers.
     pub headers: HeaderMap,
-    /// Body.
+    /// Response body.
     pub body: Bytes,
 }
 
 impl CallerReply {
-    /// Reads the body as JSON; `null` if it isn't.
+    /// Parses the body as JSON; returns `null` if it isn't valid.
     pub fn json(&self) -> serde_json::Value {
         serde_json::from_slice(&self.body).unwrap_or_default()
     }
 
-    /// Returns the `code` of a problem.
+    /// Returns the `code` of a problem; empty if the body isn't a problem.
     pub fn code(&self) -> String {
         self.json()["code"].as_str().unwrap_or_default().to_owned()
     }
 
-    /// Returns the `outcome` of a problem.
+    /// Returns the `outcome` of a problem; empty if the body isn't a problem.
     pub fn outcome(&self) -> String {
         self.json()["outcome"]
             .as_str()
@@ -74,7 +74,7 @@
     }
 }
 
-/// A caller with a connection pool of its own.
+/// A client of one daemon, with a separate connection pool.
 #[derive(Debug, Clone)]
 pub struct Caller {
     client: Client<HttpConnector, Full<Bytes>>,
@@ -92,30 +92,30 @@
         Self { client, address }
     }
 
-    /// Sends a POST and returns the response's head with its unread body.
+    /// Sends a POST and returns the response as soon as its headers arrive, with the body unread.
     ///
     /// # Errors
     ///
-    /// Returns a message when there is no response.
+    /// Returns a message if there is no response.
     pub async fn open(&self, request: CallerRequest) -> Result<http::Response<Incoming>, String> {
         self.exchange(Method::POST, request).await
     }
 
-    /// Sends a POST and reads the whole response.
+    /// Sends a POST and reads the complete response.
     ///
     /// # Errors
     ///
-    /// Returns a message when there is no whole response.
+    /// Returns a message if there is no complete response.
     pub async fn post(&self, request: CallerRequest) -> Result<CallerReply, String> {
         self.follow(request, |_| {}).await
     }
 
-    /// Sends a POST and reads the whole response; `progress` is called with all of the body so far
-    /// whenever a part of it arrives.
+    /// Sends a POST and reads the complete response. Whenever data arrives, calls `progress` with the body received so
+    /// far.
     ///
     /// # Errors
     ///
-    /// Returns a message when there is no whole response.
+    /// Returns a message if there is no complete response.
     pub async fn follow(
         &self,
         request: CallerRequest,
@@ -124,11 +124,11 @@
         read_reply(self.open(request).await?, progress).await
     }
 
-    /// Sends a GET and reads the whole response.
+    /// Sends a GET and reads the complete response.
     ///
     /// # Errors
     ///
-    /// Returns a message when there is no whole response.
+    /// Returns a message if there is no complete response.
     pub async fn get(&self, path: &str) -> Result<CallerReply, String> {
         let request = CallerRequest {
             path: path.to_owned(),
--- a/lib/testutils/src/http_server.rs
+++ b/lib/testutils/src/http_server.rs
@@ -1,4 +1,4 @@
-//! A small HTTP/1.1 server on loopback for the stand-ins.
+//! A minimal HTTP/1.1 server on loopback for the test doubles.
 
 use {
     bytes::Bytes,
@@ -13,10 +13,10 @@
     },
 };
 
-/// Body of a stand-in's response; an error breaks the connection off.
+/// Body of a response. An error closes the connection before the end of the body.
 pub type ReplyBody = UnsyncBoxBody<Bytes, io::Error>;
 
-/// Builds a body that is sent at once.
+/// Builds a body that is sent as a single frame.
 pub fn whole_body(bytes: impl Into<Bytes>) -> ReplyBody {
     Full::new(bytes.into())
         .map_err(|never: Infallible| match never {})
@@ -30,7 +30,7 @@
         .boxed_unsync()
 }
 
-/// A running server; dropping it closes the listener and breaks off all connections.
+/// A running server. Dropping it closes the listener and all connections.
 #[derive(Debug)]
 pub struct Server {
     address: SocketAddr,
@@ -38,13 +38,13 @@
 }
 
 impl Server {
-    /// Serves requests with `handle` on `address`; port 0 chooses a free one.
+    /// Starts to serve requests with `handle` on `address`. Port 0 selects a free one.
     ///
-    /// A handler that returns `None` breaks the connection off without a reply.
+    /// If the handler returns `None`, the connection is closed without a reply.
     ///
     /// # Errors
     ///
-    /// Returns an error when the address can't be bound.
+    /// Returns an error if the address can't be bound.
     pub async fn start<H, F>(address: SocketAddr, handle: H) -> io::Result<Self>
     where
         H: Fn(Request<Incoming>) -> F + Clone + Send + Sync + 'static,
@@ -56,7 +56,7 @@
         Ok(Self { address, task })
     }
 
-    /// Returns the address that is served.
+    /// Returns the address on which the server listens.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
@@ -68,7 +68,7 @@
     }
 }
 
-/// Connections live in the set, so that they end together with the accepting task.
+/// Accepts connections. The set owns their tasks, so that they end together with this task.
 async fn accept<H, F>(listener: TcpListener, handle: H)
 where
     H: Fn(Request<Incoming>) -> F + Clone + Send + Sync + 'static,
@@ -77,11 +77,11 @@
     let mut connections = JoinSet::new();
     loop {
         while connections.try_join_next().is_some() {}
-        // A connection that broke before it was accepted concerns nobody; its caller sees it.
+        // Ignores a connection that failed before it was accepted. Its caller notices the failure.
         let Ok((socket, _)) = listener.accept().await else {
             continue;
         };
-        // Only slows replies down, and fails only where the connection has broken already.
+        // Without this option replies are only slower, and setting it fails only if the connection has failed.
         let _ = socket.set_nodelay(true);
         let handle = handle.clone();
         let service = service_fn(move |request| {
@@ -89,7 +89,7 @@
             async move { reply.await.ok_or_else(|| io::Error::other("broken off")) }
         });
         connections.spawn(async move {
-            // A broken connection is what some tests ask for.
+            // Some tests break the connection on purpose.
             let _ = http1::Builder::new()
                 .serve_connection(TokioIo::new(socket), service)
                 .await;
--- a/lib/testutils/src/lib.rs
+++ b/lib/testutils/src/lib.rs
@@ -1,7 +1,8 @@
-//! Stand-ins for the systems around hazelyoke: endpoints and the configuration service.
+//! Test doubles for the systems around hazelyoke, such as endpoints and the configuration service, and helpers for
+//! tests.
 //!
-//! They speak the protocols of `docs/PROTOCOLS.md` on loopback, take time as real ones do, and
-//! misbehave on request. Tests and the bench share them.
+//! The test doubles implement the protocols of `docs/PROTOCOLS.md` on loopback, take time as real systems do, and
+//! inject faults on request. Tests and the bench use them.
 
 pub mod collector;
 pub mod config_service;
--- a/lib/testutils/src/one_value.rs
+++ b/lib/testutils/src/one_value.rs
@@ -1,8 +1,8 @@
-//! A tree that stands in one value, whatever its name.
+//! A source of settings values that consists of a single value.
 
 use {hazelyoke_lib::settings::raw_tree::ValueSource, std::convert::Infallible};
 
-/// The only value, given for every name.
+/// A source that returns the same value for every name.
 #[derive(Debug, Clone)]
 pub struct OneValue(pub Vec<u8>);
 
--- a/lib/testutils/src/plain.rs
+++ b/lib/testutils/src/plain.rs
@@ -1,4 +1,4 @@
-//! A stand-in for a plain service's endpoint: encoder, retriever, reranker or application.
+//! A test double for an endpoint of a plain service: encoder, retriever, reranker or application.
 
 use {
     crate::{
@@ -22,17 +22,17 @@
     tokio::time::Instant,
 };
 
-/// Answers by idempotency key, as an endpoint that checks keys keeps them.
+/// Answers by idempotency key, as stored by endpoints that check keys.
 pub type Answers = Arc<Mutex<HashMap<String, Bytes>>>;
 
-/// A plain endpoint's usual time, slots and whether it checks idempotency keys.
+/// Timing and behaviour of a plain endpoint.
 #[derive(Debug, Clone, Copy)]
 pub struct PlainModel {
-    /// Usual time of one call.
+    /// Duration of one call.
     pub usual: Duration,
-    /// Calls worked on at the same time.
+    /// Number of calls that run at the same time.
     pub slots: u32,
-    /// Whether a second call under a key gets the first answer and doesn't run.
+    /// Whether a second call with the same idempotency key gets the first answer and doesn't run.
     pub checks_keys: bool,
 }
 
@@ -50,7 +50,7 @@
 ///
 /// # Errors
 ///
-/// Returns an error when the address can't be bound.
+/// Returns an error if the address can't be bound.
 pub async fn start(
     service: &str,
     address: SocketAddr,
@@ -59,11 +59,11 @@
     start_sharing(service, address, model, Answers::default()).await
 }
 
-/// Starts a plain endpoint that shares its answers by key with its siblings.
+/// Starts a plain endpoint that shares its answers by key with other endpoints of the service.
 ///
 /// # Errors
 ///
-/// Returns an error when the address can't be bound.
+/// Returns an error if the address can't be bound.
 pub async fn start_sharing(
     service: &str,
     address: SocketAddr,
@@ -134,7 +134,7 @@
         answers.insert(key, output.clone());
     }
     let time = endpoint.slowed(endpoint.usual);
-    // Even a sleep of no time takes a tick of the timer.
+    // A sleep takes at least one tick of the timer, even with a duration of zero.
     if !time.is_zero() {
         tokio::time::sleep(time).await;
     }
--- a/lib/testutils/src/prefix_cache.rs
+++ b/lib/testutils/src/prefix_cache.rs
@@ -1,4 +1,4 @@
-//! A stand-in engine's prefix cache: limited, its changes reported late and with gaps.
+//! The prefix cache of a test engine, with limited capacity. It reports its changes late and with gaps.
 
 use {
     hazelyoke_lib::pipeline::decision::prefix::{BLOCK_BYTES, CacheEvent, CacheEvents, Prefix},
@@ -9,16 +9,16 @@
     tokio::time::Instant,
 };
 
-/// Time after which a change is reported.
+/// Delay after which a change is reported.
 const LAG: Duration = Duration::from_millis(100);
 
-/// Changes that are kept, so that a reader who asks too late finds a gap.
+/// Number of changes that are kept. A reader that polls too rarely misses changes.
 const LOG: usize = 2_048;
 
-/// Most changes reported at once.
+/// Largest number of changes in one report.
 const BATCH: usize = 512;
 
-/// One change of this many is never reported.
+/// Every n-th change is never reported, with this n.
 const LOST_OF: u64 = 50;
 
 /// One change of the cache.
@@ -29,7 +29,7 @@
     event: CacheEvent,
 }
 
-/// Blocks held, by least recent use.
+/// A cache of prompt blocks that evicts the least recently used one.
 #[derive(Debug)]
 pub struct PrefixCache {
     capacity: usize,
@@ -41,7 +41,7 @@
 }
 
 impl PrefixCache {
-    /// Builds an empty cache for so many blocks.
+    /// Creates an empty cache for `capacity` blocks.
     pub fn new(capacity: usize) -> Self {
         Self {
             capacity,
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Adds a prompt and returns the bytes of its beginning that were held already.
+    /// Adds a prompt. Returns the size of its prefix that was cached before, in bytes.
     pub fn insert(&mut self, input: &[u8]) -> u64 {
         let prefix = Prefix::of(input);
         let blocks = prefix.blocks();
@@ -61,7 +61,7 @@
             .iter()
             .take_while(|block| self.uses.contains_key(*block));
         let cached = held.count();
-        // The beginning is used last, so that ends of prompts are evicted first.
+        // Touches the first block last, so that the ends of prompts are evicted before their prefixes.
         for block in blocks.iter().rev() {
             self.touch(*block);
         }
@@ -100,7 +100,7 @@
         });
     }
 
-    /// Returns the changes after a number.
+    /// Returns the changes after the change number `after`.
     pub fn events(&self, after: u64) -> CacheEvents {
         let changes = self.log.iter();
         let reported = changes
--- a/lib/testutils/src/seeds.rs
+++ b/lib/testutils/src/seeds.rs
@@ -1,25 +1,25 @@
-//! Randomised runs over a fixed series of seeds, so that every run gives one verdict.
+//! Randomised tests over a fixed series of seeds, so that every run has the same result.
 
 use arbtest::{
     arbitrary::{Result, Unstructured},
     arbtest,
 };
 
-/// Bits below a seed's number that `arbtest` takes as the size of its input.
+/// Number of low bits of a seed that `arbtest` interprets as the size of its input.
 const SIZE_BITS: u32 = 32;
 
-/// Set to a number to run so many times as many seeds.
+/// Environment variable with a factor by which the number of seeds is multiplied.
 const FACTOR: &str = "HAZELYOKE_SEEDS_FACTOR";
 
-/// Returns the factor on the number of seeds; 1 where it isn't set.
+/// Returns the factor by which the number of seeds is multiplied, 1 by default.
 fn factor() -> u64 {
     let text = std::env::var(FACTOR);
     text.map_or(1, |text| text.parse().expect("a factor is a whole number"))
 }
 
-/// Runs `property` once for each of `count` seeds, with `size` bytes of choices each.
+/// Runs `property` once for each of `count` seeds, with `size` random bytes each.
 ///
-/// A failing seed is printed by `arbtest`; running it alone repeats the failure.
+/// `arbtest` prints a failing seed. Running that seed alone reproduces the failure.
 pub fn for_seeds(
     count: u64,
     size: u32,
--- a/lib/testutils/src/test_log.rs
+++ b/lib/testutils/src/test_log.rs
@@ -1,7 +1,7 @@
-//! Log lines of the code under test: the test harness shows them when the test fails.
+//! Log output of the code under test, which the test harness shows if the test fails.
 //!
-//! Owns the process's logger, and the names that tell the daemons of one process apart. Lines go where the
-//! harness captures a test's output, which it does for the thread of the test and for those that it starts.
+//! Sets the process's logger, and adds a name to each line that distinguishes the daemons of one process. The lines go
+//! to the output that the harness captures, which is that of the test's thread and of the threads that it starts.
 
 use {
     env_logger::{Builder, Env, Target, fmt::Formatter},
@@ -19,11 +19,11 @@
 };
 
 tokio::task_local! {
-    /// Name of the daemon that is running.
+    /// Name of the daemon to which the current task belongs.
     static DAEMON: String;
 }
 
-/// Writes the log lines of this process from now on; `RUST_LOG` chooses the level.
+/// Starts the log of this process. The environment variable `RUST_LOG` sets the level, `info` by default.
 pub fn start() {
     static STARTED: Once = Once::new();
     STARTED.call_once(|| {
@@ -36,7 +36,7 @@
     });
 }
 
-/// Runs a future, and whatever it spawns on this thread, under a name that its log lines carry.
+/// Runs a future and the tasks that it spawns on this thread, and adds `name` to their log lines.
 ///
 /// # Panics
 ///
@@ -53,7 +53,7 @@
     let daemon = DAEMON.try_with(Clone::clone).unwrap_or_default();
     let (level, event) = (record.level(), record.args());
     write!(formatter, "{at:>6} ms {daemon:<6} {level:<5} {event}")?;
-    // A field that can't be written makes the line shorter.
+    // Fields after one that can't be written are omitted.
     let _ = record.key_values().visit(&mut Fields(formatter));
     writeln!(formatter)
 }
