--- a/lib/tests/test_bad_endpoints.rs
+++ b/lib/tests/test_bad_endpoints.rs
@@ -16,9 +16,9 @@
 const DAMAGES: [Damage; 6] = [
     Damage::Garbage,
     Damage::WrongIds,
-    Damage::TooMuch,
+    Damage::Oversized,
     Damage::Truncated,
-    Damage::Nothing,
+    Damage::NoReply,
     Damage::ServerError,
 ];
 
@@ -136,13 +136,13 @@
     let fixture = Fixture::start().await;
     let (_daemon, caller) = fixture.daemon().await;
     for server in &fixture.endpoints["pay"] {
-        server.endpoint.faults.damage(Damage::Nothing, 1.0);
+        server.endpoint.faults.damage(Damage::NoReply, 1.0);
     }
     let reply = checkout(&caller, "sale-1").await;
     assert_eq!(reply.outcome(), "unknown");
     assert_eq!(payment_runs(&fixture).len(), 1);
     for server in &fixture.endpoints["pay"] {
-        server.endpoint.faults.damage(Damage::Nothing, 0.0);
+        server.endpoint.faults.damage(Damage::NoReply, 0.0);
     }
     // The endpoint recognises the idempotency key, so the retry gets the first answer and doesn't run.
     let reply = checkout(&caller, "sale-1").await;
--- a/lib/tests/test_traces.rs
+++ b/lib/tests/test_traces.rs
@@ -7,9 +7,9 @@
     hazelyoke_testutils::{
         collector::Collector,
         fixture::{Fixture, any_address, wait_for},
-        held_port::HeldPort,
         http_client::CallerRequest,
         http_server::{Server, whole_body},
+        reserved_port::ReservedPort,
     },
     http::{HeaderValue, Response, header::CONTENT_TYPE},
     std::{
@@ -51,7 +51,7 @@
 #[tokio::test]
 async fn absent_collector() {
     let fixture = Fixture::start().await;
-    let absent = HeldPort::bind(any_address()).unwrap();
+    let absent = ReservedPort::bind(any_address()).unwrap();
     let (daemon, caller) = fixture.traced_daemon(absent.address()).await;
     let request = CallerRequest::new("/v1/services/encoder", "market", "{}");
     assert_eq!(caller.post(request).await.unwrap().status, 200);
--- a/lib/testutils/src/endpoint.rs
+++ b/lib/testutils/src/endpoint.rs
@@ -28,7 +28,7 @@
 };
 
 /// Size of a reply that exceeds every limit, in bytes.
-const TOO_MUCH: usize = 32 << 20;
+const OVERSIZED_BYTES: usize = 32 << 20;
 
 /// Age that load reports state, because reports of real endpoints lag too.
 const REPORT_LAG: Millis = Millis(50);
@@ -97,9 +97,9 @@
 
 /// Counts a call as waiting or running until dropped.
 #[derive(Debug)]
-pub struct Presence<'e>(&'e AtomicU32);
+pub struct CallGuard<'e>(&'e AtomicU32);
 
-impl Drop for Presence<'_> {
+impl Drop for CallGuard<'_> {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::Relaxed);
     }
@@ -107,13 +107,13 @@
 
 /// Occupies a slot until dropped, and then adds the time to the endpoint's busy time.
 #[derive(Debug)]
-pub struct SlotHold<'e> {
+pub struct SlotGuard<'e> {
     endpoint: &'e Endpoint,
     since: Instant,
     _permit: SemaphorePermit<'e>,
 }
 
-impl Drop for SlotHold<'_> {
+impl Drop for SlotGuard<'_> {
     fn drop(&mut self) {
         let micros = self.since.elapsed().as_micros() as u64;
         self.endpoint
@@ -144,16 +144,16 @@
     }
 
     /// Counts a call that has arrived, which may have to wait for a slot.
-    pub fn enter(&self) -> Presence<'_> {
+    pub fn enter(&self) -> CallGuard<'_> {
         self.present.fetch_add(1, Ordering::Relaxed);
-        Presence(&self.present)
+        CallGuard(&self.present)
     }
 
     /// Waits for a free slot and occupies it.
-    pub async fn slot(&self) -> SlotHold<'_> {
+    pub async fn slot(&self) -> SlotGuard<'_> {
         let permit = self.permits.acquire().await.expect("never closed");
         self.running.fetch_add(1, Ordering::Relaxed);
-        SlotHold {
+        SlotGuard {
             endpoint: self,
             since: Instant::now(),
             _permit: permit,
@@ -285,8 +285,8 @@
         let head = self.reply_head(headers, started);
         match damage {
             Damage::Garbage => head.body(whole_body(&b"\xff\xfe{not json"[..])).ok(),
-            Damage::TooMuch => head.body(whole_body(vec![b' '; TOO_MUCH])).ok(),
-            Damage::Nothing => None,
+            Damage::Oversized => head.body(whole_body(vec![b' '; OVERSIZED_BYTES])).ok(),
+            Damage::NoReply => None,
             Damage::NotRun => self.refusal(headers, wire::NOT_RUN_BUSY),
             Damage::WrongIds => Response::builder()
                 .header(
--- a/lib/testutils/src/engine.rs
+++ b/lib/testutils/src/engine.rs
@@ -32,7 +32,7 @@
 };
 
 /// Number of events that are buffered for a slow reader.
-const QUEUE: usize = 16;
+const EVENT_BUFFER: usize = 16;
 
 /// Timing and capacity of an engine.
 #[derive(Debug, Clone, Copy)]
@@ -191,7 +191,7 @@
         stream_break: endpoint.faults.take_break(),
     };
     let reply = endpoint.reply_head(&headers, started);
-    let (events, received) = mpsc::channel(QUEUE);
+    let (events, received) = mpsc::channel(EVENT_BUFFER);
     tokio::spawn(run(engine.clone(), headers, generation, events));
     let frames = stream::unfold(received, |mut received| async {
         received.recv().await.map(|frame| (frame, received))
--- a/lib/testutils/src/faults.rs
+++ b/lib/testutils/src/faults.rs
@@ -16,11 +16,11 @@
     /// The reply has the ids of another call.
     WrongIds,
     /// The reply exceeds every size limit.
-    TooMuch,
+    Oversized,
     /// The reply's body ends too early.
     Truncated,
     /// The connection is closed without a reply after the call ran.
-    Nothing,
+    NoReply,
     /// The reply is a server error after the call ran.
     ServerError,
     /// The call is refused before it runs.
@@ -28,7 +28,7 @@
 }
 
 /// Scale of shares and factors that are stored as integers: thousandths.
-const WHOLE: u64 = 1_000;
+const THOUSANDTHS: u64 = 1_000;
 
 /// Damage to a share of the replies.
 #[derive(Debug)]
@@ -65,7 +65,7 @@
 impl Default for Faults {
     fn default() -> Self {
         Self {
-            slowness: AtomicU32::new(WHOLE as u32),
+            slowness: AtomicU32::new(THOUSANDTHS as u32),
             damage: Mutex::new(None),
             frozen: AtomicBool::new(false),
             leaving: AtomicBool::new(false),
@@ -77,18 +77,18 @@
 impl Faults {
     /// Multiplies all durations by `factor`.
     pub fn slow_down(&self, factor: f64) {
-        let thousandths = (factor * WHOLE as f64) as u32;
+        let thousandths = (factor * THOUSANDTHS as f64) as u32;
         self.slowness.store(thousandths, Ordering::Relaxed);
     }
 
     /// Returns the factor by which all durations are multiplied.
     pub fn slowness(&self) -> f64 {
-        f64::from(self.slowness.load(Ordering::Relaxed)) / WHOLE as f64
+        f64::from(self.slowness.load(Ordering::Relaxed)) / THOUSANDTHS as f64
     }
 
     /// Damages a share of the replies, from 0 to 1.
     pub fn damage(&self, damage: Damage, share: f64) {
-        let thousandths = (share * WHOLE as f64) as u64;
+        let thousandths = (share * THOUSANDTHS as f64) as u64;
         let mut plan = self.damage.lock().expect("no panic while held");
         let draws = plan.as_ref().map_or(0, |plan| plan.draws);
         *plan = Some(DamagePlan {
@@ -104,9 +104,9 @@
     pub fn draw(&self) -> Option<Damage> {
         let mut plan = self.damage.lock().expect("no panic while held");
         let plan = plan.as_mut().filter(|plan| plan.thousandths > 0)?;
-        let before = plan.draws * plan.thousandths / WHOLE;
+        let before = plan.draws * plan.thousandths / THOUSANDTHS;
         plan.draws += 1;
-        let after = plan.draws * plan.thousandths / WHOLE;
+        let after = plan.draws * plan.thousandths / THOUSANDTHS;
         (after > before).then_some(plan.damage)
     }
 
--- a/lib/testutils/src/fixture.rs
+++ b/lib/testutils/src/fixture.rs
@@ -24,7 +24,7 @@
 };
 
 /// Timeout of [`wait_for`], far longer than the conditions take.
-const PATIENCE: Duration = Duration::from_secs(20);
+const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Name of the model that the fixture's engines serve.
 pub const MODEL: &str = "small";
@@ -76,14 +76,14 @@
 }
 
 /// Names of the fixture's plain services.
-pub const PLAIN: [&str; 4] = ["encoder", "retriever", "reranker", "pay"];
+pub const PLAIN_SERVICES: [&str; 4] = ["encoder", "retriever", "reranker", "pay"];
 
 impl Fixture {
     /// Starts the endpoints and the configuration service, and publishes the tree.
     pub async fn start() -> Self {
         test_log::start();
         let mut endpoints = BTreeMap::new();
-        for service in PLAIN {
+        for service in PLAIN_SERVICES {
             let model = PlainModel {
                 checks_keys: service == "pay",
                 ..Default::default()
@@ -189,7 +189,7 @@
 ///
 /// Panics with the description `what` if `check` doesn't return true within 20 seconds.
 pub async fn wait_for(what: &str, mut check: impl AsyncFnMut() -> bool) {
-    let waited = tokio::time::timeout(PATIENCE, async {
+    let waited = tokio::time::timeout(WAIT_TIMEOUT, async {
         while !check().await {
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
--- a/lib/testutils/src/http_client.rs
+++ b/lib/testutils/src/http_client.rs
@@ -13,7 +13,7 @@
 };
 
 /// Timeout of a caller, far longer than every deadline in tests.
-const PATIENCE: Duration = Duration::from_secs(60);
+const CALLER_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// One request to the interface.
 #[derive(Debug, Clone)]
@@ -152,7 +152,7 @@
         let request = builder
             .body(Full::new(request.body))
             .map_err(|error| error.to_string())?;
-        tokio::time::timeout(PATIENCE, self.client.request(request))
+        tokio::time::timeout(CALLER_TIMEOUT, self.client.request(request))
             .await
             .map_err(|_| "no response".to_owned())?
             .map_err(|error| format!("{error:?}"))
@@ -164,7 +164,7 @@
     progress: impl FnMut(&[u8]),
 ) -> Result<CallerReply, String> {
     let (head, body) = response.into_parts();
-    let body = tokio::time::timeout(PATIENCE, read_body(body, progress))
+    let body = tokio::time::timeout(CALLER_TIMEOUT, read_body(body, progress))
         .await
         .map_err(|_| "no end of the body".to_owned())?
         .map_err(|error| error.to_string())?;
--- a/lib/testutils/src/prefix_cache.rs
+++ b/lib/testutils/src/prefix_cache.rs
@@ -10,16 +10,16 @@
 };
 
 /// Delay after which a change is reported.
-const LAG: Duration = Duration::from_millis(100);
+const REPORT_DELAY: Duration = Duration::from_millis(100);
 
 /// Number of changes that are kept. A reader that polls too rarely misses changes.
-const LOG: usize = 2_048;
+const MAX_KEPT_CHANGES: usize = 2_048;
 
 /// Largest number of changes in one report.
-const BATCH: usize = 512;
+const MAX_REPORTED_CHANGES: usize = 512;
 
 /// Every n-th change is never reported, with this n.
-const LOST_OF: u64 = 50;
+const LOSS_INTERVAL: u64 = 50;
 
 /// One change of the cache.
 #[derive(Debug)]
@@ -87,10 +87,10 @@
 
     fn log_change(&mut self, block: u64, held: bool) {
         self.changes += 1;
-        if self.changes.is_multiple_of(LOST_OF) {
+        if self.changes.is_multiple_of(LOSS_INTERVAL) {
             return;
         }
-        if self.log.len() == LOG {
+        if self.log.len() == MAX_KEPT_CHANGES {
             self.log.pop_front();
         }
         self.log.push_back(Change {
@@ -104,8 +104,8 @@
     pub fn events(&self, after: u64) -> CacheEvents {
         let changes = self.log.iter();
         let reported = changes
-            .filter(|change| change.number > after && change.at.elapsed() >= LAG)
-            .take(BATCH);
+            .filter(|change| change.number > after && change.at.elapsed() >= REPORT_DELAY)
+            .take(MAX_REPORTED_CHANGES);
         let mut events = CacheEvents {
             next: after,
             events: Vec::new(),
--- a/lib/testutils/src/held_port.rs
+++ b/lib/testutils/src/reserved_port.rs
@@ -9,12 +9,12 @@
 ///
 /// Binding it reserves it: a port that was released instead was reused by servers of other tests, which answered.
 #[derive(Debug)]
-pub struct HeldPort {
+pub struct ReservedPort {
     address: SocketAddr,
     _socket: TcpSocket,
 }
 
-impl HeldPort {
+impl ReservedPort {
     /// Binds an address. Port 0 selects a free one.
     ///
     /// # Errors
--- a/lib/testutils/src/seeds.rs
+++ b/lib/testutils/src/seeds.rs
@@ -9,11 +9,11 @@
 const SIZE_BITS: u32 = 32;
 
 /// Environment variable with a factor by which the number of seeds is multiplied.
-const FACTOR: &str = "HAZELYOKE_SEEDS_FACTOR";
+const FACTOR_VARIABLE: &str = "HAZELYOKE_SEEDS_FACTOR";
 
 /// Returns the factor by which the number of seeds is multiplied, 1 by default.
 fn factor() -> u64 {
-    let text = std::env::var(FACTOR);
+    let text = std::env::var(FACTOR_VARIABLE);
     text.map_or(1, |text| text.parse().expect("a factor is a whole number"))
 }
 
