--- a/bench/src/fault_injector.rs
+++ b/bench/src/fault_injector.rs
@@ -37,7 +37,7 @@
     for Moment { at, kind, begins } in moments(faults) {
         sleep_until(start + at).await;
         if let FaultKind::ConfigSilent = kind {
-            installation.config.silence(begins);
+            installation.config.set_silent(begins);
         }
         for replica in targets(kind, installation) {
             set(replica, kind, begins).await?;
--- a/bench/src/model.rs
+++ b/bench/src/model.rs
@@ -37,7 +37,7 @@
 pub fn plain_model(service: &Service) -> PlainModel {
     let settings = &service.settings;
     PlainModel {
-        usual: settings.floor.value.to_duration().mul_f64(USUAL),
+        call_time: settings.floor.value.to_duration().mul_f64(USUAL),
         slots: settings.slots.value.0,
         checks_keys: settings.guard.value == Guard::Endpoint,
     }
@@ -62,7 +62,7 @@
     match service.kind {
         ServiceKind::Plain => {
             let model = plain_model(service);
-            Rate(f64::from(model.slots) / model.usual.as_secs_f64())
+            Rate(f64::from(model.slots) / model.call_time.as_secs_f64())
         }
         ServiceKind::Engine { .. } => {
             let model = engine_model(service);
--- a/lib/tests/test_api.rs
+++ b/lib/tests/test_api.rs
@@ -30,7 +30,7 @@
 #[tokio::test]
 async fn live_and_ready() {
     let fixture = Fixture::start().await;
-    fixture.config.silence(true);
+    fixture.config.set_silent(true);
     let daemon =
         hazelyoke_lib::pipeline::daemon::Daemon::start(fixture.daemon_settings("entry-1")).unwrap();
     let caller = Caller::new(daemon.address());
@@ -40,7 +40,7 @@
         (reply.status.as_u16(), reply.code()),
         (503, "not_ready".to_owned())
     );
-    fixture.config.silence(false);
+    fixture.config.set_silent(false);
     wait_for("readiness", async || {
         caller.get("/v1/ready").await.unwrap().status == 200
     })
--- a/lib/tests/test_config_watch.rs
+++ b/lib/tests/test_config_watch.rs
@@ -68,7 +68,7 @@
 async fn silent_service() {
     let fixture = Fixture::start().await;
     let (daemon, caller) = fixture.daemon().await;
-    fixture.config.silence(true);
+    fixture.config.set_silent(true);
     tokio::time::sleep(Duration::from_millis(200)).await;
     assert_eq!(daemon.node().tree().version, TreeVersion(1));
     assert_eq!(caller.get("/v1/ready").await.unwrap().status, 200);
--- a/lib/tests/test_layers.rs
+++ b/lib/tests/test_layers.rs
@@ -170,24 +170,24 @@
 
 #[test]
 fn no_import_circle() {
-    let mut left = imports();
+    let mut remaining = imports();
     // A module that imports none of the remaining modules can't be part of a cycle.
     loop {
-        let done: Vec<String> = left
+        let done: Vec<String> = remaining
             .iter()
-            .filter(|(_, others)| others.iter().all(|other| !left.contains_key(other)))
+            .filter(|(_, others)| others.iter().all(|other| !remaining.contains_key(other)))
             .map(|(module, _)| module.clone())
             .collect();
         if done.is_empty() {
             break;
         }
         for module in done {
-            left.remove(&module);
+            remaining.remove(&module);
         }
     }
     assert!(
-        left.is_empty(),
-        "in a circle, or above one: {:?}",
-        left.keys()
+        remaining.is_empty(),
+        "in an import cycle, or importing from one: {:?}",
+        remaining.keys()
     );
 }
--- a/lib/testutils/src/config_service.rs
+++ b/lib/testutils/src/config_service.rs
@@ -62,7 +62,7 @@
     }
 
     /// Sets whether the service closes every connection without a reply.
-    pub fn silence(&self, silent: bool) {
+    pub fn set_silent(&self, silent: bool) {
         self.state.silent.store(silent, Ordering::Relaxed);
     }
 
--- a/lib/testutils/src/endpoint.rs
+++ b/lib/testutils/src/endpoint.rs
@@ -67,14 +67,14 @@
     /// Number of calls that run at the same time.
     pub slots: u32,
     /// Duration of one call without faults.
-    pub usual: Duration,
+    pub call_time: Duration,
     permits: Semaphore,
-    present: AtomicU32,
+    open_calls: AtomicU32,
     running: AtomicU32,
     cancelled: AtomicU32,
     busy_micros: AtomicU64,
-    uncached: AtomicU64,
-    prompted: AtomicU64,
+    uncached_bytes: AtomicU64,
+    prompted_bytes: AtomicU64,
     runs: Mutex<Vec<Run>>,
     report: Mutex<Option<LoadReport>>,
 }
@@ -125,19 +125,19 @@
 
 impl Endpoint {
     /// Creates the state of an endpoint.
-    pub fn new(name: &str, slots: u32, usual: Duration) -> Self {
+    pub fn new(name: &str, slots: u32, call_time: Duration) -> Self {
         Self {
             name: name.into(),
             faults: Faults::default(),
             slots,
-            usual,
+            call_time,
             permits: Semaphore::new(slots as usize),
-            present: AtomicU32::new(0),
+            open_calls: AtomicU32::new(0),
             running: AtomicU32::new(0),
             cancelled: AtomicU32::new(0),
             busy_micros: AtomicU64::new(0),
-            uncached: AtomicU64::new(0),
-            prompted: AtomicU64::new(0),
+            uncached_bytes: AtomicU64::new(0),
+            prompted_bytes: AtomicU64::new(0),
             runs: Mutex::new(Vec::new()),
             report: Mutex::new(None),
         }
@@ -145,8 +145,8 @@
 
     /// Counts a call that has arrived, which may have to wait for a slot.
     pub fn enter(&self) -> CallGuard<'_> {
-        self.present.fetch_add(1, Ordering::Relaxed);
-        CallGuard(&self.present)
+        self.open_calls.fetch_add(1, Ordering::Relaxed);
+        CallGuard(&self.open_calls)
     }
 
     /// Waits for a free slot and occupies it.
@@ -162,15 +162,16 @@
 
     /// Adds the bytes of a prompt to the totals.
     pub fn count_prompt(&self, prompt: PromptBytes) {
-        self.uncached.fetch_add(prompt.uncached, Ordering::Relaxed);
-        self.prompted.fetch_add(prompt.all, Ordering::Relaxed);
+        self.uncached_bytes
+            .fetch_add(prompt.uncached, Ordering::Relaxed);
+        self.prompted_bytes.fetch_add(prompt.all, Ordering::Relaxed);
     }
 
     /// Returns the totals over all prompts.
     pub fn prompt_bytes(&self) -> PromptBytes {
         PromptBytes {
-            uncached: self.uncached.load(Ordering::Relaxed),
-            all: self.prompted.load(Ordering::Relaxed),
+            uncached: self.uncached_bytes.load(Ordering::Relaxed),
+            all: self.prompted_bytes.load(Ordering::Relaxed),
         }
     }
 
@@ -218,8 +219,8 @@
     }
 
     /// Returns a duration multiplied by the endpoint's slowness.
-    pub fn slowed(&self, usual: Duration) -> Duration {
-        usual.mul_f64(self.faults.slowness())
+    pub fn slowed(&self, time: Duration) -> Duration {
+        time.mul_f64(self.faults.slowness())
     }
 
     /// Returns the load report: the current one, or the last one while reports are frozen.
@@ -230,10 +231,10 @@
         {
             return report;
         }
-        let present = self.present.load(Ordering::Relaxed);
-        let each = self.usual.as_secs_f64() * 1000.0 * self.faults.slowness();
+        let open_calls = self.open_calls.load(Ordering::Relaxed);
+        let call_ms = self.call_time.as_secs_f64() * 1000.0 * self.faults.slowness();
         let report = LoadReport {
-            backlog: WorkMillis(f64::from(present) * each),
+            backlog: WorkMillis(f64::from(open_calls) * call_ms),
             running: self.running(),
             slots: self.slots,
             age: REPORT_LAG,
--- a/lib/testutils/src/engine.rs
+++ b/lib/testutils/src/engine.rs
@@ -65,7 +65,7 @@
 }
 
 impl EngineModel {
-    fn usual(&self) -> Duration {
+    fn generation_time(&self) -> Duration {
         self.token * self.tokens
     }
 }
@@ -103,7 +103,7 @@
     model: EngineModel,
     cache: SharedCache,
 ) -> io::Result<EndpointServer> {
-    let endpoint = Arc::new(Endpoint::new(name, model.batch, model.usual()));
+    let endpoint = Arc::new(Endpoint::new(name, model.batch, model.generation_time()));
     let engine = Arc::new(Engine {
         endpoint: endpoint.clone(),
         model,
--- a/lib/testutils/src/plain.rs
+++ b/lib/testutils/src/plain.rs
@@ -29,7 +29,7 @@
 #[derive(Debug, Clone, Copy)]
 pub struct PlainModel {
     /// Duration of one call.
-    pub usual: Duration,
+    pub call_time: Duration,
     /// Number of calls that run at the same time.
     pub slots: u32,
     /// Whether a second call with the same idempotency key gets the first answer and doesn't run.
@@ -39,7 +39,7 @@
 impl Default for PlainModel {
     fn default() -> Self {
         Self {
-            usual: Duration::from_millis(2),
+            call_time: Duration::from_millis(2),
             slots: 8,
             checks_keys: false,
         }
@@ -70,7 +70,7 @@
     model: PlainModel,
     answers: Answers,
 ) -> io::Result<EndpointServer> {
-    let endpoint = Arc::new(Endpoint::new(service, model.slots, model.usual));
+    let endpoint = Arc::new(Endpoint::new(service, model.slots, model.call_time));
     let shared = endpoint.clone();
     let server = Server::start(address, move |request| {
         let endpoint = shared.clone();
@@ -133,7 +133,7 @@
         let mut answers = answers.lock().expect("no panic while held");
         answers.insert(key, output.clone());
     }
-    let time = endpoint.slowed(endpoint.usual);
+    let time = endpoint.slowed(endpoint.call_time);
     // A sleep takes at least one tick of the timer, even with a duration of zero.
     if !time.is_zero() {
         tokio::time::sleep(time).await;
