--- a/lib/src/report/mod.rs
+++ b/lib/src/report/mod.rs
@@ -4,8 +4,8 @@
 //! and per service of stages. [`ReportReader`] takes the lines of one host after the other. Memory use grows with the
 //! number of requests in flight, routes and seconds, not with the length of the logs.
 //!
-//! Depends only on the names of events and fields in the logs, so that it reads logs of any version of the daemon. The
-//! logs don't contain the time of a stream's first event, so late answers can't be distinguished.
+//! Depends only on the names of events and fields in the logs. The logs don't contain the time of a stream's first
+//! event, so late answers can't be distinguished.
 
 mod histogram;
 mod log_line;
--- a/lib/src/shared/http_body.rs
+++ b/lib/src/shared/http_body.rs
@@ -31,7 +31,8 @@
 ///
 /// # Errors
 ///
-/// Returns an error if the body is larger than `limit`, if the connection fails, or if no data arrives for `idle_timeout`.
+/// Returns an error if the body is larger than `limit`, if the connection fails, or if no data arrives for
+/// `idle_timeout`.
 pub async fn read_body(
     mut body: Incoming,
     limit: ByteSize,
