--- a/lib/src/gateway/peers/catch_up.rs
+++ b/lib/src/gateway/peers/catch_up.rs
@@ -1,8 +1,8 @@
-//! Fetches a newer list of endpoints from daemons that report one.
+//! Fetches a newer endpoint list from daemons that report one.
 //!
-//! The rule is [`rules::catch_up`](crate::gateway::rules::catch_up); this module looks with each
-//! heartbeat whether it applies, and asks. It is a task of its own, so that a large table on its way
-//! (`table_fetch`) holds up no change of an endpoint.
+//! The rule is [`rules::catch_up`](crate::gateway::rules::catch_up); this module checks once per heartbeat interval
+//! whether a fetch is due, and sends the request. It runs as a separate task from `table_fetch`, so that a large table
+//! transfer doesn't delay changes of endpoints.
 
 use {
     crate::gateway::{
@@ -24,13 +24,13 @@
     tokio::time::{MissedTickBehavior, interval, timeout},
 };
 
-/// A newer list of endpoints at another daemon.
+/// A newer endpoint list that another daemon has, and what to fetch of it.
 struct NewerList {
     peer: SocketAddr,
     fetch: ListFetch,
 }
 
-/// Fetches for good what is newer in the lists of other daemons.
+/// Fetches newer endpoint lists until the process ends.
 pub async fn run_list_fetch<D: Dialect>(gateway: Rc<Gateway<D>>) {
     let mut ticks = interval(HEARTBEAT.to_duration());
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
@@ -42,7 +42,7 @@
     }
 }
 
-/// Records since when a peer has a newer list than this daemon.
+/// Records since when any peer has had a newer list than this daemon.
 fn note_behind<D: Dialect>(gateway: &Gateway<D>) {
     let now = gateway.now();
     let mut state = gateway.state.borrow_mut();
@@ -64,7 +64,7 @@
     match fetch(gateway, newer.peer, request).await {
         Some(LinkReply::Endpoints(list)) => gateway.replace_endpoints(list, &source),
         Some(LinkReply::Changes(changes)) => gateway.apply_changes(changes, &source),
-        // A peer that can't answer is asked again, or another one, with the next heartbeat.
+        // The next tick asks this peer again, or another one.
         _ => return,
     }
     let now = gateway.now();
@@ -74,8 +74,8 @@
     }
 }
 
-/// Records that a daemon is asked. In a large fleet it may take its time to answer; one that doesn't read the directory
-/// for that waits until the request's time is over.
+/// Records that a daemon is asked. In a large fleet its answer may take long, so the time for which this daemon has
+/// been behind starts again: one that doesn't read the directory shouldn't begin to before the request has timed out.
 fn note_asked<D: Dialect>(gateway: &Gateway<D>) {
     let now = gateway.now();
     let mut state = gateway.state.borrow_mut();
@@ -84,12 +84,12 @@
     }
 }
 
-/// Returns the newer list of endpoints that should be fetched now, if there is one.
+/// Returns the newer endpoint list to fetch now, if there is one.
 fn newer_list<D: Dialect>(gateway: &Gateway<D>) -> Option<NewerList> {
     let now = gateway.now();
     let covered = gateway.read_duty() != ReadDuty::Read;
     let state = gateway.state.borrow();
-    // A whole list that comes from the directory needn't come from a peer as well.
+    // The directory is already sending the whole list.
     if !state.has_list && state.contact.is_receiving(Topic::Endpoints) {
         return None;
     }
@@ -112,7 +112,7 @@
     Some(NewerList { peer, fetch })
 }
 
-/// Asks a peer; nothing if it doesn't answer within [`FETCH_LIMIT`].
+/// Sends a peer a request; returns `None` if it doesn't reply within [`FETCH_LIMIT`].
 async fn fetch<D: Dialect>(
     gateway: &Gateway<D>,
     peer: SocketAddr,
--- a/lib/src/gateway/peers/changes.rs
+++ b/lib/src/gateway/peers/changes.rs
@@ -1,8 +1,8 @@
-//! Effects of changes in who is alive: a log event, and the end of links to daemons that are gone.
+//! Applies changes of the living daemons: logs them, and closes links to daemons that were lost or restarted.
 
 use crate::gateway::{dialect::Dialect, peers::peer_change::PeerChange, state::Gateway};
 
-/// Logs changes, and closes the links to daemons that were lost or started anew.
+/// Logs changes, and closes the links to daemons that were lost or restarted.
 pub(crate) fn apply_changes<D: Dialect>(gateway: &Gateway<D>, changes: &[PeerChange]) {
     for change in changes {
         apply_change(gateway, change);
--- a/lib/src/gateway/peers/far_reports.rs
+++ b/lib/src/gateway/peers/far_reports.rs
@@ -1,7 +1,7 @@
-//! What coordinators of different regions know of each other's services.
+//! Reports about stage services in other regions.
 //!
-//! The coordinators of a service in two regions send each other their heartbeats, and each tells its own region what
-//! the others report, so that what crosses between regions doesn't grow with the fleet.
+//! The coordinators of a service in different regions send each other their heartbeats, and each forwards the others'
+//! reports within its own region. This way the traffic between regions doesn't grow with the number of daemons.
 
 use crate::{
     gateway::{
@@ -18,12 +18,12 @@
 };
 
 impl Peers {
-    /// Merges what a coordinator of this region tells of other ones.
+    /// Merges a report about other regions from a coordinator of this region.
     pub fn merge_far_services(&mut self, now: Time, notes: &[FarNote]) {
         self.far_services.merge(now, notes);
     }
 
-    /// Returns how a service stands in another region; nothing if that isn't known.
+    /// Returns the state of a service in another region; `None` if it is unknown or out of date.
     pub fn far_service(
         &self,
         now: Time,
@@ -34,8 +34,8 @@
         self.heard_service(now, service, region).or_else(told)
     }
 
-    /// Returns what this daemon tells its region of the services that it coordinates in other ones; `ready` is set if
-    /// it may coordinate.
+    /// Returns the entries to report within this region: the state in other regions of the services that this daemon
+    /// coordinates here. `ready` is whether it may coordinate.
     pub fn far_notes(&self, now: Time, services: &[ServiceId], ready: bool) -> Vec<FarNote> {
         let is_mine =
             |service: &&ServiceId| self.coordinator(now, service, ready, &[]) == Coordinator::Me;
@@ -54,7 +54,7 @@
         notes
     }
 
-    /// Returns how a service stands in another region, by the heartbeats of its coordinator there.
+    /// Returns the state of a service in another region, from the last heartbeat of its coordinator there.
     fn heard_service(
         &self,
         now: Time,
@@ -71,12 +71,12 @@
     }
 }
 
-/// Returns how a service stands by the heartbeat of its coordinator.
+/// Returns the state of a service that a heartbeat of its coordinator reports.
 fn reported_service(heartbeat: &Heartbeat, service: ServiceHash) -> Option<FarService> {
     let mut queues = heartbeat.queues.iter();
     let queue = queues.find(|note| note.service == service)?;
     let mut backlogs = heartbeat.backlogs.iter();
-    // Services without outstanding pieces are left out there.
+    // Heartbeats omit backlogs of services without outstanding pieces.
     let backlog = backlogs.find(|note| note.service == service);
     Some(FarService {
         endpoints: queue.endpoints as usize,
--- a/lib/src/gateway/peers/far_services.rs
+++ b/lib/src/gateway/peers/far_services.rs
@@ -1,6 +1,6 @@
-//! How stage services stand in other regions, as coordinators of this one tell it.
+//! State of stage services in other regions, as coordinators of this region report it.
 //!
-//! Owns what was told, until it is out of date.
+//! Owns the last report about each service and region.
 
 use {
     crate::{
@@ -14,23 +14,23 @@
     foldhash::HashMap,
 };
 
-/// Time for which a report of another region is believed. Three reports.
+/// Age at which a report about another region is out of date: the time of three reports.
 const STALE: Millis = Millis(3_000);
 
-/// How a service stands in another region, as its coordinator there reports it.
+/// State of a service in another region, as its coordinator there reports it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct FarService {
-    /// Endpoints that accept calls.
+    /// Number of endpoints that accept calls.
     pub endpoints: usize,
-    /// Outstanding pieces of the region's daemons.
+    /// Outstanding pieces of requests at the region's daemons.
     pub backlog: Backlog,
 }
 
-/// What coordinators of this region told of other ones.
+/// The last report about each service in each other region.
 #[derive(Debug, Default)]
 pub(crate) struct FarServices(HashMap<(RegionHash, ServiceHash), ToldService>);
 
-/// What was told of a service in a region, and when.
+/// The state of a service in a region, and when it was received.
 #[derive(Debug)]
 struct ToldService {
     at: Time,
@@ -60,7 +60,7 @@
     }
 }
 
-/// Returns whether a report of that time is believed.
+/// Returns whether a report received at `at` is still up to date.
 pub(super) fn is_recent(now: Time, at: Time) -> bool {
     now.since(at) <= STALE.to_duration()
 }
--- a/lib/src/gateway/peers/heartbeats.rs
+++ b/lib/src/gateway/peers/heartbeats.rs
@@ -1,7 +1,7 @@
-//! Sends this daemon's heartbeats, and the load digests of the services that it coordinates.
+//! Sends this daemon's heartbeats, and for the services that it coordinates load digests and reports about other
+//! regions.
 //!
-//! Relies on [`Peers`](crate::gateway::peers::membership::Peers) for the contents and the
-//! targets of a heartbeat.
+//! [`Peers`](crate::gateway::peers::membership::Peers) provides the contents and the recipients of a heartbeat.
 
 use {
     crate::{
@@ -28,7 +28,7 @@
     },
 };
 
-/// Sends heartbeats for good, and notes with each who is alive and what others have in flight.
+/// Sends heartbeats until the process ends, and updates with each the living daemons and the loads of others.
 pub async fn run_heartbeats<D: Dialect>(gateway: Rc<Gateway<D>>, socket: Rc<UdpSocket>) {
     let mut ticks = interval(HEARTBEAT.to_duration());
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
@@ -52,7 +52,7 @@
     }
 }
 
-/// Looks at the clock for good, so that it shows whether this process stands still.
+/// Checks the clock at short intervals until the process ends, to detect stalls of this process.
 pub async fn look_at_clock<D: Dialect>(gateway: Rc<Gateway<D>>) {
     let mut looks = interval(CLOCK_CHECK.to_duration());
     looks.set_missed_tick_behavior(MissedTickBehavior::Delay);
@@ -63,8 +63,8 @@
     }
 }
 
-/// Announces at once that this daemon may coordinate services now. With its next heartbeat, up to 200 ms later,
-/// others that start at the same time would take themselves for the coordinator meanwhile.
+/// Sends a heartbeat as soon as this daemon may coordinate services. If it waited for its next regular heartbeat, up to
+/// 200 ms later, others that start at the same time would consider themselves the coordinator until then.
 pub async fn announce_settled<D: Dialect>(gateway: Rc<Gateway<D>>) {
     for wait in [SETTLE_TIME, YIELD_TIME] {
         let end = Time::default() + wait;
@@ -88,8 +88,8 @@
     send_datagram(socket, &datagram, outgoing.targets.into_iter());
 }
 
-/// Sends everybody of this region what is in flight at the endpoints that this daemon coordinates; needed only
-/// where not every daemon receives the heartbeats of every other one.
+/// Sends all daemons of this region the sums of loads on the endpoints of services that this daemon coordinates. Does
+/// nothing in a small fleet, where every daemon receives the heartbeats of all others.
 fn send_load_digest<D: Dialect>(gateway: &Gateway<D>, socket: &UdpSocket) {
     let now = gateway.now();
     let ready = gateway.may_coordinate();
@@ -111,7 +111,7 @@
     }
 }
 
-/// Tells this region how the services that this daemon coordinates stand in other ones.
+/// Reports to all daemons of this region the state in other regions of the services that this daemon coordinates.
 fn send_far_services<D: Dialect>(gateway: &Gateway<D>, socket: &UdpSocket, now: Time) {
     let ready = gateway.may_coordinate();
     let mut state = gateway.state.borrow_mut();
--- a/lib/src/gateway/peers/job_message.rs
+++ b/lib/src/gateway/peers/job_message.rs
@@ -1,6 +1,6 @@
-//! Translates jobs to and from the message that hands them to another daemon.
+//! Converts jobs to and from the message that sends them to another daemon.
 //!
-//! Daemons share no clock: a job holds times on its daemon's own clock, a message the time that is
+//! Daemons share no clock: a job has times of its daemon's clock, a message has the time
 //! left.
 
 use crate::{
@@ -19,7 +19,7 @@
 const MICROS: u64 = 1_000;
 
 impl JobOrder {
-    /// Turns a job into a message at a time on this daemon's clock.
+    /// Converts a job into a message sent at `now`, a time of this daemon's clock.
     pub fn from_job(now: Time, service: &ServiceId, job: &StageJob) -> Self {
         let objective_us = job.objective.0 as i64 - now.0 as i64;
         Self {
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Turns a message that was received now into a job.
+    /// Converts a message received at `now`, a time of this daemon's clock, into a job.
     pub fn into_job(self, now: Time) -> StageJob {
         StageJob {
             request: self.request,
@@ -58,7 +58,7 @@
     }
 }
 
-/// Returns the time that is some milliseconds from now, or was as many ago if they are negative;
+/// Returns the time `offset_ms` milliseconds after `now`, or before it if the offset is negative;
 /// at the earliest, the start of this daemon.
 fn time_from(now: Time, offset_ms: i64) -> Time {
     if offset_ms >= 0 {
@@ -68,7 +68,7 @@
     }
 }
 
-/// Reads how a job ended at another daemon; nothing without a reply, or if that daemon
+/// Returns how a job ended at another daemon; `None` if there was no reply or if that daemon
 /// can't run jobs.
 pub(crate) fn job_end(reply: Option<LinkReply>) -> Option<JobEnd> {
     match reply {
--- a/lib/src/gateway/peers/link_server.rs
+++ b/lib/src/gateway/peers/link_server.rs
@@ -1,7 +1,7 @@
-//! Replies to the requests that other daemons send on links.
+//! Serves the requests that other daemons send on links.
 //!
-//! Each request runs in a task of its own, so that a job in hand holds up no other one. The end of
-//! a link ends its requests.
+//! Each request runs in a separate task, so that a running job doesn't delay other requests. When a link ends,
+//! its requests are cancelled.
 
 use {
     crate::gateway::{
@@ -34,7 +34,7 @@
     },
 };
 
-/// Accepts links from other daemons for good.
+/// Accepts links from other daemons until the process ends.
 pub async fn serve_links<D: Dialect>(gateway: Rc<Gateway<D>>, listener: TcpListener) {
     accept_each(listener, "link.accept_failed", |stream, from| {
         let gateway = gateway.clone();
@@ -63,7 +63,7 @@
                 running.remove(&frame.number);
                 send(&mut socket, encode(&frame)).await?;
             }
-            // A task that ended has sent its reply; one that was cancelled has none.
+            // A finished task has sent its reply; a cancelled one sends none.
             Some(_) = tasks.join_next() => {}
             message = socket.next() => {
                 pings.record(&message);
@@ -83,11 +83,11 @@
     }
 }
 
-/// The signs of life of the other end of a link.
+/// Detects silence of the daemon that opened a link, from its pings.
 #[derive(Debug, Default)]
 struct Pings {
-    /// When the last message came, from an end that has sent a ping; one of an earlier release sends none
-    /// and may rest for any time.
+    /// When the last message was received; `None` until the first ping. An older release sends no pings, so its
+    /// links may be silent for any time.
     last: Option<Instant>,
 }
 
@@ -99,7 +99,7 @@
         }
     }
 
-    /// Ends when nothing has come for too long.
+    /// Waits until no message has been received for [`PING_MISSING`].
     async fn missing(&self) {
         match self.last {
             Some(last) => sleep_until(last + PING_MISSING).await,
@@ -123,7 +123,7 @@
         number: frame.number,
         content: reply(&gateway, frame.content).await,
     };
-    // The link may have ended meanwhile; then nobody waits for the reply.
+    // Sending fails if the link has ended; then nobody waits for the reply.
     let _ = replies.send(reply).await;
 }
 
@@ -145,7 +145,7 @@
             gateway.stage_work.notify_one();
             LinkReply::Done
         }
-        // The link cancels before it gets here, and a cancelled request has no reply.
+        // `serve_link` handles cancellations itself, and a cancelled request has no reply.
         LinkRequest::Cancel(_) => LinkReply::Done,
     }
 }
@@ -173,7 +173,7 @@
     })
 }
 
-/// Replies with parts of the table, unless the link is taken.
+/// Replies with chunks of the table, unless the network link is fully used.
 fn parts<D: Dialect>(gateway: &Gateway<D>, wanted: Vec<PartHash>) -> LinkReply {
     let now = gateway.now();
     let Some(published) = gateway.published() else {
@@ -197,7 +197,7 @@
     }
 }
 
-/// Replies with the whole list of endpoints.
+/// Replies with the whole endpoint list.
 fn endpoints<D: Dialect>(gateway: &Gateway<D>) -> LinkReply {
     let state = gateway.state.borrow();
     if !state.has_list {
@@ -206,7 +206,7 @@
     LinkReply::Endpoints(state.catalogue.list())
 }
 
-/// Replies with what changed after a revision, or with everything if that is no longer known.
+/// Replies with the changes after a revision, or with the whole list if these are no longer known.
 fn changes<D: Dialect>(gateway: &Gateway<D>, revision: Revision) -> LinkReply {
     let changes = gateway.state.borrow().catalogue.changes_since(revision);
     match changes {
--- a/lib/src/gateway/peers/link_socket.rs
+++ b/lib/src/gateway/peers/link_socket.rs
@@ -1,4 +1,4 @@
-//! The WebSocket under a link, the same at both ends: its limits, its errors, sending and reading.
+//! The WebSocket connection of a link: limits, errors, sending and reading, for both ends.
 
 use {
     crate::gateway::peers::message::{MAX_MESSAGE, MessageError},
@@ -13,32 +13,34 @@
     },
 };
 
-/// Longest time to connect, and again to upgrade the connection, at the first try.
+/// Timeout of the first attempt to open a link: for connecting, and again for the upgrade to WebSocket.
 pub(crate) const LINK_LIMIT: Duration = Duration::from_millis(300);
 
-/// The same at the second and last try: a daemon to which hundreds open links at once is slow to answer, and lives.
-/// One that is really lost is noticed by its heartbeats, which ends the link.
+/// The same timeout for the second and last attempt. A daemon to which hundreds of others open links at once answers
+/// slowly although it is alive. A daemon that is really lost is detected by its missing heartbeats, which closes the
+/// link.
 pub(crate) const PATIENT_LIMIT: Duration = Duration::from_millis(900);
 
-/// Longest pause between the two tries, of which a random part is waited.
+/// Longest pause between the two attempts; the actual pause is a random fraction of it.
 pub(crate) const LINK_PAUSE: Duration = Duration::from_millis(100);
 
-/// Longest time for a table or a list, and for the other end to accept a message.
+/// Timeout for fetching table data or an endpoint list, and for the other end to accept a message.
 pub(crate) const FETCH_LIMIT: Duration = Duration::from_millis(1_500);
 
-/// Time between two pings on a link where a reply is awaited, and on one that rests. Two of the first fit into
+/// Interval between pings on a link with pending requests, and on an idle one. Two of the shorter intervals fit into
 /// [`LINK_SILENCE`].
 pub(crate) const PING_WAITING: Duration = Duration::from_millis(400);
 pub(crate) const PING_RESTING: Duration = Duration::from_secs(2);
 
-/// Time after a ping in which the other end has to send something, so that a connection that has gone silent without a
-/// reset isn't waited on: as long as a daemon that sends heartbeats to all may be silent.
+/// Time after a ping within which the other end has to send something; otherwise the link is closed, so that no request
+/// waits on a connection that has failed without a reset. It equals the time for which a daemon that broadcasts its
+/// heartbeats may be silent.
 pub(crate) const LINK_SILENCE: Duration = Duration::from_millis(1_000);
 
-/// Silence after which a link that was pinged before is closed by the end that replies: some pings.
+/// Silence after which the serving end closes a link on which it has received pings before: the time of several pings.
 pub(crate) const PING_MISSING: Duration = Duration::from_secs(10);
 
-/// Messages that may wait on one link before it counts as stuck.
+/// Capacity of the queues of requests and replies of one link, in messages; further requests fail.
 pub(crate) const QUEUE: usize = 1_024;
 
 /// A link over one TCP connection.
@@ -47,30 +49,30 @@
 /// Why a link ended, or never came up.
 #[derive(Debug, Error)]
 pub(crate) enum LinkError {
-    /// No TCP connection came up, or it couldn't be set up.
-    #[error("no connection: {0}")]
+    /// The TCP connection couldn't be opened or configured.
+    #[error("the TCP connection to the peer failed: {0}")]
     Connection(#[from] io::Error),
-    /// The other end didn't answer the upgrade in time; it may be stuck or no daemon.
-    #[error("no upgrade within {0:?}")]
+    /// The upgrade to WebSocket took too long; the other end may be blocked or not be a daemon.
+    #[error("the WebSocket upgrade of the link took longer than {0:?}")]
     UpgradeTime(Duration),
     /// The connection failed, or the other end doesn't speak WebSocket.
-    #[error("link failed: {0}")]
+    #[error("the WebSocket connection of the link failed: {0}")]
     Socket(#[from] tungstenite::Error),
     /// The other end didn't accept a message in time.
-    #[error("the other end didn't read for {FETCH_LIMIT:?}")]
+    #[error("the other end of the link didn't accept a message for {FETCH_LIMIT:?}")]
     WriteTime,
-    /// The connection has gone silent, although the other daemon may live.
-    #[error("nothing came for {0:?} after a ping")]
+    /// The connection is silent, although the other daemon may be alive.
+    #[error("the other end of the link sent nothing for {0:?} after a ping")]
     Silent(Duration),
     /// The other end closed the link.
-    #[error("closed by the other end")]
+    #[error("the other end closed the link")]
     Closed,
-    /// The other end sent something else than a message of its kind.
+    /// The other end sent a frame that can't be decoded.
     #[error(transparent)]
     Message(#[from] MessageError),
 }
 
-/// Returns the limits on messages.
+/// Returns the WebSocket configuration, which limits the size of messages.
 pub(crate) fn config() -> WebSocketConfig {
     WebSocketConfig::default()
         .max_message_size(Some(MAX_MESSAGE))
@@ -78,7 +80,7 @@
 }
 
 impl LinkError {
-    /// Returns whether the other end didn't answer in time, and may be busy.
+    /// Returns whether the other end didn't answer in time and may just be busy.
     pub(crate) fn is_slow(&self) -> bool {
         match self {
             Self::Connection(error) => error.kind() == io::ErrorKind::TimedOut,
@@ -88,7 +90,7 @@
     }
 }
 
-/// Waits for an upgrade, for a limit at most.
+/// Waits for an upgrade to WebSocket, for at most `limit`.
 pub(crate) async fn upgraded<T>(
     limit: Duration,
     upgrade: impl Future<Output = Result<T, tungstenite::Error>>,
@@ -99,12 +101,12 @@
     Ok(upgraded)
 }
 
-/// Sends one message.
+/// Sends one binary message.
 pub(crate) async fn send(socket: &mut LinkSocket, bytes: Vec<u8>) -> Result<(), LinkError> {
     send_message(socket, Message::Binary(bytes.into())).await
 }
 
-/// Sends a ping, which the other end answers by itself.
+/// Sends a ping, which the WebSocket library at the other end answers.
 pub(crate) async fn ping(socket: &mut LinkSocket) -> Result<(), LinkError> {
     send_message(socket, Message::Ping(Bytes::new())).await
 }
@@ -116,7 +118,7 @@
     Ok(())
 }
 
-/// Returns the bytes of a message; nothing for one that carries none, such as a ping.
+/// Returns the bytes of a binary message; `None` for any other, such as a ping.
 pub(crate) fn read(
     message: Option<Result<Message, tungstenite::Error>>,
 ) -> Result<Option<Bytes>, LinkError> {
--- a/lib/src/gateway/peers/links.rs
+++ b/lib/src/gateway/peers/links.rs
@@ -1,9 +1,8 @@
-//! Links to other daemons: WebSocket connections with one CBOR frame a message.
+//! Links to other daemons: WebSocket connections with one CBOR frame per message.
 //!
-//! The daemon that opened a link requests, the other one replies. [`Links`] owns all links that
-//! this daemon opened; each runs in a task of its own. A link to a daemon that falls silent is
-//! closed, and so is one whose connection does although the daemon lives, which pings show; what waits
-//! on it ends at once.
+//! The daemon that opened a link sends requests, the other one replies. [`Links`] owns all links that
+//! this daemon opened; each runs in a separate task. A link is closed when the other daemon is lost, and also when
+//! pings show that the connection is silent although the daemon is alive; pending requests then fail at once.
 
 use {
     crate::gateway::{
@@ -28,7 +27,7 @@
     tokio_tungstenite::client_async_with_config,
 };
 
-/// Links that this daemon opened, by the other daemon's address.
+/// Links that this daemon opened, by the address of the other daemon.
 #[derive(Debug, Default)]
 pub struct Links {
     open: RefCell<HashMap<SocketAddr, Link>>,
@@ -40,7 +39,7 @@
     task: AbortHandle,
 }
 
-/// A request on its way, and where its reply goes.
+/// A request to be sent, and the channel for its reply.
 #[derive(Debug)]
 struct PendingRequest {
     content: LinkRequest,
@@ -48,8 +47,8 @@
 }
 
 impl Links {
-    /// Sends a request to another daemon and waits for the reply; nothing if the link breaks or
-    /// has too much waiting. Dropping it cancels the request.
+    /// Sends a request to another daemon and returns the reply; `None` if the link breaks or its queue is full.
+    /// Dropping the future cancels the request.
     pub async fn request(&self, peer: SocketAddr, content: LinkRequest) -> Option<LinkReply> {
         let requests = self.link(peer).requests;
         let (reply, receiver) = oneshot::channel();
@@ -57,16 +56,16 @@
         receiver.await.ok()
     }
 
-    /// Sends another daemon something that needs no reply.
+    /// Sends another daemon a request whose reply isn't needed.
     pub fn notify(&self, peer: SocketAddr, content: LinkRequest) {
         let (reply, _) = oneshot::channel();
         let request = PendingRequest { content, reply };
-        // A link that is full or just closed loses it. Results that are released this way are then
-        // dropped by their endpoints after some time, by themselves.
+        // The request is lost if the queue is full or the link has just closed. Endpoints then drop the results
+        // that it would have released after some time on their own.
         let _ = self.link(peer).requests.try_send(request);
     }
 
-    /// Closes the link to a daemon that is lost.
+    /// Closes the link to a daemon that was lost or restarted.
     pub fn close(&self, peer: SocketAddr) {
         if let Some(link) = self.open.borrow_mut().remove(&peer) {
             link.task.abort();
@@ -96,14 +95,14 @@
     }
 }
 
-/// Carries requests to one daemon until the link breaks; all that wait are dropped with it.
+/// Sends requests to one daemon until the link breaks. Requests that are pending then get no reply.
 async fn run_link(
     peer: SocketAddr,
     mut requests: mpsc::Receiver<PendingRequest>,
 ) -> Result<(), LinkError> {
     let mut session = LinkSession::open(peer).await?;
     let mut sweep = interval(HEARTBEAT.to_duration());
-    // A process that stood still mustn't count the sweeps that it missed.
+    // After a stall of this process, the missed sweeps must not count as silence of the other end.
     sweep.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
         tokio::select! {
@@ -126,7 +125,7 @@
     }
 }
 
-/// One open link, and the requests that wait for a reply by the numbers of their frames.
+/// One open link, and the reply channels of its pending requests by frame number.
 #[derive(Debug)]
 struct LinkSession {
     socket: LinkSocket,
@@ -134,12 +133,12 @@
     last_number: u64,
     /// When the last ping was sent.
     last_ping: Instant,
-    /// Sweeps since the first ping after which nothing has come.
+    /// Number of sweeps since the first ping after the last received message; `None` if no ping was sent since.
     unanswered: Option<u32>,
 }
 
 impl LinkSession {
-    /// Opens a link; a daemon that is slow to answer is tried once more, with more time.
+    /// Opens a link. If the daemon is slow to answer, tries once more with a longer timeout.
     async fn open(peer: SocketAddr) -> Result<Self, LinkError> {
         match Self::open_within(peer, LINK_LIMIT).await {
             Err(error) if error.is_slow() => {
@@ -175,14 +174,14 @@
     fn receive_reply(&mut self, bytes: &[u8]) -> Result<(), LinkError> {
         let frame: Frame<LinkReply> = decode(bytes)?;
         if let Some(reply) = self.waiting.remove(&frame.number) {
-            // The requester may have left; nobody else needs the reply.
+            // Sending fails if the requester has stopped waiting; nobody else needs the reply.
             let _ = reply.send(frame.content);
         }
         Ok(())
     }
 
-    /// Sends a ping if one is due. A link on which nothing came after one has gone silent: its requests
-    /// would wait for replies that never come, since the daemon itself lives.
+    /// Sends a ping if one is due. Returns an error if nothing was received for too long after a ping: the connection
+    /// is dead, and its requests would wait in vain, since a daemon that is alive isn't detected as lost.
     async fn check_silence(&mut self) -> Result<(), LinkError> {
         if let Some(sweeps) = &mut self.unanswered {
             *sweeps += 1;
@@ -204,7 +203,7 @@
         ping(&mut self.socket).await
     }
 
-    /// Cancels the requests whose requesters have left.
+    /// Cancels the requests whose requesters no longer wait for a reply.
     async fn cancel_abandoned(&mut self) -> Result<(), LinkError> {
         let abandoned: Vec<u64> = self
             .waiting
--- a/lib/src/gateway/peers/load_sums.rs
+++ b/lib/src/gateway/peers/load_sums.rs
@@ -1,4 +1,4 @@
-//! Sums of the loads of all daemons, as coordinators send them in load digests.
+//! Sums of all daemons' loads, received from coordinators in load digests.
 
 use {
     crate::{
@@ -10,16 +10,16 @@
     foldhash::HashMap,
 };
 
-/// Time after which a sum is stale; a coordinator sends one with every heartbeat.
+/// Age at which a sum is dropped. Coordinators send their sums with every heartbeat.
 const STALE: Millis = Millis(1_500);
 
-/// Sums of loads by endpoint, as coordinators sent them.
+/// The last received sum of loads for each endpoint.
 #[derive(Debug, Default)]
 pub struct LoadSums {
     sums: HashMap<EndpointHash, LoadSum>,
 }
 
-/// The sum at one endpoint, and when it was received.
+/// The sum of loads on one endpoint, and when it was received.
 #[derive(Debug, Clone, Copy)]
 struct LoadSum {
     at: Time,
@@ -27,7 +27,7 @@
 }
 
 impl LoadSums {
-    /// Merges sums; an endpoint that isn't named keeps its last one.
+    /// Replaces the sums of the listed endpoints; other endpoints keep theirs.
     pub fn merge(&mut self, now: Time, loads: &[LoadNote]) {
         for note in loads {
             let load = PeerLoad {
@@ -44,7 +44,7 @@
             .retain(|_, sum| now.since(sum.at) < STALE.to_duration());
     }
 
-    /// Returns the sums by endpoint, this daemon's own part included.
+    /// Returns the sums by endpoint, which include this daemon's own load.
     pub fn by_endpoint(&self) -> HashMap<EndpointHash, PeerLoad> {
         let loads = self.sums.iter();
         loads.map(|(endpoint, sum)| (*endpoint, sum.load)).collect()
--- a/lib/src/gateway/peers/membership.rs
+++ b/lib/src/gateway/peers/membership.rs
@@ -1,10 +1,9 @@
-//! Membership: the other daemons as this one knows them, and how heartbeats and gossip change
-//! that.
+//! Membership: this daemon's view of the other daemons, and how heartbeats and gossip update it.
 //!
 //! A daemon starts from a few seed addresses, any of which may be dead, and learns of others from
-//! heartbeats and rosters. [`Peers`] owns what is known of each. Its other parts are
-//! [`outgoing`](crate::gateway::peers::outgoing) (this daemon's own heartbeat), `queries`, and
-//! `reports` (what others report). The rules are
+//! heartbeats and rosters. [`Peers`] owns one record per daemon. Its other methods are in
+//! [`outgoing`](crate::gateway::peers::outgoing) (this daemon's own heartbeat), `queries` (read-only
+//! queries), and `reports` (sums of what others report). The rules are
 //! [`rules::liveness`](crate::gateway::rules::liveness),
 //! [`rules::gossip`](crate::gateway::rules::gossip) and
 //! [`rules::coordinator`](crate::gateway::rules::coordinator).
@@ -41,52 +40,52 @@
 pub struct Identity {
     /// Name of the host.
     pub host: HostId,
-    /// Data centre.
+    /// Data centre of the host.
     pub data_centre: DataCentreId,
-    /// Its region; nothing if that isn't known or there is no other one.
+    /// Region of the data centre; `None` if it is unknown or the installation has only one.
     pub region: Option<RegionHash>,
-    /// Address for other daemons.
+    /// Address at which other daemons reach this one.
     pub address: SocketAddr,
-    /// Number drawn at the start of the process, to tell it from the one before.
+    /// Random number drawn when the process starts, which distinguishes it from an earlier process at the same address.
     pub run: u64,
-    /// Processor that it may use.
+    /// Processor capacity that the daemon may use.
     pub capacity: Capacity,
 }
 
-/// The other daemons.
+/// This daemon's view of the other daemons.
 #[derive(Debug)]
 pub struct Peers {
     pub(super) me: Identity,
-    /// This daemon's place among those that watch each other.
+    /// This daemon's position on the ring, which decides who watches whom.
     pub(super) place: RingPosition,
-    /// Addresses that get a heartbeat as long as no daemon is alive there.
+    /// Addresses that are sent heartbeats as long as no daemon is alive there.
     pub(super) seeds: Vec<SocketAddr>,
     pub(super) known: HashMap<SocketAddr, Peer>,
-    /// Number of the last heartbeat.
+    /// Sequence number of this daemon's last heartbeat.
     pub(super) sequence: u64,
     pub(super) rng: SmallRng,
-    /// When the process last woke from a pause.
+    /// When the process last resumed after a pause.
     pub(super) awake: Time,
-    /// Times in which the process stood still.
+    /// Periods in which the process made no progress.
     pub(crate) standstills: StallLog,
-    /// When a heartbeat of any daemon was last received.
+    /// When the last heartbeat of any daemon was received.
     heard: Time,
-    /// Daemons that asked this one for a heartbeat, or told it that it is suspect.
+    /// Daemons that asked this one for a heartbeat, or reported it as suspect; the next heartbeat goes to them.
     pub(super) questioners: Vec<SocketAddr>,
-    /// Heartbeats still to be sent to everybody.
+    /// Number of heartbeats still to be sent to all daemons.
     pub(super) broadcasts_left: u32,
-    /// Since when it coordinates services; nothing while it doesn't.
+    /// Since when this daemon has coordinated any service; `None` while it coordinates none.
     pub(super) coordinates_since: Option<Time>,
-    /// Whether it reads the directory as the coordinator of a service.
+    /// Whether this daemon reads the directory as the coordinator of a service.
     pub(super) reads: bool,
-    /// The outstanding work that the last heartbeat reported.
+    /// Outstanding pieces that this daemon's last heartbeat reported.
     pub(super) reported_backlogs: Vec<BacklogNote>,
-    /// How services stand in other regions, as coordinators of this one tell it.
+    /// State of stage services in other regions, as coordinators of this region report it.
     pub(super) far_services: FarServices,
 }
 
 impl Peers {
-    /// Starts with the addresses to meet first.
+    /// Returns a view without daemons, which are discovered through the seed addresses.
     pub fn new(me: Identity, seeds: &[SocketAddr]) -> Self {
         let rng = SmallRng::seed_from_u64(me.run);
         let mut peers = Self {
@@ -110,7 +109,7 @@
         peers
     }
 
-    /// Sets the addresses to meet first; this daemon's own is left out.
+    /// Sets the seed addresses; this daemon's own address is ignored.
     pub fn set_seeds(&mut self, seeds: &[SocketAddr]) {
         let others = seeds.iter().filter(|seed| **seed != self.me.address);
         self.seeds = others.copied().collect();
@@ -124,17 +123,17 @@
         }
     }
 
-    /// Returns whether the fleet is so small that every heartbeat goes to everybody.
+    /// Returns whether the fleet is so small that every heartbeat goes to all daemons.
     pub fn is_small(&self) -> bool {
         gossip::is_small_fleet(self.known.len())
     }
 
-    /// Returns whether this daemon knows no other one, nor where to meet any.
+    /// Returns whether this daemon knows neither another daemon nor a seed address.
     pub fn is_alone(&self) -> bool {
         self.seeds.is_empty() && self.known.is_empty()
     }
 
-    /// Merges a heartbeat and the gossip in it; one that is older than the last is ignored.
+    /// Merges a heartbeat and the gossip in it. Ignores one that is older than the last of the same process.
     pub fn receive_heartbeat(&mut self, now: Time, heartbeat: Heartbeat) -> Vec<PeerChange> {
         if heartbeat.address == self.me.address {
             return Vec::new();
@@ -169,14 +168,14 @@
         changes
     }
 
-    /// Merges what another daemon knows of others.
+    /// Merges the entries that another daemon sent about others.
     pub fn merge_roster(&mut self, now: Time, notes: &[PeerNote]) -> Vec<PeerChange> {
         let me = self.me.address;
         let others = || {
             let recent = notes.iter().filter(|note| liveness::is_recent(note.age()));
             recent.filter(move |note| note.address != me)
         };
-        // Whether gossip counts depends on the size of the fleet, these daemons included.
+        // Whether gossip counts as a sign of life depends on the size of the fleet, which includes these daemons.
         for note in others().filter(|note| !note.suspect) {
             self.peer(now, note.address);
         }
@@ -186,7 +185,7 @@
             .collect()
     }
 
-    /// Merges what another daemon knows of a third one.
+    /// Merges the entry that another daemon sent about a third one.
     fn merge_gossip(
         &mut self,
         now: Time,
@@ -218,19 +217,21 @@
         None
     }
 
-    /// Records that this process stood still until now: it received nothing, so that nobody who was
-    /// alive is lost yet.
+    /// Records that this process was paused until now. It received nothing in the meantime, so silence doesn't yet
+    /// count against daemons that were alive.
     pub fn end_pause(&mut self, now: Time) {
         self.awake = now;
     }
 
-    /// Returns the time for which this process ran since its start, which is when it heard the others.
+    /// Returns how long this process has run since its start, excluding stalls: it can receive heartbeats only while
+    /// it runs.
     pub(crate) fn ran(&self, now: Time) -> Time {
         Time::default() + self.standstills.ran_since(Time::default(), now)
     }
 
-    /// Records who has been silent for too long, and who counts as alive now that the fleet is large
-    /// enough for gossip to count; forgets daemons that were lost long ago.
+    /// Updates which daemons are alive, and returns what changed. A daemon is lost when it has been silent for too
+    /// long; one may become alive when the fleet grows so large that gossip counts. Removes daemons that were lost
+    /// long ago.
     pub fn update_liveness(&mut self, now: Time) -> Vec<PeerChange> {
         let mut changes = Vec::new();
         let listening = self.listening();
@@ -249,13 +250,13 @@
         changes
     }
 
-    /// Suspects the daemons whose every heartbeat should arrive here, and which are silent.
+    /// Marks daemons as suspect that send this one all their heartbeats and have been silent.
     fn suspect_silent(&mut self, now: Time) {
         if self.is_small() {
             return;
         }
         let watched = gossip::watched(self.place, &self.watch_places());
-        // Everybody of its region sends a coordinator each heartbeat.
+        // A coordinator receives every heartbeat of the daemons in its region.
         let coordinates = self.coordinates();
         for (address, peer) in &mut self.known {
             peer.expected = (coordinates && !peer.is_far) || watched.contains(address);
@@ -263,8 +264,8 @@
         }
     }
 
-    /// Returns the places of the daemons of this region, which watch each other, in no order. Suspects are left out, so that
-    /// whoever is watched by them alone has other watchers within a second, not only once they are lost.
+    /// Returns the ring positions of the living daemons in this region, in no order. Suspects are excluded, so that
+    /// a daemon watched only by suspects gets other watchers within a second, and not only once the suspects are lost.
     pub(super) fn watch_places(&self) -> Vec<RingPosition> {
         let watching = self
             .known
@@ -273,14 +274,14 @@
         watching.map(|peer| peer.place).collect()
     }
 
-    /// Returns the record of a daemon, a new one if it wasn't known.
+    /// Returns the record of a daemon, and creates one if there is none.
     fn peer(&mut self, now: Time, address: SocketAddr) -> &mut Peer {
         self.known
             .entry(address)
             .or_insert_with(|| Peer::new(now, address))
     }
 
-    /// Records that a daemon asks this one for a heartbeat or takes it for suspect: it gets the next one.
+    /// Records that a daemon asks this one for a heartbeat or reports it as suspect, so that it gets the next one.
     fn note_question(&mut self, from: SocketAddr, asked: &[SocketAddr], notes: &[PeerNote]) {
         let me = self.me.address;
         let is_suspect = notes.iter().any(|note| note.suspect && note.address == me);
@@ -289,7 +290,7 @@
         }
     }
 
-    /// Passes a daemon over as a coordinator for a while: it failed to accept a job.
+    /// Excludes a daemon as a coordinator for a time, after it failed to accept a job.
     pub fn pass_over(&mut self, now: Time, address: &SocketAddr) {
         if let Some(peer) = self.known.get_mut(address) {
             peer.avoid_until = coordinator::excluded_until(now);
@@ -306,7 +307,7 @@
     }
 }
 
-/// Merges that another daemon takes a third one for suspect, whose last sign of life it knows.
+/// Merges a report that a daemon is suspect. `sign` is its last sign of life that the reporter knows.
 fn merge_suspicion(now: Time, peer: &mut Peer, sign: Time) {
     if liveness::refutes(now, peer.last_sign) {
         peer.refuted = Some(now);
--- a/lib/src/gateway/peers/message.rs
+++ b/lib/src/gateway/peers/message.rs
@@ -1,9 +1,9 @@
-//! Messages between daemons: datagrams with heartbeats, and frames of requests and replies on
+//! Messages between daemons: datagrams such as heartbeats, and frames of requests and replies on
 //! links.
 //!
-//! All are CBOR. Fields of datagrams have names of one letter, and notes are arrays without names,
-//! so that a heartbeat fits into a datagram; `lib/tests/test_message_bytes.rs` pins the bytes.
-//! Daemons share no clock, so that every time in a message is relative to when it was sent.
+//! All are encoded as CBOR. Fields of datagrams have one-letter names and most entries are arrays without
+//! field names, so that a heartbeat fits into a datagram; `lib/tests/test_message_bytes.rs` pins the bytes.
+//! Daemons share no clock, so every time in a message is relative to when it was sent.
 
 pub use crate::gateway::peers::notes::{
     BacklogNote, FarNote, LoadNote, PeerNote, Phase, QueueNote, WorkNote,
@@ -35,210 +35,210 @@
     thiserror::Error,
 };
 
-/// Version of these messages; a daemon ignores all others.
+/// Version of this protocol. A daemon ignores datagrams of any other version.
 pub const PROTOCOL: u16 = 2;
 
-/// Largest message accepted on a link, in bytes: well above a table or a list.
+/// Largest message accepted on a link, in bytes: well above the size of a table or an endpoint list.
 pub const MAX_MESSAGE: usize = 8 << 20;
 
-/// Capacity reserved for a message before it is encoded, in bytes: about the size of a heartbeat.
+/// Initial capacity of the buffer for an encoded message, in bytes: about the size of a heartbeat.
 const CAPACITY: usize = 512;
 
-/// Reports bytes that aren't a message.
+/// Error for bytes that aren't a message.
 #[derive(Debug, Error)]
 pub enum MessageError {
-    /// The bytes can't be decoded; the sender may be of another version.
-    #[error("not a message: {0}")]
+    /// The bytes can't be decoded; the sender may use another version of the protocol.
+    #[error("the peer's message can't be decoded: {0}")]
     Decode(String),
 }
 
-/// A sign of life of its sender, with what it reports of itself and of some other daemons.
+/// A sign of life of the sender, with its state and gossip about some other daemons.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Heartbeat {
     /// Version of the messages.
     #[serde(rename = "v")]
     pub protocol: u16,
-    /// Name of the host.
+    /// Name of the sender's host.
     #[serde(rename = "h")]
     pub host: HostId,
-    /// Number drawn at the start of the process, to tell it from the one before.
+    /// Random number drawn when the process starts, which distinguishes it from an earlier process at the same address.
     #[serde(rename = "r")]
     pub run: u64,
-    /// Counts the heartbeats of this process.
+    /// Sequence number of the heartbeat, counted from the start of the process.
     #[serde(rename = "s")]
     pub sequence: u64,
-    /// Address for other daemons.
+    /// Address at which other daemons reach the sender.
     #[serde(rename = "a")]
     pub address: SocketAddr,
-    /// Data centre.
+    /// Data centre of the sender's host.
     #[serde(rename = "d")]
     pub data_centre: DataCentreId,
-    /// Its region; nothing if that isn't known, or the installation has one region.
+    /// Region of the data centre; `None` if it is unknown or the installation has only one.
     #[serde(rename = "g", default, skip_serializing_if = "Option::is_none")]
     pub region: Option<RegionHash>,
-    /// Phase of its life.
+    /// Phase of the sender's lifecycle.
     #[serde(rename = "p")]
     pub phase: Phase,
-    /// Version of its table; 0 for none.
+    /// Version of the sender's table; 0 for none.
     #[serde(rename = "t")]
     pub table: Version,
-    /// Fingerprint of its table.
+    /// Fingerprint of the sender's table.
     #[serde(rename = "f")]
     pub fingerprint: u64,
-    /// Revision of the directory up to which it knows of no newer table; nothing from a daemon of a
-    /// release that doesn't send tables in parts.
+    /// Number of the directory revision up to which the sender knows of no newer table; `None` from a daemon of an
+    /// older release, which doesn't send tables in chunks.
     #[serde(rename = "u", default, skip_serializing_if = "Option::is_none")]
     pub table_until: Option<u64>,
-    /// Revision of the last change in its list of endpoints.
+    /// Number of the directory revision of the last change in the sender's endpoint list.
     #[serde(rename = "c")]
     pub catalogue: u64,
-    /// Set if it has read the directory without a failure for a while.
+    /// Whether the sender has read the directory without failures for some time.
     #[serde(rename = "k")]
     pub steady: bool,
-    /// Milliseconds since the directory last answered it for every topic; nothing if others
-    /// shouldn't rely on its reading.
+    /// Milliseconds since the directory last answered for every topic; `None` if others
+    /// shouldn't rely on the sender's reads.
     #[serde(rename = "e")]
     pub read_ms: Option<u32>,
-    /// The daemon that read it in the place of the sender; nothing if the sender did itself.
+    /// The daemon whose read `read_ms` reports; `None` if it is the sender's own.
     #[serde(rename = "x", default, skip_serializing_if = "Option::is_none")]
     pub read_by: Option<SocketAddr>,
-    /// Set if it sends each heartbeat to every daemon it knows.
+    /// Whether the sender, as a coordinator, sends its heartbeats to every daemon of its region.
     #[serde(rename = "b")]
     pub broadcasts: bool,
-    /// Processor that it may use.
+    /// Processor capacity that the sender may use.
     #[serde(rename = "m")]
     pub capacity: Capacity,
-    /// Set if it has just started; the receiver sends it a roster.
+    /// Whether the sender has just started; the receiver then sends it a roster.
     #[serde(rename = "j")]
     pub joining: bool,
-    /// Gossip about some living daemons.
+    /// Gossip about some other daemons.
     #[serde(rename = "n")]
     pub peers: Vec<PeerNote>,
-    /// Daemons that are asked for a heartbeat, since they have been silent.
+    /// Silent daemons that the sender asks for a heartbeat.
     #[serde(rename = "i", default, skip_serializing_if = "Vec::is_empty")]
     pub asked: Vec<SocketAddr>,
-    /// The data centres that it knows to be evacuated; nothing if it knows nothing of that.
+    /// The evacuated data centres as the sender knows them; `None` if it never received any evacuation.
     #[serde(rename = "z", default, skip_serializing_if = "Option::is_none")]
     pub evacuations: Option<Evacuations>,
-    /// The eras of the revisions above; a daemon of a release that knows no era sends none.
+    /// Eras of the revisions in this heartbeat; absent from a daemon of an older release, which knows no eras.
     #[serde(
         rename = "y",
         default,
         skip_serializing_if = "HeartbeatEras::are_unnamed"
     )]
     pub eras: HeartbeatEras,
-    /// Its requests in flight, the largest loads.
+    /// Loads of the sender's requests in flight, by endpoint; only the largest if not all fit.
     #[serde(rename = "l")]
     pub loads: Vec<LoadNote>,
-    /// The stage services that it plans for.
+    /// State of the stage services that the sender coordinates.
     #[serde(rename = "q")]
     pub queues: Vec<QueueNote>,
-    /// Its outstanding pieces.
+    /// Number of outstanding pieces of the sender's requests, by service.
     #[serde(rename = "w")]
     pub work: Vec<WorkNote>,
-    /// The outstanding pieces by their order.
+    /// Outstanding pieces by service and scheduling order.
     #[serde(rename = "o", default, skip_serializing_if = "Vec::is_empty")]
     pub backlogs: Vec<BacklogNote>,
 }
 
 impl Heartbeat {
-    /// Returns the revision of the last change in its list of endpoints.
+    /// Returns the directory revision of the last change in the sender's endpoint list.
     pub fn list_revision(&self) -> Revision {
         Revision::new(self.eras.list, self.catalogue)
     }
 
-    /// Returns the revision of the directory up to which it knows of no newer table.
+    /// Returns the directory revision up to which the sender knows of no newer table.
     pub fn table_revision(&self) -> Option<Revision> {
         let number = self.table_until?;
         Some(Revision::new(self.eras.table, number))
     }
 
-    /// Returns the data centres that it knows to be evacuated.
+    /// Returns the evacuated data centres as the sender knows them.
     pub fn known_evacuations(&self) -> Option<Evacuations> {
         let numbers = self.evacuations.as_ref()?;
         Some(numbers.in_era(self.eras.evacuations))
     }
 }
 
-/// Eras of what a heartbeat reports by numbers.
+/// Eras of the revisions of which a heartbeat contains only the numbers.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HeartbeatEras {
-    /// Of the revision up to which there is no newer table.
+    /// Era of the revision up to which there is no newer table.
     #[serde(rename = "u")]
     pub table: Era,
-    /// Of the list of endpoints.
+    /// Era of the endpoint list.
     #[serde(rename = "c")]
     pub list: Era,
-    /// Of the evacuated data centres.
+    /// Era of the evacuated data centres.
     #[serde(rename = "z")]
     pub evacuations: Era,
 }
 
 impl HeartbeatEras {
-    /// Returns whether the directory names no era.
+    /// Returns whether no era is set, since the directory doesn't report any.
     pub(super) fn are_unnamed(&self) -> bool {
         *self == Self::default()
     }
 }
 
-/// Loads of all daemons together, as a coordinator sums them up; one datagram holds a part of
-/// them.
+/// Loads of all daemons, summed by a coordinator. The sums may be split over several datagrams.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoadDigest {
     /// Version of the messages.
     #[serde(rename = "v")]
     pub protocol: u16,
-    /// The sums; those of endpoints that aren't named stay as they are.
+    /// Sums by endpoint; the receiver keeps its sums of endpoints that aren't listed.
     #[serde(rename = "l")]
     pub loads: Vec<LoadNote>,
 }
 
-/// Living daemons, for one that has just started; one datagram holds a part of them.
+/// Living daemons, sent to one that has just started. They may be split over several datagrams.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Roster {
     /// Version of the messages.
     #[serde(rename = "v")]
     pub protocol: u16,
-    /// The daemons.
+    /// One gossip entry per daemon.
     #[serde(rename = "n")]
     pub peers: Vec<PeerNote>,
 }
 
-/// Requests under which endpoints ended; one datagram holds a part of them.
+/// Requests during which endpoints terminated. They may be split over several datagrams.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct QuarantineReport {
     /// Version of the messages.
     #[serde(rename = "v")]
     pub protocol: u16,
-    /// What the sender knows of each.
+    /// The sender's evidence, one entry per request.
     #[serde(rename = "n")]
     pub notes: Vec<EvidenceNote>,
 }
 
-/// What daemons tell each other of endpoints that name a rate; one datagram holds a part of it.
+/// Reports about endpoints that advertise a rate limit. They may be split over several datagrams.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RateReport {
     /// Version of the messages.
     #[serde(rename = "v")]
     pub protocol: u16,
-    /// Address of the sender for other daemons.
+    /// Address at which other daemons reach the sender.
     #[serde(rename = "a")]
     pub address: SocketAddr,
-    /// What the sender knows of endpoints, and its part in what they take.
+    /// Advertised rates as the sender knows them, and its share in their use.
     #[serde(rename = "n", default, skip_serializing_if = "Vec::is_empty")]
     pub notes: Vec<RateNote>,
-    /// Permits of the sender for the receiver.
+    /// Permits that the sender grants the receiver.
     #[serde(rename = "g", default, skip_serializing_if = "Vec::is_empty")]
     pub permits: Vec<PermitNote>,
 }
 
-/// How stage services stand in other regions, from a coordinator to its own region; one datagram holds a part of it.
+/// State of stage services in other regions, sent by a coordinator to its own region. The entries may be split over
+/// several datagrams.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RegionReport {
     /// Version of the messages.
     #[serde(rename = "v")]
     pub protocol: u16,
-    /// What the coordinators there report.
+    /// State as the coordinators in the other regions report it.
     #[serde(rename = "n")]
     pub notes: Vec<FarNote>,
 }
@@ -252,22 +252,22 @@
     /// Sums of loads.
     #[serde(rename = "d")]
     Loads(LoadDigest),
-    /// Daemons that are alive.
+    /// Living daemons.
     #[serde(rename = "r")]
     Roster(Roster),
-    /// Requests under which endpoints ended. A daemon of a release that doesn't know it ignores it.
+    /// Requests during which endpoints terminated. An older release that doesn't know this variant ignores it.
     #[serde(rename = "q")]
     Quarantine(QuarantineReport),
-    /// Endpoints that name a rate. A daemon of a release that doesn't know it ignores it.
+    /// Endpoints that advertise a rate limit. An older release that doesn't know this variant ignores it.
     #[serde(rename = "e")]
     Rates(RateReport),
-    /// Services in other regions. A daemon of a release that doesn't know it ignores it.
+    /// Stage services in other regions. An older release that doesn't know this variant ignores it.
     #[serde(rename = "g")]
     Regions(RegionReport),
 }
 
 impl Datagram {
-    /// Returns the version of the messages that its sender uses.
+    /// Returns the protocol version of the sender.
     pub fn protocol(&self) -> u16 {
         match self {
             Self::Heartbeat(heartbeat) => heartbeat.protocol,
@@ -280,66 +280,67 @@
     }
 }
 
-/// A job, as it is handed to the coordinator of its service.
+/// A job, as it is sent to the coordinator of its service.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JobOrder {
-    /// Service that runs it.
+    /// Service that runs the job.
     pub service: ServiceId,
-    /// Request it belongs to.
+    /// Request that the job belongs to.
     pub request: Arc<str>,
-    /// Place of its stage in the route.
+    /// Index of the job's stage in the route.
     pub stage: u32,
     /// Number of pieces.
     pub pieces: u32,
-    /// Input of each.
+    /// Input of each piece.
     pub input: PieceInput,
-    /// Time left to the deadline of the request, in milliseconds.
+    /// Time left until the deadline of the request, in milliseconds.
     pub remaining_ms: u64,
-    /// Time left to the objective of the stage, in milliseconds; negative if it has passed.
+    /// Time left until the objective of the stage, in milliseconds; negative if it has passed.
     pub objective_ms: i64,
-    /// Rank of the request; 0 goes first.
+    /// Rank of the request; 0 is scheduled first.
     pub rank: u32,
     /// Usual size of one result, in bytes.
     pub result: u64,
     /// Data centre where the results will probably be used.
     pub home: Option<DataCentreId>,
-    /// Data centres where the pieces may run; empty for any. A daemon of a release that doesn't know the field
+    /// Data centres where the pieces may run; empty for any. An older release that doesn't know this field
     /// runs them anywhere.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub places: Vec<DataCentreId>,
-    /// Bytes that cross between data centres if one piece runs elsewhere.
+    /// Bytes transferred between data centres if one piece runs outside `home`.
     pub moved: u64,
-    /// The same for the same request sent again; nothing from a daemon of a release that doesn't tell it.
+    /// Digest of the request, which is the same when the request is sent again; `None` from a daemon of an older
+    /// release.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub digest: Option<RequestDigest>,
 }
 
-/// A request on a link.
+/// A request on a link, made by the daemon that opened it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum LinkRequest {
     /// Send the table.
     Table,
-    /// Send the list of endpoints.
+    /// Send the endpoint list.
     Endpoints,
-    /// Send the changes in the list of endpoints after a revision of a directory that names no era.
+    /// Send the changes in the endpoint list after a revision of a directory without eras.
     Changes(u64),
     /// Run the pieces of a stage.
     Job(JobOrder),
-    /// Cancel the request in the frame of this number.
+    /// Cancel the request whose frame has this number.
     Cancel(u64),
     /// Release results that are no longer needed.
     Release(ServiceId, Vec<ResultHandle>),
-    /// Send the list of the table's parts.
+    /// Send the list of the table's chunks.
     PartList,
-    /// Send these parts of the table.
+    /// Send these chunks of the table.
     Parts(Vec<PartHash>),
-    /// Send the changes in the list of endpoints after a number of an era. It is asked of daemons alone that have told of
-    /// that era or a later one.
+    /// Send the changes in the endpoint list after a revision, given as era and number. Only sent to daemons that have
+    /// reported this era or a later one.
     ChangesInEra(Era, u64),
 }
 
 impl LinkRequest {
-    /// Asks for the changes in the list of endpoints after a revision.
+    /// Returns the request for the changes in the endpoint list after a revision.
     pub fn changes(since: Revision) -> Self {
         if since.era.is_unnamed() {
             Self::Changes(since.number)
@@ -354,42 +355,42 @@
 pub enum LinkReply {
     /// The table as it was published.
     Table {
-        /// Its bytes.
+        /// Bytes of the table.
         #[serde(with = "serde_bytes_vec")]
         bytes: Vec<u8>,
     },
-    /// The list of endpoints as of a revision.
+    /// The endpoint list as of a revision.
     Endpoints(EndpointList),
-    /// Changes in the list of endpoints.
+    /// Changes in the endpoint list.
     Changes(EndpointChanges),
     /// How a job ended.
     Job(JobEnd),
-    /// It is done, and there is nothing to report.
+    /// The request was carried out and has no result.
     Done,
-    /// The daemon can't, because it lacks a table or a list.
+    /// The daemon can't serve the request, for example because it has no table or endpoint list.
     Unable,
-    /// The parts of the table.
+    /// The list of the table's chunks.
     PartList(PartList),
-    /// Parts of the table in the order in which they were asked for, compressed together.
+    /// The requested chunks of the table in the requested order, compressed together.
     Parts {
         /// The compressed bytes.
         #[serde(with = "serde_bytes_vec")]
         batch: Vec<u8>,
     },
-    /// The daemon's link is taken by what it already sends; another daemon may have the table too.
+    /// The daemon's network link is fully used by what it already sends; another daemon may have the table too.
     Busy,
 }
 
-/// One message on a link; a reply has the number of its request.
+/// One message on a link. A reply has the number of its request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Frame<T> {
-    /// Its number.
+    /// Number of the request, counted for each link.
     pub number: u64,
-    /// Its content.
+    /// The request or reply.
     pub content: T,
 }
 
-/// Keeps a table's bytes as a byte string instead of a list of numbers.
+/// Serialises bytes as a CBOR byte string instead of a list of numbers.
 mod serde_bytes_vec {
     use serde::{Deserializer, Serializer, de::Visitor};
 
@@ -424,11 +425,11 @@
 ///
 /// # Panics
 ///
-/// Never for the messages of this module: each of their values has a form in CBOR, and writing
-/// into memory can't fail.
+/// Never for the messages of this module: CBOR can represent each of their values, and writing
+/// to memory can't fail.
 pub fn encode(message: &impl Serialize) -> Vec<u8> {
     let mut bytes = Vec::with_capacity(CAPACITY);
-    ciborium::into_writer(message, &mut bytes).expect("a message has a form in CBOR");
+    ciborium::into_writer(message, &mut bytes).expect("CBOR can represent every message");
     bytes
 }
 
@@ -436,7 +437,7 @@
 ///
 /// # Errors
 ///
-/// Returns an error when the bytes aren't a message of the type.
+/// Returns an error if the bytes aren't a message of type `T`.
 pub fn decode<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, MessageError> {
     ciborium::from_reader(bytes).map_err(|error| MessageError::Decode(error.to_string()))
 }
--- a/lib/src/gateway/peers/mod.rs
+++ b/lib/src/gateway/peers/mod.rs
@@ -1,9 +1,9 @@
-//! The other daemons: heartbeats in datagrams, links for requests, and what is known of each.
+//! Communication between daemons: heartbeats in datagrams, requests on links, and this daemon's view of the others.
 //!
-//! There is no leader and no store behind it: each daemon keeps its own view, from heartbeats that
-//! it receives and from gossip in them. [`membership`] holds that view; [`heartbeats`],
-//! [`receive`], [`catch_up`] and [`table_fetch`] are the tasks that keep it up to date; [`links`] and
-//! [`link_server`] are the two ends of a link; [`message`] is what goes over the wire, with [`notes`] of
+//! There is no leader and no shared store: each daemon keeps its own view, built from the heartbeats that
+//! it receives and the gossip in them. [`membership`] holds this view. The tasks [`heartbeats`], [`receive`],
+//! [`catch_up`] and [`table_fetch`] keep it, the endpoint list and the table up to date. [`links`] and
+//! [`link_server`] are the two ends of a link. [`message`] defines the messages, and [`notes`] their entries about
 //! single daemons, endpoints and services. The rules are in [`rules`](crate::gateway::rules).
 
 pub mod catch_up;
--- a/lib/src/gateway/peers/notes.rs
+++ b/lib/src/gateway/peers/notes.rs
@@ -1,7 +1,7 @@
-//! Notes: what a heartbeat says of one daemon, endpoint or service.
+//! Entries of heartbeats and other datagrams, each about one daemon, endpoint or service.
 //!
-//! Values only. Most are arrays without names on the wire, so that a heartbeat fits into a datagram;
-//! `lib/tests/test_message_bytes.rs` pins the bytes.
+//! Plain values without behaviour. Most are arrays without field names on the wire, so that a heartbeat fits into a
+//! datagram; `lib/tests/test_message_bytes.rs` pins the bytes.
 
 use {
     crate::{
@@ -15,41 +15,41 @@
     std::net::SocketAddr,
 };
 
-/// Phase of a daemon's life.
+/// Phase of a daemon's lifecycle.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Phase {
-    /// It doesn't know its table or the endpoints yet, or not the other daemons.
+    /// The daemon doesn't know its table, the endpoints or the other daemons yet.
     Starting,
-    /// It serves.
+    /// The daemon serves requests.
     Ready,
-    /// It finishes what is in flight, and ends.
+    /// The daemon finishes the requests in flight and then exits.
     Stopping,
 }
 
-/// Gossip about a daemon that the sender knows.
+/// Gossip about one daemon.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PeerNote {
-    /// Its address for other daemons.
+    /// Address at which other daemons reach the daemon.
     #[serde(rename = "a")]
     pub address: SocketAddr,
-    /// Age of its last sign of life that the sender knows, in milliseconds.
+    /// Age of the daemon's last sign of life known to the sender, in milliseconds.
     #[serde(rename = "g")]
     pub age_ms: u32,
-    /// Its phase then.
+    /// Phase of the daemon at that time.
     #[serde(rename = "p")]
     pub phase: Phase,
-    /// Processor that it may use.
+    /// Processor capacity that the daemon may use.
     #[serde(rename = "c")]
     pub capacity: Capacity,
-    /// Set if it should have been heard since then.
+    /// Whether the daemon is suspect: heartbeats that are overdue since then haven't arrived.
     #[serde(rename = "s", default, skip_serializing_if = "is_false")]
     pub suspect: bool,
-    /// Its region; nothing if that isn't known, or the installation has one region.
+    /// Region of the daemon; `None` if it is unknown or the installation has only one.
     #[serde(rename = "r", default, skip_serializing_if = "Option::is_none")]
     pub region: Option<RegionHash>,
 }
 
-/// Returns whether a mark isn't set, so that it can be left out.
+/// Returns whether a flag isn't set and is therefore not serialised.
 #[allow(
     clippy::trivially_copy_pass_by_ref,
     reason = "serde passes a reference"
@@ -58,7 +58,7 @@
     !mark
 }
 
-/// Load at one endpoint.
+/// Load on one endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(into = "(EndpointHash, u32, u32)", from = "(EndpointHash, u32, u32)")]
 pub struct LoadNote {
@@ -66,7 +66,7 @@
     pub endpoint: EndpointHash,
     /// Requests in flight.
     pub running: u32,
-    /// Prompt tokens that the endpoint hasn't read yet.
+    /// Prompt tokens that the endpoint hasn't processed yet.
     pub prefill: u32,
 }
 
@@ -93,7 +93,7 @@
     }
 }
 
-/// How a stage service stands in a region, as its coordinator there reports it.
+/// State of a stage service in another region, as its coordinator there reports it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(
     into = "(RegionHash, ServiceHash, u32, Backlog)",
@@ -106,7 +106,7 @@
     pub service: ServiceHash,
     /// Endpoints that accept calls.
     pub endpoints: u32,
-    /// Outstanding pieces of the region's daemons.
+    /// Outstanding pieces of requests at the region's daemons.
     pub backlog: Backlog,
 }
 
@@ -128,7 +128,7 @@
     }
 }
 
-/// State of a stage service, as the daemon reports that plans its calls.
+/// State of a stage service, as its coordinator reports it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(
     into = "(ServiceHash, u32, bool, u32)",
@@ -137,11 +137,11 @@
 pub struct QueueNote {
     /// The service.
     pub service: ServiceHash,
-    /// Endpoints that accept calls and are about as fast as usual.
+    /// Number of endpoints that accept calls at about their usual speed.
     pub endpoints: u32,
-    /// Set if they are short of room for results.
+    /// Whether the endpoints are short of capacity for results.
     pub short: bool,
-    /// Outstanding pieces at all daemons, as far as the planning one knows.
+    /// Outstanding pieces at all daemons, as far as the coordinator knows.
     pub outstanding: u32,
 }
 
@@ -169,7 +169,7 @@
 pub struct WorkNote {
     /// The service.
     pub service: ServiceHash,
-    /// Pieces without a result.
+    /// Number of admitted pieces that aren't completed.
     pub pieces: u32,
 }
 
@@ -185,8 +185,8 @@
     }
 }
 
-/// Outstanding pieces of a service by the order in which they go. A daemon of an earlier release sends
-/// none and reports [`WorkNote`] and [`QueueNote`] alone.
+/// Outstanding pieces of a service by the order in which they are scheduled. A daemon of an older release doesn't send
+/// it and reports only [`WorkNote`] and [`QueueNote`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(
     into = "(ServiceHash, Backlog, Option<Backlog>)",
@@ -195,9 +195,9 @@
 pub struct BacklogNote {
     /// The service.
     pub service: ServiceHash,
-    /// Those of the sender's requests.
+    /// Pieces of the sender's requests.
     pub own: Backlog,
-    /// Those of all daemons, if the sender coordinates the service.
+    /// Pieces of all daemons' requests; `None` unless the sender coordinates the service.
     pub all: Option<Backlog>,
 }
 
--- a/lib/src/gateway/peers/outgoing.rs
+++ b/lib/src/gateway/peers/outgoing.rs
@@ -1,4 +1,4 @@
-//! This daemon's own heartbeat: its contents and its targets.
+//! Builds this daemon's heartbeat and chooses its recipients.
 
 use {
     crate::{
@@ -24,12 +24,12 @@
     std::{collections::BTreeSet, mem, net::SocketAddr},
 };
 
-/// A heartbeat, and the daemons that get it.
+/// A heartbeat and its recipients.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct OutgoingHeartbeat {
     /// The heartbeat.
     pub heartbeat: Heartbeat,
-    /// Addresses of the daemons that get it, each once.
+    /// Addresses of the daemons that it is sent to, each once.
     pub targets: Vec<SocketAddr>,
 }
 
@@ -44,7 +44,7 @@
         self.reads
     }
 
-    /// Returns whether this daemon has just started; times count from the start of the process.
+    /// Returns whether this daemon has just started; `now` counts from the start of the process.
     pub fn is_joining(&self, now: Time) -> bool {
         liveness::is_joining(now)
     }
@@ -105,8 +105,8 @@
         OutgoingHeartbeat { heartbeat, targets }
     }
 
-    /// Returns living daemons, for one that has just started; nothing in a small fleet, where
-    /// everybody's heartbeat arrives soon, nor if it got a roster a moment ago.
+    /// Returns living daemons for the roster of one that has just started. Returns none in a small fleet, where
+    /// every daemon's heartbeat arrives soon anyway, nor if the daemon was sent a roster a moment ago.
     pub fn roster(&mut self, now: Time, joining: SocketAddr) -> Vec<PeerNote> {
         let last = self.known.get(&joining).and_then(|peer| peer.roster_sent);
         if self.is_small() || !gossip::is_roster_due(now, last) {
@@ -139,7 +139,7 @@
         services.any(|service| coordinator::reads_directory(now, since, service, me, others()))
     }
 
-    /// Draws the daemons that get a heartbeat.
+    /// Draws the recipients of a heartbeat.
     fn targets(
         &mut self,
         now: Time,
@@ -164,7 +164,8 @@
         targets
     }
 
-    /// Draws the daemons of this region that get a heartbeat whatever their part; all in a small fleet.
+    /// Draws the daemons of this region that are sent a heartbeat regardless of their role; in a small fleet all
+    /// daemons, also of other regions.
     fn near_targets(&mut self) -> Vec<SocketAddr> {
         if self.is_small() {
             return gossip::draw_targets(self.addresses().collect(), Vec::new(), 0, &mut self.rng);
@@ -174,7 +175,7 @@
         gossip::draw_targets(near, watchers, self.broadcasts_left, &mut self.rng)
     }
 
-    /// Returns the regions of other daemons that differ from this one's.
+    /// Returns the regions of other daemons, except this daemon's region.
     pub(super) fn far_regions(&self) -> BTreeSet<RegionHash> {
         let far = self.known.values().filter(|peer| peer.is_far);
         far.filter_map(|peer| peer.region).collect()
@@ -192,14 +193,14 @@
         coordinators
     }
 
-    /// Draws daemons that get something beside heartbeats, whatever their part: all in a small fleet.
+    /// Draws recipients for datagrams other than heartbeats, regardless of role; in a small fleet all daemons.
     pub fn draw_any(&mut self) -> Vec<SocketAddr> {
         let known = self.known.keys().copied().collect();
         let watchers = gossip::watchers(self.place, &self.watch_places());
         gossip::draw_targets(known, watchers, 0, &mut self.rng)
     }
 
-    /// Draws the daemons that are asked for a heartbeat now.
+    /// Draws the silent daemons to ask for a heartbeat, and records that they are asked now.
     fn ask(&mut self, now: Time) -> Vec<SocketAddr> {
         let awake = self.awake;
         let silent = self
@@ -217,7 +218,7 @@
         asked
     }
 
-    /// Draws the daemons that a heartbeat names.
+    /// Draws the gossip entries of a heartbeat.
     fn named_peers(&mut self, now: Time, asked: usize) -> Vec<PeerNote> {
         let suspects = self.tell_suspects(now);
         let refuted = self.notes(now, |peer| peer.is_refuted_news(now));
@@ -227,7 +228,7 @@
         gossip::draw_named(suspects, asked, &refuted, &living, &mut self.rng)
     }
 
-    /// Returns the suspects that a heartbeat names: those that were named least, so that what is new spreads
+    /// Returns the suspects to report in a heartbeat: those reported least often so far, so that new suspicions spread
     /// first.
     fn tell_suspects(&mut self, now: Time) -> Vec<PeerNote> {
         let mut suspects = self.notes(now, |peer| peer.is_suspect_news(now));
@@ -246,7 +247,7 @@
         self.notes(now, |peer| peer.alive)
     }
 
-    /// Returns notes of the daemons that are chosen, in the order of their addresses.
+    /// Returns gossip entries about the chosen daemons, ordered by address.
     fn notes(&self, now: Time, chosen: impl Fn(&Peer) -> bool) -> Vec<PeerNote> {
         let peers = self.known.iter().filter(|(_, peer)| chosen(peer));
         let mut notes: Vec<PeerNote> = peers
@@ -257,7 +258,7 @@
     }
 }
 
-/// Returns the evacuations that a heartbeat carries; nothing if nothing is known of any.
+/// Returns the evacuations to report in a heartbeat; `None` if none was ever received, or if there are too many.
 fn reported(known: Evacuations) -> Option<Evacuations> {
     (known.until() > Revision::default() && gossip::reports_evacuations(known.len()))
         .then_some(known)
--- a/lib/src/gateway/peers/part_batches.rs
+++ b/lib/src/gateway/peers/part_batches.rs
@@ -1,7 +1,7 @@
-//! Batches of the table's parts that other daemons ask for: kept once compressed, and sent no faster than
-//! the host's link allows.
+//! Batches of the table's chunks that other daemons request: cached after compression, and sent no faster than
+//! the host's network link allows.
 //!
-//! Owns the last batches and how much is on its way out. Whether there is room is the rule
+//! Owns the cached batches and the record of uploads. Whether another batch may be sent is decided by the rule
 //! [`table_upload`](crate::gateway::rules::table_upload).
 
 use {
@@ -13,18 +13,18 @@
     std::collections::VecDeque,
 };
 
-/// Batches that are kept. Daemons that had the same table ask for the same batches one after the other; a table of the
-/// largest size has eight.
+/// Number of cached batches. Daemons that had the same previous table request the same batches one after the other; a
+/// table of the largest size has eight.
 const BATCHES_KEPT: usize = 8;
 
-/// A compressed batch, and the parts that it holds.
+/// A compressed batch, and the hashes of the chunks in it.
 #[derive(Debug, Clone)]
 struct Batch {
     parts: Vec<PartHash>,
     bytes: Bytes,
 }
 
-/// Batches for other daemons.
+/// The cached batches, and the uploads to other daemons.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct PartBatches {
     kept: VecDeque<Batch>,
@@ -37,13 +37,13 @@
         self.uploads.may_send(now)
     }
 
-    /// Returns a batch that was sent before.
+    /// Returns the cached batch of these chunks; `None` if there is none.
     pub(crate) fn get(&self, parts: &[PartHash]) -> Option<Bytes> {
         let kept = self.kept.iter().find(|batch| batch.parts == parts)?;
         Some(kept.bytes.clone())
     }
 
-    /// Keeps a batch for the next daemon that asks for it.
+    /// Caches a batch for the next daemon that requests it, and drops the oldest one if there are too many.
     pub(crate) fn keep(&mut self, parts: Vec<PartHash>, bytes: Bytes) {
         self.kept.push_back(Batch { parts, bytes });
         if self.kept.len() > BATCHES_KEPT {
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Records that a batch is sent over a link.
+    /// Records that a batch is sent; `link` is the bit rate of the host's network link, if it is known.
     pub(crate) fn record(&mut self, now: Time, bytes: &Bytes, link: Option<BitRate>) {
         let size = ByteSize(bytes.len() as u64);
         self.uploads = self.uploads.with(now, size, link);
--- a/lib/src/gateway/peers/peer_loads.rs
+++ b/lib/src/gateway/peers/peer_loads.rs
@@ -1,8 +1,7 @@
-//! Loads of all daemons together at endpoints: summed up by the coordinator of each service, and
-//! used by everybody to choose among endpoints.
+//! Sums of all daemons' loads on endpoints, which every daemon uses to choose among endpoints.
 //!
-//! In a small fleet every daemon receives every heartbeat and sums up by itself; in a larger one
-//! coordinators send their sums in load digests.
+//! In a small fleet every daemon receives every heartbeat and computes the sums itself. In a larger one
+//! the coordinator of each service sends its sums in load digests.
 
 use {
     crate::{
@@ -19,8 +18,8 @@
 };
 
 impl GatewayState {
-    /// Returns the next digest: what all daemons have in flight at the endpoints of the services that this
-    /// daemon coordinates, as far as [`gossip::digest_loads`] names it.
+    /// Returns the next digest: the loads of all daemons on the endpoints of the services that this
+    /// daemon coordinates, as chosen by [`gossip::digest_loads`].
     pub fn next_digest(&mut self, now: Time, ready: bool) -> Vec<LoadNote> {
         let Some(published) = &self.published else {
             return Vec::new();
@@ -42,8 +41,8 @@
         digest
     }
 
-    /// Updates what other daemons have in flight at each endpoint: as each of them reports it, or
-    /// as coordinators sum it up, this daemon's own part left out.
+    /// Updates the loads of other daemons on each endpoint: from their heartbeats in a small fleet, else
+    /// from the coordinators' sums without this daemon's own load.
     pub fn update_peer_loads(&mut self, now: Time) {
         if self.peers.is_small() {
             let loads = self.peers.reported_loads();
@@ -56,7 +55,7 @@
     }
 }
 
-/// Returns what all daemons have in flight at an endpoint; `reported` is what the others report.
+/// Returns the load of all daemons on an endpoint; `reported` has the loads that the others report.
 fn whole_load(member: &EndpointState, reported: &HashMap<EndpointHash, PeerLoad>) -> LoadNote {
     let others = reported.get(&member.hash).copied().unwrap_or_default();
     LoadNote {
--- a/lib/src/gateway/peers/quarantine_news.rs
+++ b/lib/src/gateway/peers/quarantine_news.rs
@@ -1,8 +1,8 @@
-//! Tells other daemons under which requests endpoints ended, and hears it from them.
+//! Exchanges reports with other daemons about requests during which endpoints terminated.
 //!
-//! What this daemon saw goes to the keepers of each request, a few times; which requests are refused goes on and on to
-//! some daemons drawn anew each time, in a small fleet to all, so that those learn of it too that start later. A fleet
-//! without such requests sends nothing. Relies on [`Quarantine`] for what there is to tell.
+//! Evidence that this daemon saw itself is sent a few times to the evidence holders of each request. Which requests are
+//! refused is sent repeatedly to daemons drawn anew each time, in a small fleet to all, so that daemons that start
+//! later receive it too. A fleet without such requests sends nothing. [`Quarantine`] decides what to report.
 
 use {
     crate::{
@@ -27,13 +27,14 @@
     tokio::net::UdpSocket,
 };
 
-/// Requests that one datagram names: one takes up to 70 bytes, and 1,400 are sent whole by any network.
+/// Most entries in one datagram: an entry takes up to 70 bytes, and any network transmits 1,400 bytes unfragmented.
 const DATAGRAM_NOTES: usize = 16;
 
-/// Time for which news is gathered before it is sent, since all requests of an endpoint that ends break off together.
+/// Time for which reports are collected before they are sent: when an endpoint terminates, all its requests break off
+/// together.
 const NEWS_DELAY: Millis = Millis(5);
 
-/// Tells others what is new, for good.
+/// Sends reports to other daemons until the process ends.
 pub(crate) async fn run_quarantine_news<D: Dialect>(
     gateway: Rc<Gateway<D>>,
     socket: Rc<UdpSocket>,
@@ -41,7 +42,7 @@
     loop {
         let now = gateway.now();
         if gateway.state.borrow().quarantine.has_reports(now) {
-            // Either end means the same: it is time to tell.
+            // Reports are due both on a notification and on the timeout.
             let news = gateway.quarantine_reports.notified();
             let _ = tokio::time::timeout(HEARTBEAT.to_duration(), news).await;
         } else {
@@ -53,17 +54,17 @@
     }
 }
 
-/// What some daemons are told.
+/// Entries and their recipients.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct OutgoingNotes {
-    /// What is known of some requests.
+    /// Evidence about some requests, one entry each.
     pub notes: Vec<EvidenceNote>,
-    /// The daemons that are told.
+    /// Addresses of the recipients.
     pub targets: Vec<SocketAddr>,
 }
 
-/// Gathers what others are told now: the keepers of each request what this daemon saw, and some daemons which
-/// requests are refused.
+/// Collects the reports to send now: what this daemon saw to the evidence holders of each request, and the refused
+/// requests to some daemons.
 pub fn gather(now: Time, peers: &mut Peers, quarantine: &mut Quarantine) -> Vec<OutgoingNotes> {
     let mut outgoing = for_keepers(quarantine.take_local_reports(now), peers);
     let notes = quarantine.common_reports(now);
@@ -74,7 +75,7 @@
     outgoing
 }
 
-/// Addresses notes to the keepers of each request, other than this daemon.
+/// Addresses entries to the evidence holders of each request, except this daemon.
 fn for_keepers(notes: Vec<EvidenceNote>, peers: &Peers) -> Vec<OutgoingNotes> {
     let mut told: HashMap<SocketAddr, Vec<EvidenceNote>> = HashMap::default();
     for note in notes {
@@ -113,7 +114,7 @@
 }
 
 impl<D: Dialect> Gateway<D> {
-    /// Merges what another daemon knows of requests under which endpoints ended.
+    /// Merges a report of another daemon about requests during which endpoints terminated.
     pub(crate) fn merge_quarantine(&self, notes: &[EvidenceNote], from: SocketAddr) {
         let now = self.now();
         let mut state = self.state.borrow_mut();
@@ -122,7 +123,8 @@
         let has_reports = state.quarantine.has_reports(now);
         drop(state);
         if has_reports && !had_news {
-            // Also where nothing changes here: what was served here isn't refused, and others are to know.
+            // This is also needed if nothing changes here: a request that was served here isn't refused, and the
+            // others have to receive that.
             self.quarantine_reports.notify_one();
         }
         self.apply_quarantine(changes, format_args!("peer {from}"));
@@ -134,7 +136,7 @@
         self.apply_quarantine(changes, "time");
     }
 
-    /// Logs what has become of refused requests, and wakes the loop that tells others.
+    /// Logs changes of the refused requests, and wakes the task that reports to others.
     pub(crate) fn apply_quarantine(
         &self,
         changes: impl IntoIterator<Item = QuarantineChange>,
--- a/lib/src/gateway/peers/queries.rs
+++ b/lib/src/gateway/peers/queries.rs
@@ -1,4 +1,5 @@
-//! Questions about the other daemons: who is alive, who coordinates, who has something newer.
+//! Queries about the other daemons: which are alive, which coordinates a service, which have a newer table or endpoint
+//! list.
 
 use {
     crate::{
@@ -45,12 +46,12 @@
         near.map(|(address, _)| *address)
     }
 
-    /// Returns the number of this daemon's last heartbeat.
+    /// Returns the sequence number of this daemon's last heartbeat.
     pub(super) fn last_sequence(&self) -> u64 {
         self.sequence
     }
 
-    /// Returns this daemon's own address for others.
+    /// Returns the address at which other daemons reach this one.
     pub fn own_address(&self) -> SocketAddr {
         self.me.address
     }
@@ -65,7 +66,7 @@
         1 + self.known.values().filter(|peer| peer.alive).count()
     }
 
-    /// Returns the number of daemons that are alive in a region, this one included.
+    /// Returns the number of living daemons in a region, this one included if it is there.
     pub fn daemons_in(&self, region: Option<RegionHash>) -> usize {
         let living = self.known.values().filter(|peer| peer.alive);
         let there = living.filter(|peer| peer.region == region);
@@ -77,27 +78,27 @@
         1 + self.known.len()
     }
 
-    /// Returns whether a living daemon of this region has more capacity than this one, and isn't stopping.
+    /// Returns whether a living daemon of this region that isn't stopping has more capacity than this one.
     pub fn has_stronger(&self) -> bool {
         let near = self.known.values().filter(|peer| !peer.is_far);
         let mut living = near.filter(|peer| peer.alive);
         living.any(|peer| peer.capacity > self.me.capacity && peer.phase != Phase::Stopping)
     }
 
-    /// Returns the last heartbeats that were received here of daemons that are alive.
+    /// Returns the last received heartbeat of each living daemon.
     pub fn heartbeats(&self) -> impl Iterator<Item = &Heartbeat> {
         self.received().map(|last| &last.heartbeat)
     }
 
-    /// Returns the last heartbeats that were received here of living daemons of this region.
+    /// Returns the last received heartbeat of each living daemon in this region.
     pub fn near_heartbeats(&self) -> impl Iterator<Item = &Heartbeat> {
         let near = self.known.values().filter(|peer| !peer.is_far);
         let living = near.filter(|peer| peer.alive);
         living.filter_map(|peer| Some(&peer.last_heartbeat.as_ref()?.heartbeat))
     }
 
-    /// Returns whether any daemon has read the directory without a failure for a while, so that a
-    /// failure here is this daemon's own.
+    /// Returns whether any daemon has read the directory without failures for some time, which means that
+    /// a failure seen here affects this daemon only.
     pub fn has_steady_peer(&self, now: Time) -> bool {
         self.received().any(|last| {
             let read_age = last.read_age(now);
@@ -105,8 +106,8 @@
         })
     }
 
-    /// Returns the time since the directory last answered the daemon that read it last, as those report
-    /// that send everybody their heartbeats. What they pass on of this daemon's own reads doesn't count.
+    /// Returns the time since the most recent read of the directory that the daemons report which broadcast their
+    /// heartbeats. Reads by this daemon that they forward don't count.
     pub fn read_age(&self, now: Time) -> Option<Millis> {
         self.received()
             .filter(|last| last.heartbeat.broadcasts)
@@ -115,8 +116,8 @@
             .min()
     }
 
-    /// Returns the daemons whose reads of the directory coordinators of this region pass on, and the ages of these
-    /// reads: substitutes, and readers of other regions, whose heartbeats few daemons here receive.
+    /// Returns the daemons whose directory reads the coordinators of this region forward, and the ages of these reads.
+    /// These are substitutes and readers in other regions, whose heartbeats reach few daemons here.
     pub fn substitute_reads(&self, now: Time) -> impl Iterator<Item = (SocketAddr, Millis)> {
         let living = self.known.values().filter(|peer| peer.alive);
         living.filter_map(move |peer| {
@@ -130,7 +131,7 @@
         })
     }
 
-    /// Returns the tables that some of the other daemons report.
+    /// Returns the tables that the chosen daemons report.
     pub fn table_offers(&self, sources: Sources) -> impl Iterator<Item = TableOffer> {
         let offering = self.offering(sources);
         offering.map(|heartbeat| TableOffer {
@@ -141,8 +142,8 @@
         })
     }
 
-    /// Returns the revision of the directory up to which there is no newer table than one of a version
-    /// and a fingerprint, as far as the daemons that have it report; 0 if there is none.
+    /// Returns the highest directory revision up to which the daemons with the given table report no newer one;
+    /// 0 if no daemon reports it.
     pub fn table_until(&self, version: Version, fingerprint: u64) -> Revision {
         let same = self
             .heartbeats()
@@ -151,18 +152,19 @@
         revisions.max().unwrap_or_default()
     }
 
-    /// Returns whether a daemon has a newer table than one of `version`.
+    /// Returns whether a daemon has a table newer than `version`.
     pub fn has_newer_table(&self, version: Version) -> bool {
         self.heartbeats().any(|heartbeat| heartbeat.table > version)
     }
 
-    /// Returns whether a daemon has a list of endpoints newer than `revision`.
+    /// Returns whether a daemon has an endpoint list newer than `revision`.
     pub fn has_newer_catalogue(&self, revision: Revision) -> bool {
         let mut offers = self.catalogue_offers(Sources::Any);
         offers.any(|offer| offer.revision > revision)
     }
 
-    /// Returns one of some daemons to ask for a list of endpoints newer than `revision`, by a random fraction.
+    /// Returns the daemon to ask for an endpoint list newer than `revision`. `fraction` is a random number from 0 to 1
+    /// that chooses among several.
     pub fn newer_catalogue(
         &self,
         revision: Revision,
@@ -172,12 +174,12 @@
         catch_up::list_source(self.catalogue_offers(sources), revision, fraction)
     }
 
-    /// Returns who has a list of endpoints newer than `revision`.
+    /// Returns which daemons have an endpoint list newer than `revision`.
     pub fn catalogue_holders(&self, now: Time, revision: Revision) -> Holders {
         self.holders(now, |heartbeat| heartbeat.list_revision() > revision)
     }
 
-    /// Returns who has a newer table than one of `version`.
+    /// Returns which daemons have a table newer than `version`.
     pub fn table_holders(&self, now: Time, version: Version) -> Holders {
         self.holders(now, |heartbeat| heartbeat.table > version)
     }
@@ -193,7 +195,7 @@
         holders
     }
 
-    /// Returns the last heartbeats of some of the daemons that are alive.
+    /// Returns the last heartbeats of the living daemons that `sources` includes.
     fn offering(&self, sources: Sources) -> impl Iterator<Item = &Heartbeat> {
         let heartbeats = self.heartbeats();
         heartbeats.filter(move |heartbeat| sources.include(heartbeat.broadcasts))
@@ -206,8 +208,8 @@
         })
     }
 
-    /// Returns the coordinator of a service in this region. `ready` is set if this daemon may coordinate;
-    /// daemons in `except` already failed for the job at hand.
+    /// Returns the coordinator of a service in this region. `ready` is whether this daemon may coordinate. Daemons in
+    /// `except` are excluded, since they already failed to accept the current job.
     pub fn coordinator(
         &self,
         now: Time,
@@ -221,7 +223,7 @@
         coordinator::coordinator(now, service, me, ready, peers, except)
     }
 
-    /// Returns the coordinator of a service in another region; nothing if no daemon there can be it.
+    /// Returns the coordinator of a service in another region; `None` if no daemon there can coordinate.
     pub fn far_coordinator(
         &self,
         now: Time,
@@ -241,7 +243,7 @@
         }
     }
 
-    /// Returns this daemon as one that may coordinate.
+    /// Returns this daemon as a candidate for coordinator.
     pub(super) fn candidate(&self) -> DaemonCandidate {
         DaemonCandidate {
             address: self.me.address,
--- a/lib/src/gateway/peers/rate_news.rs
+++ b/lib/src/gateway/peers/rate_news.rs
@@ -1,9 +1,9 @@
-//! Tells other daemons which endpoints name a rate, hands this daemon's share of it to the coordinator, and passes
-//! permits on.
+//! Exchanges reports with other daemons about endpoints that advertise a rate limit: sends this daemon's share in the
+//! use of each to the coordinator, and permits from the coordinator to the others.
 //!
-//! Whoever learns of a rate tells the coordinator of the endpoint's service and some daemons drawn anew each time, in a
-//! small fleet all; the coordinator tells everybody what is new. A fleet without such endpoints sends nothing. Relies on
-//! [`EndpointRates`] for what there is to tell.
+//! A daemon that receives an advertised rate reports it to the coordinator of the endpoint's service and to some
+//! daemons drawn anew each time, in a small fleet to all; the coordinator forwards new rates to all daemons. A fleet
+//! without such endpoints sends nothing. [`EndpointRates`] decides what to report.
 
 use {
     crate::{
@@ -29,20 +29,20 @@
     tokio::net::UdpSocket,
 };
 
-/// Notes that one datagram holds: one takes up to 33 bytes, and 1,400 are sent whole by any network.
+/// Most entries in one datagram: an entry takes up to 33 bytes, and any network transmits 1,400 bytes unfragmented.
 const RATE_NOTES: usize = 36;
 
-/// Time for which claims are gathered before they are sent.
+/// Time for which claims are collected before they are sent.
 const CLAIM_DELAY: Millis = Millis(2);
 
-/// Tells others what is new, for good.
+/// Sends reports to other daemons until the process ends.
 pub(crate) async fn run_rate_news<D: Dialect>(gateway: Rc<Gateway<D>>, socket: Rc<UdpSocket>) {
     loop {
         let is_idle = gateway.state.borrow().endpoints.rates.is_empty();
         if is_idle {
             gateway.rate_reports.notified().await;
         } else {
-            // Either end means the same: it is time to tell.
+            // Reports are due both on a notification and on the timeout.
             let news = gateway.rate_reports.notified();
             let _ = tokio::time::timeout(HEARTBEAT.to_duration(), news).await;
         }
@@ -51,14 +51,14 @@
     }
 }
 
-/// What one daemon is told.
+/// Entries for one daemon.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 struct Parcel {
     notes: Vec<RateNote>,
     permits: Vec<PermitNote>,
 }
 
-/// What each daemon is told.
+/// Entries for each daemon, by its address.
 #[derive(Debug, Default)]
 struct Parcels(HashMap<SocketAddr, Parcel>);
 
@@ -73,7 +73,7 @@
         }
     }
 
-    /// Addresses what there is to tell of one endpoint.
+    /// Adds the messages about one endpoint, each for its recipients.
     fn add(&mut self, now: Time, ready: bool, peers: &mut Peers, messages: RateMessages) {
         let coordinator = peers.coordinator(now, &messages.service, ready, &[]);
         let address = match coordinator {
@@ -117,7 +117,7 @@
     deliver(gateway, socket, parcels);
 }
 
-/// Sends what others are told; what this daemon tells itself, as the coordinator, is taken at once.
+/// Sends the entries to other daemons. Entries for this daemon, as the coordinator, are applied at once.
 fn deliver<D: Dialect>(gateway: &Gateway<D>, socket: &UdpSocket, mut parcels: Parcels) {
     let me = gateway.state.borrow().peers.own_address();
     if let Some(own) = parcels.0.remove(&me) {
@@ -149,7 +149,7 @@
     }
 }
 
-/// Takes the reports of a daemon, as the coordinator.
+/// Applies the reports of a daemon, as the coordinator, and returns the permits in answer.
 fn take_reports<D: Dialect>(
     gateway: &Gateway<D>,
     notes: &[RateNote],
@@ -163,21 +163,21 @@
     answers.collect()
 }
 
-/// Returns what this daemon knows better than another one that takes part in it.
+/// Returns this daemon's newer entries for endpoints about which another one sent outdated reports.
 fn corrections(rates: &EndpointRates, now: Time, notes: &[RateNote]) -> Vec<RateNote> {
     let reports = notes.iter().filter(|note| note.is_report());
     let newer = reports.filter_map(|note| rates.newer(now, note));
     newer.collect()
 }
 
-/// Takes what another daemon tells of endpoints that name rates.
+/// Applies a report of another daemon about endpoints that advertise a rate limit.
 pub(crate) fn receive_rates<D: Dialect>(
     gateway: &Gateway<D>,
     socket: &UdpSocket,
     report: &RateReport,
     from: SocketAddr,
 ) {
-    // A daemon speaks for itself alone.
+    // A daemon may send reports only in its own name.
     if report.address.ip() != from.ip() {
         log::warn!(from:% = from, protocol = report.protocol; "heartbeat.refused");
         return;
--- a/lib/src/gateway/peers/receive.rs
+++ b/lib/src/gateway/peers/receive.rs
@@ -1,4 +1,4 @@
-//! Receives other daemons' datagrams, and answers a daemon that has just started with a roster.
+//! Receives datagrams from other daemons, and sends a roster to a daemon that has just started.
 
 use {
     crate::gateway::{
@@ -16,7 +16,7 @@
     tokio::net::UdpSocket,
 };
 
-/// Receives datagrams for good.
+/// Receives datagrams until the process ends.
 pub async fn receive_datagrams<D: Dialect>(gateway: Rc<Gateway<D>>, socket: Rc<UdpSocket>) {
     let mut buffer = vec![0; DATAGRAM];
     loop {
@@ -78,7 +78,7 @@
     heartbeat: Heartbeat,
     from: SocketAddr,
 ) {
-    // A daemon speaks for itself alone.
+    // A daemon may send heartbeats only in its own name.
     if heartbeat.address.ip() != from.ip() {
         log::warn!(from:% = from, protocol = heartbeat.protocol; "heartbeat.refused");
         return;
@@ -101,7 +101,7 @@
     }
 }
 
-/// Sends a daemon that has just started some of the daemons that are alive.
+/// Sends a daemon that has just started the addresses of some living daemons.
 fn send_roster<D: Dialect>(gateway: &Gateway<D>, socket: &UdpSocket, joining: SocketAddr) {
     let now = gateway.now();
     let living = gateway.state.borrow_mut().peers.roster(now, joining);
--- a/lib/src/gateway/peers/record.rs
+++ b/lib/src/gateway/peers/record.rs
@@ -1,4 +1,4 @@
-//! The record of one other daemon.
+//! What this daemon knows about one other daemon.
 
 use {
     crate::{
@@ -20,7 +20,7 @@
     std::net::SocketAddr,
 };
 
-/// A heartbeat, and when it was received.
+/// A heartbeat and the time at which it was received.
 #[derive(Debug, Clone)]
 pub(crate) struct ReceivedHeartbeat {
     pub(crate) at: Time,
@@ -28,7 +28,7 @@
 }
 
 impl ReceivedHeartbeat {
-    /// Returns the time since the directory last answered, as the heartbeat reports it.
+    /// Returns the time since the directory last answered the sender; `None` if the heartbeat doesn't report it.
     pub(crate) fn read_age(&self, now: Time) -> Option<Millis> {
         let read = Millis(u64::from(self.heartbeat.read_ms?));
         let since = Millis(now.since(self.at).as_millis() as u64);
@@ -36,36 +36,36 @@
     }
 }
 
-/// Everything known of one other daemon.
+/// The record of one other daemon.
 #[derive(Debug, Clone)]
 pub(crate) struct Peer {
-    /// Its place among those that watch each other.
+    /// Position on the ring, which decides who watches whom.
     pub(crate) place: RingPosition,
-    /// Its region, once that is known.
+    /// Region of the daemon; `None` until it is known.
     pub(crate) region: Option<RegionHash>,
-    /// It is in another region than this daemon.
+    /// Whether it is in another region than this daemon.
     pub(crate) is_far: bool,
     /// When a heartbeat or gossip last gave its address.
     pub(crate) last_mention: Time,
-    /// Last sign of life, received here or by a third daemon.
+    /// Time of the last sign of life, received here or reported by a third daemon.
     pub(crate) last_sign: Option<Time>,
     pub(crate) last_heartbeat: Option<ReceivedHeartbeat>,
     pub(crate) phase: Phase,
     pub(crate) capacity: Capacity,
-    /// End of the time for which it is passed over as a coordinator.
+    /// Until when it is excluded as a coordinator.
     pub(crate) avoid_until: Time,
     pub(crate) alive: bool,
-    /// Since when it is suspect.
+    /// Since when it has been suspect; `None` if it isn't.
     pub(crate) suspect: Option<Time>,
-    /// Heartbeats that named it as a suspect.
+    /// Number of this daemon's heartbeats that reported it as suspect.
     pub(crate) told: u32,
     /// When a suspicion of it last turned out to be wrong.
     pub(crate) refuted: Option<Time>,
-    /// Each of its heartbeats should arrive here.
+    /// Whether it sends this daemon all its heartbeats.
     pub(crate) expected: bool,
     /// When it was last sent a roster.
     pub(crate) roster_sent: Option<Time>,
-    /// When it was asked for a heartbeat that hasn't come yet.
+    /// When it was asked for a heartbeat that hasn't arrived yet.
     pub(crate) asked: Option<Time>,
 }
 
@@ -91,13 +91,13 @@
         }
     }
 
-    /// Sets its region; `home` is that of this daemon.
+    /// Sets the daemon's region; `home` is the region of this daemon.
     pub(crate) fn set_region(&mut self, home: Option<RegionHash>, region: Option<RegionHash>) {
         self.region = region;
         self.is_far = in_different_regions(home, region);
     }
 
-    /// Records a sign of life that is recent enough to refute a suspicion.
+    /// Clears a suspicion after a sign of life that is recent enough to refute it.
     pub(crate) fn refute(&mut self, now: Time) {
         if self.suspect.take().is_some() {
             self.refuted = Some(now);
@@ -105,7 +105,7 @@
         }
     }
 
-    /// Judges its silence.
+    /// Marks the daemon as suspect if it left a request for a heartbeat unanswered.
     pub(crate) fn judge_silence(&mut self, now: Time, awake: Time) {
         if !self.is_unheard(now, awake) {
             self.asked = None;
@@ -117,62 +117,62 @@
         }
     }
 
-    /// Returns whether it is to be asked for a heartbeat.
+    /// Returns whether the daemon should be asked for a heartbeat.
     pub(crate) fn is_question_due(&self, now: Time, awake: Time) -> bool {
         self.asked.is_none() && self.suspect.is_none() && self.is_unheard(now, awake)
     }
 
-    /// Returns whether it lives, and its heartbeats should arrive here and don't.
+    /// Returns whether the daemon is alive and its heartbeats, which should arrive here, are overdue.
     fn is_unheard(&self, now: Time, awake: Time) -> bool {
         let heartbeat = self.last_heartbeat.as_ref().map(|last| last.at);
         self.alive && self.expected && liveness::is_probe_due(now, heartbeat, awake)
     }
 
-    /// Returns whether others should be told that it is suspect.
+    /// Returns whether heartbeats should report the daemon as suspect.
     pub(crate) fn is_suspect_news(&self, now: Time) -> bool {
         let told = |sign| liveness::is_reported(now, sign);
         self.suspect.is_some() && self.last_sign.is_some_and(told)
     }
 
-    /// Returns whether others should be told that it isn't suspect after all.
+    /// Returns whether heartbeats should report that a suspicion of the daemon was refuted.
     pub(crate) fn is_refuted_news(&self, now: Time) -> bool {
         self.alive && self.suspect.is_none() && liveness::refutes(now, self.refuted)
     }
 
-    /// Returns its host, once a heartbeat was received.
+    /// Returns the name of the daemon's host; `None` until a heartbeat was received.
     pub(crate) fn host(&self) -> Option<HostId> {
         let last = self.last_heartbeat.as_ref()?;
         Some(last.heartbeat.host.clone())
     }
 
-    /// Returns whether a heartbeat isn't newer than the last one of the same process.
+    /// Returns whether a heartbeat is no newer than the last received one of the same process.
     pub(crate) fn is_outdated(&self, next: &Heartbeat) -> bool {
         self.last_heartbeat.as_ref().is_some_and(|last| {
             last.heartbeat.run == next.run && last.heartbeat.sequence >= next.sequence
         })
     }
 
-    /// Returns whether a heartbeat is of another process than the last one.
+    /// Returns whether a heartbeat comes from another process than the last received one.
     pub(crate) fn is_restart(&self, next: &Heartbeat) -> bool {
         self.last_heartbeat
             .as_ref()
             .is_some_and(|last| last.heartbeat.run != next.run)
     }
 
-    /// Returns the inputs of the rule of liveness.
+    /// Returns the inputs of the liveness rule.
     pub(crate) fn life_signs(&self) -> LifeSigns {
         let last = self.last_heartbeat.as_ref();
         LifeSigns {
             heartbeat: last.map(|last| last.at),
             sign: self.last_sign,
-            // Those of another region send this one few of their heartbeats.
+            // A daemon in another region sends few of its heartbeats here, even if it broadcasts in its own.
             broadcasts: !self.is_far && last.is_some_and(|last| last.heartbeat.broadcasts),
             alive: self.alive,
             suspect: self.suspect,
         }
     }
 
-    /// Returns the inputs of the rule of coordinators.
+    /// Returns the inputs of the rule that chooses coordinators.
     pub(crate) fn standing(&self, address: SocketAddr) -> PeerState {
         PeerState {
             candidate: DaemonCandidate {
@@ -185,7 +185,7 @@
         }
     }
 
-    /// Returns the gossip about the daemon; nothing without a sign of life.
+    /// Returns the gossip entry about the daemon; `None` without a sign of life.
     pub(crate) fn note(&self, now: Time, address: SocketAddr) -> Option<PeerNote> {
         Some(PeerNote {
             address,
@@ -199,7 +199,7 @@
 }
 
 impl PeerNote {
-    /// Returns the age of the sign of life when the note was sent.
+    /// Returns the age of the last sign of life at the time the entry was sent.
     pub(crate) fn age(&self) -> Millis {
         Millis(u64::from(self.age_ms))
     }
--- a/lib/src/gateway/peers/reports.rs
+++ b/lib/src/gateway/peers/reports.rs
@@ -1,6 +1,6 @@
-//! Sums of the loads and the outstanding work that other daemons report.
+//! Sums of the loads and outstanding pieces that other daemons report.
 //!
-//! Only heartbeats of daemons count that are alive, and of this region: each region has coordinators of its own.
+//! Only heartbeats of living daemons in this region count: each region has its own coordinators.
 
 use {
     crate::gateway::{
@@ -14,7 +14,7 @@
 };
 
 impl Peers {
-    /// Sums up what other daemons have in flight, by endpoint, as their heartbeats report it here.
+    /// Returns the sums of other daemons' loads by endpoint, from their heartbeats received here.
     pub fn reported_loads(&self) -> HashMap<EndpointHash, PeerLoad> {
         let mut sums: HashMap<EndpointHash, PeerLoad> = HashMap::default();
         for load in self
@@ -28,8 +28,8 @@
         sums
     }
 
-    /// Returns the number of a service's endpoints that accept calls, as its coordinator reports;
-    /// nothing if nobody reports it.
+    /// Returns the number of a service's endpoints that accept calls, as its coordinator reports it;
+    /// `None` if no daemon reports it.
     pub fn available_endpoints(&self, service: ServiceHash) -> Option<usize> {
         let notes = self
             .near_heartbeats()
@@ -40,7 +40,7 @@
             .max()
     }
 
-    /// Returns whether any daemon reports that a service's endpoints are short of room for
+    /// Returns whether any daemon reports that a service's endpoints are short of capacity for
     /// results.
     pub fn is_short_of_room(&self, service: ServiceHash) -> bool {
         let mut notes = self
@@ -49,7 +49,7 @@
         notes.any(|note| note.service == service && note.short)
     }
 
-    /// Returns the outstanding pieces of a service at other daemons, as their heartbeats report it
+    /// Returns the outstanding pieces of a service at other daemons, from their heartbeats received
     /// here.
     pub fn reported_backlog(&self, service: ServiceHash) -> Backlog {
         let reports = self.near_heartbeats();
@@ -58,8 +58,8 @@
         })
     }
 
-    /// Returns the outstanding pieces of a service at other daemons: as all of them report it in a
-    /// small fleet, else as the service's coordinator sums it up.
+    /// Returns the outstanding pieces of a service at other daemons. In a small fleet, or if this daemon is the
+    /// service's coordinator, they are summed here; otherwise the coordinator's sum is used, if it sent one.
     pub fn backlog(&self, service: ServiceHash, coordinator: Coordinator) -> Backlog {
         let summed = match coordinator {
             Coordinator::Peer(address) if !self.is_small() => self.summed_backlog(service, address),
@@ -68,8 +68,8 @@
         summed.unwrap_or_else(|| self.reported_backlog(service))
     }
 
-    /// Returns the outstanding pieces of a service at other daemons by the sum of its coordinator. This
-    /// daemon's own pieces are in that sum as its last heartbeat reported them, and are left out.
+    /// Returns the outstanding pieces of a service at other daemons, from the sum of its coordinator. That sum includes
+    /// this daemon's pieces as its last heartbeat reported them; they are subtracted.
     fn summed_backlog(&self, service: ServiceHash, coordinator: SocketAddr) -> Option<Backlog> {
         let own = self.reported_backlogs.iter();
         let own = own.filter(|note| note.service == service);
@@ -80,7 +80,7 @@
         if let Some(all) = notes.find_map(|note| note.all) {
             return Some(all.minus(&own));
         }
-        // A coordinator of an earlier release reports a number alone.
+        // A coordinator of an older release reports only a total.
         let mut queues = last.heartbeat.queues.iter();
         let queue = queues.find(|note| note.service == service)?;
         let others = queue.outstanding.saturating_sub(own.total());
@@ -88,7 +88,7 @@
     }
 }
 
-/// Returns the outstanding pieces of a service that a daemon reports of its own requests.
+/// Returns the outstanding pieces of a service that a heartbeat reports for its sender's requests.
 fn own_backlog(heartbeat: &Heartbeat, service: ServiceHash) -> Backlog {
     let mut notes = heartbeat.backlogs.iter();
     if let Some(note) = notes.find(|note| note.service == service) {
--- a/lib/src/gateway/peers/self_report.rs
+++ b/lib/src/gateway/peers/self_report.rs
@@ -1,4 +1,4 @@
-//! The report of this daemon about itself that goes out with each heartbeat.
+//! The state of this daemon that each of its heartbeats reports.
 
 use {
     crate::{
@@ -24,41 +24,41 @@
     std::{net::SocketAddr, time::Duration},
 };
 
-/// Report of this daemon about itself.
+/// State of this daemon, as reported in a heartbeat.
 #[derive(Debug, Clone, PartialEq)]
 pub struct SelfReport {
-    /// Phase of its life.
+    /// Phase of the daemon's lifecycle.
     pub phase: Phase,
-    /// Version of its table; 0 for none.
+    /// Version of the daemon's table; 0 for none.
     pub table: Version,
-    /// Fingerprint of its table.
+    /// Fingerprint of the daemon's table.
     pub fingerprint: u64,
-    /// Revision of the directory up to which it knows of no newer table.
+    /// Directory revision up to which the daemon knows of no newer table.
     pub table_until: Revision,
-    /// Revision of the last change in its list of endpoints.
+    /// Directory revision of the last change in the daemon's endpoint list.
     pub catalogue: Revision,
-    /// Set if it has read the directory without a failure for a while.
+    /// Whether the daemon has read the directory without failures for some time.
     pub steady: bool,
-    /// Milliseconds since the directory last answered it for every topic.
+    /// Milliseconds since the directory last answered for every topic; `None` if others shouldn't rely on it.
     pub read_ms: Option<u32>,
-    /// The daemon that read the directory in its place.
+    /// The daemon whose read `read_ms` reports; `None` if it is this daemon's own.
     pub read_by: Option<SocketAddr>,
-    /// The data centres that it knows to be evacuated.
+    /// The evacuated data centres as the daemon knows them.
     pub evacuations: Evacuations,
-    /// Its requests in flight.
+    /// Loads of the daemon's requests in flight, by endpoint.
     pub loads: Vec<LoadNote>,
-    /// The stage services that it plans for.
+    /// State of the stage services that the daemon coordinates.
     pub queues: Vec<QueueNote>,
-    /// Its outstanding pieces.
+    /// Number of outstanding pieces of the daemon's requests, by service.
     pub work: Vec<WorkNote>,
-    /// The outstanding pieces by their order.
+    /// Outstanding pieces by service and scheduling order.
     pub backlogs: Vec<BacklogNote>,
-    /// The services that have a coordinator.
+    /// All services of the daemon's table, each of which has a coordinator. They aren't sent.
     pub services: Vec<ServiceId>,
 }
 
 impl GatewayState {
-    /// Returns what others should know of the stage services that this daemon coordinates.
+    /// Returns the state of the stage services that this daemon coordinates.
     fn queue_notes(&self, now: Time, ready: bool) -> Vec<QueueNote> {
         let mine = |service: &ServiceId| {
             self.peers.coordinator(now, service, ready, &[]) == Coordinator::Me
@@ -67,15 +67,15 @@
         self.stage_queues.notes(now, mine, total)
     }
 
-    /// Adds up the outstanding pieces of a service that this daemon coordinates: those of its own requests,
+    /// Returns the outstanding pieces of a service that this daemon coordinates: those of its own requests
     /// and those that the others report.
     fn whole_backlog(&self, now: Time, service: &ServiceId) -> Backlog {
         let others = self.peers.reported_backlog(service_hash(service));
         self.workload.backlog(now, service).plus(&others)
     }
 
-    /// Returns the outstanding pieces by their order, of services that have any; `queues` are those that
-    /// this daemon coordinates.
+    /// Returns the outstanding pieces by scheduling order of the services that have any; `queues` are the services
+    /// that this daemon coordinates.
     fn backlog_notes(&self, now: Time, queues: &[QueueNote]) -> Vec<BacklogNote> {
         let note = |service: &ServiceId| {
             let hash = service_hash(service);
@@ -92,7 +92,7 @@
         notes.filter(has_pieces).collect()
     }
 
-    /// Returns what this daemon has in flight at endpoints.
+    /// Returns the load of this daemon's requests in flight, by endpoint.
     fn load_notes(&self) -> Vec<LoadNote> {
         self.endpoints
             .members()
@@ -105,8 +105,8 @@
             .collect()
     }
 
-    /// Returns the read of the directory on which others should rely: that of a coordinator, of a daemon
-    /// whose heartbeats everybody receives, or of a substitute, which coordinators pass on.
+    /// Returns the read of the directory on which others should rely: the read of a coordinator, of a daemon
+    /// whose heartbeats all others receive, or of a substitute, which coordinators forward.
     fn reported_read(&self, now: Time, wait: Duration) -> Option<ReportedRead> {
         let own = self.contact.read_age(now);
         if self.peers.coordinates() {
@@ -117,13 +117,13 @@
     }
 }
 
-/// Returns an age as heartbeats carry it.
+/// Returns an age in the form that heartbeats have: whole milliseconds, limited to 32 bits.
 fn to_wire(age: Millis) -> u32 {
     u32::try_from(age.0).unwrap_or(u32::MAX)
 }
 
 impl<D: Dialect> Gateway<D> {
-    /// Gathers the report of this daemon about itself.
+    /// Returns the current state of this daemon, to be reported in a heartbeat.
     pub fn self_report(&self) -> SelfReport {
         self.refresh_stage_queues();
         let now = self.now();
@@ -158,8 +158,8 @@
     }
 }
 
-/// Returns the phase as others should know it: they don't choose a daemon as a coordinator that
-/// doesn't know them yet.
+/// Returns the phase to report. A daemon that may not coordinate yet, since it doesn't know the others, reports itself
+/// as starting, so that they don't choose it as a coordinator.
 fn reported_phase(phase: Phase, may_coordinate: bool) -> Phase {
     if may_coordinate || phase == Phase::Stopping {
         phase
--- a/lib/src/gateway/peers/sockets.rs
+++ b/lib/src/gateway/peers/sockets.rs
@@ -1,4 +1,4 @@
-//! The two sockets for other daemons: one address, TCP for links and UDP for datagrams.
+//! The two sockets for communication with other daemons, at one address: TCP for links, UDP for datagrams.
 
 use {
     crate::gateway::peers::message::{Datagram, encode},
@@ -6,17 +6,17 @@
     tokio::net::{TcpListener, UdpSocket},
 };
 
-/// Largest datagram accepted, in bytes: well above the largest that is sent.
+/// Largest datagram that can be received, in bytes: well above the largest that is sent.
 pub(crate) const DATAGRAM: usize = 16 * 1024;
 
-/// Ports that are tried where the system chooses one.
+/// Number of further attempts to find a port that is free for both protocols, where the system chooses it.
 const PORT_TRIES: u32 = 16;
 
-/// Opens the sockets for other daemons, both at the same port.
+/// Binds the TCP and the UDP socket for other daemons to the same port.
 ///
 /// # Errors
 ///
-/// Returns an error when the address isn't free or not this host's own.
+/// Returns an error if the address is in use or doesn't belong to this host.
 pub async fn bind(address: SocketAddr) -> io::Result<(TcpListener, UdpSocket)> {
     let mut tries = 0;
     loop {
@@ -30,7 +30,7 @@
     }
 }
 
-/// Sends a datagram to each target, without waiting for room in the socket's buffer.
+/// Sends a datagram to each target, without waiting for space in the socket's buffer.
 pub(crate) fn send_datagram(
     socket: &UdpSocket,
     datagram: &Datagram,
@@ -38,8 +38,8 @@
 ) {
     let bytes = encode(datagram);
     for target in targets {
-        // Any datagram may be lost on its way, and each is followed by a newer one; one that can't
-        // be sent is no different.
+        // Datagrams may be lost anyway, and each is followed by a newer one, so a failure to
+        // send one is ignored.
         let _ = socket.try_send_to(&bytes, target);
     }
 }
--- a/lib/src/gateway/peers/table_fetch.rs
+++ b/lib/src/gateway/peers/table_fetch.rs
@@ -1,7 +1,7 @@
-//! Fetches a newer table from daemons that report one, in parts.
+//! Fetches a newer table from daemons that report one, in chunks.
 //!
-//! Owns the parts of the table that is being fetched: they stay when a source fails or is busy, and
-//! the next one is asked for those that are still missing. Which daemon is asked, and when, is the
+//! Owns the chunks of the table that is being fetched: they are kept when a source fails or is busy, and
+//! the next source is asked for the missing ones. Which daemon is asked, and when, is decided by the
 //! rule [`catch_up`](crate::gateway::rules::catch_up).
 
 use {
@@ -32,27 +32,27 @@
     tokio::time::{MissedTickBehavior, interval, timeout},
 };
 
-/// Why a source didn't bring the table further.
+/// Why a request to a source made no progress on the table.
 #[derive(Debug, Error)]
 enum FetchError {
-    /// Its link is taken by what it already sends.
-    #[error("the daemon is busy")]
+    /// The source already uses its network link in full.
+    #[error("the peer is busy sending to others")]
     Busy,
-    /// It didn't reply in time, or the link broke.
-    #[error("no reply within {FETCH_LIMIT:?}")]
+    /// The source didn't reply in time, or the link broke.
+    #[error("the peer didn't reply within {FETCH_LIMIT:?}, or the link broke")]
     NoReply,
-    /// It no longer has what was asked for, or replied with something else.
-    #[error("the daemon can't send it")]
+    /// The source no longer has what was asked for, or sent a reply of the wrong kind.
+    #[error("the peer can't send the requested table data")]
     Unable,
-    /// Its parts can't be used.
+    /// The source sent invalid chunks.
     #[error(transparent)]
     Parts(#[from] PartsError),
-    /// The table that it sent isn't newer, or is refused; why is logged there.
-    #[error("the table isn't adopted")]
+    /// The table isn't newer or was refused; [`Gateway::adopt_table`] logs the reason.
+    #[error("the received table wasn't adopted")]
     NotAdopted,
 }
 
-/// Fetches newer tables for good, as soon as another daemon reports one.
+/// Fetches newer tables as soon as another daemon reports one, until the process ends.
 pub async fn run_table_fetch<D: Dialect>(gateway: Rc<Gateway<D>>) {
     let mut ticks = interval(HEARTBEAT.to_duration());
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
@@ -75,9 +75,9 @@
 struct TableFetch<D: Dialect> {
     gateway: Rc<Gateway<D>>,
     partial: Option<PartialTable>,
-    /// Daemon that was busy or failed last.
+    /// The daemon that was last busy or failed.
     avoid: Option<SocketAddr>,
-    /// When it was last drawn whether it is this daemon's turn to ask.
+    /// When this daemon last drew whether it is its turn to ask.
     drawn: Option<Time>,
 }
 
@@ -110,8 +110,8 @@
         }
     }
 
-    /// Returns the daemon to ask next; nothing if no daemon has a newer table, or if that is awaited
-    /// from the directory.
+    /// Returns the daemon to ask next; `None` if no daemon has a newer table, if the directory is expected to send
+    /// it, or if it isn't this daemon's turn.
     fn next_source(&mut self) -> Option<TableOffer> {
         let is_reader = self.gateway.read_duty() == ReadDuty::Read;
         let reads = self.gateway.published().is_some() && is_reader;
@@ -125,7 +125,7 @@
         let daemons = state.peers.daemons();
         drop(state);
         let sources = if self.partial.is_some() {
-            // What was begun goes on, wherever the rest is.
+            // A fetch that has begun continues with any source.
             Sources::Any
         } else if self.is_turn(now, holders, daemons) {
             fetch_turn::sources(holders, daemons, rand::random())
@@ -137,7 +137,7 @@
         table_source(&offers, version, self.avoid, rand::random())
     }
 
-    /// Records since when another daemon has a newer table; returns whether it is to be fetched from one.
+    /// Records since when another daemon has had a newer table; returns whether to fetch it from a peer.
     fn is_due(&mut self, reads: bool) -> bool {
         let now = self.gateway.now();
         let mut state = self.gateway.state.borrow_mut();
@@ -151,7 +151,7 @@
         is_fetch_due(now, state.newer_since, reads)
     }
 
-    /// Draws whether it is this daemon's turn to ask, once a heartbeat.
+    /// Draws whether it is this daemon's turn to ask, at most once per heartbeat interval.
     fn is_turn(&mut self, now: Time, holders: Holders, daemons: usize) -> bool {
         if fetch_turn::is_certain(holders, daemons) {
             return true;
@@ -164,7 +164,7 @@
         fetch_turn::is_turn(holders, daemons, rand::random())
     }
 
-    /// Asks a daemon for the next thing that is missing.
+    /// Asks a daemon for what is missing next: the chunk list, a batch of chunks, or the whole table.
     async fn advance(&mut self, source: TableOffer) -> Result<(), FetchError> {
         if !source.in_chunks {
             return self.fetch_whole(source.address).await;
@@ -191,7 +191,7 @@
         self.begin(list)
     }
 
-    /// Starts with the parts of the new table that this daemon has.
+    /// Begins a fetch with the chunks of the new table that this daemon already has.
     fn begin(&mut self, list: PartList) -> Result<(), FetchError> {
         let published = self.gateway.published();
         let own = published.as_ref().map(|published| published.parts());
@@ -229,7 +229,7 @@
         let revision = Revision::new(list.era, list.revision);
         let joined = partial.join();
         if joined.is_err() {
-            // Some part isn't what its hash says, or the list is wrong: all is fetched anew.
+            // A chunk doesn't match its hash, or the list is wrong: everything is fetched again.
             self.partial = None;
         }
         self.adopt(peer, &joined?)?;
@@ -237,7 +237,7 @@
         Ok(())
     }
 
-    /// Fetches the table from a daemon of a release that sends it whole.
+    /// Fetches the table from a daemon of an older release, which sends it whole.
     async fn fetch_whole(&mut self, peer: SocketAddr) -> Result<(), FetchError> {
         let LinkReply::Table { bytes } = self.ask(peer, LinkRequest::Table).await? else {
             return Err(FetchError::Unable);
@@ -249,8 +249,8 @@
     fn adopt(&mut self, peer: SocketAddr, bytes: &Bytes) -> Result<(), FetchError> {
         match self.gateway.adopt_table(bytes, &format!("peer {peer}")) {
             TableAdoption::Adopted => Ok(()),
-            // A source that started anew may have an older table than its last heartbeat says; asked
-            // again at once it would send the same.
+            // A source that restarted may have an older table than its last heartbeat reported. If asked again
+            // at once, it would send the same one.
             TableAdoption::Known | TableAdoption::Refused => Err(FetchError::NotAdopted),
         }
     }
--- a/lib/src/gateway/table_parts.rs
+++ b/lib/src/gateway/table_parts.rs
@@ -1,10 +1,10 @@
-//! A table's bytes as parts, so that a daemon fetches those that it lacks.
+//! Splits a table's bytes into chunks, so that a daemon fetches only those that it lacks.
 //!
-//! Parts are cut where the content says so: a change moves the cuts around itself alone, and two tables
-//! share the parts of all that they have in common. A part is known by its hash. [`TableParts`] are the
-//! parts of a whole table, [`PartialTable`] those that a daemon has of one that it fetches; nothing of a
-//! partial table is lost when a source fails. Relies on `fastcdc` for the cuts and on `flate2` for the
-//! batches in which parts are sent.
+//! Chunk boundaries depend on the content: a change moves only the boundaries near it, and two tables
+//! share the chunks of their common content. A chunk is identified by its hash. [`TableParts`] has the
+//! chunks of a whole table, [`PartialTable`] those that a daemon already has of a table that it fetches; they are
+//! kept when a source fails. Uses `fastcdc` to find the boundaries and `flate2` to compress the
+//! batches in which chunks are sent.
 
 use {
     crate::gateway::{revision::Era, table::Version},
@@ -18,66 +18,66 @@
     xxhash_rust::xxh3::xxh3_64,
 };
 
-/// Smallest, usual and largest part, in bytes. A route takes about 200 bytes; the list of the parts of a table of 0.85
+/// Smallest, usual and largest chunk, in bytes. A route takes about 200 bytes; the chunk list of a table of 0.85
 /// MB takes 3 KB.
 const SMALLEST: usize = 1 << 10;
 const USUAL: usize = 4 << 10;
 const LARGEST: usize = 16 << 10;
 
-/// Bytes of parts, not compressed, from which on a batch isn't made larger. A batch takes about 30 ms on an idle link
-/// of 10 Mbit/s, and other messages on its link wait no longer.
+/// Size at which a batch is complete, in bytes before compression. A batch takes about 30 ms on an idle network link
+/// of 10 Mbit/s, so other messages on the same link wait no longer than that.
 const BATCH_BYTES: usize = 128 << 10;
 
-/// Largest table, in bytes: as large as a message between daemons.
+/// Largest table, in bytes: as large as the largest message between daemons.
 const LARGEST_TABLE: usize = 8 << 20;
 
-/// Hash of a part's bytes: their XXH3.
+/// XXH3 hash of a chunk's bytes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct PartHash(pub u64);
 
-/// One part of a table.
+/// Hash and length of one chunk of a table.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PartMark {
-    /// Hash of its bytes.
+    /// Hash of the chunk's bytes.
     #[serde(rename = "h")]
     pub hash: PartHash,
-    /// Number of its bytes.
+    /// Length of the chunk, in bytes.
     #[serde(rename = "l")]
     pub length: u32,
 }
 
-/// The parts of a table, in their order, without their bytes.
+/// The list of a table's chunks in order, without their bytes.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PartList {
     /// Version of the table.
     pub version: Version,
-    /// Fingerprint of its bytes.
+    /// Fingerprint of the table's bytes.
     pub fingerprint: u64,
-    /// Revision of the directory up to which its sender knows of no newer table.
+    /// Number of the directory revision up to which the sender knows of no newer table.
     pub revision: u64,
-    /// Its era; nothing from a daemon of a release that knows none.
+    /// Era of the directory revision; absent from a daemon of an older release, which knows no eras.
     #[serde(default, skip_serializing_if = "Era::is_unnamed")]
     pub era: Era,
-    /// Its parts.
+    /// Hashes and lengths of the chunks, in the table's order.
     pub marks: Vec<PartMark>,
 }
 
-/// Why parts can't be used.
+/// Why received chunks or their list can't be used.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum PartsError {
-    /// The list names more bytes than a table may have.
-    #[error("the table is too large")]
+    /// The chunks of the list have more bytes than a table may have.
+    #[error("the table in the chunk list is larger than {LARGEST_TABLE} bytes")]
     TooLarge,
-    /// A batch can't be decompressed, or doesn't hold the parts that were asked for.
-    #[error("a batch doesn't hold the parts that were asked for")]
+    /// A batch can't be decompressed, or doesn't contain the requested chunks.
+    #[error("the batch doesn't contain the requested chunks")]
     Batch,
-    /// The parts don't make up the table that was announced.
-    #[error("the parts don't make up the table")]
+    /// A chunk is missing, or the joined chunks don't have the fingerprint of the list.
+    #[error("the joined chunks don't have the announced fingerprint of the table")]
     Fingerprint,
 }
 
-/// The parts of a whole table.
+/// The chunks of a whole table.
 #[derive(Debug, Clone)]
 pub struct TableParts {
     marks: Vec<PartMark>,
@@ -85,7 +85,7 @@
 }
 
 impl TableParts {
-    /// Cuts a table's bytes into parts.
+    /// Splits a table's bytes into chunks.
     pub fn new(bytes: &Bytes) -> Self {
         let cuts = FastCDC::new(bytes, SMALLEST, USUAL, LARGEST);
         let parts: Vec<Bytes> = cuts
@@ -103,12 +103,12 @@
         }
     }
 
-    /// Returns the parts' marks in their order.
+    /// Returns the hashes and lengths of the chunks, in the table's order.
     pub fn marks(&self) -> &[PartMark] {
         &self.marks
     }
 
-    /// Returns a compressed batch of parts; nothing if there is one that the table doesn't have.
+    /// Returns a compressed batch of the wanted chunks; `None` if the table lacks any of them.
     pub fn batch(&self, wanted: &[PartHash]) -> Option<Vec<u8>> {
         let mut encoder = DeflateEncoder::new(Vec::new(), Compression::fast());
         for hash in wanted {
@@ -122,7 +122,7 @@
     }
 }
 
-/// A table of which a daemon has some parts.
+/// A table of which a daemon has some chunks.
 #[derive(Debug, Clone)]
 pub struct PartialTable {
     list: PartList,
@@ -132,8 +132,8 @@
 }
 
 impl PartialTable {
-    /// Starts with what a daemon has: the parts of its own table, and those of another one that it
-    /// began to fetch.
+    /// Returns the table with the chunks that the daemon already has: those of its current table `own`, and those of
+    /// a table `begun` that it began to fetch before.
     ///
     /// # Errors
     ///
@@ -164,17 +164,17 @@
         })
     }
 
-    /// Returns the list of its parts.
+    /// Returns the chunk list of the table.
     pub fn list(&self) -> &PartList {
         &self.list
     }
 
-    /// Returns the compressed bytes that were received for it.
+    /// Returns the number of compressed bytes received so far.
     pub fn received(&self) -> usize {
         self.received
     }
 
-    /// Returns the next parts to ask for, in the table's order; none if it is whole.
+    /// Returns the next chunks to request, in the table's order; empty if the table is complete.
     pub fn missing(&self) -> Vec<PartMark> {
         let mut size = 0;
         let mut missing: Vec<PartMark> = Vec::new();
@@ -191,11 +191,11 @@
         missing
     }
 
-    /// Adds a batch that holds the wanted parts.
+    /// Adds a batch with the wanted chunks.
     ///
     /// # Errors
     ///
-    /// Returns an error, and adds nothing, if it holds anything else.
+    /// Returns an error, and adds nothing, if the batch contains anything else.
     pub fn add(&mut self, wanted: &[PartMark], batch: &[u8]) -> Result<(), PartsError> {
         let parts = read_batch(wanted, batch).map_err(|_| PartsError::Batch)?;
         let hashes = wanted.iter().map(|mark| mark.hash);
@@ -207,11 +207,11 @@
         Ok(())
     }
 
-    /// Joins the parts of a table that is whole.
+    /// Joins the chunks of a complete table.
     ///
     /// # Errors
     ///
-    /// Returns an error if they don't make up the announced table.
+    /// Returns an error if a chunk is missing, or if the result isn't the announced table.
     pub fn join(&self) -> Result<Bytes, PartsError> {
         let parts = self
             .list
@@ -232,7 +232,7 @@
     PartHash(xxh3_64(part))
 }
 
-/// Decompresses a batch into parts of the wanted lengths.
+/// Decompresses a batch into chunks of the wanted lengths.
 fn read_batch(wanted: &[PartMark], batch: &[u8]) -> io::Result<Vec<Bytes>> {
     let mut decoder = DeflateDecoder::new(batch);
     let mut read = |mark: &PartMark| {
