--- a/lib/tests/fleet/mod.rs
+++ b/lib/tests/fleet/mod.rs
@@ -1,4 +1,4 @@
-//! A fleet of daemons that know each other by heartbeats alone, in virtual time.
+//! A simulated fleet of daemons that exchange only heartbeats, in virtual time.
 
 #![allow(dead_code, reason = "each test file uses a part")]
 #![allow(clippy::unwrap_used, reason = "a failed unwrap fails the test")]
@@ -28,10 +28,10 @@
 pub const STRONG: Capacity = Capacity(500);
 pub const WEAK: Capacity = Capacity(120);
 
-/// One daemon in so many is strong.
+/// One of this many daemons has the capacity [`STRONG`], the others have [`WEAK`].
 const STRONG_EVERY: usize = 10;
 
-/// Seeds of every daemon, as far as they exist.
+/// Numbers of the daemons whose addresses are the seeds of every daemon; the fleet may be too small for some.
 const SEEDS: [usize; 3] = [99, 3, 70];
 
 pub fn address(number: usize) -> SocketAddr {
@@ -43,7 +43,7 @@
     SERVICES.iter().map(|name| name.parse().unwrap()).collect()
 }
 
-/// The report of a ready daemon that reports nothing of services and loads.
+/// Returns the report of a ready daemon without state of services or loads.
 pub fn plain_report(read_ms: Option<u32>) -> SelfReport {
     SelfReport {
         phase: Phase::Ready,
@@ -63,7 +63,7 @@
     }
 }
 
-/// Datagrams, and their bytes.
+/// Number of datagrams, and the sum of their sizes in bytes.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Traffic {
     pub datagrams: usize,
@@ -77,18 +77,18 @@
     }
 }
 
-/// A fleet of which some hosts are down, and whose datagrams go where they should or nowhere.
+/// A fleet in which some hosts may be down and some datagrams may be lost.
 pub struct Fleet {
     pub daemons: Vec<Peers>,
     pub down: Vec<bool>,
     pub now: Time,
-    /// Heartbeats received by each daemon.
+    /// Number of heartbeats received by each daemon.
     pub received: Vec<usize>,
-    /// Times that a living daemon was taken for lost.
+    /// How often a living daemon was considered lost.
     pub false_losses: usize,
-    /// Regions of the daemons, by turns.
+    /// Number of regions, to which the daemons are assigned in turn.
     regions: usize,
-    /// What was sent to daemons of another region.
+    /// Traffic to daemons of another region.
     pub crossed: Traffic,
     /// The phase that each daemon reports.
     pub phases: Vec<Phase>,
@@ -96,12 +96,12 @@
 }
 
 impl Fleet {
-    /// Starts a fleet of which each daemon sends the same report.
+    /// Creates a fleet in which all daemons send the same report.
     pub fn new(seed: u64, daemons: usize, report: SelfReport) -> Self {
         Self::in_regions(seed, daemons, 1, report)
     }
 
-    /// Starts a fleet whose daemons are in so many regions by turns.
+    /// Creates a fleet whose daemons are assigned to `regions` regions in turn.
     pub fn in_regions(seed: u64, daemons: usize, regions: usize, report: SelfReport) -> Self {
         let seeds = SEEDS.map(address);
         let members = (0..daemons)
@@ -130,7 +130,7 @@
         }
     }
 
-    /// One heartbeat of each living daemon; `lost` tells which datagrams don't arrive.
+    /// Sends one heartbeat from each living daemon; `lost` returns which datagrams are lost, by sender and recipient.
     pub fn round(&mut self, mut lost: impl FnMut(usize, usize) -> bool) {
         self.now = self.now + HEARTBEAT;
         for sender in self.living() {
@@ -177,7 +177,7 @@
         }
     }
 
-    /// The number of a daemon's region.
+    /// Returns the index of a daemon's region.
     pub fn region(&self, daemon: usize) -> usize {
         daemon % self.regions
     }
--- a/lib/tests/test_large_fleet.rs
+++ b/lib/tests/test_large_fleet.rs
@@ -1,4 +1,4 @@
-//! Membership and coordination where not every daemon hears every other one.
+//! Membership and coordination in a fleet where not every daemon receives the heartbeats of every other one.
 
 #![allow(clippy::unwrap_used, reason = "a failed unwrap fails the test")]
 
@@ -68,7 +68,7 @@
     Fleet::new(seed, DAEMONS, report(Some(40)))
 }
 
-/// All daemons learn of each other and agree on the coordinator of each service.
+/// All daemons discover each other and agree on the coordinator of each service.
 #[test]
 fn fleet_agreement() {
     for seed in 1..=5 {
@@ -93,7 +93,7 @@
     }
 }
 
-/// A daemon that coordinates no service receives few heartbeats a round.
+/// A daemon that coordinates no service receives few heartbeats per round.
 #[test]
 fn received_heartbeats() {
     let mut fleet = new_fleet(1);
@@ -137,7 +137,7 @@
         if fleet.living().is_empty() {
             return Ok(());
         }
-        // Two generations of coordinators may be gone, each noticed after the time for gossip.
+        // The coordinators and their successors may be lost, each detected only after the time limit for gossip.
         fleet.rounds(30);
         fleet.assert_agreed();
         let living = fleet.living().len();
@@ -177,7 +177,7 @@
     );
 }
 
-/// A coordinator that failed to accept a job is passed over for a while.
+/// A coordinator that failed to accept a job is excluded for a time.
 #[test]
 fn passed_over_coordinator() {
     let mut fleet = new_fleet(2);
@@ -191,7 +191,7 @@
     assert_eq!(fleet.coordinator(7, service), coordinator);
 }
 
-/// After a pause no daemon is lost at once, and old gossip is passed on as old.
+/// After a pause no daemon is considered lost at once, and old gossip is forwarded with its age.
 #[test]
 fn pause_keeps_ages() {
     let mut fleet = new_fleet(2);
@@ -231,7 +231,7 @@
     let OutgoingHeartbeat { heartbeat, .. } = fleet.daemons[coordinator].heartbeat(now, summed);
     fleet.daemons[7].receive_heartbeat(now, heartbeat);
     let at = Coordinator::Peer(address(coordinator));
-    // This daemon's own three pieces are known better here.
+    // This daemon's own three pieces are subtracted from the coordinator's sum.
     assert_eq!(fleet.daemons[7].backlog(ServiceHash(9), at).total(), 237);
     let now = now + HEARTBEAT;
     let ordered = SelfReport {
@@ -272,15 +272,19 @@
     let OutgoingHeartbeat { heartbeat, targets } = newcomer.heartbeat(Time(0), report(None));
     assert!(heartbeat.joining);
     assert_eq!(targets, [address(3)]);
-    // The seed's heartbeat makes it known that there are more, its roster who they are.
+    // The seed's heartbeat reports that there are more daemons, its roster which ones.
     let seed = fleet.daemons[3].heartbeat(now, report(Some(40))).heartbeat;
     let roster = fleet.daemons[3].roster(now, address(200));
     newcomer.receive_heartbeat(Time(0), seed);
     newcomer.merge_roster(Time(0), &roster);
-    // Those heard of before the fleet was known to be large count from the next look on.
+    // Daemons received before the fleet was known to be large count as alive from the next update on.
     newcomer.update_liveness(Time(0));
     let known = newcomer.daemons();
-    assert!(known >= DAEMONS - 3, "{known} of {} told", roster.len());
+    assert!(
+        known >= DAEMONS - 3,
+        "{known} of {} in the roster",
+        roster.len()
+    );
     let service = &services()[1];
     let chosen = newcomer.coordinator(Time(0), service, false, &[]);
     let agreed = fleet.coordinator(7, service);
--- a/lib/tests/test_load_sums.rs
+++ b/lib/tests/test_load_sums.rs
@@ -1,4 +1,4 @@
-//! Sums of loads as coordinators send them: the newest counts, and for a while only.
+//! Sums of loads from coordinators: the newest sum replaces earlier ones, and is dropped when it is stale.
 
 use hazelyoke_lib::{
     gateway::{
--- a/lib/tests/test_message_bytes.rs
+++ b/lib/tests/test_message_bytes.rs
@@ -1,7 +1,7 @@
-//! The bytes of every message between daemons: a release reads what the one before it sends.
+//! The encoded bytes of every message between daemons: a release must be able to decode those of the previous one.
 //!
-//! The snapshot holds a name and the encoded bytes of each message, one a line. It changes only
-//! with the version of the messages; a rename in the code must leave it as it is.
+//! The snapshot has a line with the name and the bytes of each message. It changes only
+//! with the version of the protocol; a rename in the code must not change it.
 
 #![allow(clippy::unwrap_used, reason = "a failed unwrap fails the test")]
 
@@ -42,7 +42,7 @@
 struct Lines(String);
 
 impl Lines {
-    /// Adds a message's bytes, after a check that they decode to the same message.
+    /// Adds a message's bytes, after checking that they decode to the same message.
     fn add<T>(&mut self, name: &str, message: &T)
     where
         T: Serialize + DeserializeOwned + PartialEq + Debug,
@@ -53,12 +53,12 @@
         writeln!(self.0, "{name}: {hex}").unwrap();
     }
 
-    /// Adds the content of a frame.
+    /// Adds a frame with this content.
     fn add_framed<T>(&mut self, name: &str, content: T)
     where
         T: Serialize + DeserializeOwned + PartialEq + Debug,
     {
-        // A number of two bytes.
+        // A frame number that takes two bytes.
         let number = 0x0102;
         self.add(name, &Frame { number, content });
     }
@@ -144,7 +144,7 @@
     }
 }
 
-/// A heartbeat with outstanding pieces by their order.
+/// Returns a heartbeat with outstanding pieces by scheduling order.
 fn backlog_heartbeat() -> Heartbeat {
     let note = |service, all| BacklogNote {
         service: ServiceHash(service),
@@ -158,7 +158,7 @@
     }
 }
 
-/// A heartbeat that says nothing beyond its sender, with the flags turned over.
+/// Returns a heartbeat without entries, with inverted flags.
 fn bare_heartbeat() -> Heartbeat {
     Heartbeat {
         steady: false,
@@ -262,7 +262,7 @@
     insta::assert_snapshot!(lines.0);
 }
 
-/// What daemons tell each other of requests under which endpoints ended; the release before ignores it.
+/// Reports about requests during which endpoints terminated; the previous release ignores them.
 #[test]
 fn quarantine_bytes() {
     let mut lines = Lines::default();
@@ -293,7 +293,7 @@
     insta::assert_snapshot!(lines.0);
 }
 
-/// Rates that endpoints name, which the release before doesn't know: it ignores the datagram.
+/// Advertised rates, which the previous release doesn't know: it ignores the datagram.
 #[test]
 fn rate_bytes() {
     let mut lines = Lines::default();
@@ -332,7 +332,7 @@
     insta::assert_snapshot!(lines.0);
 }
 
-/// Regions, which the release before doesn't know: it leaves out the fields, and ignores the datagram.
+/// Regions, which the previous release doesn't know: it omits the fields, and ignores the datagram.
 #[test]
 fn region_bytes() {
     let mut lines = Lines::default();
@@ -358,7 +358,7 @@
     insta::assert_snapshot!(lines.0);
 }
 
-/// A report of as many services as one datagram holds fits into it.
+/// A report with the most services allowed in one datagram fits into it.
 #[test]
 fn region_report_size() {
     let mut backlog = Backlog::default();
@@ -379,7 +379,7 @@
     assert!(bytes <= 1_400, "{bytes} bytes");
 }
 
-/// Tables in parts, which the release before doesn't know: nobody sends them to a daemon whose heartbeats
+/// Tables in chunks, which the previous release doesn't know: they aren't sent to a daemon whose heartbeats
 /// lack the table's revision.
 #[test]
 fn part_bytes() {
@@ -413,7 +413,7 @@
     insta::assert_snapshot!(lines.0);
 }
 
-/// Fields that the release before doesn't know: it leaves them out, and reads past them.
+/// Fields that the previous release doesn't know: it omits them, and ignores them when decoding.
 #[test]
 fn later_field_bytes() {
     let mut lines = Lines::default();
--- a/lib/tests/test_peers.rs
+++ b/lib/tests/test_peers.rs
@@ -1,4 +1,4 @@
-//! Who is believed alive, and who plans for a service.
+//! Which daemons count as alive, and which coordinates a service.
 
 #![allow(clippy::unwrap_used, reason = "a failed unwrap fails the test")]
 
@@ -135,7 +135,7 @@
     assert!(matches!(again[..], [PeerChange::Met(..)]));
 }
 
-/// After a pause no daemon is lost before its next heartbeat could arrive.
+/// After a pause no daemon is considered lost before its next heartbeat could arrive.
 #[test]
 fn pause_loses_none() {
     let mut me = peers(1, 1, &[]);
@@ -148,7 +148,7 @@
     assert_eq!(me.update_liveness(woken + Millis(1_100)).len(), 1);
 }
 
-/// A restart is noticed, and a heartbeat older than the last one is ignored.
+/// A restart is detected, and a heartbeat older than the last one is ignored.
 #[test]
 fn restarted_daemon() {
     let mut me = peers(1, 1, &[]);
@@ -234,7 +234,7 @@
         (1, false, Some(40), false),
         (2, true, Some(40), true),
         (3, true, Some(2_999), true),
-        // It left the reading to others long ago, or never read.
+        // The daemon stopped reading the directory long ago, or never read it.
         (4, true, Some(3_000), false),
         (5, true, None, false),
         (6, true, Some(40), true),
@@ -249,7 +249,7 @@
     assert!(!me.has_steady_peer(later));
 }
 
-/// A backlog of a coordinated service with pieces in every band.
+/// Returns the backlog of a coordinated service with pieces in every bucket.
 fn full_backlog(service: u32) -> BacklogNote {
     let mut all = Backlog::default();
     for span in 0..9_000 {
@@ -262,7 +262,7 @@
     }
 }
 
-/// A report with more of everything than a heartbeat holds.
+/// Returns a report with more entries of each kind than a heartbeat can contain.
 fn full_report() -> SelfReport {
     let revision = Revision::new(Era(1_000), 5_000_000_000);
     SelfReport {
@@ -291,7 +291,7 @@
     let bytes = encode(&heartbeat);
     assert!(bytes.len() <= 1_400, "{} bytes", bytes.len());
     assert_eq!(decode::<Heartbeat>(&bytes).unwrap(), heartbeat);
-    // With as many questions and suspects as one may have, and another daemon's read.
+    // With the most requests for heartbeats and suspects that one may have, and the read of another daemon.
     let asked = (0..MAX_ASKED as u8).map(|n| address(n + 200)).collect();
     let mut peers = heartbeat.peers.clone();
     peers.truncate(MAX_NAMED - MAX_ASKED / 2);
@@ -308,7 +308,7 @@
     assert!(bytes.len() <= 1_400, "{} bytes", bytes.len());
 }
 
-/// So does one in an installation of several regions, which names that of each daemon.
+/// A heartbeat fits into a datagram also in an installation with several regions, where it has each daemon's region.
 #[test]
 fn regions_size() {
     let mut me = peers(1, 1, &[]);
@@ -329,8 +329,8 @@
     assert!(bytes <= 1_400, "{bytes} bytes");
 }
 
-/// So does one that names as many evacuated data centres as it may, with everything else; with more of them
-/// it names none, since a report that lacks some would take these back.
+/// A heartbeat fits into a datagram also with the most evacuated data centres that it may contain. If there are more it
+/// contains none, since a receiver would take an incomplete list as the end of the missing evacuations.
 #[test]
 fn evacuations_size() {
     let evacuations = |count: u64| {
@@ -370,8 +370,8 @@
     assert_eq!(me.heartbeat(Time(0), too_many).heartbeat.evacuations, None);
 }
 
-/// A daemon of the release before reads a heartbeat with backlogs, and one without them counts with the
-/// number of its pieces.
+/// A daemon of the previous release can decode a heartbeat with backlogs. One without backlogs counts with its total
+/// number of pieces.
 #[test]
 fn earlier_release() {
     #[derive(Debug, PartialEq, Serialize, Deserialize)]
@@ -430,7 +430,7 @@
     }
 }
 
-/// Damaged messages are refused or read as something else, and never end the process.
+/// Damaged messages are refused or decoded as something else, and never cause a panic.
 #[test]
 fn damaged_messages() {
     let mut other = peers(2, 2, &[]);
--- a/lib/tests/test_regions.rs
+++ b/lib/tests/test_regions.rs
@@ -1,4 +1,4 @@
-//! Daemons of two regions, between which the way is long and narrow.
+//! Daemons in two regions with a long round-trip time and little bandwidth between them.
 
 #![allow(clippy::unwrap_used, reason = "a failed unwrap fails the test")]
 
@@ -21,14 +21,14 @@
 
 const REGIONS: usize = 2;
 
-/// Heartbeats in a second.
+/// Number of heartbeats per second.
 const ROUNDS_EACH: usize = 5;
 
 fn new_fleet(seed: u64, daemons: usize) -> Fleet {
     Fleet::in_regions(seed, daemons, REGIONS, plain_report(Some(40)))
 }
 
-/// All daemons of a region agree on its coordinators, which are in it.
+/// Asserts that all daemons of a region agree on its coordinators, and that these are in the region.
 fn assert_own_coordinators(fleet: &Fleet) {
     for service in services() {
         for region in 0..REGIONS {
@@ -50,7 +50,7 @@
     }
 }
 
-/// What crosses between the regions in a second.
+/// Returns the traffic between the regions in a second.
 fn crossing(fleet: &mut Fleet) -> Traffic {
     fleet.crossed = Traffic::default();
     let seconds = 2;
@@ -61,8 +61,8 @@
     }
 }
 
-/// One coordinator for both regions made each stage wait for the way there and back, and its results cross. Each region
-/// has its own, and knows that of the other one.
+/// Each region has its own coordinators and knows those of the other one. With one coordinator for both regions, each
+/// stage waited for a round trip between them, and its results were transferred between them.
 #[test]
 fn own_coordinators() {
     for seed in 1..=4 {
@@ -77,7 +77,7 @@
     }
 }
 
-/// Every daemon knows nearly all others, also of the other region, and takes none for lost.
+/// Every daemon knows nearly all others, also in the other region, and considers none lost.
 #[test]
 fn calm_regions() {
     for daemons in [20, 60, 120] {
@@ -96,8 +96,8 @@
     }
 }
 
-/// Heartbeats between regions grew with the fleet, and took half of a way of 60 Mbit/s with the digests of loads. Only
-/// coordinators send them now, to coordinators.
+/// Only coordinators send heartbeats to the other region, and only to coordinators there. When all daemons did, the
+/// traffic grew with the fleet and took, with the load digests, half of a link of 60 Mbit/s.
 #[test]
 fn narrow_way() {
     let crossings = [60, 240].map(|daemons| {
@@ -114,7 +114,7 @@
     }
 }
 
-/// Regions that lose each other go on with their own coordinators, and find each other again.
+/// Regions that lose contact continue with their own coordinators, and regain contact afterwards.
 #[test]
 fn cut_regions() {
     let mut fleet = new_fleet(7, 60);
@@ -131,7 +131,7 @@
     }
 }
 
-/// A coordinator that is lost in one region is replaced there, and the other region learns of the next one.
+/// A coordinator that is lost in one region is replaced there, and the other region finds the new one.
 #[test]
 fn far_replacement() {
     let mut fleet = new_fleet(9, 60);
@@ -147,8 +147,8 @@
     assert_eq!(told, Some(fleet::address(next)));
 }
 
-/// A coordinator knows how its service stands in the other region by the heartbeats of the coordinator there, and
-/// tells its region. What it told long ago isn't believed.
+/// A coordinator receives the state of its service in the other region in the heartbeats of the coordinator there, and
+/// reports it within its own region. Old reports are ignored.
 #[test]
 fn told_services() {
     let service = services()[0].clone();
--- a/lib/tests/test_scale.rs
+++ b/lib/tests/test_scale.rs
@@ -1,4 +1,5 @@
-//! What work costs as fleets and their endpoints grow: counted, at 30 to 1,000 daemons with ten endpoints each.
+//! How the cost of scheduling and the size of digests grow with the fleet: counted for 30 to 1,000 daemons with ten
+//! endpoints each.
 
 #![allow(clippy::unwrap_used, reason = "a failed unwrap fails the test")]
 
@@ -24,13 +25,13 @@
     std::{collections::HashSet, sync::Arc},
 };
 
-/// Numbers of daemons.
+/// Sizes of the fleets, in daemons.
 const FLEETS: [u64; 4] = [30, 100, 300, 1_000];
 
-/// Endpoints for each daemon.
+/// Number of endpoints per daemon.
 const ENDPOINTS: u64 = 10;
 
-/// Data centres of the endpoints.
+/// Number of data centres of the endpoints.
 const DATA_CENTRES: u64 = 4;
 
 const NOW: Time = Time(20_000_000);
@@ -87,7 +88,7 @@
     queue
 }
 
-/// A planning puts its jobs in order once for each data centre, however many calls come from it.
+/// Scheduling orders the jobs once for each data centre, however many calls result.
 #[test]
 fn planning_cost() {
     for daemons in FLEETS {
@@ -103,8 +104,8 @@
     }
 }
 
-/// A digest of loads stays as large as it is, however many endpoints a service has, and names those that are
-/// busiest, and those that have become less busy.
+/// A load digest keeps its size however many endpoints a service has. It lists the busiest endpoints, and those that
+/// have become less busy.
 #[test]
 fn digest_size() {
     for daemons in FLEETS {
--- a/lib/tests/test_slow_link.rs
+++ b/lib/tests/test_slow_link.rs
@@ -1,4 +1,4 @@
-//! A daemon that is slow to accept a link, since many open one at once, isn't taken for lost.
+//! A daemon that is slow to accept a link, since many others open one at once, isn't considered lost.
 
 #![allow(clippy::unwrap_used, reason = "a failed unwrap fails the test")]
 
@@ -13,7 +13,7 @@
     tokio_tungstenite::{accept_async, tungstenite::Message},
 };
 
-/// Time that the daemon takes to accept: longer than the first try, and well within the second.
+/// Time that the daemon takes to accept: longer than the first attempt lasts, and well within the second.
 const SLOW: Duration = Duration::from_millis(450);
 
 /// Accepts links one after the other, slowly, and replies to the first request on each.
@@ -21,7 +21,7 @@
     loop {
         let (stream, _) = listener.accept().await.unwrap();
         tokio::time::sleep(SLOW).await;
-        // The first try has been given up by then.
+        // The first attempt has timed out by then.
         let Ok(mut socket) = accept_async(stream).await else {
             continue;
         };
--- a/lib/tests/test_table_parts.rs
+++ b/lib/tests/test_table_parts.rs
@@ -1,4 +1,4 @@
-//! Tables in parts: what two of them share, what a batch may hold, and that joining gives back the table.
+//! Tables in chunks: which chunks two tables share, what a batch may contain, and that joining restores the table.
 
 #![allow(clippy::unwrap_used, reason = "a failed unwrap fails the test")]
 
@@ -15,7 +15,7 @@
 const ROUTES: usize = 4_250;
 const ROUTE_BYTES: usize = 200;
 
-/// Parts that a change at one place may touch.
+/// Most chunks that a change at one place may replace.
 const TOUCHED: usize = 3;
 
 fn table(routes: impl Iterator<Item = usize>) -> Bytes {
@@ -44,7 +44,7 @@
     marks.iter().map(|mark| mark.hash).collect()
 }
 
-/// Fetches a table from a source until it is whole, and returns it with the number of batches.
+/// Fetches a table from a source until it is complete, and returns it with the number of batches.
 fn fetch(mut partial: PartialTable, source: &TableParts) -> (Bytes, usize) {
     let mut batches = 0;
     loop {
@@ -68,7 +68,7 @@
     assert!(batches > 1);
 }
 
-/// One route more, in the middle, needs the parts around it alone.
+/// One added route in the middle requires only the chunks around it.
 #[test]
 fn one_route() {
     let before = table(0..ROUTES);
@@ -80,7 +80,7 @@
     assert_eq!(fetch(partial, &source).0, after);
 }
 
-/// What came from a source that failed isn't asked for again, also where the table has changed.
+/// Chunks received from a source that failed aren't requested again, even if the table has changed.
 #[test]
 fn failed_source() {
     let first = table(0..ROUTES);
@@ -141,7 +141,7 @@
     );
 }
 
-/// Whatever two tables have in common, fetching one on top of the other gives back the one.
+/// Fetching one table while having another restores it exactly, whatever the two have in common.
 #[test]
 fn any_tables() {
     arbtest(|u| {
