--- a/lib/src/gateway/directory/coverage.rs
+++ b/lib/src/gateway/directory/coverage.rs
@@ -28,7 +28,7 @@
         Reader {
             small_fleet: self.peers.is_small()
                 && (is_settled(self.peers.ran(now)) || self.peers.is_alone()),
-            coordinates: self.peers.reads(),
+            coordinates: self.peers.reads_directory(),
         }
     }
 
@@ -44,7 +44,7 @@
         let others = self.peers.read_age(now);
         let local = self.contact.read_age(now).filter(|_| !self.is_substitute);
         let age = others.into_iter().chain(local).min()?;
-        let stalled = self.peers.standstills.stalled_since(now - age, now);
+        let stalled = self.peers.stalls.stalled_since(now - age, now);
         Some(Millis(age.0.saturating_sub(stalled.as_millis() as u64)))
     }
 }
--- a/lib/src/gateway/mod.rs
+++ b/lib/src/gateway/mod.rs
@@ -21,5 +21,5 @@
 pub mod stages;
 pub mod state;
 pub mod table;
-pub mod table_parts;
+pub mod table_chunks;
 pub mod wire;
--- a/lib/src/gateway/peers/catch_up.rs
+++ b/lib/src/gateway/peers/catch_up.rs
@@ -9,7 +9,7 @@
         dialect::Dialect,
         directory::source::Topic,
         peers::{
-            link_socket::FETCH_LIMIT,
+            link_socket::FETCH_TIMEOUT,
             message::{LinkReply, LinkRequest},
         },
         rules::{
@@ -36,14 +36,14 @@
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
         ticks.tick().await;
-        note_behind(&gateway);
+        record_behind(&gateway);
         catch_up_endpoints(&gateway).await;
-        note_behind(&gateway);
+        record_behind(&gateway);
     }
 }
 
 /// Records since when any peer has had a newer list than this daemon.
-fn note_behind<D: Dialect>(gateway: &Gateway<D>) {
+fn record_behind<D: Dialect>(gateway: &Gateway<D>) {
     let now = gateway.now();
     let mut state = gateway.state.borrow_mut();
     let known = state.catalogue.revision();
@@ -60,7 +60,7 @@
         ListFetch::Changes(known) => LinkRequest::changes(known),
     };
     let source = format!("peer {}", newer.peer);
-    note_asked(gateway);
+    record_asked(gateway);
     match fetch(gateway, newer.peer, request).await {
         Some(LinkReply::Endpoints(list)) => gateway.replace_endpoints(list, &source),
         Some(LinkReply::Changes(changes)) => gateway.apply_changes(changes, &source),
@@ -76,7 +76,7 @@
 
 /// Records that a daemon is asked. In a large fleet its answer may take long, so the time for which this daemon has
 /// been behind starts again: one that doesn't read the directory shouldn't begin to before the request has timed out.
-fn note_asked<D: Dialect>(gateway: &Gateway<D>) {
+fn record_asked<D: Dialect>(gateway: &Gateway<D>) {
     let now = gateway.now();
     let mut state = gateway.state.borrow_mut();
     if fetch_turn::is_spread(state.peers.daemons()) {
@@ -112,13 +112,13 @@
     Some(NewerList { peer, fetch })
 }
 
-/// Sends a peer a request; returns `None` if it doesn't reply within [`FETCH_LIMIT`].
+/// Sends a peer a request; returns `None` if it doesn't reply within [`FETCH_TIMEOUT`].
 async fn fetch<D: Dialect>(
     gateway: &Gateway<D>,
     peer: SocketAddr,
     request: LinkRequest,
 ) -> Option<LinkReply> {
-    timeout(FETCH_LIMIT, gateway.links.request(peer, request))
+    timeout(FETCH_TIMEOUT, gateway.links.request(peer, request))
         .await
         .ok()?
 }
--- a/lib/src/gateway/peers/part_batches.rs
+++ b/lib/src/gateway/peers/chunk_batches.rs
@@ -6,7 +6,7 @@
 
 use {
     crate::{
-        gateway::{rules::table_upload::Uploads, table_parts::PartHash},
+        gateway::{rules::table_upload::Uploads, table_chunks::ChunkHash},
         shared::units::{BitRate, ByteSize, Time},
     },
     bytes::Bytes,
@@ -15,39 +15,39 @@
 
 /// Number of cached batches. Daemons that had the same previous table request the same batches one after the other; a
 /// table of the largest size has eight.
-const BATCHES_KEPT: usize = 8;
+const CACHED_BATCHES: usize = 8;
 
 /// A compressed batch, and the hashes of the chunks in it.
 #[derive(Debug, Clone)]
 struct Batch {
-    parts: Vec<PartHash>,
+    chunks: Vec<ChunkHash>,
     bytes: Bytes,
 }
 
 /// The cached batches, and the uploads to other daemons.
 #[derive(Debug, Clone, Default)]
-pub(crate) struct PartBatches {
-    kept: VecDeque<Batch>,
+pub(crate) struct ChunkBatches {
+    cached: VecDeque<Batch>,
     uploads: Uploads,
 }
 
-impl PartBatches {
+impl ChunkBatches {
     /// Returns whether another batch may be sent.
-    pub(crate) fn has_room(&self, now: Time) -> bool {
+    pub(crate) fn may_send(&self, now: Time) -> bool {
         self.uploads.may_send(now)
     }
 
     /// Returns the cached batch of these chunks; `None` if there is none.
-    pub(crate) fn get(&self, parts: &[PartHash]) -> Option<Bytes> {
-        let kept = self.kept.iter().find(|batch| batch.parts == parts)?;
-        Some(kept.bytes.clone())
+    pub(crate) fn get(&self, chunks: &[ChunkHash]) -> Option<Bytes> {
+        let cached = self.cached.iter().find(|batch| batch.chunks == chunks)?;
+        Some(cached.bytes.clone())
     }
 
     /// Caches a batch for the next daemon that requests it, and drops the oldest one if there are too many.
-    pub(crate) fn keep(&mut self, parts: Vec<PartHash>, bytes: Bytes) {
-        self.kept.push_back(Batch { parts, bytes });
-        if self.kept.len() > BATCHES_KEPT {
-            self.kept.pop_front();
+    pub(crate) fn insert(&mut self, chunks: Vec<ChunkHash>, bytes: Bytes) {
+        self.cached.push_back(Batch { chunks, bytes });
+        if self.cached.len() > CACHED_BATCHES {
+            self.cached.pop_front();
         }
     }
 
--- a/lib/src/gateway/peers/heartbeats.rs
+++ b/lib/src/gateway/peers/heartbeats.rs
@@ -46,20 +46,20 @@
         }
         send_heartbeat(&gateway, &socket, now);
         send_load_digest(&gateway, &socket);
-        send_far_services(&gateway, &socket, now);
+        send_remote_services(&gateway, &socket, now);
         gateway.state.borrow_mut().update_peer_loads(now);
         gateway.apply_timeouts();
     }
 }
 
 /// Checks the clock at short intervals until the process ends, to detect stalls of this process.
-pub async fn look_at_clock<D: Dialect>(gateway: Rc<Gateway<D>>) {
-    let mut looks = interval(CLOCK_CHECK.to_duration());
-    looks.set_missed_tick_behavior(MissedTickBehavior::Delay);
+pub async fn check_clock<D: Dialect>(gateway: Rc<Gateway<D>>) {
+    let mut ticks = interval(CLOCK_CHECK.to_duration());
+    ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
-        looks.tick().await;
+        ticks.tick().await;
         let now = gateway.now();
-        gateway.state.borrow_mut().peers.standstills.check(now);
+        gateway.state.borrow_mut().peers.stalls.check(now);
     }
 }
 
@@ -98,7 +98,7 @@
         return;
     }
     let loads = state.next_digest(now, ready);
-    let everybody: Vec<SocketAddr> = state.peers.near_addresses().collect();
+    let everybody: Vec<SocketAddr> = state.peers.region_addresses().collect();
     drop(state);
     for part in loads.chunks(DATAGRAM_LOADS) {
         gateway.state.borrow_mut().load_sums.merge(now, part);
@@ -112,16 +112,16 @@
 }
 
 /// Reports to all daemons of this region the state in other regions of the services that this daemon coordinates.
-fn send_far_services<D: Dialect>(gateway: &Gateway<D>, socket: &UdpSocket, now: Time) {
+fn send_remote_services<D: Dialect>(gateway: &Gateway<D>, socket: &UdpSocket, now: Time) {
     let ready = gateway.may_coordinate();
     let mut state = gateway.state.borrow_mut();
     if !ready || !gossip::is_remote_due(state.peers.last_sequence()) {
         return;
     }
     let services: Vec<ServiceId> = state.stage_queues.services().cloned().collect();
-    let notes = state.peers.far_notes(now, &services, ready);
-    state.peers.merge_far_services(now, &notes);
-    let everybody: Vec<SocketAddr> = state.peers.near_addresses().collect();
+    let notes = state.peers.remote_notes(now, &services, ready);
+    state.peers.merge_remote_services(now, &notes);
+    let everybody: Vec<SocketAddr> = state.peers.region_addresses().collect();
     drop(state);
     for part in notes.chunks(MAX_REMOTE_NOTES) {
         let report = RegionReport {
--- a/lib/src/gateway/peers/job_message.rs
+++ b/lib/src/gateway/peers/job_message.rs
@@ -16,7 +16,7 @@
 };
 
 /// Microseconds in a millisecond.
-const MICROS: u64 = 1_000;
+const MICROS_PER_MS: u64 = 1_000;
 
 impl JobOrder {
     /// Converts a job into a message sent at `now`, a time of this daemon's clock.
@@ -29,7 +29,7 @@
             pieces: job.pieces,
             input: job.input.clone(),
             remaining_ms: job.deadline.since(now).as_millis() as u64,
-            objective_ms: objective_us / MICROS as i64,
+            objective_ms: objective_us / MICROS_PER_MS as i64,
             rank: job.rank,
             result: job.result.0,
             home: job.preferred.clone(),
--- a/lib/src/gateway/peers/link_server.rs
+++ b/lib/src/gateway/peers/link_server.rs
@@ -8,14 +8,14 @@
         dialect::Dialect,
         peers::{
             link_socket::{
-                LinkError, LinkSocket, PATIENT_LIMIT, PING_MISSING, QUEUE, config, read, send,
-                upgraded,
+                LINK_RETRY_TIMEOUT, LinkError, LinkSocket, QUEUE_CAPACITY, SILENCE_TIMEOUT, config,
+                read, send, upgraded,
             },
             message::{Frame, JobOrder, LinkReply, LinkRequest, Phase, decode, encode},
         },
         revision::Revision,
         state::Gateway,
-        table_parts::{PartHash, PartList},
+        table_chunks::{ChunkHash, ChunkList},
         wire::listen::accept_each,
     },
     bytes::Bytes,
@@ -52,13 +52,13 @@
     stream: TcpStream,
 ) -> Result<(), LinkError> {
     let mut socket = accept_link(stream).await?;
-    let (replies, mut finished) = mpsc::channel::<Frame<LinkReply>>(QUEUE);
+    let (replies, mut finished) = mpsc::channel::<Frame<LinkReply>>(QUEUE_CAPACITY);
     let mut tasks = JoinSet::new();
     let mut running: HashMap<u64, AbortHandle> = HashMap::default();
-    let mut pings = Pings::default();
+    let mut pings = SilenceDetector::default();
     loop {
         tokio::select! {
-            () = pings.missing() => return Err(LinkError::Silent(PING_MISSING)),
+            () = pings.silence() => return Err(LinkError::Silent(SILENCE_TIMEOUT)),
             Some(frame) = finished.recv() => {
                 running.remove(&frame.number);
                 send(&mut socket, encode(&frame)).await?;
@@ -85,13 +85,13 @@
 
 /// Detects silence of the daemon that opened a link, from its pings.
 #[derive(Debug, Default)]
-struct Pings {
+struct SilenceDetector {
     /// When the last message was received; `None` until the first ping. An older release sends no pings, so its
     /// links may be silent for any time.
     last: Option<Instant>,
 }
 
-impl Pings {
+impl SilenceDetector {
     fn record(&mut self, message: &Option<Result<Message, tungstenite::Error>>) {
         let is_ping = matches!(message, Some(Ok(Message::Ping(_))));
         if is_ping || self.last.is_some() {
@@ -99,10 +99,10 @@
         }
     }
 
-    /// Waits until no message has been received for [`PING_MISSING`].
-    async fn missing(&self) {
+    /// Waits until no message has been received for [`SILENCE_TIMEOUT`].
+    async fn silence(&self) {
         match self.last {
-            Some(last) => sleep_until(last + PING_MISSING).await,
+            Some(last) => sleep_until(last + SILENCE_TIMEOUT).await,
             None => future::pending().await,
         }
     }
@@ -111,7 +111,7 @@
 async fn accept_link(stream: TcpStream) -> Result<LinkSocket, LinkError> {
     stream.set_nodelay(true)?;
     let upgrade = accept_async_with_config(stream, Some(config()));
-    upgraded(PATIENT_LIMIT, upgrade).await
+    upgraded(LINK_RETRY_TIMEOUT, upgrade).await
 }
 
 async fn reply_to<D: Dialect>(
@@ -130,8 +130,8 @@
 async fn reply<D: Dialect>(gateway: &Gateway<D>, request: LinkRequest) -> LinkReply {
     match request {
         LinkRequest::Table => table(gateway),
-        LinkRequest::PartList => part_list(gateway),
-        LinkRequest::Parts(wanted) => parts(gateway, wanted),
+        LinkRequest::ChunkList => chunk_list(gateway),
+        LinkRequest::Chunks(wanted) => chunks(gateway, wanted),
         LinkRequest::Endpoints => endpoints(gateway),
         LinkRequest::Changes(number) => changes(gateway, number.into()),
         LinkRequest::ChangesInEra(era, number) => changes(gateway, Revision::new(era, number)),
@@ -159,40 +159,40 @@
     }
 }
 
-fn part_list<D: Dialect>(gateway: &Gateway<D>) -> LinkReply {
+fn chunk_list<D: Dialect>(gateway: &Gateway<D>) -> LinkReply {
     let Some(published) = gateway.published() else {
         return LinkReply::Unable;
     };
     let Revision { era, number } = gateway.state.borrow().table_until();
-    LinkReply::PartList(PartList {
+    LinkReply::ChunkList(ChunkList {
         version: published.table.version,
         fingerprint: published.fingerprint,
         revision: number,
         era,
-        marks: published.parts().marks().to_vec(),
+        marks: published.chunks().marks().to_vec(),
     })
 }
 
 /// Replies with chunks of the table, unless the network link is fully used.
-fn parts<D: Dialect>(gateway: &Gateway<D>, wanted: Vec<PartHash>) -> LinkReply {
+fn chunks<D: Dialect>(gateway: &Gateway<D>, wanted: Vec<ChunkHash>) -> LinkReply {
     let now = gateway.now();
     let Some(published) = gateway.published() else {
         return LinkReply::Unable;
     };
-    let batches = &mut gateway.state.borrow_mut().batches;
-    if !batches.has_room(now) {
+    let batches = &mut gateway.state.borrow_mut().chunk_batches;
+    if !batches.may_send(now) {
         return LinkReply::Busy;
     }
     let batch = batches.get(&wanted).or_else(|| {
-        let batch = Bytes::from(published.parts().batch(&wanted)?);
-        batches.keep(wanted, batch.clone());
+        let batch = Bytes::from(published.chunks().batch(&wanted)?);
+        batches.insert(wanted, batch.clone());
         Some(batch)
     });
     let Some(batch) = batch else {
         return LinkReply::Unable;
     };
     batches.record(now, &batch, gateway.settings().link);
-    LinkReply::Parts {
+    LinkReply::Chunks {
         batch: batch.to_vec(),
     }
 }
--- a/lib/src/gateway/peers/link_socket.rs
+++ b/lib/src/gateway/peers/link_socket.rs
@@ -14,34 +14,34 @@
 };
 
 /// Timeout of the first attempt to open a link: for connecting, and again for the upgrade to WebSocket.
-pub(crate) const LINK_LIMIT: Duration = Duration::from_millis(300);
+pub(crate) const LINK_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// The same timeout for the second and last attempt. A daemon to which hundreds of others open links at once answers
 /// slowly although it is alive. A daemon that is really lost is detected by its missing heartbeats, which closes the
 /// link.
-pub(crate) const PATIENT_LIMIT: Duration = Duration::from_millis(900);
+pub(crate) const LINK_RETRY_TIMEOUT: Duration = Duration::from_millis(900);
 
 /// Longest pause between the two attempts; the actual pause is a random fraction of it.
-pub(crate) const LINK_PAUSE: Duration = Duration::from_millis(100);
+pub(crate) const LINK_RETRY_PAUSE: Duration = Duration::from_millis(100);
 
 /// Timeout for fetching table data or an endpoint list, and for the other end to accept a message.
-pub(crate) const FETCH_LIMIT: Duration = Duration::from_millis(1_500);
+pub(crate) const FETCH_TIMEOUT: Duration = Duration::from_millis(1_500);
 
 /// Interval between pings on a link with pending requests, and on an idle one. Two of the shorter intervals fit into
-/// [`LINK_SILENCE`].
-pub(crate) const PING_WAITING: Duration = Duration::from_millis(400);
-pub(crate) const PING_RESTING: Duration = Duration::from_secs(2);
+/// [`PING_TIMEOUT`].
+pub(crate) const PING_INTERVAL: Duration = Duration::from_millis(400);
+pub(crate) const IDLE_PING_INTERVAL: Duration = Duration::from_secs(2);
 
 /// Time after a ping within which the other end has to send something; otherwise the link is closed, so that no request
 /// waits on a connection that has failed without a reset. It equals the time for which a daemon that broadcasts its
 /// heartbeats may be silent.
-pub(crate) const LINK_SILENCE: Duration = Duration::from_millis(1_000);
+pub(crate) const PING_TIMEOUT: Duration = Duration::from_millis(1_000);
 
 /// Silence after which the serving end closes a link on which it has received pings before: the time of several pings.
-pub(crate) const PING_MISSING: Duration = Duration::from_secs(10);
+pub(crate) const SILENCE_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Capacity of the queues of requests and replies of one link, in messages; further requests fail.
-pub(crate) const QUEUE: usize = 1_024;
+pub(crate) const QUEUE_CAPACITY: usize = 1_024;
 
 /// A link over one TCP connection.
 pub(crate) type LinkSocket = WebSocketStream<TcpStream>;
@@ -54,13 +54,13 @@
     Connection(#[from] io::Error),
     /// The upgrade to WebSocket took too long; the other end may be blocked or not be a daemon.
     #[error("the WebSocket upgrade of the link took longer than {0:?}")]
-    UpgradeTime(Duration),
+    UpgradeTimeout(Duration),
     /// The connection failed, or the other end doesn't speak WebSocket.
     #[error("the WebSocket connection of the link failed: {0}")]
     Socket(#[from] tungstenite::Error),
     /// The other end didn't accept a message in time.
-    #[error("the other end of the link didn't accept a message for {FETCH_LIMIT:?}")]
-    WriteTime,
+    #[error("the other end of the link didn't accept a message for {FETCH_TIMEOUT:?}")]
+    WriteTimeout,
     /// The connection is silent, although the other daemon may be alive.
     #[error("the other end of the link sent nothing for {0:?} after a ping")]
     Silent(Duration),
@@ -84,7 +84,7 @@
     pub(crate) fn is_slow(&self) -> bool {
         match self {
             Self::Connection(error) => error.kind() == io::ErrorKind::TimedOut,
-            Self::UpgradeTime(_) => true,
+            Self::UpgradeTimeout(_) => true,
             _ => false,
         }
     }
@@ -97,7 +97,7 @@
 ) -> Result<T, LinkError> {
     let upgraded = timeout(limit, upgrade)
         .await
-        .map_err(|_| LinkError::UpgradeTime(limit))??;
+        .map_err(|_| LinkError::UpgradeTimeout(limit))??;
     Ok(upgraded)
 }
 
@@ -112,9 +112,9 @@
 }
 
 async fn send_message(socket: &mut LinkSocket, message: Message) -> Result<(), LinkError> {
-    timeout(FETCH_LIMIT, socket.send(message))
+    timeout(FETCH_TIMEOUT, socket.send(message))
         .await
-        .map_err(|_| LinkError::WriteTime)??;
+        .map_err(|_| LinkError::WriteTimeout)??;
     Ok(())
 }
 
--- a/lib/src/gateway/peers/links.rs
+++ b/lib/src/gateway/peers/links.rs
@@ -8,8 +8,9 @@
     crate::gateway::{
         peers::{
             link_socket::{
-                LINK_LIMIT, LINK_PAUSE, LINK_SILENCE, LinkError, LinkSocket, PATIENT_LIMIT,
-                PING_RESTING, PING_WAITING, QUEUE, config, ping, read, send, upgraded,
+                IDLE_PING_INTERVAL, LINK_RETRY_PAUSE, LINK_RETRY_TIMEOUT, LINK_TIMEOUT, LinkError,
+                LinkSocket, PING_INTERVAL, PING_TIMEOUT, QUEUE_CAPACITY, config, ping, read, send,
+                upgraded,
             },
             message::{Frame, LinkReply, LinkRequest, decode, encode},
         },
@@ -80,7 +81,7 @@
         {
             return link.clone();
         }
-        let (requests, queue) = mpsc::channel(QUEUE);
+        let (requests, queue) = mpsc::channel(QUEUE_CAPACITY);
         let task = task::spawn_local(async move {
             if let Err(error) = run_link(peer, queue).await {
                 log::info!(peer:% = peer, error:%; "link.closed");
@@ -112,7 +113,7 @@
             },
             message = session.socket.next() => {
                 let bytes = read(message)?;
-                session.unanswered = None;
+                session.silent_sweeps = None;
                 if let Some(bytes) = bytes {
                     session.receive_reply(&bytes)?;
                 }
@@ -129,22 +130,22 @@
 #[derive(Debug)]
 struct LinkSession {
     socket: LinkSocket,
-    waiting: HashMap<u64, oneshot::Sender<LinkReply>>,
+    pending: HashMap<u64, oneshot::Sender<LinkReply>>,
     last_number: u64,
     /// When the last ping was sent.
     last_ping: Instant,
     /// Number of sweeps since the first ping after the last received message; `None` if no ping was sent since.
-    unanswered: Option<u32>,
+    silent_sweeps: Option<u32>,
 }
 
 impl LinkSession {
     /// Opens a link. If the daemon is slow to answer, tries once more with a longer timeout.
     async fn open(peer: SocketAddr) -> Result<Self, LinkError> {
-        match Self::open_within(peer, LINK_LIMIT).await {
+        match Self::open_within(peer, LINK_TIMEOUT).await {
             Err(error) if error.is_slow() => {
-                let pause = LINK_PAUSE.mul_f64(rand::random());
+                let pause = LINK_RETRY_PAUSE.mul_f64(rand::random());
                 tokio::time::sleep(pause).await;
-                Self::open_within(peer, PATIENT_LIMIT).await
+                Self::open_within(peer, LINK_RETRY_TIMEOUT).await
             }
             opened => opened,
         }
@@ -157,23 +158,23 @@
         let (socket, _) = upgraded(limit, upgrade).await?;
         Ok(Self {
             socket,
-            waiting: HashMap::default(),
+            pending: HashMap::default(),
             last_number: 0,
             last_ping: Instant::now(),
-            unanswered: None,
+            silent_sweeps: None,
         })
     }
 
     async fn send_request(&mut self, request: PendingRequest) -> Result<(), LinkError> {
         let number = self.next_number();
-        self.waiting.insert(number, request.reply);
+        self.pending.insert(number, request.reply);
         let content = request.content;
         send(&mut self.socket, encode(&Frame { number, content })).await
     }
 
     fn receive_reply(&mut self, bytes: &[u8]) -> Result<(), LinkError> {
         let frame: Frame<LinkReply> = decode(bytes)?;
-        if let Some(reply) = self.waiting.remove(&frame.number) {
+        if let Some(reply) = self.pending.remove(&frame.number) {
             // Sending fails if the requester has stopped waiting; nobody else needs the reply.
             let _ = reply.send(frame.content);
         }
@@ -183,36 +184,36 @@
     /// Sends a ping if one is due. Returns an error if nothing was received for too long after a ping: the connection
     /// is dead, and its requests would wait in vain, since a daemon that is alive isn't detected as lost.
     async fn check_silence(&mut self) -> Result<(), LinkError> {
-        if let Some(sweeps) = &mut self.unanswered {
+        if let Some(sweeps) = &mut self.silent_sweeps {
             *sweeps += 1;
             let silence = HEARTBEAT.to_duration() * *sweeps;
-            if silence > LINK_SILENCE {
+            if silence > PING_TIMEOUT {
                 return Err(LinkError::Silent(silence));
             }
         }
-        let pause = if self.waiting.is_empty() {
-            PING_RESTING
+        let pause = if self.pending.is_empty() {
+            IDLE_PING_INTERVAL
         } else {
-            PING_WAITING
+            PING_INTERVAL
         };
         if self.last_ping.elapsed() < pause {
             return Ok(());
         }
         self.last_ping = Instant::now();
-        self.unanswered.get_or_insert(0);
+        self.silent_sweeps.get_or_insert(0);
         ping(&mut self.socket).await
     }
 
     /// Cancels the requests whose requesters no longer wait for a reply.
     async fn cancel_abandoned(&mut self) -> Result<(), LinkError> {
         let abandoned: Vec<u64> = self
-            .waiting
+            .pending
             .iter()
             .filter(|(_, reply)| reply.is_closed())
             .map(|(number, _)| *number)
             .collect();
         for request in abandoned {
-            self.waiting.remove(&request);
+            self.pending.remove(&request);
             let number = self.next_number();
             let content = LinkRequest::Cancel(request);
             send(&mut self.socket, encode(&Frame { number, content })).await?;
--- a/lib/src/gateway/peers/load_sums.rs
+++ b/lib/src/gateway/peers/load_sums.rs
@@ -11,7 +11,7 @@
 };
 
 /// Age at which a sum is dropped. Coordinators send their sums with every heartbeat.
-const STALE: Millis = Millis(1_500);
+const STALE_AFTER: Millis = Millis(1_500);
 
 /// The last received sum of loads for each endpoint.
 #[derive(Debug, Default)]
@@ -41,7 +41,7 @@
     /// Drops stale sums.
     pub fn expire(&mut self, now: Time) {
         self.sums
-            .retain(|_, sum| now.since(sum.at) < STALE.to_duration());
+            .retain(|_, sum| now.since(sum.at) < STALE_AFTER.to_duration());
     }
 
     /// Returns the sums by endpoint, which include this daemon's own load.
--- a/lib/src/gateway/peers/membership.rs
+++ b/lib/src/gateway/peers/membership.rs
@@ -12,10 +12,10 @@
     crate::{
         gateway::{
             peers::{
-                far_services::FarServices,
                 message::{BacklogNote, Heartbeat, PeerNote},
                 peer_change::PeerChange,
                 record::{Peer, ReceivedHeartbeat},
+                remote_services::RemoteServices,
             },
             rules::{
                 allowed_regions::RegionHash,
@@ -57,7 +57,7 @@
 pub struct Peers {
     pub(super) me: Identity,
     /// This daemon's position on the ring, which decides who watches whom.
-    pub(super) place: RingPosition,
+    pub(super) position: RingPosition,
     /// Addresses that are sent heartbeats as long as no daemon is alive there.
     pub(super) seeds: Vec<SocketAddr>,
     pub(super) known: HashMap<SocketAddr, Peer>,
@@ -65,23 +65,23 @@
     pub(super) sequence: u64,
     pub(super) rng: SmallRng,
     /// When the process last resumed after a pause.
-    pub(super) awake: Time,
+    pub(super) resumed: Time,
     /// Periods in which the process made no progress.
-    pub(crate) standstills: StallLog,
+    pub(crate) stalls: StallLog,
     /// When the last heartbeat of any daemon was received.
-    heard: Time,
+    last_received: Time,
     /// Daemons that asked this one for a heartbeat, or reported it as suspect; the next heartbeat goes to them.
-    pub(super) questioners: Vec<SocketAddr>,
+    pub(super) requesters: Vec<SocketAddr>,
     /// Number of heartbeats still to be sent to all daemons.
     pub(super) broadcasts_left: u32,
     /// Since when this daemon has coordinated any service; `None` while it coordinates none.
     pub(super) coordinates_since: Option<Time>,
     /// Whether this daemon reads the directory as the coordinator of a service.
-    pub(super) reads: bool,
+    pub(super) reads_directory: bool,
     /// Outstanding pieces that this daemon's last heartbeat reported.
     pub(super) reported_backlogs: Vec<BacklogNote>,
     /// State of stage services in other regions, as coordinators of this region report it.
-    pub(super) far_services: FarServices,
+    pub(super) remote_services: RemoteServices,
 }
 
 impl Peers {
@@ -89,21 +89,21 @@
     pub fn new(me: Identity, seeds: &[SocketAddr]) -> Self {
         let rng = SmallRng::seed_from_u64(me.run);
         let mut peers = Self {
-            place: RingPosition::new(me.address),
+            position: RingPosition::new(me.address),
             me,
             seeds: Vec::new(),
             known: HashMap::default(),
             sequence: 0,
             rng,
-            awake: Time::default(),
-            standstills: StallLog::default(),
-            heard: Time::default(),
-            questioners: Vec::new(),
+            resumed: Time::default(),
+            stalls: StallLog::default(),
+            last_received: Time::default(),
+            requesters: Vec::new(),
             broadcasts_left: 0,
             coordinates_since: None,
-            reads: false,
+            reads_directory: false,
             reported_backlogs: Vec::new(),
-            far_services: FarServices::default(),
+            remote_services: RemoteServices::default(),
         };
         peers.set_seeds(seeds);
         peers
@@ -140,7 +140,7 @@
         }
         let (address, host) = (heartbeat.address, heartbeat.host.clone());
         let home = self.me.region;
-        self.heard = now;
+        self.last_received = now;
         let peer = self.peer(now, address);
         if peer.is_outdated(&heartbeat) {
             return Vec::new();
@@ -157,7 +157,7 @@
         peer.last_heartbeat = Some(ReceivedHeartbeat { at: now, heartbeat });
         peer.alive = true;
         peer.refute(now);
-        self.note_question(address, &asked, &notes);
+        self.record_probe(address, &asked, &notes);
         let mut changes = Vec::new();
         if met {
             changes.push(PeerChange::Met(address, Some(host)));
@@ -179,9 +179,9 @@
         for note in others().filter(|note| !note.suspect) {
             self.peer(now, note.address);
         }
-        let listening = self.listening();
+        let conditions = self.receive_conditions();
         others()
-            .filter_map(|note| self.merge_gossip(now, note, listening))
+            .filter_map(|note| self.merge_gossip(now, note, conditions))
             .collect()
     }
 
@@ -190,7 +190,7 @@
         &mut self,
         now: Time,
         note: &PeerNote,
-        listening: ReceiveConditions,
+        conditions: ReceiveConditions,
     ) -> Option<PeerChange> {
         let home = self.me.region;
         let peer = self.known.get_mut(&note.address)?;
@@ -210,7 +210,7 @@
         if liveness::refutes(now, peer.last_sign) {
             peer.refute(now);
         }
-        if !peer.alive && liveness::is_alive(now, peer.life_signs(), listening) {
+        if !peer.alive && liveness::is_alive(now, peer.life_signs(), conditions) {
             peer.alive = true;
             return Some(PeerChange::Met(note.address, peer.host()));
         }
@@ -220,13 +220,13 @@
     /// Records that this process was paused until now. It received nothing in the meantime, so silence doesn't yet
     /// count against daemons that were alive.
     pub fn end_pause(&mut self, now: Time) {
-        self.awake = now;
+        self.resumed = now;
     }
 
     /// Returns how long this process has run since its start, excluding stalls: it can receive heartbeats only while
     /// it runs.
     pub(crate) fn ran(&self, now: Time) -> Time {
-        Time::default() + self.standstills.ran_since(Time::default(), now)
+        Time::default() + self.stalls.ran_since(Time::default(), now)
     }
 
     /// Updates which daemons are alive, and returns what changed. A daemon is lost when it has been silent for too
@@ -234,11 +234,11 @@
     /// long ago.
     pub fn update_liveness(&mut self, now: Time) -> Vec<PeerChange> {
         let mut changes = Vec::new();
-        let listening = self.listening();
+        let conditions = self.receive_conditions();
         self.suspect_silent(now);
         for (address, peer) in &mut self.known {
             let was_alive = peer.alive;
-            peer.alive = liveness::is_alive(now, peer.life_signs(), listening);
+            peer.alive = liveness::is_alive(now, peer.life_signs(), conditions);
             match (was_alive, peer.alive) {
                 (true, false) => changes.push(PeerChange::Lost(*address, peer.host())),
                 (false, true) => changes.push(PeerChange::Met(*address, peer.host())),
@@ -255,23 +255,23 @@
         if self.is_small() {
             return;
         }
-        let watched = gossip::watched(self.place, &self.watch_places());
+        let watched = gossip::watched(self.position, &self.watch_positions());
         // A coordinator receives every heartbeat of the daemons in its region.
         let coordinates = self.coordinates();
         for (address, peer) in &mut self.known {
-            peer.expected = (coordinates && !peer.is_far) || watched.contains(address);
-            peer.judge_silence(now, self.awake);
+            peer.expected = (coordinates && !peer.is_remote) || watched.contains(address);
+            peer.update_suspicion(now, self.resumed);
         }
     }
 
     /// Returns the ring positions of the living daemons in this region, in no order. Suspects are excluded, so that
     /// a daemon watched only by suspects gets other watchers within a second, and not only once the suspects are lost.
-    pub(super) fn watch_places(&self) -> Vec<RingPosition> {
+    pub(super) fn watch_positions(&self) -> Vec<RingPosition> {
         let watching = self
             .known
             .values()
-            .filter(|peer| peer.alive && !peer.is_far && peer.suspect.is_none());
-        watching.map(|peer| peer.place).collect()
+            .filter(|peer| peer.alive && !peer.is_remote && peer.suspect.is_none());
+        watching.map(|peer| peer.position).collect()
     }
 
     /// Returns the record of a daemon, and creates one if there is none.
@@ -282,27 +282,27 @@
     }
 
     /// Records that a daemon asks this one for a heartbeat or reports it as suspect, so that it gets the next one.
-    fn note_question(&mut self, from: SocketAddr, asked: &[SocketAddr], notes: &[PeerNote]) {
+    fn record_probe(&mut self, from: SocketAddr, asked: &[SocketAddr], notes: &[PeerNote]) {
         let me = self.me.address;
         let is_suspect = notes.iter().any(|note| note.suspect && note.address == me);
         if is_suspect || asked.contains(&me) {
-            self.questioners.push(from);
+            self.requesters.push(from);
         }
     }
 
     /// Excludes a daemon as a coordinator for a time, after it failed to accept a job.
-    pub fn pass_over(&mut self, now: Time, address: &SocketAddr) {
+    pub fn exclude_coordinator(&mut self, now: Time, address: &SocketAddr) {
         if let Some(peer) = self.known.get_mut(address) {
-            peer.avoid_until = coordinator::excluded_until(now);
+            peer.excluded_until = coordinator::excluded_until(now);
         }
     }
 
-    fn listening(&self) -> ReceiveConditions {
+    fn receive_conditions(&self) -> ReceiveConditions {
         ReceiveConditions {
             small_fleet: self.is_small(),
-            resumed: self.awake,
+            resumed: self.resumed,
             others: self.known.len(),
-            received: self.heard,
+            received: self.last_received,
         }
     }
 }
--- a/lib/src/gateway/peers/message.rs
+++ b/lib/src/gateway/peers/message.rs
@@ -6,7 +6,7 @@
 //! Daemons share no clock, so every time in a message is relative to when it was sent.
 
 pub use crate::gateway::peers::notes::{
-    BacklogNote, FarNote, LoadNote, PeerNote, Phase, QueueNote, WorkNote,
+    BacklogNote, LoadNote, PeerNote, Phase, QueueNote, RemoteNote, WorkNote,
 };
 
 use {
@@ -23,7 +23,7 @@
             rules::allowed_regions::RegionHash,
             stages::job::{JobEnd, PieceInput, ResultHandle},
             table::Version,
-            table_parts::{PartHash, PartList},
+            table_chunks::{ChunkHash, ChunkList},
         },
         shared::{
             ids::{DataCentreId, HostId, ServiceId},
@@ -42,7 +42,7 @@
 pub const MAX_MESSAGE: usize = 8 << 20;
 
 /// Initial capacity of the buffer for an encoded message, in bytes: about the size of a heartbeat.
-const CAPACITY: usize = 512;
+const BUFFER_CAPACITY: usize = 512;
 
 /// Error for bytes that aren't a message.
 #[derive(Debug, Error)]
@@ -240,7 +240,7 @@
     pub protocol: u16,
     /// State as the coordinators in the other regions report it.
     #[serde(rename = "n")]
-    pub notes: Vec<FarNote>,
+    pub notes: Vec<RemoteNote>,
 }
 
 /// A datagram between daemons.
@@ -331,9 +331,11 @@
     /// Release results that are no longer needed.
     Release(ServiceId, Vec<ResultHandle>),
     /// Send the list of the table's chunks.
-    PartList,
+    #[serde(rename = "PartList")]
+    ChunkList,
     /// Send these chunks of the table.
-    Parts(Vec<PartHash>),
+    #[serde(rename = "Parts")]
+    Chunks(Vec<ChunkHash>),
     /// Send the changes in the endpoint list after a revision, given as era and number. Only sent to daemons that have
     /// reported this era or a later one.
     ChangesInEra(Era, u64),
@@ -370,9 +372,11 @@
     /// The daemon can't serve the request, for example because it has no table or endpoint list.
     Unable,
     /// The list of the table's chunks.
-    PartList(PartList),
+    #[serde(rename = "PartList")]
+    ChunkList(ChunkList),
     /// The requested chunks of the table in the requested order, compressed together.
-    Parts {
+    #[serde(rename = "Parts")]
+    Chunks {
         /// The compressed bytes.
         #[serde(with = "serde_bytes_vec")]
         batch: Vec<u8>,
@@ -428,7 +432,7 @@
 /// Never for the messages of this module: CBOR can represent each of their values, and writing
 /// to memory can't fail.
 pub fn encode(message: &impl Serialize) -> Vec<u8> {
-    let mut bytes = Vec::with_capacity(CAPACITY);
+    let mut bytes = Vec::with_capacity(BUFFER_CAPACITY);
     ciborium::into_writer(message, &mut bytes).expect("CBOR can represent every message");
     bytes
 }
--- a/lib/src/gateway/peers/mod.rs
+++ b/lib/src/gateway/peers/mod.rs
@@ -8,8 +8,7 @@
 
 pub mod catch_up;
 pub(crate) mod changes;
-pub mod far_reports;
-pub mod far_services;
+pub(crate) mod chunk_batches;
 pub mod heartbeats;
 pub(crate) mod job_message;
 pub mod link_server;
@@ -20,14 +19,15 @@
 pub mod message;
 pub mod notes;
 pub mod outgoing;
-pub(crate) mod part_batches;
 pub mod peer_change;
 pub(crate) mod peer_loads;
-pub mod quarantine_news;
+pub mod quarantine_reports;
 pub(crate) mod queries;
-pub(crate) mod rate_news;
+pub(crate) mod rate_reports;
 pub mod receive;
 pub(crate) mod record;
+pub mod remote_reports;
+pub mod remote_services;
 pub(crate) mod reports;
 pub mod self_report;
 pub mod sockets;
--- a/lib/src/gateway/peers/notes.rs
+++ b/lib/src/gateway/peers/notes.rs
@@ -99,7 +99,7 @@
     into = "(RegionHash, ServiceHash, u32, Backlog)",
     from = "(RegionHash, ServiceHash, u32, Backlog)"
 )]
-pub struct FarNote {
+pub struct RemoteNote {
     /// The region.
     pub region: RegionHash,
     /// The service.
@@ -110,13 +110,13 @@
     pub backlog: Backlog,
 }
 
-impl From<FarNote> for (RegionHash, ServiceHash, u32, Backlog) {
-    fn from(note: FarNote) -> Self {
+impl From<RemoteNote> for (RegionHash, ServiceHash, u32, Backlog) {
+    fn from(note: RemoteNote) -> Self {
         (note.region, note.service, note.endpoints, note.backlog)
     }
 }
 
-impl From<(RegionHash, ServiceHash, u32, Backlog)> for FarNote {
+impl From<(RegionHash, ServiceHash, u32, Backlog)> for RemoteNote {
     fn from(note: (RegionHash, ServiceHash, u32, Backlog)) -> Self {
         let (region, service, endpoints, backlog) = note;
         Self {
--- a/lib/src/gateway/peers/outgoing.rs
+++ b/lib/src/gateway/peers/outgoing.rs
@@ -40,8 +40,8 @@
     }
 
     /// Returns whether this daemon read the directory as a coordinator when it built its last heartbeat.
-    pub fn reads(&self) -> bool {
-        self.reads
+    pub fn reads_directory(&self) -> bool {
+        self.reads_directory
     }
 
     /// Returns whether this daemon has just started; `now` counts from the start of the process.
@@ -56,20 +56,20 @@
         let coordinates = report.phase == Phase::Ready && coordinators.contains(&Coordinator::Me);
         self.broadcasts_left = gossip::broadcasts_left(coordinates, self.broadcasts_left);
         self.coordinates_since = coordinates.then(|| self.coordinates_since.unwrap_or(now));
-        self.reads = self
+        self.reads_directory = self
             .coordinates_since
-            .map(|since| self.standstills.exclude_stalls(since, now))
-            .is_some_and(|since| self.reads_first(now, since, &report));
-        let asked = self.ask(now);
+            .map(|since| self.stalls.exclude_stalls(since, now))
+            .is_some_and(|since| self.is_reader(now, since, &report));
+        let asked = self.probe_silent(now);
         let targets = self.targets(now, &report.services, &coordinators, &asked);
-        let peers = self.named_peers(now, asked.len());
+        let peers = self.draw_gossip(now, asked.len());
         self.reported_backlogs.clone_from(&report.backlogs);
         let eras = HeartbeatEras {
             table: report.table_until.era,
             list: report.catalogue.era,
             evacuations: report.evacuations.until().era,
         };
-        let beside = HeartbeatExtras {
+        let extras = HeartbeatExtras {
             evacuated: report.evacuations.len(),
             regions: self.me.region.is_some(),
             eras: !eras.are_unnamed(),
@@ -96,8 +96,8 @@
             joining: self.is_joining(now),
             peers,
             asked,
-            loads: gossip::largest_loads(report.loads, beside),
-            evacuations: reported(report.evacuations),
+            loads: gossip::largest_loads(report.loads, extras),
+            evacuations: reported_evacuations(report.evacuations),
             queues: report.queues,
             work: report.work,
             backlogs: report.backlogs,
@@ -128,12 +128,12 @@
     }
 
     /// Returns whether this daemon reads the directory as the coordinator of any service.
-    fn reads_first(&self, now: Time, since: Time, report: &SelfReport) -> bool {
+    fn is_reader(&self, now: Time, since: Time, report: &SelfReport) -> bool {
         let me = self.candidate();
         let others = || {
             let living = self.known.iter().filter(|(_, peer)| peer.alive);
             let staying = living.filter(|(_, peer)| peer.phase != Phase::Stopping);
-            staying.map(|(address, peer)| peer.standing(*address).candidate)
+            staying.map(|(address, peer)| peer.coordinator_state(*address).candidate)
         };
         let mut services = report.services.iter();
         services.any(|service| coordinator::reads_directory(now, since, service, me, others()))
@@ -147,47 +147,47 @@
         coordinators: &[Coordinator],
         asked: &[SocketAddr],
     ) -> Vec<SocketAddr> {
-        let mut targets = self.near_targets();
+        let mut targets = self.region_targets();
         if self.broadcasts_left > 0 {
-            let far = self.far_coordinators(now, services);
-            gossip::add_targets(&mut targets, far.into_iter());
+            let remote = self.remote_coordinators(now, services);
+            gossip::add_targets(&mut targets, remote.into_iter());
         }
-        let questioners = mem::take(&mut self.questioners);
+        let requesters = mem::take(&mut self.requesters);
         let coordinators = coordinators.iter().filter_map(|one| match one {
             Coordinator::Peer(address) => Some(*address),
             Coordinator::Me => None,
         });
         let missing_seeds = self.seeds.iter().filter(|seed| !self.is_alive(seed));
         let required = coordinators.chain(missing_seeds.copied());
-        let required = required.chain(questioners).chain(asked.iter().copied());
+        let required = required.chain(requesters).chain(asked.iter().copied());
         gossip::add_targets(&mut targets, required);
         targets
     }
 
     /// Draws the daemons of this region that are sent a heartbeat regardless of their role; in a small fleet all
     /// daemons, also of other regions.
-    fn near_targets(&mut self) -> Vec<SocketAddr> {
+    fn region_targets(&mut self) -> Vec<SocketAddr> {
         if self.is_small() {
             return gossip::draw_targets(self.addresses().collect(), Vec::new(), 0, &mut self.rng);
         }
-        let near = self.near_addresses().collect();
-        let watchers = gossip::watchers(self.place, &self.watch_places());
-        gossip::draw_targets(near, watchers, self.broadcasts_left, &mut self.rng)
+        let in_region = self.region_addresses().collect();
+        let watchers = gossip::watchers(self.position, &self.watch_positions());
+        gossip::draw_targets(in_region, watchers, self.broadcasts_left, &mut self.rng)
     }
 
     /// Returns the regions of other daemons, except this daemon's region.
-    pub(super) fn far_regions(&self) -> BTreeSet<RegionHash> {
-        let far = self.known.values().filter(|peer| peer.is_far);
-        far.filter_map(|peer| peer.region).collect()
+    pub(super) fn remote_regions(&self) -> BTreeSet<RegionHash> {
+        let remote = self.known.values().filter(|peer| peer.is_remote);
+        remote.filter_map(|peer| peer.region).collect()
     }
 
     /// Returns the daemons that coordinate services in other regions.
-    fn far_coordinators(&self, now: Time, services: &[ServiceId]) -> Vec<SocketAddr> {
+    fn remote_coordinators(&self, now: Time, services: &[ServiceId]) -> Vec<SocketAddr> {
         let mut coordinators = Vec::new();
-        for region in self.far_regions() {
+        for region in self.remote_regions() {
             let there = services
                 .iter()
-                .filter_map(|service| self.far_coordinator(now, service, region, &[]));
+                .filter_map(|service| self.remote_coordinator(now, service, region, &[]));
             gossip::add_targets(&mut coordinators, there);
         }
         coordinators
@@ -196,17 +196,17 @@
     /// Draws recipients for datagrams other than heartbeats, regardless of role; in a small fleet all daemons.
     pub fn draw_any(&mut self) -> Vec<SocketAddr> {
         let known = self.known.keys().copied().collect();
-        let watchers = gossip::watchers(self.place, &self.watch_places());
+        let watchers = gossip::watchers(self.position, &self.watch_positions());
         gossip::draw_targets(known, watchers, 0, &mut self.rng)
     }
 
     /// Draws the silent daemons to ask for a heartbeat, and records that they are asked now.
-    fn ask(&mut self, now: Time) -> Vec<SocketAddr> {
-        let awake = self.awake;
+    fn probe_silent(&mut self, now: Time) -> Vec<SocketAddr> {
+        let resumed = self.resumed;
         let silent = self
             .known
             .iter()
-            .filter(|(_, peer)| peer.is_question_due(now, awake));
+            .filter(|(_, peer)| peer.is_probe_due(now, resumed));
         let mut silent: Vec<SocketAddr> = silent.map(|(address, _)| *address).collect();
         silent.sort_unstable();
         let asked = gossip::draw_asked(&silent, &mut self.rng);
@@ -219,25 +219,25 @@
     }
 
     /// Draws the gossip entries of a heartbeat.
-    fn named_peers(&mut self, now: Time, asked: usize) -> Vec<PeerNote> {
-        let suspects = self.tell_suspects(now);
-        let refuted = self.notes(now, |peer| peer.is_refuted_news(now));
+    fn draw_gossip(&mut self, now: Time, asked: usize) -> Vec<PeerNote> {
+        let suspects = self.draw_suspects(now);
+        let refuted = self.notes(now, |peer| peer.is_refutation_due(now));
         let living = self.notes(now, |peer| {
-            peer.alive && peer.suspect.is_none() && !peer.is_refuted_news(now)
+            peer.alive && peer.suspect.is_none() && !peer.is_refutation_due(now)
         });
         gossip::draw_named(suspects, asked, &refuted, &living, &mut self.rng)
     }
 
     /// Returns the suspects to report in a heartbeat: those reported least often so far, so that new suspicions spread
     /// first.
-    fn tell_suspects(&mut self, now: Time) -> Vec<PeerNote> {
-        let mut suspects = self.notes(now, |peer| peer.is_suspect_news(now));
+    fn draw_suspects(&mut self, now: Time) -> Vec<PeerNote> {
+        let mut suspects = self.notes(now, |peer| peer.is_suspicion_due(now));
         suspects.shuffle(&mut self.rng);
-        suspects.sort_by_key(|note| self.known.get(&note.address).map(|peer| peer.told));
+        suspects.sort_by_key(|note| self.known.get(&note.address).map(|peer| peer.reports_sent));
         suspects.truncate(gossip::MAX_SUSPECTS);
         for note in &suspects {
             if let Some(peer) = self.known.get_mut(&note.address) {
-                peer.told += 1;
+                peer.reports_sent += 1;
             }
         }
         suspects
@@ -259,7 +259,7 @@
 }
 
 /// Returns the evacuations to report in a heartbeat; `None` if none was ever received, or if there are too many.
-fn reported(known: Evacuations) -> Option<Evacuations> {
+fn reported_evacuations(known: Evacuations) -> Option<Evacuations> {
     (known.until() > Revision::default() && gossip::reports_evacuations(known.len()))
         .then_some(known)
 }
--- a/lib/src/gateway/peers/peer_loads.rs
+++ b/lib/src/gateway/peers/peer_loads.rs
@@ -32,7 +32,7 @@
         });
         let digests = mine.map(|service| {
             let members = self.endpoints.service(&service.id);
-            let loads = members.map(|member| whole_load(member, &reported));
+            let loads = members.map(|member| total_load(member, &reported));
             gossip::digest_loads(loads.collect(), was_named)
         });
         let digest: Vec<LoadNote> = digests.flatten().collect();
@@ -56,7 +56,7 @@
 }
 
 /// Returns the load of all daemons on an endpoint; `reported` has the loads that the others report.
-fn whole_load(member: &EndpointState, reported: &HashMap<EndpointHash, PeerLoad>) -> LoadNote {
+fn total_load(member: &EndpointState, reported: &HashMap<EndpointHash, PeerLoad>) -> LoadNote {
     let others = reported.get(&member.hash).copied().unwrap_or_default();
     LoadNote {
         endpoint: member.hash,
--- a/lib/src/gateway/peers/quarantine_news.rs
+++ b/lib/src/gateway/peers/quarantine_reports.rs
@@ -32,10 +32,10 @@
 
 /// Time for which reports are collected before they are sent: when an endpoint terminates, all its requests break off
 /// together.
-const NEWS_DELAY: Millis = Millis(5);
+const REPORT_DELAY: Millis = Millis(5);
 
 /// Sends reports to other daemons until the process ends.
-pub(crate) async fn run_quarantine_news<D: Dialect>(
+pub(crate) async fn run_quarantine_reports<D: Dialect>(
     gateway: Rc<Gateway<D>>,
     socket: Rc<UdpSocket>,
 ) {
@@ -43,12 +43,12 @@
         let now = gateway.now();
         if gateway.state.borrow().quarantine.has_reports(now) {
             // Reports are due both on a notification and on the timeout.
-            let news = gateway.quarantine_reports.notified();
-            let _ = tokio::time::timeout(HEARTBEAT.to_duration(), news).await;
+            let notified = gateway.quarantine_reports.notified();
+            let _ = tokio::time::timeout(HEARTBEAT.to_duration(), notified).await;
         } else {
             gateway.quarantine_reports.notified().await;
         }
-        tokio::time::sleep(NEWS_DELAY.to_duration()).await;
+        tokio::time::sleep(REPORT_DELAY.to_duration()).await;
         gateway.expire_quarantine();
         send(&gateway, &socket);
     }
@@ -65,8 +65,12 @@
 
 /// Collects the reports to send now: what this daemon saw to the evidence holders of each request, and the refused
 /// requests to some daemons.
-pub fn gather(now: Time, peers: &mut Peers, quarantine: &mut Quarantine) -> Vec<OutgoingNotes> {
-    let mut outgoing = for_keepers(quarantine.take_local_reports(now), peers);
+pub fn collect_reports(
+    now: Time,
+    peers: &mut Peers,
+    quarantine: &mut Quarantine,
+) -> Vec<OutgoingNotes> {
+    let mut outgoing = for_holders(quarantine.take_local_reports(now), peers);
     let notes = quarantine.common_reports(now);
     if !notes.is_empty() {
         let targets = peers.draw_any();
@@ -76,17 +80,17 @@
 }
 
 /// Addresses entries to the evidence holders of each request, except this daemon.
-fn for_keepers(notes: Vec<EvidenceNote>, peers: &Peers) -> Vec<OutgoingNotes> {
-    let mut told: HashMap<SocketAddr, Vec<EvidenceNote>> = HashMap::default();
+fn for_holders(notes: Vec<EvidenceNote>, peers: &Peers) -> Vec<OutgoingNotes> {
+    let mut by_holder: HashMap<SocketAddr, Vec<EvidenceNote>> = HashMap::default();
     for note in notes {
-        for keeper in evidence_holders(note.digest.as_bytes(), peers.living_daemons()) {
-            told.entry(keeper).or_default().push(note.clone());
+        for holder in evidence_holders(note.digest.as_bytes(), peers.living_daemons()) {
+            by_holder.entry(holder).or_default().push(note.clone());
         }
     }
-    told.remove(&peers.own_address());
-    let outgoing = told.into_iter().map(|(keeper, notes)| OutgoingNotes {
+    by_holder.remove(&peers.local_address());
+    let outgoing = by_holder.into_iter().map(|(holder, notes)| OutgoingNotes {
         notes,
-        targets: vec![keeper],
+        targets: vec![holder],
     });
     outgoing.collect()
 }
@@ -95,10 +99,10 @@
     let now = gateway.now();
     let mut guard = gateway.state.borrow_mut();
     let state = &mut *guard;
-    let outgoing = gather(now, &mut state.peers, &mut state.quarantine);
+    let outgoing = collect_reports(now, &mut state.peers, &mut state.quarantine);
     drop(guard);
-    for part in outgoing {
-        send_notes(socket, &part.notes, &part.targets);
+    for message in outgoing {
+        send_notes(socket, &message.notes, &message.targets);
     }
 }
 
@@ -118,11 +122,11 @@
     pub(crate) fn merge_quarantine(&self, notes: &[EvidenceNote], from: SocketAddr) {
         let now = self.now();
         let mut state = self.state.borrow_mut();
-        let had_news = state.quarantine.has_reports(now);
+        let had_reports = state.quarantine.has_reports(now);
         let changes = state.quarantine.merge(now, notes);
         let has_reports = state.quarantine.has_reports(now);
         drop(state);
-        if has_reports && !had_news {
+        if has_reports && !had_reports {
             // This is also needed if nothing changes here: a request that was served here isn't refused, and the
             // others have to receive that.
             self.quarantine_reports.notify_one();
@@ -159,7 +163,9 @@
         match change {
             QuarantineChange::Began { digest, ended } => {
                 let state = self.state.borrow();
-                let names = ended.iter().map(|life| state.incarnation_name(*life));
+                let names = ended
+                    .iter()
+                    .map(|incarnation| state.incarnation_name(*incarnation));
                 let names: Vec<String> = names.collect();
                 log::warn!(digest:%, endpoints = names.join(","), source:%; "quarantine.began");
             }
--- a/lib/src/gateway/peers/queries.rs
+++ b/lib/src/gateway/peers/queries.rs
@@ -41,9 +41,9 @@
     }
 
     /// Returns the addresses of the other daemons of this region that are known, alive or not.
-    pub fn near_addresses(&self) -> impl Iterator<Item = SocketAddr> {
-        let near = self.known.iter().filter(|(_, peer)| !peer.is_far);
-        near.map(|(address, _)| *address)
+    pub fn region_addresses(&self) -> impl Iterator<Item = SocketAddr> {
+        let in_region = self.known.iter().filter(|(_, peer)| !peer.is_remote);
+        in_region.map(|(address, _)| *address)
     }
 
     /// Returns the sequence number of this daemon's last heartbeat.
@@ -52,7 +52,7 @@
     }
 
     /// Returns the address at which other daemons reach this one.
-    pub fn own_address(&self) -> SocketAddr {
+    pub fn local_address(&self) -> SocketAddr {
         self.me.address
     }
 
@@ -80,8 +80,8 @@
 
     /// Returns whether a living daemon of this region that isn't stopping has more capacity than this one.
     pub fn has_stronger(&self) -> bool {
-        let near = self.known.values().filter(|peer| !peer.is_far);
-        let mut living = near.filter(|peer| peer.alive);
+        let in_region = self.known.values().filter(|peer| !peer.is_remote);
+        let mut living = in_region.filter(|peer| peer.alive);
         living.any(|peer| peer.capacity > self.me.capacity && peer.phase != Phase::Stopping)
     }
 
@@ -91,9 +91,9 @@
     }
 
     /// Returns the last received heartbeat of each living daemon in this region.
-    pub fn near_heartbeats(&self) -> impl Iterator<Item = &Heartbeat> {
-        let near = self.known.values().filter(|peer| !peer.is_far);
-        let living = near.filter(|peer| peer.alive);
+    pub fn region_heartbeats(&self) -> impl Iterator<Item = &Heartbeat> {
+        let in_region = self.known.values().filter(|peer| !peer.is_remote);
+        let living = in_region.filter(|peer| peer.alive);
         living.filter_map(|peer| Some(&peer.last_heartbeat.as_ref()?.heartbeat))
     }
 
@@ -122,9 +122,9 @@
         let living = self.known.values().filter(|peer| peer.alive);
         living.filter_map(move |peer| {
             let last = peer.last_heartbeat.as_ref()?;
-            let is_passed_on = peer.is_far && last.heartbeat.read_by.is_some();
-            let is_heard = last.heartbeat.broadcasts && !peer.is_far;
-            if is_passed_on || is_heard {
+            let is_forwarded = peer.is_remote && last.heartbeat.read_by.is_some();
+            let is_direct = last.heartbeat.broadcasts && !peer.is_remote;
+            if is_forwarded || is_direct {
                 return None;
             }
             Some((last.heartbeat.address, last.read_age(now)?))
@@ -218,13 +218,13 @@
         except: &[SocketAddr],
     ) -> Coordinator {
         let me = self.candidate();
-        let near = self.known.iter().filter(|(_, peer)| !peer.is_far);
-        let peers = near.map(|(address, peer)| peer.standing(*address));
+        let in_region = self.known.iter().filter(|(_, peer)| !peer.is_remote);
+        let peers = in_region.map(|(address, peer)| peer.coordinator_state(*address));
         coordinator::coordinator(now, service, me, ready, peers, except)
     }
 
     /// Returns the coordinator of a service in another region; `None` if no daemon there can coordinate.
-    pub fn far_coordinator(
+    pub fn remote_coordinator(
         &self,
         now: Time,
         service: &ServiceId,
@@ -234,8 +234,8 @@
         let there = self
             .known
             .iter()
-            .filter(|(_, peer)| peer.is_far && peer.region == Some(region));
-        let peers = there.map(|(address, peer)| peer.standing(*address));
+            .filter(|(_, peer)| peer.is_remote && peer.region == Some(region));
+        let peers = there.map(|(address, peer)| peer.coordinator_state(*address));
         let me = self.candidate();
         match coordinator::coordinator(now, service, me, false, peers, except) {
             Coordinator::Peer(address) => Some(address),
--- a/lib/src/gateway/peers/rate_news.rs
+++ b/lib/src/gateway/peers/rate_reports.rs
@@ -36,15 +36,15 @@
 const CLAIM_DELAY: Millis = Millis(2);
 
 /// Sends reports to other daemons until the process ends.
-pub(crate) async fn run_rate_news<D: Dialect>(gateway: Rc<Gateway<D>>, socket: Rc<UdpSocket>) {
+pub(crate) async fn run_rate_reports<D: Dialect>(gateway: Rc<Gateway<D>>, socket: Rc<UdpSocket>) {
     loop {
         let is_idle = gateway.state.borrow().endpoints.rates.is_empty();
         if is_idle {
             gateway.rate_reports.notified().await;
         } else {
             // Reports are due both on a notification and on the timeout.
-            let news = gateway.rate_reports.notified();
-            let _ = tokio::time::timeout(HEARTBEAT.to_duration(), news).await;
+            let notified = gateway.rate_reports.notified();
+            let _ = tokio::time::timeout(HEARTBEAT.to_duration(), notified).await;
         }
         tokio::time::sleep(CLAIM_DELAY.to_duration()).await;
         send(&gateway, &socket);
@@ -53,16 +53,16 @@
 
 /// Entries for one daemon.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-struct Parcel {
+struct OutboxEntry {
     notes: Vec<RateNote>,
     permits: Vec<PermitNote>,
 }
 
 /// Entries for each daemon, by its address.
 #[derive(Debug, Default)]
-struct Parcels(HashMap<SocketAddr, Parcel>);
+struct Outbox(HashMap<SocketAddr, OutboxEntry>);
 
-impl Parcels {
+impl Outbox {
     fn add_note(&mut self, to: SocketAddr, note: RateNote) {
         self.0.entry(to).or_default().notes.push(note);
     }
@@ -77,7 +77,7 @@
     fn add(&mut self, now: Time, ready: bool, peers: &mut Peers, messages: RateMessages) {
         let coordinator = peers.coordinator(now, &messages.service, ready, &[]);
         let address = match coordinator {
-            Coordinator::Me => peers.own_address(),
+            Coordinator::Me => peers.local_address(),
             Coordinator::Peer(address) => address,
         };
         if let Some(report) = messages.report {
@@ -86,15 +86,15 @@
         let Some(note) = messages.announcement else {
             return;
         };
-        let mut told: Vec<SocketAddr> = match coordinator {
+        let mut targets: Vec<SocketAddr> = match coordinator {
             Coordinator::Me => peers.addresses().collect(),
             Coordinator::Peer(_) => peers.draw_any(),
         };
-        if !told.contains(&address) && messages.report.is_none() {
-            told.push(address);
+        if !targets.contains(&address) && messages.report.is_none() {
+            targets.push(address);
         }
-        told.retain(|to| *to != peers.own_address());
-        for to in told {
+        targets.retain(|to| *to != peers.local_address());
+        for to in targets {
             self.add_note(to, note);
         }
     }
@@ -109,33 +109,33 @@
         peers, endpoints, ..
     } = &mut *guard;
     let daemons = settled.then(|| peers.known_daemons());
-    let mut parcels = Parcels::default();
+    let mut outbox = Outbox::default();
     for messages in endpoints.rates.messages(now, daemons) {
-        parcels.add(now, ready, peers, messages);
+        outbox.add(now, ready, peers, messages);
     }
     drop(guard);
-    deliver(gateway, socket, parcels);
+    deliver(gateway, socket, outbox);
 }
 
 /// Sends the entries to other daemons. Entries for this daemon, as the coordinator, are applied at once.
-fn deliver<D: Dialect>(gateway: &Gateway<D>, socket: &UdpSocket, mut parcels: Parcels) {
-    let me = gateway.state.borrow().peers.own_address();
-    if let Some(own) = parcels.0.remove(&me) {
-        let answers = take_reports(gateway, &own.notes, me);
-        gateway.take_permits(&own.permits);
-        parcels.add_answers(answers);
+fn deliver<D: Dialect>(gateway: &Gateway<D>, socket: &UdpSocket, mut outbox: Outbox) {
+    let me = gateway.state.borrow().peers.local_address();
+    if let Some(local) = outbox.0.remove(&me) {
+        let answers = apply_reports(gateway, &local.notes, me);
+        gateway.take_permits(&local.permits);
+        outbox.add_answers(answers);
     }
-    if let Some(own) = parcels.0.remove(&me) {
-        gateway.take_permits(&own.permits);
+    if let Some(local) = outbox.0.remove(&me) {
+        gateway.take_permits(&local.permits);
     }
-    for (to, parcel) in parcels.0 {
-        send_parcel(socket, me, to, &parcel);
+    for (to, entry) in outbox.0 {
+        send_entry(socket, me, to, &entry);
     }
 }
 
-fn send_parcel(socket: &UdpSocket, from: SocketAddr, to: SocketAddr, parcel: &Parcel) {
-    let notes = parcel.notes.chunks(RATE_NOTES);
-    let permits = parcel.permits.chunks(RATE_NOTES);
+fn send_entry(socket: &UdpSocket, from: SocketAddr, to: SocketAddr, entry: &OutboxEntry) {
+    let notes = entry.notes.chunks(RATE_NOTES);
+    let permits = entry.permits.chunks(RATE_NOTES);
     let notes = notes.map(|part| (part.to_vec(), Vec::new()));
     let permits = permits.map(|part| (Vec::new(), part.to_vec()));
     for (notes, permits) in notes.chain(permits) {
@@ -150,7 +150,7 @@
 }
 
 /// Applies the reports of a daemon, as the coordinator, and returns the permits in answer.
-fn take_reports<D: Dialect>(
+fn apply_reports<D: Dialect>(
     gateway: &Gateway<D>,
     notes: &[RateNote],
     from: SocketAddr,
@@ -164,7 +164,7 @@
 }
 
 /// Returns this daemon's newer entries for endpoints about which another one sent outdated reports.
-fn corrections(rates: &EndpointRates, now: Time, notes: &[RateNote]) -> Vec<RateNote> {
+fn newer_notes(rates: &EndpointRates, now: Time, notes: &[RateNote]) -> Vec<RateNote> {
     let reports = notes.iter().filter(|note| note.is_report());
     let newer = reports.filter_map(|note| rates.newer(now, note));
     newer.collect()
@@ -184,15 +184,15 @@
     }
     let sender = report.address;
     let now = gateway.now();
-    let better = corrections(&gateway.state.borrow().endpoints.rates, now, &report.notes);
+    let better = newer_notes(&gateway.state.borrow().endpoints.rates, now, &report.notes);
     for note in &report.notes {
         gateway.merge_rate(note, RateSource::Peer(sender));
     }
     gateway.take_permits(&report.permits);
-    let mut parcels = Parcels::default();
+    let mut outbox = Outbox::default();
     for note in better {
-        parcels.add_note(sender, note);
+        outbox.add_note(sender, note);
     }
-    parcels.add_answers(take_reports(gateway, &report.notes, sender));
-    deliver(gateway, socket, parcels);
+    outbox.add_answers(apply_reports(gateway, &report.notes, sender));
+    deliver(gateway, socket, outbox);
 }
--- a/lib/src/gateway/peers/receive.rs
+++ b/lib/src/gateway/peers/receive.rs
@@ -6,8 +6,8 @@
         peers::{
             changes::apply_changes,
             message::{Datagram, Heartbeat, PROTOCOL, Roster, decode},
-            rate_news::receive_rates,
-            sockets::{DATAGRAM, send_datagram},
+            rate_reports::receive_rates,
+            sockets::{MAX_DATAGRAM, send_datagram},
         },
         rules::gossip::{HEARTBEAT, ROSTER_PEERS},
         state::Gateway,
@@ -18,7 +18,7 @@
 
 /// Receives datagrams until the process ends.
 pub async fn receive_datagrams<D: Dialect>(gateway: Rc<Gateway<D>>, socket: Rc<UdpSocket>) {
-    let mut buffer = vec![0; DATAGRAM];
+    let mut buffer = vec![0; MAX_DATAGRAM];
     loop {
         match socket.recv_from(&mut buffer).await {
             Ok((length, from)) => receive_datagram(&gateway, &socket, &buffer[..length], from),
@@ -68,7 +68,7 @@
             .state
             .borrow_mut()
             .peers
-            .merge_far_services(now, &report.notes),
+            .merge_remote_services(now, &report.notes),
     }
 }
 
--- a/lib/src/gateway/peers/record.rs
+++ b/lib/src/gateway/peers/record.rs
@@ -40,11 +40,11 @@
 #[derive(Debug, Clone)]
 pub(crate) struct Peer {
     /// Position on the ring, which decides who watches whom.
-    pub(crate) place: RingPosition,
+    pub(crate) position: RingPosition,
     /// Region of the daemon; `None` until it is known.
     pub(crate) region: Option<RegionHash>,
     /// Whether it is in another region than this daemon.
-    pub(crate) is_far: bool,
+    pub(crate) is_remote: bool,
     /// When a heartbeat or gossip last gave its address.
     pub(crate) last_mention: Time,
     /// Time of the last sign of life, received here or reported by a third daemon.
@@ -53,12 +53,12 @@
     pub(crate) phase: Phase,
     pub(crate) capacity: Capacity,
     /// Until when it is excluded as a coordinator.
-    pub(crate) avoid_until: Time,
+    pub(crate) excluded_until: Time,
     pub(crate) alive: bool,
     /// Since when it has been suspect; `None` if it isn't.
     pub(crate) suspect: Option<Time>,
     /// Number of this daemon's heartbeats that reported it as suspect.
-    pub(crate) told: u32,
+    pub(crate) reports_sent: u32,
     /// When a suspicion of it last turned out to be wrong.
     pub(crate) refuted: Option<Time>,
     /// Whether it sends this daemon all its heartbeats.
@@ -72,18 +72,18 @@
 impl Peer {
     pub(crate) fn new(now: Time, address: SocketAddr) -> Self {
         Self {
-            place: RingPosition::new(address),
+            position: RingPosition::new(address),
             region: None,
-            is_far: false,
+            is_remote: false,
             last_mention: now,
             last_sign: None,
             last_heartbeat: None,
             phase: Phase::Starting,
             capacity: Capacity::default(),
-            avoid_until: Time::default(),
+            excluded_until: Time::default(),
             alive: false,
             suspect: None,
-            told: 0,
+            reports_sent: 0,
             refuted: None,
             expected: false,
             roster_sent: None,
@@ -94,48 +94,48 @@
     /// Sets the daemon's region; `home` is the region of this daemon.
     pub(crate) fn set_region(&mut self, home: Option<RegionHash>, region: Option<RegionHash>) {
         self.region = region;
-        self.is_far = in_different_regions(home, region);
+        self.is_remote = in_different_regions(home, region);
     }
 
     /// Clears a suspicion after a sign of life that is recent enough to refute it.
     pub(crate) fn refute(&mut self, now: Time) {
         if self.suspect.take().is_some() {
             self.refuted = Some(now);
-            self.told = 0;
+            self.reports_sent = 0;
         }
     }
 
     /// Marks the daemon as suspect if it left a request for a heartbeat unanswered.
-    pub(crate) fn judge_silence(&mut self, now: Time, awake: Time) {
-        if !self.is_unheard(now, awake) {
+    pub(crate) fn update_suspicion(&mut self, now: Time, resumed: Time) {
+        if !self.is_overdue(now, resumed) {
             self.asked = None;
         } else if self
             .asked
-            .is_some_and(|asked| liveness::is_probe_unanswered(now, asked, awake))
+            .is_some_and(|asked| liveness::is_probe_unanswered(now, asked, resumed))
         {
             self.suspect.get_or_insert(now);
         }
     }
 
     /// Returns whether the daemon should be asked for a heartbeat.
-    pub(crate) fn is_question_due(&self, now: Time, awake: Time) -> bool {
-        self.asked.is_none() && self.suspect.is_none() && self.is_unheard(now, awake)
+    pub(crate) fn is_probe_due(&self, now: Time, resumed: Time) -> bool {
+        self.asked.is_none() && self.suspect.is_none() && self.is_overdue(now, resumed)
     }
 
     /// Returns whether the daemon is alive and its heartbeats, which should arrive here, are overdue.
-    fn is_unheard(&self, now: Time, awake: Time) -> bool {
+    fn is_overdue(&self, now: Time, resumed: Time) -> bool {
         let heartbeat = self.last_heartbeat.as_ref().map(|last| last.at);
-        self.alive && self.expected && liveness::is_probe_due(now, heartbeat, awake)
+        self.alive && self.expected && liveness::is_probe_due(now, heartbeat, resumed)
     }
 
     /// Returns whether heartbeats should report the daemon as suspect.
-    pub(crate) fn is_suspect_news(&self, now: Time) -> bool {
-        let told = |sign| liveness::is_reported(now, sign);
-        self.suspect.is_some() && self.last_sign.is_some_and(told)
+    pub(crate) fn is_suspicion_due(&self, now: Time) -> bool {
+        let is_reported = |sign| liveness::is_reported(now, sign);
+        self.suspect.is_some() && self.last_sign.is_some_and(is_reported)
     }
 
     /// Returns whether heartbeats should report that a suspicion of the daemon was refuted.
-    pub(crate) fn is_refuted_news(&self, now: Time) -> bool {
+    pub(crate) fn is_refutation_due(&self, now: Time) -> bool {
         self.alive && self.suspect.is_none() && liveness::refutes(now, self.refuted)
     }
 
@@ -166,14 +166,14 @@
             heartbeat: last.map(|last| last.at),
             sign: self.last_sign,
             // A daemon in another region sends few of its heartbeats here, even if it broadcasts in its own.
-            broadcasts: !self.is_far && last.is_some_and(|last| last.heartbeat.broadcasts),
+            broadcasts: !self.is_remote && last.is_some_and(|last| last.heartbeat.broadcasts),
             alive: self.alive,
             suspect: self.suspect,
         }
     }
 
     /// Returns the inputs of the rule that chooses coordinators.
-    pub(crate) fn standing(&self, address: SocketAddr) -> PeerState {
+    pub(crate) fn coordinator_state(&self, address: SocketAddr) -> PeerState {
         PeerState {
             candidate: DaemonCandidate {
                 address,
@@ -181,7 +181,7 @@
             },
             alive: self.alive,
             ready: self.phase == Phase::Ready,
-            excluded_until: self.avoid_until,
+            excluded_until: self.excluded_until,
         }
     }
 
--- a/lib/src/gateway/peers/far_services.rs
+++ b/lib/src/gateway/peers/remote_services.rs
@@ -6,7 +6,7 @@
     crate::{
         gateway::{
             hashes::ServiceHash,
-            peers::message::FarNote,
+            peers::message::RemoteNote,
             rules::{allowed_regions::RegionHash, backlog::Backlog},
         },
         shared::units::{Millis, Time},
@@ -15,11 +15,11 @@
 };
 
 /// Age at which a report about another region is out of date: the time of three reports.
-const STALE: Millis = Millis(3_000);
+const STALE_AFTER: Millis = Millis(3_000);
 
 /// State of a service in another region, as its coordinator there reports it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct FarService {
+pub struct RemoteService {
     /// Number of endpoints that accept calls.
     pub endpoints: usize,
     /// Outstanding pieces of requests at the region's daemons.
@@ -28,24 +28,24 @@
 
 /// The last report about each service in each other region.
 #[derive(Debug, Default)]
-pub(crate) struct FarServices(HashMap<(RegionHash, ServiceHash), ToldService>);
+pub(crate) struct RemoteServices(HashMap<(RegionHash, ServiceHash), ReceivedService>);
 
 /// The state of a service in a region, and when it was received.
 #[derive(Debug)]
-struct ToldService {
+struct ReceivedService {
     at: Time,
-    service: FarService,
+    service: RemoteService,
 }
 
-impl FarServices {
-    pub(super) fn merge(&mut self, now: Time, notes: &[FarNote]) {
+impl RemoteServices {
+    pub(super) fn merge(&mut self, now: Time, notes: &[RemoteNote]) {
         for note in notes {
-            let service = FarService {
+            let service = RemoteService {
                 endpoints: note.endpoints as usize,
                 backlog: note.backlog,
             };
-            let told = ToldService { at: now, service };
-            self.0.insert((note.region, note.service), told);
+            let received = ReceivedService { at: now, service };
+            self.0.insert((note.region, note.service), received);
         }
     }
 
@@ -54,13 +54,13 @@
         now: Time,
         region: RegionHash,
         service: ServiceHash,
-    ) -> Option<FarService> {
-        let told = self.0.get(&(region, service))?;
-        is_recent(now, told.at).then_some(told.service)
+    ) -> Option<RemoteService> {
+        let received = self.0.get(&(region, service))?;
+        is_recent(now, received.at).then_some(received.service)
     }
 }
 
 /// Returns whether a report received at `at` is still up to date.
 pub(super) fn is_recent(now: Time, at: Time) -> bool {
-    now.since(at) <= STALE.to_duration()
+    now.since(at) <= STALE_AFTER.to_duration()
 }
--- a/lib/src/gateway/peers/reports.rs
+++ b/lib/src/gateway/peers/reports.rs
@@ -18,7 +18,7 @@
     pub fn reported_loads(&self) -> HashMap<EndpointHash, PeerLoad> {
         let mut sums: HashMap<EndpointHash, PeerLoad> = HashMap::default();
         for load in self
-            .near_heartbeats()
+            .region_heartbeats()
             .flat_map(|heartbeat| &heartbeat.loads)
         {
             let sum = sums.entry(load.endpoint).or_default();
@@ -32,7 +32,7 @@
     /// `None` if no daemon reports it.
     pub fn available_endpoints(&self, service: ServiceHash) -> Option<usize> {
         let notes = self
-            .near_heartbeats()
+            .region_heartbeats()
             .flat_map(|heartbeat| &heartbeat.queues);
         notes
             .filter(|note| note.service == service)
@@ -42,9 +42,9 @@
 
     /// Returns whether any daemon reports that a service's endpoints are short of capacity for
     /// results.
-    pub fn is_short_of_room(&self, service: ServiceHash) -> bool {
+    pub fn is_short_of_capacity(&self, service: ServiceHash) -> bool {
         let mut notes = self
-            .near_heartbeats()
+            .region_heartbeats()
             .flat_map(|heartbeat| &heartbeat.queues);
         notes.any(|note| note.service == service && note.short)
     }
@@ -52,9 +52,9 @@
     /// Returns the outstanding pieces of a service at other daemons, from their heartbeats received
     /// here.
     pub fn reported_backlog(&self, service: ServiceHash) -> Backlog {
-        let reports = self.near_heartbeats();
+        let reports = self.region_heartbeats();
         reports.fold(Backlog::default(), |sum, heartbeat| {
-            sum.plus(&own_backlog(heartbeat, service))
+            sum.plus(&sender_backlog(heartbeat, service))
         })
     }
 
@@ -89,7 +89,7 @@
 }
 
 /// Returns the outstanding pieces of a service that a heartbeat reports for its sender's requests.
-fn own_backlog(heartbeat: &Heartbeat, service: ServiceHash) -> Backlog {
+fn sender_backlog(heartbeat: &Heartbeat, service: ServiceHash) -> Backlog {
     let mut notes = heartbeat.backlogs.iter();
     if let Some(note) = notes.find(|note| note.service == service) {
         return note.own;
--- a/lib/src/gateway/peers/self_report.rs
+++ b/lib/src/gateway/peers/self_report.rs
@@ -63,13 +63,13 @@
         let mine = |service: &ServiceId| {
             self.peers.coordinator(now, service, ready, &[]) == Coordinator::Me
         };
-        let total = |service: &ServiceId| self.whole_backlog(now, service).total();
+        let total = |service: &ServiceId| self.total_backlog(now, service).total();
         self.stage_queues.notes(now, mine, total)
     }
 
     /// Returns the outstanding pieces of a service that this daemon coordinates: those of its own requests
     /// and those that the others report.
-    fn whole_backlog(&self, now: Time, service: &ServiceId) -> Backlog {
+    fn total_backlog(&self, now: Time, service: &ServiceId) -> Backlog {
         let others = self.peers.reported_backlog(service_hash(service));
         self.workload.backlog(now, service).plus(&others)
     }
@@ -83,7 +83,7 @@
             BacklogNote {
                 service: hash,
                 own: self.workload.backlog(now, service),
-                all: coordinates.then(|| self.whole_backlog(now, service)),
+                all: coordinates.then(|| self.total_backlog(now, service)),
             }
         };
         let notes = self.stage_queues.services().map(note);
--- a/lib/src/gateway/peers/sockets.rs
+++ b/lib/src/gateway/peers/sockets.rs
@@ -7,10 +7,10 @@
 };
 
 /// Largest datagram that can be received, in bytes: well above the largest that is sent.
-pub(crate) const DATAGRAM: usize = 16 * 1024;
+pub(crate) const MAX_DATAGRAM: usize = 16 * 1024;
 
 /// Number of further attempts to find a port that is free for both protocols, where the system chooses it.
-const PORT_TRIES: u32 = 16;
+const PORT_ATTEMPTS: u32 = 16;
 
 /// Binds the TCP and the UDP socket for other daemons to the same port.
 ///
@@ -18,13 +18,13 @@
 ///
 /// Returns an error if the address is in use or doesn't belong to this host.
 pub async fn bind(address: SocketAddr) -> io::Result<(TcpListener, UdpSocket)> {
-    let mut tries = 0;
+    let mut attempts = 0;
     loop {
         let listener = TcpListener::bind(address).await?;
         match UdpSocket::bind(listener.local_addr()?).await {
             Ok(socket) => return Ok((listener, socket)),
             // A port that the system chose for one protocol may be taken in the other.
-            Err(_) if address.port() == 0 && tries < PORT_TRIES => tries += 1,
+            Err(_) if address.port() == 0 && attempts < PORT_ATTEMPTS => attempts += 1,
             Err(error) => return Err(error),
         }
     }
--- a/lib/src/gateway/peers/table_fetch.rs
+++ b/lib/src/gateway/peers/table_fetch.rs
@@ -10,7 +10,7 @@
             dialect::Dialect,
             directory::adopt_table::TableAdoption,
             peers::{
-                link_socket::FETCH_LIMIT,
+                link_socket::FETCH_TIMEOUT,
                 message::{LinkReply, LinkRequest},
             },
             revision::Revision,
@@ -22,7 +22,7 @@
             },
             serving::metrics::TableSource,
             state::Gateway,
-            table_parts::{PartList, PartMark, PartialTable, PartsError},
+            table_chunks::{ChunkError, ChunkList, ChunkMark, PartialTable},
         },
         shared::units::Time,
     },
@@ -39,14 +39,14 @@
     #[error("the peer is busy sending to others")]
     Busy,
     /// The source didn't reply in time, or the link broke.
-    #[error("the peer didn't reply within {FETCH_LIMIT:?}, or the link broke")]
+    #[error("the peer didn't reply within {FETCH_TIMEOUT:?}, or the link broke")]
     NoReply,
     /// The source no longer has what was asked for, or sent a reply of the wrong kind.
     #[error("the peer can't send the requested table data")]
     Unable,
     /// The source sent invalid chunks.
     #[error(transparent)]
-    Parts(#[from] PartsError),
+    Chunks(#[from] ChunkError),
     /// The table isn't newer or was refused; [`Gateway::adopt_table`] logs the reason.
     #[error("the received table wasn't adopted")]
     NotAdopted,
@@ -59,7 +59,7 @@
     let mut fetch = TableFetch {
         gateway: gateway.clone(),
         partial: None,
-        avoid: None,
+        last_failed: None,
         drawn: None,
     };
     loop {
@@ -76,7 +76,7 @@
     gateway: Rc<Gateway<D>>,
     partial: Option<PartialTable>,
     /// The daemon that was last busy or failed.
-    avoid: Option<SocketAddr>,
+    last_failed: Option<SocketAddr>,
     /// When this daemon last drew whether it is its turn to ask.
     drawn: Option<Time>,
 }
@@ -87,10 +87,10 @@
         while let Some(source) = self.next_source() {
             let began = self.gateway.now();
             let Err(error) = self.advance(source).await else {
-                self.avoid = None;
+                self.last_failed = None;
                 continue;
             };
-            self.avoid = Some(source.address);
+            self.last_failed = Some(source.address);
             if matches!(error, FetchError::Busy) {
                 tokio::time::sleep(busy_pause(rand::random())).await;
                 continue;
@@ -134,7 +134,7 @@
         };
         let state = self.gateway.state.borrow();
         let offers: Vec<TableOffer> = state.peers.table_offers(sources).collect();
-        table_source(&offers, version, self.avoid, rand::random())
+        table_source(&offers, version, self.last_failed, rand::random())
     }
 
     /// Records since when another daemon has had a newer table; returns whether to fetch it from a peer.
@@ -177,35 +177,36 @@
         let missing = self.partial.as_ref().map(PartialTable::missing);
         match missing {
             Some(missing) if !missing.is_empty() => {
-                self.fetch_parts(source.address, &missing).await?;
+                self.fetch_chunks(source.address, &missing).await?;
             }
             _ => {}
         }
-        self.adopt_if_whole(source.address)
+        self.adopt_if_complete(source.address)
     }
 
     async fn fetch_list(&mut self, peer: SocketAddr) -> Result<(), FetchError> {
-        let LinkReply::PartList(list) = self.ask(peer, LinkRequest::PartList).await? else {
+        let LinkReply::ChunkList(list) = self.request(peer, LinkRequest::ChunkList).await? else {
             return Err(FetchError::Unable);
         };
         self.begin(list)
     }
 
     /// Begins a fetch with the chunks of the new table that this daemon already has.
-    fn begin(&mut self, list: PartList) -> Result<(), FetchError> {
+    fn begin(&mut self, list: ChunkList) -> Result<(), FetchError> {
         let published = self.gateway.published();
-        let own = published.as_ref().map(|published| published.parts());
-        self.partial = Some(PartialTable::new(list, own, self.partial.take())?);
+        let current = published.as_ref().map(|published| published.chunks());
+        self.partial = Some(PartialTable::new(list, current, self.partial.take())?);
         Ok(())
     }
 
-    async fn fetch_parts(
+    async fn fetch_chunks(
         &mut self,
         peer: SocketAddr,
-        missing: &[PartMark],
+        missing: &[ChunkMark],
     ) -> Result<(), FetchError> {
         let wanted = missing.iter().map(|mark| mark.hash).collect();
-        let LinkReply::Parts { batch } = self.ask(peer, LinkRequest::Parts(wanted)).await? else {
+        let LinkReply::Chunks { batch } = self.request(peer, LinkRequest::Chunks(wanted)).await?
+        else {
             return Err(FetchError::Unable);
         };
         self.record_bytes(batch.len());
@@ -218,7 +219,7 @@
         Ok(())
     }
 
-    fn adopt_if_whole(&mut self, peer: SocketAddr) -> Result<(), FetchError> {
+    fn adopt_if_complete(&mut self, peer: SocketAddr) -> Result<(), FetchError> {
         let Some(partial) = &self.partial else {
             return Ok(());
         };
@@ -239,7 +240,7 @@
 
     /// Fetches the table from a daemon of an older release, which sends it whole.
     async fn fetch_whole(&mut self, peer: SocketAddr) -> Result<(), FetchError> {
-        let LinkReply::Table { bytes } = self.ask(peer, LinkRequest::Table).await? else {
+        let LinkReply::Table { bytes } = self.request(peer, LinkRequest::Table).await? else {
             return Err(FetchError::Unable);
         };
         self.record_bytes(bytes.len());
@@ -260,9 +261,13 @@
         metrics.count_table_bytes(TableSource::Peer, bytes);
     }
 
-    async fn ask(&self, peer: SocketAddr, request: LinkRequest) -> Result<LinkReply, FetchError> {
+    async fn request(
+        &self,
+        peer: SocketAddr,
+        request: LinkRequest,
+    ) -> Result<LinkReply, FetchError> {
         let reply = self.gateway.links.request(peer, request);
-        match timeout(FETCH_LIMIT, reply).await {
+        match timeout(FETCH_TIMEOUT, reply).await {
             Ok(Some(LinkReply::Busy)) => Err(FetchError::Busy),
             Ok(Some(reply)) => Ok(reply),
             Ok(None) | Err(_) => Err(FetchError::NoReply),
--- a/lib/src/gateway/rates/mod.rs
+++ b/lib/src/gateway/rates/mod.rs
@@ -2,7 +2,7 @@
 //! together.
 //!
 //! [`store`] has a record of each endpoint that advertises a limit. [`note`] defines the messages of daemons about it,
-//! `peers::rate_news` decides which daemons get them and when. The rule is
+//! `peers::rate_reports` decides which daemons get them and when. The rule is
 //! [`rules::endpoint_rate`](crate::gateway::rules::endpoint_rate).
 
 pub mod note;
--- a/lib/src/gateway/routing/permits.rs
+++ b/lib/src/gateway/routing/permits.rs
@@ -1,7 +1,7 @@
 //! Permits to send requests to endpoints that advertise a rate limit: claims them, waits for them and uses them up.
 //!
 //! [`rules::endpoint_rate`](crate::gateway::rules::endpoint_rate) decides how long a request waits, and
-//! `peers::rate_news` sends the claims to the coordinators.
+//! `peers::rate_reports` sends the claims to the coordinators.
 
 use {
     crate::{
--- a/lib/src/gateway/routing/region_choice.rs
+++ b/lib/src/gateway/routing/region_choice.rs
@@ -51,7 +51,7 @@
         let now = gateway.now();
         let state = gateway.state.borrow();
         for stage in needed_stages(call) {
-            state.peers.far_service(now, &stage.service, region)?;
+            state.peers.remote_service(now, &stage.service, region)?;
         }
     }
     let decision = admit(gateway, &request);
--- a/lib/src/gateway/routing/stage_load.rs
+++ b/lib/src/gateway/routing/stage_load.rs
@@ -132,7 +132,7 @@
     let open = state.endpoints.open(service);
     let listed = open.filter(|member| request.places.allow(&member.entry.data_centre));
     if let Some(region) = request.region {
-        let remote = state.peers.far_service(now, service, region);
+        let remote = state.peers.remote_service(now, service, region);
         return EndpointCounts {
             local_queue: None,
             peers: remote.map(|remote| remote.endpoints),
@@ -156,7 +156,7 @@
     region: Option<RegionHash>,
 ) -> Backlog {
     if let Some(region) = region {
-        let remote = state.peers.far_service(now, service, region);
+        let remote = state.peers.remote_service(now, service, region);
         return remote.map(|remote| remote.backlog).unwrap_or_default();
     }
     // This daemon is taken as ready: if it would then be the coordinator, it adds up the others' reports itself.
--- a/lib/src/gateway/serving/server.rs
+++ b/lib/src/gateway/serving/server.rs
@@ -12,7 +12,8 @@
             source::{Directory, Topic},
         },
         peers::{
-            catch_up, heartbeats, link_server, quarantine_news, rate_news, receive, table_fetch,
+            catch_up, heartbeats, link_server, quarantine_reports, rate_reports, receive,
+            table_fetch,
         },
         rules::shutdown::StopSchedule,
         serving::{
@@ -121,12 +122,15 @@
             datagrams.clone(),
         ));
         self.spawn(heartbeats::announce_settled(gateway.clone()));
-        self.spawn(heartbeats::look_at_clock(gateway.clone()));
-        self.spawn(quarantine_news::run_quarantine_news(
+        self.spawn(heartbeats::check_clock(gateway.clone()));
+        self.spawn(quarantine_reports::run_quarantine_reports(
+            gateway.clone(),
+            datagrams.clone(),
+        ));
+        self.spawn(rate_reports::run_rate_reports(
             gateway.clone(),
             datagrams.clone(),
         ));
-        self.spawn(rate_news::run_rate_news(gateway.clone(), datagrams.clone()));
         self.spawn(receive::receive_datagrams(gateway.clone(), datagrams));
         self.spawn(link_server::serve_links(gateway.clone(), links));
         self.spawn(catch_up::run_list_fetch(gateway.clone()));
--- a/lib/src/gateway/stages/handover.rs
+++ b/lib/src/gateway/stages/handover.rs
@@ -99,7 +99,11 @@
         // In the event name, "planner" stands for the coordinator of a stage service, as operators know it.
         log::warn!(request = &*job.request, service:% = service, peer:% = peer; "planner.lost");
         let now = gateway.now();
-        gateway.state.borrow_mut().peers.pass_over(now, &peer);
+        gateway
+            .state
+            .borrow_mut()
+            .peers
+            .exclude_coordinator(now, &peer);
     }
     end
 }
@@ -112,7 +116,7 @@
 ) -> Option<SocketAddr> {
     let now = gateway.now();
     let state = gateway.state.borrow();
-    state.peers.far_coordinator(now, service, region, lost)
+    state.peers.remote_coordinator(now, service, region, lost)
 }
 
 fn coordinator<D: Dialect>(
--- a/lib/src/gateway/stages/release.rs
+++ b/lib/src/gateway/stages/release.rs
@@ -78,7 +78,7 @@
     let state = gateway.state.borrow();
     let coordinator = match region {
         None => state.peers.coordinator(now, service, ready, &[]),
-        Some(region) => match state.peers.far_coordinator(now, service, region, &[]) {
+        Some(region) => match state.peers.remote_coordinator(now, service, region, &[]) {
             Some(peer) => Coordinator::Peer(peer),
             None => return,
         },
@@ -127,7 +127,7 @@
 /// Returns whether this daemon or a peer has found the endpoints of a service short of result capacity.
 fn is_short_of_capacity(state: &GatewayState, now: Time, service: &ServiceId) -> bool {
     state.stage_queues.is_short_of_capacity(now, service)
-        || state.peers.is_short_of_room(service_hash(service))
+        || state.peers.is_short_of_capacity(service_hash(service))
 }
 
 /// Releases results that the endpoint of their request has fetched, if the endpoints of the service that stores
--- a/lib/src/gateway/state.rs
+++ b/lib/src/gateway/state.rs
@@ -14,11 +14,11 @@
             },
             hashes::EndpointHash,
             peers::{
+                chunk_batches::ChunkBatches,
                 links::Links,
                 load_sums::LoadSums,
                 membership::{Identity, Peers},
                 message::Phase,
-                part_batches::PartBatches,
             },
             quarantine::store::Quarantine,
             rates::permit_queue::PermitQueue,
@@ -28,7 +28,7 @@
             serving::{metrics::GatewayMetrics, reload::Reload, settings::GatewaySettings},
             stages::{queues::StageQueues, workload::Workload},
             table::{Table, Version},
-            table_parts::TableParts,
+            table_chunks::TableChunks,
         },
         shared::{clock::Clock, ids::ServiceId, units::Time},
     },
@@ -52,7 +52,7 @@
     /// Fingerprint of the bytes, which tells different documents of the same version apart.
     pub fingerprint: u64,
     /// Chunks of the bytes; computed when first needed.
-    parts: OnceCell<TableParts>,
+    chunks: OnceCell<TableChunks>,
 }
 
 impl PublishedTable {
@@ -62,13 +62,13 @@
             table,
             bytes,
             fingerprint,
-            parts: OnceCell::new(),
+            chunks: OnceCell::new(),
         }
     }
 
     /// Returns the chunks of the bytes.
-    pub fn parts(&self) -> &TableParts {
-        self.parts.get_or_init(|| TableParts::new(&self.bytes))
+    pub fn chunks(&self) -> &TableChunks {
+        self.chunks.get_or_init(|| TableChunks::new(&self.bytes))
     }
 }
 
@@ -117,7 +117,7 @@
     /// from an older copy; `None` if it lacks none.
     pub(crate) held_orders: Option<Time>,
     /// Batches of table chunks that other daemons requested.
-    pub(crate) batches: PartBatches,
+    pub(crate) chunk_batches: ChunkBatches,
     /// Retry budget of each service.
     pub(crate) budgets: HashMap<ServiceId, WindowBudget>,
 }
@@ -146,14 +146,14 @@
             table_read: Revision::default(),
             era: Era::default(),
             held_orders: None,
-            batches: PartBatches::default(),
+            chunk_batches: ChunkBatches::default(),
             budgets: HashMap::default(),
         }
     }
 
     /// Returns whether peers have had a newer table or endpoint list for too long, not counting stalls of this process.
     pub(crate) fn lags(&self, now: Time) -> bool {
-        let without_stalls = |since| self.peers.standstills.exclude_stalls(since, now);
+        let without_stalls = |since| self.peers.stalls.exclude_stalls(since, now);
         let behind = self.behind_since.map_times(without_stalls);
         behind.is_behind(now, self.peers.daemons())
     }
--- a/lib/tests/fleet/mod.rs
+++ b/lib/tests/fleet/mod.rs
@@ -89,7 +89,7 @@
     /// Number of regions, to which the daemons are assigned in turn.
     regions: usize,
     /// Traffic to daemons of another region.
-    pub crossed: Traffic,
+    pub remote_traffic: Traffic,
     /// The phase that each daemon reports.
     pub phases: Vec<Phase>,
     report: SelfReport,
@@ -124,7 +124,7 @@
             received: vec![0; daemons],
             false_losses: 0,
             regions,
-            crossed: Traffic::default(),
+            remote_traffic: Traffic::default(),
             phases: vec![Phase::Ready; daemons],
             report,
         }
@@ -164,7 +164,7 @@
                 continue;
             }
             if self.region(sender) != self.region(receiver) {
-                self.crossed.add(bytes);
+                self.remote_traffic.add(bytes);
             }
             if !lost(sender, receiver) {
                 self.received[receiver] += 1;
--- a/lib/tests/test_coordinator_rule.rs
+++ b/lib/tests/test_coordinator_rule.rs
@@ -184,7 +184,7 @@
 fn passed_over_daemons() {
     let mut me = peers(0);
     me.receive_heartbeat(Time(0), heartbeat(2, Phase::Ready, capacity(2)));
-    me.pass_over(Time(0), &address(2));
+    me.exclude_coordinator(Time(0), &address(2));
     let until = Time(0) + Millis(1_500);
     let at = |now| coordinators(&me, now, true, &[]);
     assert_eq!(at(Time(0)), [0; 8]);
--- a/lib/tests/test_decision_pins.rs
+++ b/lib/tests/test_decision_pins.rs
@@ -327,7 +327,7 @@
         }
     }
     let mut passing = receiver();
-    passing.pass_over(Time(0), &"10.0.0.2:7000".parse().unwrap());
+    passing.exclude_coordinator(Time(0), &"10.0.0.2:7000".parse().unwrap());
     for service in services {
         let next = coordinator(&passing, service, false, &[]);
         writeln!(lines, "{service} passed over: {next}").unwrap();
--- a/lib/tests/test_large_fleet.rs
+++ b/lib/tests/test_large_fleet.rs
@@ -185,7 +185,7 @@
     let service = &services()[2];
     let coordinator = fleet.coordinator(7, service);
     let now = fleet.now;
-    fleet.daemons[7].pass_over(now, &address(coordinator));
+    fleet.daemons[7].exclude_coordinator(now, &address(coordinator));
     assert_ne!(fleet.coordinator(7, service), coordinator);
     fleet.rounds(10);
     assert_eq!(fleet.coordinator(7, service), coordinator);
--- a/lib/tests/test_message_bytes.rs
+++ b/lib/tests/test_message_bytes.rs
@@ -16,9 +16,9 @@
             },
             hashes::{EndpointHash, IncarnationHash, ServiceHash},
             peers::message::{
-                BacklogNote, Datagram, FarNote, Frame, Heartbeat, JobOrder, LinkReply, LinkRequest,
+                BacklogNote, Datagram, Frame, Heartbeat, JobOrder, LinkReply, LinkRequest,
                 LoadDigest, LoadNote, PROTOCOL, PeerNote, Phase, QuarantineReport, QueueNote,
-                RateReport, RegionReport, Roster, WorkNote, decode, encode,
+                RateReport, RegionReport, RemoteNote, Roster, WorkNote, decode, encode,
             },
             quarantine::note::{EndedNote, EvidenceNote},
             rates::note::{PermitNote, RateNote},
@@ -29,7 +29,7 @@
                 gossip::MAX_REMOTE_NOTES,
             },
             stages::job::{JobEnd, PieceInput, ResultHandle},
-            table_parts::{PartHash, PartList, PartMark},
+            table_chunks::{ChunkHash, ChunkList, ChunkMark},
         },
         shared::units::{Capacity, Millis, Time},
     },
@@ -344,7 +344,7 @@
     lines.add("heartbeat", &Datagram::Heartbeat(Box::new(beat)));
     let mut backlog = Backlog::default();
     backlog.add(DeadlineBucket::of(Time(0), Time(900_000)), 70_000);
-    let note = FarNote {
+    let note = RemoteNote {
         region: RegionHash(7),
         service: ServiceHash(u32::MAX),
         endpoints: 9,
@@ -365,7 +365,7 @@
     for span in 0..9_000 {
         backlog.add(DeadlineBucket::of(Time(0), Time(0) + Millis(span)), 9);
     }
-    let note = FarNote {
+    let note = RemoteNote {
         region: RegionHash(u32::MAX),
         service: ServiceHash(u32::MAX),
         endpoints: 70_000,
@@ -392,23 +392,23 @@
         "heartbeat with the table's revision",
         &Datagram::Heartbeat(Box::new(table)),
     );
-    lines.add_framed("list, asked for", LinkRequest::PartList);
-    let wanted = vec![PartHash(7), PartHash(u64::MAX)];
-    lines.add_framed("parts, asked for", LinkRequest::Parts(wanted));
-    let marks = [(7, 4_096), (u64::MAX, 17)].map(|(hash, length)| PartMark {
-        hash: PartHash(hash),
+    lines.add_framed("list, asked for", LinkRequest::ChunkList);
+    let wanted = vec![ChunkHash(7), ChunkHash(u64::MAX)];
+    lines.add_framed("parts, asked for", LinkRequest::Chunks(wanted));
+    let marks = [(7, 4_096), (u64::MAX, 17)].map(|(hash, length)| ChunkMark {
+        hash: ChunkHash(hash),
         length,
     });
-    let list = PartList {
+    let list = ChunkList {
         era: Default::default(),
         version: 41,
         fingerprint: u64::MAX - 1,
         revision: 70_003,
         marks: marks.to_vec(),
     };
-    lines.add_framed("list", LinkReply::PartList(list));
+    lines.add_framed("list", LinkReply::ChunkList(list));
     let batch = vec![0, 255, 7, 128];
-    lines.add_framed("parts", LinkReply::Parts { batch });
+    lines.add_framed("parts", LinkReply::Chunks { batch });
     lines.add_framed("busy", LinkReply::Busy);
     insta::assert_snapshot!(lines.0);
 }
--- a/lib/tests/test_peers.rs
+++ b/lib/tests/test_peers.rs
@@ -95,7 +95,7 @@
     }
 }
 
-fn beat(peers: &mut Peers, now: Time) -> Heartbeat {
+fn next_heartbeat(peers: &mut Peers, now: Time) -> Heartbeat {
     peers.heartbeat(now, report(1)).heartbeat
 }
 
@@ -125,13 +125,13 @@
 fn lost_and_met() {
     let mut me = peers(1, 1, &[]);
     let mut other = peers(2, 2, &[]);
-    let met = me.receive_heartbeat(Time(0), beat(&mut other, Time(0)));
+    let met = me.receive_heartbeat(Time(0), next_heartbeat(&mut other, Time(0)));
     assert!(matches!(met[..], [PeerChange::Met(..)]));
     assert!(me.update_liveness(Time(0) + Millis(900)).is_empty());
     let lost = me.update_liveness(Time(0) + Millis(1_100));
     assert!(matches!(lost[..], [PeerChange::Lost(..)]));
     assert_eq!(me.daemons(), 1);
-    let again = me.receive_heartbeat(Time(0) + Millis(1_200), beat(&mut other, Time(0)));
+    let again = me.receive_heartbeat(Time(0) + Millis(1_200), next_heartbeat(&mut other, Time(0)));
     assert!(matches!(again[..], [PeerChange::Met(..)]));
 }
 
@@ -140,7 +140,7 @@
 fn pause_loses_none() {
     let mut me = peers(1, 1, &[]);
     let mut other = peers(2, 2, &[]);
-    me.receive_heartbeat(Time(0), beat(&mut other, Time(0)));
+    me.receive_heartbeat(Time(0), next_heartbeat(&mut other, Time(0)));
     let woken = Time(0) + Millis(5_000);
     me.end_pause(woken);
     assert!(me.update_liveness(woken).is_empty());
@@ -153,19 +153,19 @@
 fn restarted_daemon() {
     let mut me = peers(1, 1, &[]);
     let mut other = peers(2, 2, &[]);
-    let first = beat(&mut other, Time(0));
-    let second = beat(&mut other, Time(0));
+    let first = next_heartbeat(&mut other, Time(0));
+    let second = next_heartbeat(&mut other, Time(0));
     me.receive_heartbeat(Time(0), second);
     assert_eq!(me.receive_heartbeat(Time(1), first), []);
     let mut reborn = peers(2, 3, &[]);
-    let change = me.receive_heartbeat(Time(2), beat(&mut reborn, Time(2)));
+    let change = me.receive_heartbeat(Time(2), next_heartbeat(&mut reborn, Time(2)));
     assert!(matches!(change[..], [PeerChange::Restarted(..)]));
 }
 
 #[test]
 fn agreed_coordinator() {
     let mut all: Vec<Peers> = (1..=5).map(|n| peers(n, u64::from(n), &[])).collect();
-    let beats: Vec<Heartbeat> = all.iter_mut().map(|p| beat(p, Time(0))).collect();
+    let beats: Vec<Heartbeat> = all.iter_mut().map(|p| next_heartbeat(p, Time(0))).collect();
     for peers in &mut all {
         for heartbeat in &beats {
             peers.receive_heartbeat(Time(0), heartbeat.clone());
@@ -209,12 +209,12 @@
     let mut me = peers(1, 1, &[]);
     for n in 2..=4 {
         let mut other = peers(n, u64::from(n), &[]);
-        me.receive_heartbeat(Time(0), beat(&mut other, Time(0)));
+        me.receive_heartbeat(Time(0), next_heartbeat(&mut other, Time(0)));
     }
     assert_eq!(me.reported_loads()[&EndpointHash(1)].running, 6);
     assert_eq!(me.backlog(ServiceHash(9), Coordinator::Me).total(), 120);
     assert_eq!(me.available_endpoints(ServiceHash(9)), Some(3));
-    assert!(me.is_short_of_room(ServiceHash(9)));
+    assert!(me.is_short_of_capacity(ServiceHash(9)));
     me.update_liveness(Time(0) + Millis(2_000));
     assert!(me.reported_loads().is_empty());
     assert_eq!(me.backlog(ServiceHash(9), Coordinator::Me).total(), 0);
@@ -284,7 +284,7 @@
     let mut me = peers(1, 1, &[]);
     for n in 2..=250 {
         let mut other = peers(n, u64::from(n), &[]);
-        me.receive_heartbeat(Time(0), beat(&mut other, Time(0)));
+        me.receive_heartbeat(Time(0), next_heartbeat(&mut other, Time(0)));
     }
     let OutgoingHeartbeat { heartbeat, targets } = me.heartbeat(Time(0), full_report());
     assert!(targets.len() <= 12);
@@ -317,7 +317,7 @@
     for n in 2..=250 {
         let mut other = peers(n, u64::from(n), &[]);
         other.set_region(region);
-        me.receive_heartbeat(Time(0), beat(&mut other, Time(0)));
+        me.receive_heartbeat(Time(0), next_heartbeat(&mut other, Time(0)));
     }
     let heartbeat = me.heartbeat(Time(0), full_report()).heartbeat;
     assert!(heartbeat.peers.iter().all(|note| note.region == region));
@@ -346,7 +346,7 @@
     let mut me = peers(1, 1, &[]);
     for n in 2..=250 {
         let mut other = peers(n, u64::from(n), &[]);
-        me.receive_heartbeat(Time(0), beat(&mut other, Time(0)));
+        me.receive_heartbeat(Time(0), next_heartbeat(&mut other, Time(0)));
     }
     for count in [0, 1, 2, 6, 11, 12] {
         let full = SelfReport {
@@ -391,7 +391,7 @@
     me.receive_heartbeat(Time(0), later);
     let known = me.backlog(ServiceHash(9), Coordinator::Me);
     assert_eq!(known, full_backlog(9).own);
-    me.receive_heartbeat(Time(1), beat(&mut other, Time(1)));
+    me.receive_heartbeat(Time(1), next_heartbeat(&mut other, Time(1)));
     let known = me.backlog(ServiceHash(9), Coordinator::Me);
     assert_eq!(known, Backlog::unordered(40));
 }
@@ -434,7 +434,7 @@
 #[test]
 fn damaged_messages() {
     let mut other = peers(2, 2, &[]);
-    let bytes = encode(&beat(&mut other, Time(0)));
+    let bytes = encode(&next_heartbeat(&mut other, Time(0)));
     for_seeds(500, 64, |u| {
         let mut damaged = bytes.clone();
         for _ in 0..u.int_in_range(1..=6)? {
--- a/lib/tests/test_quarantine.rs
+++ b/lib/tests/test_quarantine.rs
@@ -11,7 +11,7 @@
             hashes::IncarnationHash,
             peers::{
                 message::{Datagram, PROTOCOL, QuarantineReport, encode},
-                quarantine_news::gather,
+                quarantine_reports::collect_reports,
             },
             quarantine::{
                 evidence::{Evidence, TerminatedRun},
@@ -297,7 +297,7 @@
         let mut bytes = 0;
         for sender in self.fleet.living() {
             let peers = &mut self.fleet.daemons[sender];
-            for outgoing in gather(now, peers, &mut self.quarantines[sender]) {
+            for outgoing in collect_reports(now, peers, &mut self.quarantines[sender]) {
                 for target in outgoing.targets {
                     bytes += encode(&outgoing.notes).len();
                     let receiver = (0..self.quarantines.len())
--- a/lib/tests/test_regions.rs
+++ b/lib/tests/test_regions.rs
@@ -10,7 +10,7 @@
         gateway::{
             hashes::service_hash,
             peers::{
-                message::{BacklogNote, FarNote, QueueNote},
+                message::{BacklogNote, QueueNote, RemoteNote},
                 self_report::SelfReport,
             },
             rules::{allowed_regions::RegionHash, backlog::Backlog, coordinator::Coordinator},
@@ -22,7 +22,7 @@
 const REGIONS: usize = 2;
 
 /// Number of heartbeats per second.
-const ROUNDS_EACH: usize = 5;
+const ROUNDS_PER_SECOND: usize = 5;
 
 fn new_fleet(seed: u64, daemons: usize) -> Fleet {
     Fleet::in_regions(seed, daemons, REGIONS, plain_report(Some(40)))
@@ -51,13 +51,13 @@
 }
 
 /// Returns the traffic between the regions in a second.
-fn crossing(fleet: &mut Fleet) -> Traffic {
-    fleet.crossed = Traffic::default();
+fn traffic_between(fleet: &mut Fleet) -> Traffic {
+    fleet.remote_traffic = Traffic::default();
     let seconds = 2;
-    fleet.rounds(seconds * ROUNDS_EACH);
+    fleet.rounds(seconds * ROUNDS_PER_SECOND);
     Traffic {
-        datagrams: fleet.crossed.datagrams / seconds,
-        bytes: fleet.crossed.bytes / seconds,
+        datagrams: fleet.remote_traffic.datagrams / seconds,
+        bytes: fleet.remote_traffic.bytes / seconds,
     }
 }
 
@@ -71,8 +71,9 @@
         assert_own_coordinators(&fleet);
         for service in services() {
             let there = fleet.coordinator(1, &service);
-            let told = fleet.daemons[0].far_coordinator(fleet.now, &service, RegionHash(1), &[]);
-            assert_eq!(told, Some(fleet::address(there)));
+            let known =
+                fleet.daemons[0].remote_coordinator(fleet.now, &service, RegionHash(1), &[]);
+            assert_eq!(known, Some(fleet::address(there)));
         }
     }
 }
@@ -103,11 +104,11 @@
     let crossings = [60, 240].map(|daemons| {
         let mut fleet = new_fleet(5, daemons);
         fleet.rounds(25);
-        crossing(&mut fleet)
+        traffic_between(&mut fleet)
     });
     for traffic in crossings {
         assert!(
-            traffic.datagrams <= 2 * 25 * ROUNDS_EACH + 10,
+            traffic.datagrams <= 2 * 25 * ROUNDS_PER_SECOND + 10,
             "{traffic:?}"
         );
         assert!(traffic.bytes <= 250_000, "{traffic:?}");
@@ -143,8 +144,8 @@
     assert_own_coordinators(&fleet);
     let next = fleet.coordinator(1, service);
     let here = fleet.coordinator(0, service);
-    let told = fleet.daemons[here].far_coordinator(fleet.now, service, RegionHash(1), &[]);
-    assert_eq!(told, Some(fleet::address(next)));
+    let known = fleet.daemons[here].remote_coordinator(fleet.now, service, RegionHash(1), &[]);
+    assert_eq!(known, Some(fleet::address(next)));
 }
 
 /// A coordinator receives the state of its service in the other region in the heartbeats of the coordinator there, and
@@ -176,8 +177,8 @@
         panic!("the coordinator knows that it is one");
     };
     let coordinator = fleet.coordinator(0, &service);
-    let notes = fleet.daemons[coordinator].far_notes(now, std::slice::from_ref(&service), true);
-    let expected = FarNote {
+    let notes = fleet.daemons[coordinator].remote_notes(now, std::slice::from_ref(&service), true);
+    let expected = RemoteNote {
         region: there,
         service: hash,
         endpoints: 7,
@@ -189,19 +190,19 @@
         .find(|daemon| {
             fleet.region(*daemon) == 0
                 && fleet.daemons[*daemon]
-                    .far_service(now, &service, there)
+                    .remote_service(now, &service, there)
                     .is_none()
         })
         .unwrap();
     let daemon = &mut fleet.daemons[other];
     assert!(
         daemon
-            .far_notes(now, std::slice::from_ref(&service), true)
+            .remote_notes(now, std::slice::from_ref(&service), true)
             .is_empty()
     );
-    daemon.merge_far_services(now, &notes);
-    let told = daemon.far_service(now, &service, there).unwrap();
-    assert_eq!((told.endpoints, told.backlog.total()), (7, 90));
+    daemon.merge_remote_services(now, &notes);
+    let known = daemon.remote_service(now, &service, there).unwrap();
+    assert_eq!((known.endpoints, known.backlog.total()), (7, 90));
     let later = Time(now.0 + 4_000_000);
-    assert_eq!(daemon.far_service(later, &service, there), None);
+    assert_eq!(daemon.remote_service(later, &service, there), None);
 }
--- a/lib/tests/test_slow_link.rs
+++ b/lib/tests/test_slow_link.rs
@@ -14,13 +14,13 @@
 };
 
 /// Time that the daemon takes to accept: longer than the first attempt lasts, and well within the second.
-const SLOW: Duration = Duration::from_millis(450);
+const ACCEPT_DELAY: Duration = Duration::from_millis(450);
 
 /// Accepts links one after the other, slowly, and replies to the first request on each.
 async fn serve_slowly(listener: TcpListener) {
     loop {
         let (stream, _) = listener.accept().await.unwrap();
-        tokio::time::sleep(SLOW).await;
+        tokio::time::sleep(ACCEPT_DELAY).await;
         // The first attempt has timed out by then.
         let Ok(mut socket) = accept_async(stream).await else {
             continue;
--- a/lib/tests/test_table_parts.rs
+++ b/lib/tests/test_table_parts.rs
@@ -5,8 +5,8 @@
 use {
     arbtest::arbtest,
     bytes::Bytes,
-    hazelyoke_lib::gateway::table_parts::{
-        PartHash, PartList, PartMark, PartialTable, PartsError, TableParts,
+    hazelyoke_lib::gateway::table_chunks::{
+        ChunkError, ChunkHash, ChunkList, ChunkMark, PartialTable, TableChunks,
     },
     xxhash_rust::xxh3::xxh3_64,
 };
@@ -16,7 +16,7 @@
 const ROUTE_BYTES: usize = 200;
 
 /// Most chunks that a change at one place may replace.
-const TOUCHED: usize = 3;
+const MAX_CHANGED: usize = 3;
 
 fn table(routes: impl Iterator<Item = usize>) -> Bytes {
     let route = |number: usize| {
@@ -30,22 +30,22 @@
     routes.concat().into()
 }
 
-fn list(bytes: &Bytes, parts: &TableParts) -> PartList {
-    PartList {
+fn list(bytes: &Bytes, chunks: &TableChunks) -> ChunkList {
+    ChunkList {
         era: Default::default(),
         version: 2,
         fingerprint: xxh3_64(bytes),
         revision: 9,
-        marks: parts.marks().to_vec(),
+        marks: chunks.marks().to_vec(),
     }
 }
 
-fn hashes(marks: &[PartMark]) -> Vec<PartHash> {
+fn hashes(marks: &[ChunkMark]) -> Vec<ChunkHash> {
     marks.iter().map(|mark| mark.hash).collect()
 }
 
 /// Fetches a table from a source until it is complete, and returns it with the number of batches.
-fn fetch(mut partial: PartialTable, source: &TableParts) -> (Bytes, usize) {
+fn fetch(mut partial: PartialTable, source: &TableChunks) -> (Bytes, usize) {
     let mut batches = 0;
     loop {
         let missing = partial.missing();
@@ -61,7 +61,7 @@
 #[test]
 fn whole_table() {
     let bytes = table(0..ROUTES);
-    let source = TableParts::new(&bytes);
+    let source = TableChunks::new(&bytes);
     let partial = PartialTable::new(list(&bytes, &source), None, None).unwrap();
     let (joined, batches) = fetch(partial, &source);
     assert_eq!(joined, bytes);
@@ -74,9 +74,9 @@
     let before = table(0..ROUTES);
     let middle = ROUTES / 2;
     let after = table((0..middle).chain([ROUTES]).chain(middle..ROUTES));
-    let (own, source) = (TableParts::new(&before), TableParts::new(&after));
+    let (own, source) = (TableChunks::new(&before), TableChunks::new(&after));
     let partial = PartialTable::new(list(&after, &source), Some(&own), None).unwrap();
-    assert!(partial.missing().len() <= TOUCHED);
+    assert!(partial.missing().len() <= MAX_CHANGED);
     assert_eq!(fetch(partial, &source).0, after);
 }
 
@@ -84,14 +84,14 @@
 #[test]
 fn failed_source() {
     let first = table(0..ROUTES);
-    let source = TableParts::new(&first);
+    let source = TableChunks::new(&first);
     let mut begun = PartialTable::new(list(&first, &source), None, None).unwrap();
     let missing = begun.missing();
     begun
         .add(&missing, &source.batch(&hashes(&missing)).unwrap())
         .unwrap();
     let second = table(0..=ROUTES);
-    let source = TableParts::new(&second);
+    let source = TableChunks::new(&second);
     let received = begun.received();
     let partial = PartialTable::new(list(&second, &source), None, Some(begun)).unwrap();
     assert_eq!(partial.received(), received);
@@ -102,27 +102,27 @@
 #[test]
 fn wrong_batches() {
     let bytes = table(0..ROUTES);
-    let source = TableParts::new(&bytes);
+    let source = TableChunks::new(&bytes);
     let mut partial = PartialTable::new(list(&bytes, &source), None, None).unwrap();
     let missing = partial.missing();
     let wanted = hashes(&missing);
     let batch = source.batch(&wanted).unwrap();
-    assert_eq!(partial.add(&missing, b"nonsense"), Err(PartsError::Batch));
+    assert_eq!(partial.add(&missing, b"nonsense"), Err(ChunkError::Batch));
     assert_eq!(
         partial.add(&missing, &batch[..batch.len() / 2]),
-        Err(PartsError::Batch)
+        Err(ChunkError::Batch)
     );
     let others = source.batch(&wanted[1..]).unwrap();
-    assert_eq!(partial.add(&missing, &others), Err(PartsError::Batch));
+    assert_eq!(partial.add(&missing, &others), Err(ChunkError::Batch));
     assert_eq!(partial.missing(), missing);
-    assert_eq!(partial.join(), Err(PartsError::Fingerprint));
-    assert_eq!(source.batch(&[PartHash(1)]), None);
+    assert_eq!(partial.join(), Err(ChunkError::Fingerprint));
+    assert_eq!(source.batch(&[ChunkHash(1)]), None);
 }
 
 #[test]
 fn wrong_lists() {
     let bytes = table(0..ROUTES);
-    let source = TableParts::new(&bytes);
+    let source = TableChunks::new(&bytes);
     let mut other = list(&bytes, &source);
     other.fingerprint += 1;
     let mut partial = PartialTable::new(other, None, None).unwrap();
@@ -132,12 +132,12 @@
             .add(&missing, &source.batch(&hashes(&missing)).unwrap())
             .unwrap();
     }
-    assert_eq!(partial.join(), Err(PartsError::Fingerprint));
+    assert_eq!(partial.join(), Err(ChunkError::Fingerprint));
     let mut large = list(&bytes, &source);
     large.marks[0].length = u32::MAX;
     assert_eq!(
         PartialTable::new(large, None, None).unwrap_err(),
-        PartsError::TooLarge
+        ChunkError::TooLarge
     );
 }
 
@@ -152,7 +152,7 @@
             after.splice(place..place, u.arbitrary::<Vec<u8>>()?);
         }
         let after = Bytes::from(after);
-        let (own, source) = (TableParts::new(&before), TableParts::new(&after));
+        let (own, source) = (TableChunks::new(&before), TableChunks::new(&after));
         let partial = PartialTable::new(list(&after, &source), Some(&own), None).unwrap();
         assert_eq!(fetch(partial, &source).0, after);
         Ok(())
