--- a/lib/src/gateway/peers/message.rs
+++ b/lib/src/gateway/peers/message.rs
@@ -307,7 +307,8 @@
     /// runs them anywhere.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub places: Vec<DataCentreId>,
-    /// Bytes transferred between data centres if one piece runs outside `home`.
+    /// Bytes transferred between data centres if one piece runs outside `home`: its inputs, and its result once for
+    /// each piece that uses it.
     pub moved: u64,
     /// Digest of the request, which is the same when the request is sent again; `None` from a daemon of an older
     /// release.
--- a/lib/src/gateway/peers/record.rs
+++ b/lib/src/gateway/peers/record.rs
@@ -91,7 +91,7 @@
         }
     }
 
-    /// Sets the daemon's region; `home` is the region of this daemon.
+    /// Sets the daemon's region; `local_region` is the region of this daemon.
     pub(crate) fn set_region(&mut self, home: Option<RegionHash>, region: Option<RegionHash>) {
         self.region = region;
         self.is_remote = in_different_regions(home, region);
