--- a/lib/src/gateway/directory/coverage.rs
+++ b/lib/src/gateway/directory/coverage.rs
@@ -27,7 +27,7 @@
     pub(crate) fn reader(&self, now: Time) -> Reader {
         Reader {
             small_fleet: self.peers.is_small()
-                && (is_settled(self.peers.ran(now)) || self.peers.is_alone()),
+                && (is_settled(self.peers.running_time(now)) || self.peers.is_alone()),
             coordinates: self.peers.reads_directory(),
         }
     }
@@ -69,7 +69,7 @@
     pub(crate) fn knows_fleet(&self) -> bool {
         let state = self.state.borrow();
         let peers = &state.peers;
-        is_settled(peers.ran(self.now())) || peers.is_alone() || is_spread(peers.daemons())
+        is_settled(peers.running_time(self.now())) || peers.is_alone() || is_spread(peers.daemons())
     }
 
     /// Returns whether this daemon knows so many others that a report takes several steps to reach all of them.
--- a/lib/src/gateway/peers/heartbeats.rs
+++ b/lib/src/gateway/peers/heartbeats.rs
@@ -69,7 +69,7 @@
     for wait in [SETTLE_TIME, YIELD_TIME] {
         let end = Time::default() + wait;
         loop {
-            let ran = gateway.state.borrow().peers.ran(gateway.now());
+            let ran = gateway.state.borrow().peers.running_time(gateway.now());
             if ran >= end {
                 break;
             }
@@ -98,7 +98,7 @@
         return;
     }
     let loads = state.next_digest(now, ready);
-    let everybody: Vec<SocketAddr> = state.peers.region_addresses().collect();
+    let recipients: Vec<SocketAddr> = state.peers.region_addresses().collect();
     drop(state);
     for part in loads.chunks(DATAGRAM_LOADS) {
         gateway.state.borrow_mut().load_sums.merge(now, part);
@@ -107,7 +107,7 @@
             loads: part.to_vec(),
         };
         let datagram = Datagram::Loads(digest);
-        send_datagram(socket, &datagram, everybody.iter().copied());
+        send_datagram(socket, &datagram, recipients.iter().copied());
     }
 }
 
@@ -121,7 +121,7 @@
     let services: Vec<ServiceId> = state.stage_queues.services().cloned().collect();
     let notes = state.peers.remote_notes(now, &services, ready);
     state.peers.merge_remote_services(now, &notes);
-    let everybody: Vec<SocketAddr> = state.peers.region_addresses().collect();
+    let recipients: Vec<SocketAddr> = state.peers.region_addresses().collect();
     drop(state);
     for part in notes.chunks(MAX_REMOTE_NOTES) {
         let report = RegionReport {
@@ -131,7 +131,7 @@
         send_datagram(
             socket,
             &Datagram::Regions(report),
-            everybody.iter().copied(),
+            recipients.iter().copied(),
         );
     }
 }
--- a/lib/src/gateway/peers/link_server.rs
+++ b/lib/src/gateway/peers/link_server.rs
@@ -55,10 +55,10 @@
     let (replies, mut finished) = mpsc::channel::<Frame<LinkReply>>(QUEUE_CAPACITY);
     let mut tasks = JoinSet::new();
     let mut running: HashMap<u64, AbortHandle> = HashMap::default();
-    let mut pings = SilenceDetector::default();
+    let mut detector = SilenceDetector::default();
     loop {
         tokio::select! {
-            () = pings.silence() => return Err(LinkError::Silent(SILENCE_TIMEOUT)),
+            () = detector.silence() => return Err(LinkError::Silent(SILENCE_TIMEOUT)),
             Some(frame) = finished.recv() => {
                 running.remove(&frame.number);
                 send(&mut socket, encode(&frame)).await?;
@@ -66,7 +66,7 @@
             // A finished task has sent its reply; a cancelled one sends none.
             Some(_) = tasks.join_next() => {}
             message = socket.next() => {
-                pings.record(&message);
+                detector.record(&message);
                 let Some(bytes) = read(message)? else { continue };
                 let frame: Frame<LinkRequest> = decode(&bytes)?;
                 if let LinkRequest::Cancel(number) = frame.content {
--- a/lib/src/gateway/peers/membership.rs
+++ b/lib/src/gateway/peers/membership.rs
@@ -139,7 +139,7 @@
             return Vec::new();
         }
         let (address, host) = (heartbeat.address, heartbeat.host.clone());
-        let home = self.me.region;
+        let local_region = self.me.region;
         self.last_received = now;
         let peer = self.peer(now, address);
         if peer.is_outdated(&heartbeat) {
@@ -153,7 +153,7 @@
         peer.last_sign = Some(now);
         peer.phase = heartbeat.phase;
         peer.capacity = heartbeat.capacity;
-        peer.set_region(home, heartbeat.region);
+        peer.set_region(local_region, heartbeat.region);
         peer.last_heartbeat = Some(ReceivedHeartbeat { at: now, heartbeat });
         peer.alive = true;
         peer.refute(now);
@@ -192,10 +192,10 @@
         note: &PeerNote,
         conditions: ReceiveConditions,
     ) -> Option<PeerChange> {
-        let home = self.me.region;
+        let local_region = self.me.region;
         let peer = self.known.get_mut(&note.address)?;
         let sign = liveness::sign_time(now, note.age());
-        peer.set_region(home, note.region.or(peer.region));
+        peer.set_region(local_region, note.region.or(peer.region));
         if note.suspect {
             merge_suspicion(now, peer, sign);
             return None;
@@ -225,7 +225,7 @@
 
     /// Returns how long this process has run since its start, excluding stalls: it can receive heartbeats only while
     /// it runs.
-    pub(crate) fn ran(&self, now: Time) -> Time {
+    pub(crate) fn running_time(&self, now: Time) -> Time {
         Time::default() + self.stalls.ran_since(Time::default(), now)
     }
 
--- a/lib/src/gateway/peers/record.rs
+++ b/lib/src/gateway/peers/record.rs
@@ -92,9 +92,13 @@
     }
 
     /// Sets the daemon's region; `local_region` is the region of this daemon.
-    pub(crate) fn set_region(&mut self, home: Option<RegionHash>, region: Option<RegionHash>) {
+    pub(crate) fn set_region(
+        &mut self,
+        local_region: Option<RegionHash>,
+        region: Option<RegionHash>,
+    ) {
         self.region = region;
-        self.is_remote = in_different_regions(home, region);
+        self.is_remote = in_different_regions(local_region, region);
     }
 
     /// Clears a suspicion after a sign of life that is recent enough to refute it.
--- a/lib/src/gateway/peers/reports.rs
+++ b/lib/src/gateway/peers/reports.rs
@@ -71,19 +71,19 @@
     /// Returns the outstanding pieces of a service at other daemons, from the sum of its coordinator. That sum includes
     /// this daemon's pieces as its last heartbeat reported them; they are subtracted.
     fn summed_backlog(&self, service: ServiceHash, coordinator: SocketAddr) -> Option<Backlog> {
-        let own = self.reported_backlogs.iter();
-        let own = own.filter(|note| note.service == service);
-        let own = own.map(|note| note.own).next().unwrap_or_default();
+        let local = self.reported_backlogs.iter();
+        let local = local.filter(|note| note.service == service);
+        let local = local.map(|note| note.own).next().unwrap_or_default();
         let last = self.known.get(&coordinator)?.last_heartbeat.as_ref()?;
         let notes = last.heartbeat.backlogs.iter();
         let mut notes = notes.filter(|note| note.service == service);
         if let Some(all) = notes.find_map(|note| note.all) {
-            return Some(all.minus(&own));
+            return Some(all.minus(&local));
         }
         // A coordinator of an older release reports only a total.
         let mut queues = last.heartbeat.queues.iter();
         let queue = queues.find(|note| note.service == service)?;
-        let others = queue.outstanding.saturating_sub(own.total());
+        let others = queue.outstanding.saturating_sub(local.total());
         Some(Backlog::unordered(others))
     }
 }
--- a/lib/src/gateway/peers/self_report.rs
+++ b/lib/src/gateway/peers/self_report.rs
@@ -108,12 +108,12 @@
     /// Returns the read of the directory on which others should rely: the read of a coordinator, of a daemon
     /// whose heartbeats all others receive, or of a substitute, which coordinators forward.
     fn reported_read(&self, now: Time, wait: Duration) -> Option<ReportedRead> {
-        let own = self.contact.read_age(now);
+        let local = self.contact.read_age(now);
         if self.peers.coordinates() {
-            return reported_read(own, self.peers.substitute_reads(now), wait);
+            return reported_read(local, self.peers.substitute_reads(now), wait);
         }
         let relied_on = self.is_substitute || self.peers.is_small();
-        own.filter(|_| relied_on).map(ReportedRead::local)
+        local.filter(|_| relied_on).map(ReportedRead::local)
     }
 }
 
--- a/lib/src/gateway/state.rs
+++ b/lib/src/gateway/state.rs
@@ -351,7 +351,7 @@
     /// Returns whether this daemon has run long enough to coordinate services, whether or not it is ready.
     pub fn is_settled(&self) -> bool {
         let state = self.state.borrow();
-        let ran = state.peers.ran(self.now());
+        let ran = state.peers.running_time(self.now());
         coordinator::may_coordinate(ran, state.peers.has_stronger())
     }
 
--- a/lib/tests/test_peers.rs
+++ b/lib/tests/test_peers.rs
@@ -157,17 +157,17 @@
     let second = next_heartbeat(&mut other, Time(0));
     me.receive_heartbeat(Time(0), second);
     assert_eq!(me.receive_heartbeat(Time(1), first), []);
-    let mut reborn = peers(2, 3, &[]);
-    let change = me.receive_heartbeat(Time(2), next_heartbeat(&mut reborn, Time(2)));
+    let mut restarted = peers(2, 3, &[]);
+    let change = me.receive_heartbeat(Time(2), next_heartbeat(&mut restarted, Time(2)));
     assert!(matches!(change[..], [PeerChange::Restarted(..)]));
 }
 
 #[test]
 fn agreed_coordinator() {
     let mut all: Vec<Peers> = (1..=5).map(|n| peers(n, u64::from(n), &[])).collect();
-    let beats: Vec<Heartbeat> = all.iter_mut().map(|p| next_heartbeat(p, Time(0))).collect();
+    let heartbeats: Vec<Heartbeat> = all.iter_mut().map(|p| next_heartbeat(p, Time(0))).collect();
     for peers in &mut all {
-        for heartbeat in &beats {
+        for heartbeat in &heartbeats {
             peers.receive_heartbeat(Time(0), heartbeat.clone());
         }
     }
