--- a/cli/tests/test_cli.rs
+++ b/cli/tests/test_cli.rs
@@ -1,4 +1,4 @@
-//! The command line as people and programs see it.
+//! Exit codes and output of the command-line program.
 
 #![allow(clippy::unwrap_used, reason = "a failed unwrap fails the test")]
 
@@ -7,7 +7,7 @@
     std::{path::Path, process::Command},
 };
 
-/// Runs the command in the repository's root and shows exit code and output.
+/// Runs the program in the repository's root; returns the exit code and the output, standard output first.
 fn run(args: &[&str]) -> String {
     let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("..");
     let output = Command::new(env!("CARGO_BIN_EXE_hazelyoke"))
--- a/daemon/tests/process/mod.rs
+++ b/daemon/tests/process/mod.rs
@@ -1,7 +1,6 @@
-//! A daemon as a process of its own, and what is shown of it when its test fails: its threads, whether it still
-//! answers, and its log.
+//! A daemon process for tests. When a test fails, the states of the process's threads and the end of its log are printed.
 //!
-//! Owns the process, its settings file and its log; all are gone when the test ends, whichever way.
+//! The process is killed, and its settings and log files are removed, whether the test passes or panics.
 
 #![allow(dead_code, reason = "each test file uses a part")]
 
@@ -24,16 +23,16 @@
     tokio::net::TcpStream,
 };
 
-/// Grace period of a daemon that a test doesn't choose, in seconds.
+/// Default grace period of a daemon's stop, in seconds.
 pub const GRACE_S: f64 = 3.5;
 
-/// Bytes of a log's end that are shown.
+/// Most bytes that are printed from the end of a log.
 const SHOWN: usize = 20_000;
 
-/// Time between two looks at the threads of a process, which tells whether they run.
+/// Time between two samples of a process's threads; the difference in ticks shows which threads run.
 const LOOKS: Duration = Duration::from_millis(300);
 
-/// A running daemon; killed when the test ends, whichever way.
+/// A running daemon; killed on drop.
 pub struct Process {
     pub child: Child,
     pub settings: PathBuf,
@@ -47,7 +46,7 @@
         if thread::panicking() {
             self.show_threads();
         }
-        // It may have ended already.
+        // The process may have exited already.
         let _ = self.child.kill();
         let _ = self.child.wait();
         let _ = fs::remove_file(&self.settings);
@@ -58,7 +57,7 @@
 }
 
 impl Process {
-    /// Returns whether an event stands in the log file.
+    /// Returns whether the log file has an event of this name; false for an unread log.
     pub fn logged(&self, event: &str) -> bool {
         match &self.log {
             Log::File(file) => file.names(event),
@@ -66,7 +65,7 @@
         }
     }
 
-    /// Shows what the threads do: those that wait, and those that ran between two looks.
+    /// Prints two samples of the threads' states and CPU ticks.
     fn show_threads(&self) {
         let before = threads(self.child.id());
         thread::sleep(LOOKS);
@@ -93,18 +92,18 @@
         );
     }
 
-    /// Reads what a process that has ended left in its pipe.
+    /// Reads what a process that has exited left in its log pipe.
     fn unread(&mut self) -> String {
         let mut text = String::new();
         if let Some(pipe) = &mut self.child.stdout {
-            // What was read until an error is shown.
+            // On an error, what was read until then is returned.
             let _ = pipe.read_to_string(&mut text);
         }
         text
     }
 }
 
-/// Returns a line for each thread of a process.
+/// Returns a line for each thread of a process: name, state, ticks in user and kernel mode.
 fn threads(id: u32) -> Vec<String> {
     let tasks = fs::read_dir(format!("/proc/{id}/task"));
     let tasks = tasks.into_iter().flatten().flatten();
@@ -122,15 +121,15 @@
     ))
 }
 
-/// Where a daemon's log goes.
+/// Destination of a daemon's log.
 pub enum Log {
-    /// Into a file.
+    /// A file.
     File(LogFile),
-    /// Into a pipe that nobody reads.
+    /// A pipe that nobody reads while the process runs.
     Unread,
 }
 
-/// A daemon's log in a file; removed when the test ends, whichever way.
+/// A daemon's log file; removed on drop.
 pub struct LogFile(PathBuf);
 
 impl LogFile {
@@ -151,16 +150,16 @@
 
 impl Drop for LogFile {
     fn drop(&mut self) {
-        // Whoever removed it before did the same.
+        // The file may not exist.
         let _ = fs::remove_file(&self.0);
     }
 }
 
-/// Limits of a daemon's process.
+/// Limits of a daemon process.
 pub struct Limits {
-    /// Grace period, in seconds.
+    /// Grace period of its stop, in seconds.
     pub grace_s: f64,
-    /// Open files and connections.
+    /// Most descriptors (files and connections) that it may have open.
     pub descriptors: usize,
 }
 
@@ -189,13 +188,13 @@
     file.text()
 }
 
-/// Starts a daemon with a log file, and waits until it serves.
+/// Starts a daemon with a log file, and waits until it is ready.
 pub async fn start(name: &str, store: &StandInStore, limits: Limits) -> Process {
     let log = Log::File(LogFile::new(name));
     start_with(name, store, log, limits).await
 }
 
-/// Starts a daemon, and waits until it serves.
+/// Starts a daemon that logs to `log`, and waits until it is ready.
 pub async fn start_with(name: &str, store: &StandInStore, log: Log, limits: Limits) -> Process {
     let grace_s = limits.grace_s;
     let [front, ready, peer] = free_ports(test_ip());
@@ -203,7 +202,7 @@
     let settings = std::env::temp_dir().join(file);
     let text = settings_text(name, [front, ready, peer], store.address, grace_s);
     fs::write(&settings, text).unwrap();
-    // A shell sets the limit for itself and becomes the program.
+    // The shell limits its own descriptors, then replaces itself by the program.
     let program = env!("CARGO_BIN_EXE_hazelyoked");
     let limit = limits.descriptors;
     let command = format!("ulimit -n {limit} && exec \"$0\" --platform \"$1\"");
--- a/daemon/tests/soak/caller.rs
+++ b/daemon/tests/soak/caller.rs
@@ -1,4 +1,4 @@
-//! Callers that keep connections open until the other end is gone, and record what they received.
+//! Callers that send requests over persistent connections and record what they received.
 
 use {
     super::{fleet::Daemon, stand_in::client},
@@ -10,13 +10,13 @@
     },
 };
 
-/// Longest wait for an answer before a caller gives up. Chosen, not measured.
+/// Longest wait for a reply before a caller gives up; also the deadline that its requests carry.
 const PATIENCE: Duration = Duration::from_millis(3_000);
 
-/// Most requests on one connection. Chosen, not measured.
+/// Number of requests after which a caller opens a new connection.
 const KEPT: u32 = 40;
 
-/// A kind of request, as the routes of the soak's table have it.
+/// A kind of request; each has a route of its own in the soak's table.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Kind {
     Repeatable,
@@ -48,39 +48,39 @@
 pub struct Outcome {
     pub id: String,
     pub kind: Kind,
-    /// Number of the daemon.
+    /// Index of the daemon that got the request.
     pub daemon: usize,
-    /// Nothing if no head came.
+    /// `None` if the caller got no complete head.
     pub status: Option<u16>,
     pub stamp: Option<String>,
     pub body: String,
-    /// True if the body ended as its framing says.
+    /// Whether the body is complete according to its framing.
     pub whole: bool,
-    /// True if the caller left before the end.
+    /// Whether the caller gave up before the end of the reply.
     pub left: bool,
 }
 
-/// The requests of all callers.
+/// The outcomes of all callers' requests, shared by the callers.
 pub type Outcomes = Rc<RefCell<Vec<Outcome>>>;
 
-/// One connection, with the bytes that were read and not parsed yet.
+/// One connection, with the bytes that were read but not parsed yet.
 struct Connection {
     stream: TcpStream,
     bytes: Vec<u8>,
 }
 
-/// An answer, as far as it was read.
+/// A reply, as far as it was read.
 struct Answer {
     status: Option<u16>,
     stamp: Option<String>,
     body: Vec<u8>,
     whole: bool,
-    /// True if another request may follow on the connection.
+    /// Whether the connection can carry another request.
     open: bool,
 }
 
 impl Connection {
-    /// Reads more bytes; false if the other end is gone.
+    /// Reads more bytes; returns false at the end of the connection or on an error.
     async fn more(&mut self) -> bool {
         let mut buffer = [0; 8 * 1024];
         match self.stream.read(&mut buffer).await {
@@ -116,8 +116,7 @@
         true
     }
 
-    /// Reads an answer into `answer` piece by piece, so that the part that came is kept if the caller
-    /// leaves.
+    /// Reads a reply into `answer` step by step: what was received stays there if the read is cancelled.
     async fn answer(&mut self, answer: &mut Answer) {
         let Some(first) = self.line().await else {
             return;
@@ -166,7 +165,7 @@
     }
 }
 
-/// Sends one request on a connection; returns the answer, and true if the caller left before its end.
+/// Sends one request on a connection; returns the reply, and whether the caller gave up before its end.
 async fn send(
     connection: &mut Connection,
     id: &str,
@@ -188,7 +187,7 @@
     (answer, read.is_err())
 }
 
-/// Connects to a daemon and sends one request; returns the status of a complete answer.
+/// Connects to a daemon and sends one request; returns the status of a complete reply.
 pub async fn send_once(listen: SocketAddr, id: &str, kind: Kind) -> Option<u16> {
     let stream = TcpStream::connect(listen).await.ok()?;
     let bytes = Vec::new();
@@ -224,7 +223,7 @@
             count += 1;
             let id = format!("{name}{count:04}");
             let kind = Kind::ALL[rng.random_range(0..Kind::ALL.len())];
-            // Some leave early.
+            // Some callers give up early.
             let patience = if rng.random_bool(0.05) {
                 Duration::from_millis(rng.random_range(1..60))
             } else {
--- a/daemon/tests/soak/checks.rs
+++ b/daemon/tests/soak/checks.rs
@@ -1,4 +1,4 @@
-//! Checks of the daemons' promises against the observations of callers and replicas.
+//! Checks of the daemons' guarantees against what callers and replicas observed.
 
 use {
     super::{
@@ -9,14 +9,14 @@
     std::collections::BTreeMap,
 };
 
-/// Statuses that promise that a request has not run and never will.
+/// Statuses that guarantee that a request has not run and never will.
 const NOT_RUN: [u16; 4] = [408, 421, 429, 503];
 
-/// Broken promises, each named by the request that shows it.
+/// Descriptions of broken guarantees, each beginning with the id of the request that shows it.
 pub type Findings = Vec<String>;
 
-/// Checks all requests of a run; `planned` means that nothing but planned work happened, so that no
-/// answer may be lost.
+/// Checks all requests of a run. With `planned`, the run had planned work only, so that no reply to a request that ran
+/// may be lost.
 pub fn check(outcomes: &[Outcome], members: &[Member], planned: bool) -> Findings {
     let mut runs: BTreeMap<String, usize> = BTreeMap::new();
     for id in members.iter().flat_map(|member| member.replica.ran()) {
@@ -29,7 +29,7 @@
         findings.extend(check_answer(outcome));
         if planned && !outcome.left && !outcome.whole && ran > 0 {
             findings.push(format!(
-                "{}: lost beside planned work: {outcome:?}",
+                "{}: reply lost during planned work: {outcome:?}",
                 outcome.id
             ));
         }
@@ -38,7 +38,7 @@
     findings
 }
 
-/// Checks that a request ran at most once, and not at all if its caller was promised so.
+/// Checks that a request that isn't repeatable ran at most once, and never if its caller was told that it didn't run.
 fn check_runs(outcome: &Outcome, ran: usize) -> Option<String> {
     let once = matches!(outcome.kind, Kind::Guarded | Kind::Staged);
     if once && ran > 1 {
@@ -48,33 +48,36 @@
         .status
         .is_some_and(|status| NOT_RUN.contains(&status));
     if once && refused && ran > 0 {
-        return Some(format!("{}: said not to have run, but ran", outcome.id));
+        return Some(format!(
+            "{}: refused as not run, but ran on a replica",
+            outcome.id
+        ));
     }
     None
 }
 
-/// Checks that an answer that looks complete is a replica's complete answer to this request.
+/// Checks that a reply that looks complete is a replica's complete reply to this request.
 fn check_answer(outcome: &Outcome) -> Option<String> {
     let wrong = |what: &str| Some(format!("{}: {what}: {outcome:?}", outcome.id));
     if outcome.status != Some(200) {
         return None;
     }
     if outcome.stamp.is_none() {
-        return wrong("a success without its replica's mark");
+        return wrong("a successful reply without its replica's stamp");
     }
     if outcome.kind.is_stream() && outcome.body != "slow" {
         let ids = event_ids(&outcome.body);
         if ids.iter().enumerate().any(|(i, id)| *id != i as u64 + 1) {
-            return wrong("events are missing, double or out of order");
+            return wrong("events are missing, duplicated or out of order");
         }
         if outcome.whole && ids.len() as u64 != EVENTS {
-            return wrong("a stream that ended early looks whole");
+            return wrong("a stream that ended early looks complete");
         }
         return None;
     }
     let whole = outcome.body == outcome.id || outcome.body == "slow";
     if outcome.whole && !whole {
-        return wrong("not the answer to this request");
+        return wrong("the reply belongs to another request");
     }
     None
 }
@@ -85,7 +88,7 @@
         .collect()
 }
 
-/// Checks that replicas received the callers' requests, unchanged, and nothing else.
+/// Checks that replicas received only requests that callers sent, with target and body unchanged.
 fn check_sent(outcomes: &[Outcome], members: &[Member]) -> Findings {
     let sent: BTreeMap<&str, Kind> = outcomes
         .iter()
@@ -99,7 +102,7 @@
             .get(id)
             .is_some_and(|kind| seen.head.starts_with(&format!("POST {}{id} ", kind.path())));
         (!is_probe && (!known || seen.body != id))
-            .then(|| format!("{id}: not what was sent: {seen:?}"))
+            .then(|| format!("{id}: a replica got a request that no caller sent: {seen:?}"))
     })
     .collect()
 }
--- a/daemon/tests/soak/fleet.rs
+++ b/daemon/tests/soak/fleet.rs
@@ -1,4 +1,4 @@
-//! Daemons as processes of their own, and their surroundings: a store and replicas behind proxies.
+//! Daemon processes and their surroundings: proxies before the store, the links and the replicas.
 
 use {
     super::{
@@ -18,10 +18,10 @@
     },
 };
 
-/// Events of a complete stream.
+/// Number of events in a complete stream.
 pub const EVENTS: u64 = 6;
 
-/// Grace period of a stop in the daemons' settings, in seconds. Chosen, not measured.
+/// Grace period of a stop in the daemons' settings, in seconds.
 const GRACE_S: f64 = 4.0;
 
 /// One daemon: its process and its addresses.
@@ -30,18 +30,18 @@
     pub name: String,
     pub listen: SocketAddr,
     pub ready: SocketAddr,
-    /// Lives that it had before.
+    /// Number of restarts; together with the daemon's index it identifies one incarnation.
     pub life: u32,
-    /// When the present one began.
+    /// Start of the current incarnation.
     pub started: Instant,
     pub child: Child,
-    /// Between it and the store.
+    /// Proxy through which the daemon reaches the store.
     pub store: Proxy,
-    /// Between other daemons and it.
+    /// Proxy through which other daemons reach this one.
     pub link: Proxy,
     pub settings: PathBuf,
     pub log: PathBuf,
-    /// True if the soak ended the process, or is about to.
+    /// Whether the soak has stopped or killed the process, or is about to.
     pub ending: bool,
 }
 
@@ -55,7 +55,6 @@
 }
 
 impl Daemon {
-    /// Sends a signal to the process.
     pub fn signal(&self, name: &str) {
         let id = self.child.id().to_string();
         let sent = Command::new("kill")
@@ -64,19 +63,19 @@
         assert!(sent.unwrap().success(), "{name} to {}", self.name);
     }
 
-    /// Returns the process's exit status, if it has ended.
+    /// Returns the process's exit status, or `None` while it runs.
     pub fn ended(&mut self) -> Option<ExitStatus> {
         self.child.try_wait().unwrap()
     }
 
-    /// Removes the process's files.
+    /// Removes the process's settings and log.
     pub fn remove_files(&self) {
-        // What can't be removed only takes space in the target folder.
+        // A file that can't be removed only takes space in the target folder.
         let _ = std::fs::remove_file(&self.log);
         let _ = std::fs::remove_file(&self.settings);
     }
 
-    /// Starts the process again.
+    /// Starts a new process with the same settings.
     pub fn restart(&mut self) {
         self.life += 1;
         self.started = Instant::now();
@@ -96,8 +95,8 @@
         .unwrap()
 }
 
-/// Addresses of the daemons of one run: each has its own on the loopback network, so that all use the
-/// same ports, as on hosts.
+/// IP addresses of the daemons of one run. Each daemon has its own loopback address, so that all use the same ports, as
+/// they do on separate hosts.
 #[derive(Debug, Clone, Copy)]
 pub struct Subnet {
     seed: u64,
@@ -119,7 +118,7 @@
     }
 }
 
-/// Starts daemons before a store.
+/// Starts `count` daemons, each with a proxy before the store and one before its link port.
 pub async fn start_daemons(count: usize, seed: u64, store: SocketAddr) -> Vec<Daemon> {
     let subnet = Subnet::new(seed);
     let [front, ready, control, peer, link_port] = free_ports(subnet.ip(0));
@@ -132,7 +131,7 @@
         let ip = subnet.ip(number);
         let name = format!("soak-{seed}-{number}");
         let proxy = Proxy::start(store).await;
-        // Runs of one seed at the same time keep apart.
+        // The process id keeps apart the files of simultaneous runs of one seed.
         let file_name = format!("{name}-{}", std::process::id());
         let settings = folder.join(format!("{file_name}.toml"));
         let log = folder.join(format!("{file_name}.log"));
@@ -168,19 +167,19 @@
     daemons
 }
 
-/// A replica, its service, and the proxy before it.
+/// A replica, its service, and the proxy through which daemons reach it.
 #[derive(Debug)]
 pub struct Member {
     pub replica: Replica,
     pub service: &'static str,
     pub proxy: Proxy,
-    /// True once its entry in the store says that it leaves.
+    /// Whether its entry in the store says that it is draining, or was removed.
     pub left: bool,
-    /// True once another one has its place after it ended.
+    /// Whether its replacement after a harmful request has begun.
     pub replaced: bool,
 }
 
-/// Services with the number of their replicas.
+/// Services, each with its number of replicas.
 const SERVICES: [(&str, usize); 3] = [("plain", 3), ("llm", 3), ("enc", 2)];
 
 /// Starts a replica of a service and writes its entry into the store.
@@ -204,7 +203,7 @@
     }
 }
 
-/// Starts all replicas.
+/// Starts the replicas of all services.
 pub async fn start_members(store: &StandInStore) -> Vec<Member> {
     let mut members = Vec::new();
     for (service, count) in SERVICES {
@@ -215,7 +214,7 @@
     members
 }
 
-/// Returns the act of a replica while it has no fault.
+/// Returns how a replica of a service answers while it has no fault.
 fn usual(service: &str) -> Act {
     match service {
         "llm" => Act::Events {
@@ -227,7 +226,7 @@
     }
 }
 
-/// Returns a fault for the next request of a replica, by a number.
+/// Returns the fault with which a replica answers its next request; `choice` selects it.
 pub fn misbehaviour(service: &str, choice: u32) -> Act {
     let pause = Duration::from_millis(4);
     match (service, choice % 8) {
@@ -247,7 +246,7 @@
     }
 }
 
-/// Returns a fault of a proxy, by a number.
+/// Returns the fault of a proxy that `choice` selects.
 pub fn proxy_fault(choice: u32) -> Fault {
     match choice % 5 {
         0 => Fault::Delay(Duration::from_millis(40)),
--- a/daemon/tests/soak/harm.rs
+++ b/daemon/tests/soak/harm.rs
@@ -1,4 +1,4 @@
-//! A request that ends each replica that begins to run it, sent again and again to random daemons.
+//! A harmful request that terminates each replica that starts to run it, sent again and again to random daemons.
 
 use {
     super::{
@@ -10,24 +10,25 @@
     std::time::Duration,
 };
 
-/// Beginning of the ids of harmful requests.
+/// Prefix of the ids of harmful requests.
 pub const HARMFUL: &str = "harm-";
 
-/// Most replicas that may end under the request while any daemon knows of it: three, what is on its way when the third
-/// ends, and what daemons begin with that were cut off from all others. Without any memory of it 19 and 34 ended in
-/// two runs, where daemons don't tell each other 25 and 38.
+/// Most replicas that the request may terminate while any daemon has a record of it: three, those that run it when the
+/// third is terminated, and those to which isolated daemons send it. In two runs each, 19 and 34 were terminated without
+/// a quarantine, 25 and 38 where daemons don't report it to each other.
 const MOST_ENDED: usize = 8;
 
-/// Replicas that end before a daemon that started alone refuses the request. In seed 3107 both daemons were killed
-/// shortly after one another, twice; in seed 3137 one started behind a link that was cut, and ended three more before it
-/// heard of the other.
+/// Replicas that the request terminates before a daemon that started isolated refuses it. In seed 3107 both daemons were
+/// killed in short succession, twice; in seed 3137 one started behind a cut link and terminated three more replicas
+/// before it received the other's report.
 const ENDED_ANEW: usize = 3;
 
-/// Longest time to the next sending, and that after which a replica is back, in milliseconds.
+/// Upper bound of the random time between two sendings, in milliseconds.
 const GAP_MS: u64 = 100;
+/// Upper bound of the random time after which a terminated replica is replaced, in milliseconds.
 const BACK_MS: u64 = 300;
 
-/// Sends the request for good, and replaces the replicas that end.
+/// Sends the request and replaces terminated replicas until it is aborted.
 pub async fn run(world: World, mut rng: SmallRng) {
     let path = if rng.random() { "/r/harm" } else { "/s/harm" };
     let replacing = replace_ended(world.clone(), SmallRng::from_rng(&mut rng));
@@ -38,7 +39,7 @@
             let text =
                 client::request("POST", path, &format!("{HARMFUL}{number}"), &[], FATAL_BODY);
             tokio::task::spawn_local(async move {
-                // A daemon that is down or refuses it is no finding.
+                // A daemon may be down or refuse the request.
                 let _ = client::try_send(listen, &text).await;
             });
             let gap = rng.random_range(0..GAP_MS);
@@ -48,7 +49,7 @@
     tokio::join!(replacing, sending);
 }
 
-/// Makes the replicas that are there end under the request, and replaces those that have ended, for good.
+/// Makes all replicas vulnerable to the request and replaces those that it terminated, until it is aborted.
 async fn replace_ended(world: World, mut rng: SmallRng) {
     loop {
         arm(&world);
@@ -65,7 +66,7 @@
     }
 }
 
-/// Makes replicas end under the request.
+/// Makes each present replica end, together with its proxy, when it starts to run the request.
 fn arm(world: &World) {
     for member in world.members.borrow().iter() {
         member.replica.set_fatal_body(FATAL_BODY);
@@ -74,7 +75,7 @@
     }
 }
 
-/// Returns the places of the replicas that have ended and stand in the store.
+/// Returns the indices of the replicas that were terminated and whose replacement hasn't begun.
 fn ended_unreplaced(world: &World) -> Vec<usize> {
     let members = world.members.borrow();
     let ended = members.iter().enumerate();
@@ -82,7 +83,7 @@
     ended.map(|(place, _)| place).collect()
 }
 
-/// Removes the entry of a replica that ended, and starts another one in its place unless it was leaving.
+/// Removes the entry of a terminated replica, and starts another one unless the old one was draining.
 async fn replace(world: &World, place: usize) {
     let (service, id, left) = {
         let mut members = world.members.borrow_mut();
@@ -98,23 +99,25 @@
     }
 }
 
-/// Replaces the replicas that have ended when the request doesn't come any more.
+/// Replaces the remaining terminated replicas, after the request is no longer sent.
 pub async fn until_replaced(world: &World) {
-    // Those whose replacement has begun get it meanwhile.
+    // Replacements that have begun finish in this time.
     tokio::time::sleep(Duration::from_millis(2 * BACK_MS)).await;
     for place in ended_unreplaced(world) {
         replace(world, place).await;
     }
 }
 
-/// Checks that the request ended few replicas.
+/// Checks that the request terminated no more replicas than allowed.
 pub fn check_ended(world: &World) {
     let members = world.members.borrow();
     let ended = members.iter().filter(|member| member.replica.has_ended());
     let ended = ended.count();
     let forgotten = world.forgotten.get();
-    println!("{ended} replicas ended under the harmful request, forgotten {forgotten} times");
+    println!(
+        "the harmful request terminated {ended} replicas; daemons started isolated {forgotten} times"
+    );
     if ended > MOST_ENDED + ENDED_ANEW * forgotten {
-        world.find(format!("{ended} replicas ended under one request"));
+        world.find(format!("one request terminated {ended} replicas"));
     }
 }
--- a/daemon/tests/soak/need.rs
+++ b/daemon/tests/soak/need.rs
@@ -1,4 +1,4 @@
-//! A replica that names a low rate for the rest of a run, and what it gets then.
+//! A replica that advertises a low rate limit for the rest of a run, and a check of the requests that it gets.
 
 use {
     super::{stand_in::replica::Replica, trouble::World},
@@ -6,20 +6,22 @@
     std::time::{Duration, Instant},
 };
 
-/// Rates that a replica may name, in requests a second.
+/// Rates that a replica may advertise, in requests a second.
 const RATES: [f64; 3] = [1.0, 2.0, 6.0];
 
-/// Longest time to the moment at which it begins to, in milliseconds.
+/// Upper bound of the random time until it advertises its rate, in milliseconds.
 const BEGINS_MS: u64 = 500;
 
-/// Time after that from which on the bound holds, and the window in which requests are counted.
+/// Time after the first advertisement from which on the bound holds.
 const SETTLED: Duration = Duration::from_millis(1_500);
+/// Length of the window in which requests are counted.
 const WINDOW: Duration = Duration::from_secs(4);
 
-/// Requests that a daemon may send it from its start until it is told, for each start in the run: it serves eight callers.
+/// Requests that a daemon may send to the replica from its start until it receives the rate; allowed once for each start
+/// in the run. The daemon serves eight callers in that time.
 const UNTOLD: usize = 16;
 
-/// A replica that names a rate.
+/// A replica that advertises a rate limit.
 #[derive(Debug)]
 pub struct InNeed {
     replica: Replica,
@@ -27,7 +29,7 @@
     began: Instant,
 }
 
-/// Makes a replica name a rate.
+/// Makes a random replica advertise a random rate, after a random time.
 pub async fn begin(world: World, mut rng: SmallRng) -> InNeed {
     let wait = Duration::from_millis(rng.random_range(0..BEGINS_MS));
     tokio::time::sleep(wait).await;
@@ -45,7 +47,7 @@
 }
 
 impl InNeed {
-    /// Checks that all daemons together kept to the rate, and ends the need.
+    /// Checks that all daemons together kept to the rate, and removes the limit.
     pub fn check(&self, world: &World) {
         self.replica.set_limit(None);
         let settled = self.began + SETTLED;
@@ -62,13 +64,13 @@
         let starts = world.starts.get();
         let allowed = (self.rate * WINDOW.as_secs_f64() * 1.5 + 5.0) as usize;
         println!(
-            "{most} requests in 4 s at a replica that names {} a second, {} in all, allowed {allowed}, {starts} starts",
+            "{most} requests in 4 s at a replica that advertises {} a second, {} in all, allowed {allowed}, {starts} starts",
             self.rate,
             counted.len()
         );
         if most > allowed + UNTOLD * starts {
             world.find(format!(
-                "{most} requests in 4 s at a replica that names {} a second",
+                "{most} requests in 4 s at a replica that advertises {} a second",
                 self.rate
             ));
         }
--- a/daemon/tests/soak/proxy.rs
+++ b/daemon/tests/soak/proxy.rs
@@ -1,4 +1,4 @@
-//! A loopback proxy that injects faults into the connections through it.
+//! A loopback proxy that injects faults into connections and datagrams.
 
 use {
     super::stand_in::loopback,
@@ -16,26 +16,26 @@
     },
 };
 
-/// Time between two checks of the fault while a connection is held. Chosen, not measured.
+/// Time between two checks of the fault while bytes are held back.
 const CHECK_EVERY: Duration = Duration::from_millis(5);
 
-/// Fault of all connections through a proxy.
+/// A fault that applies to all connections through a proxy.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fault {
     None,
-    /// Bytes come late.
+    /// Bytes arrive later by this time.
     Delay(Duration),
-    /// Connections are reset.
+    /// Connections are closed.
     Reset,
-    /// Nothing goes either way, and no connection is closed.
+    /// No bytes pass in either direction, and connections stay open.
     Silence,
-    /// Nothing reaches the far end.
+    /// No bytes reach the target.
     CutThere,
-    /// Nothing comes back.
+    /// No bytes come back from the target.
     CutBack,
 }
 
-/// The proxy; clones share it.
+/// A running proxy; clones refer to the same one.
 #[derive(Debug, Clone)]
 pub struct Proxy {
     pub address: SocketAddr,
@@ -44,14 +44,14 @@
 }
 
 impl Proxy {
-    /// Starts to pass connections on to `target`.
+    /// Starts a proxy that forwards connections to `target`.
     pub async fn start(target: SocketAddr) -> Self {
         let listener = TcpListener::bind(loopback()).await.unwrap();
         Self::start_on(listener, target)
     }
 
-    /// Starts to pass connections and datagrams on to `target`, from a port of the same IP number. The
-    /// port isn't left to the system, which might choose one that the target is about to bind.
+    /// Starts a proxy that forwards connections and datagrams to `target`, on `port` of the target's IP address. The
+    /// caller chooses the port, because the system might choose one that the target is about to bind.
     pub async fn start_before(port: u16, target: SocketAddr) -> Self {
         let address = (target.ip(), port);
         let listener = TcpListener::bind(address).await.unwrap();
@@ -79,7 +79,7 @@
         }
     }
 
-    /// Refuses connections from now on.
+    /// Stops accepting connections.
     pub fn end(&self) {
         self.accepting.abort();
     }
@@ -93,7 +93,7 @@
     }
 }
 
-/// Passes datagrams on, each from the IP number of its sender; a fault that holds bytes up loses them.
+/// Forwards datagrams, each from the IP address of its sender. A fault that delays or holds back bytes drops them.
 async fn pass_datagrams(socket: UdpSocket, target: SocketAddr, fault: Rc<Cell<Fault>>) {
     let mut senders: HashMap<IpAddr, UdpSocket> = HashMap::new();
     let mut buffer = vec![0; 16 * 1024];
@@ -106,7 +106,7 @@
             Entry::Occupied(sender) => sender.into_mut(),
             Entry::Vacant(place) => place.insert(UdpSocket::bind((from.ip(), 0)).await.unwrap()),
         };
-        // A daemon that is down gets nothing.
+        // Sending fails while the daemon is down.
         let _ = sender.send_to(&buffer[..size], target).await;
     }
 }
@@ -119,14 +119,15 @@
     let (far_read, far_write) = far.into_split();
     let there = flow(near_read, far_write, fault.clone(), Fault::CutThere);
     let back = flow(far_read, near_write, fault, Fault::CutBack);
-    // An end or a reset of either side ends both.
+    // When one direction ends, the connection is closed in both.
     tokio::select! {
         () = there => {}
         () = back => {}
     }
 }
 
-/// Passes bytes one way until there is an end; held bytes come late, as after a partition.
+/// Forwards bytes in one direction until the connection ends. Bytes that are held back arrive after the fault, as after a
+/// network partition.
 async fn flow(
     mut from: impl AsyncRead + Unpin,
     mut to: impl AsyncWrite + Unpin,
--- a/daemon/tests/soak/trouble.rs
+++ b/daemon/tests/soak/trouble.rs
@@ -1,4 +1,4 @@
-//! The faults of a run: planned work and troubles that overlap, drawn from a seed.
+//! The faults of a run: planned work and failures that overlap, drawn from a seed.
 
 use {
     super::{
@@ -18,7 +18,7 @@
     tokio::net::TcpStream,
 };
 
-/// Everything that one run owns; clones share it.
+/// The state of one run; clones share it.
 #[derive(Debug, Clone)]
 pub struct World {
     pub store: StandInStore,
@@ -26,37 +26,37 @@
     pub members: Rc<RefCell<Vec<Member>>>,
     pub version: Rc<std::cell::Cell<u64>>,
     pub findings: Rc<RefCell<Vec<String>>>,
-    /// Links between daemons are harmed, and tables grow large.
+    /// Whether links between daemons are disturbed and tables grow large.
     pub harms_links: bool,
-    /// The replicas' data centre is evacuated now and then, and others write among their entries.
+    /// Whether the replicas' data centre is evacuated now and then, and invalid entries are written into the directory.
     pub evacuates: bool,
-    /// The store comes back from an older copy now and then.
+    /// Whether the store is restored from an older copy now and then.
     pub returns: bool,
-    /// Times that a daemon started and can't have been told at once what others know.
+    /// Number of starts of daemons that couldn't receive the others' reports at once.
     pub forgotten: Rc<std::cell::Cell<usize>>,
-    /// Times that a daemon started again.
+    /// Number of restarts of daemons.
     pub starts: Rc<std::cell::Cell<usize>>,
 }
 
-/// Time in which a daemon is told what others know, where links aren't harmed. Chosen, not measured: some heartbeats.
+/// Time in which a daemon receives the others' reports over undisturbed links: several heartbeats.
 const TOLD: Duration = Duration::from_millis(800);
 
-/// Key of the order to evacuate the replicas' data centre.
+/// Key in the store of the order to evacuate the replicas' data centre.
 const EVACUATION: &str = "op/evacuate/here";
 
-/// Routes that each version adds where tables grow large, and the most of them: about 0.4 MB. Chosen, not
-/// measured.
+/// Routes that each version adds where tables grow large.
 const ROUTES_PER_VERSION: usize = 100;
+/// Most added routes of a table: about 0.4 MB.
 const MOST_ROUTES: usize = 2_000;
 
-/// Bound of the changes that an older copy of the store lacks.
+/// Exclusive upper bound of the number of changes that an older copy of the store lacks.
 const LOST_CHANGES: u32 = 60;
 
-/// Longest time that a planned stop may take. Chosen, not measured.
+/// Longest time that a planned stop may take.
 const STOP_LIMIT: Duration = Duration::from_secs(10);
 
 impl World {
-    /// Starts one random event; those that take time overlap with the ones that follow.
+    /// Starts one random event. Events that take time run concurrently with those that follow.
     pub async fn trouble(&self, rng: &mut SmallRng, planned: bool) {
         let time = Duration::from_millis(rng.random_range(50..1_500));
         let daemon = rng.random_range(0..self.daemons.borrow().len());
@@ -107,8 +107,8 @@
         }
     }
 
-    /// Brings the store back from a copy that lacks some changes. Operator and replicas write again what it lacks, some of
-    /// them before anybody reads it.
+    /// Restores the store from a copy that lacks the latest changes. The operator and the replicas write their entries
+    /// again, some replicas before any daemon can read the store.
     async fn store_returns(&self, choice: u32, time: Duration) {
         self.store.set_fault(StoreFault::Refusing);
         let lost = u64::from(choice % LOST_CHANGES);
@@ -125,14 +125,14 @@
         (first..places).for_each(|place| self.rewrite(place));
     }
 
-    /// Evacuates the data centre of all replicas, and takes it back.
+    /// Orders the evacuation of the replicas' data centre, and withdraws the order after `time`.
     async fn evacuate(&self, time: Duration) {
         self.store.put_text(EVACUATION, "{}");
         tokio::time::sleep(time).await;
         self.store.remove(EVACUATION);
     }
 
-    /// Writes an entry that names no replica.
+    /// Writes an invalid entry that belongs to no replica.
     fn write_foreign(&self, choice: u32) {
         let texts = [
             "{\"service\": 7}",
@@ -145,7 +145,7 @@
             .put_text(&format!("servers/f-{}", choice % 50), text);
     }
 
-    /// Overwrites the entry of a replica for a while.
+    /// Overwrites the entry of a replica with an invalid one for `time`.
     async fn spoil_entry(&self, choice: u32, time: Duration) {
         let place = choice as usize % self.members.borrow().len();
         let key = format!("servers/{}", self.members.borrow()[place].replica.id);
@@ -154,7 +154,7 @@
         self.rewrite(place);
     }
 
-    /// Lets a replica write its entry again, as it does with each of its heartbeats.
+    /// Writes a replica's entry again, as a replica does with each heartbeat.
     fn rewrite(&self, place: usize) {
         let members = self.members.borrow();
         let member = &members[place];
@@ -164,13 +164,13 @@
             .write_entry(&self.store, member.service, state);
     }
 
-    /// Publishes a new table, as an operator does.
+    /// Publishes a table with the next version.
     pub fn publish(&self) {
         self.version.set(self.version.get() + 1);
         self.publish_again();
     }
 
-    /// Publishes the newest table once more.
+    /// Publishes the table of the current version again.
     fn publish_again(&self) {
         let version = self.version.get();
         let routes = if self.harms_links {
@@ -182,7 +182,7 @@
             .publish(&with_routes(table_of_kinds(version), routes));
     }
 
-    /// Signals a daemon to read its settings again; one that isn't up yet is left alone.
+    /// Signals a daemon to reload its settings, unless it isn't up yet.
     async fn reload(&self, number: usize) {
         let ready = self.daemons.borrow()[number].ready;
         if TcpStream::connect(ready).await.is_ok() {
@@ -190,7 +190,7 @@
         }
     }
 
-    /// Stops a daemon as planned and starts it again.
+    /// Stops a daemon with `SIGTERM` and starts it again.
     async fn stop(&self, number: usize) {
         if !self.claim_stop(number) {
             return;
@@ -203,10 +203,10 @@
         let ended = tokio::time::timeout(STOP_LIMIT, self.wait_for_end(number)).await;
         match ended {
             Ok(true) => {}
-            // Before the program has installed its handlers, a signal ends the process at once.
+            // Before the program has installed its handlers, a signal terminates the process at once.
             Ok(false) if !was_up => {}
-            Ok(false) => self.find(format!("daemon {number} ended badly after a planned stop")),
-            Err(_) => self.find(format!("daemon {number} didn't end after a planned stop")),
+            Ok(false) => self.find(format!("daemon {number} failed during a planned stop")),
+            Err(_) => self.find(format!("daemon {number} didn't exit after a planned stop")),
         }
         self.restart(number);
     }
@@ -221,7 +221,7 @@
         self.restart(number);
     }
 
-    /// Starts a daemon again.
+    /// Starts a daemon again, and counts the start if the daemon is isolated.
     fn restart(&self, number: usize) {
         self.daemons.borrow_mut()[number].restart();
         self.starts.set(self.starts.get() + 1);
@@ -233,7 +233,8 @@
         });
     }
 
-    /// Returns whether a daemon that starts meets no other one that knows more, or its link is harmed meanwhile.
+    /// Returns whether a starting daemon may be unable to receive the others' reports for some of the time that this
+    /// takes: no other daemon has been up long enough, or its link is disturbed.
     async fn is_left_alone(&self, number: usize) -> bool {
         let begun = Instant::now();
         while begun.elapsed() < TOLD {
@@ -245,7 +246,7 @@
         false
     }
 
-    /// Returns whether a daemon's link isn't harmed just now and another one has been there for long enough.
+    /// Returns whether a daemon's link is undisturbed now and another daemon has been up long enough to report to it.
     fn can_be_told(&self, number: usize) -> bool {
         let daemons = self.daemons.borrow();
         let mut others = daemons
@@ -256,7 +257,7 @@
         is_known && !daemons[number].link.is_harmed()
     }
 
-    /// Claims a daemon for a stop; false if it is ending already.
+    /// Claims a daemon for a stop; returns false if it is stopping or has exited already.
     fn claim_stop(&self, number: usize) -> bool {
         let daemon = &mut self.daemons.borrow_mut()[number];
         let free = !daemon.ending && daemon.ended().is_none();
@@ -273,15 +274,15 @@
         }
     }
 
-    /// Pauses a daemon for a while; it wakes with outdated knowledge.
+    /// Pauses a daemon for `time`; what it knows is outdated when it resumes.
     async fn pause(&self, number: usize, time: Duration) {
         self.daemons.borrow()[number].signal_if_up("STOP");
         tokio::time::sleep(time).await;
-        // A stop signal that came meanwhile takes effect once the process runs again.
+        // A SIGTERM sent during the pause takes effect once the process runs again.
         self.daemons.borrow_mut()[number].resume();
     }
 
-    /// Lets a replica leave, and another one take its place.
+    /// Starts a new replica in place of a random one, which begins to drain.
     async fn replace(&self, choice: u32) {
         let place = {
             let members = self.members.borrow();
@@ -319,7 +320,7 @@
         proxy.set(Fault::None);
     }
 
-    /// Harms what other daemons send one after the other of them, and their links to it, for good.
+    /// Disturbs what other daemons send to one random daemon after the other, until it is aborted.
     pub async fn harm_links(self, mut rng: SmallRng) {
         loop {
             let daemon = rng.random_range(0..self.daemons.borrow().len());
@@ -341,7 +342,7 @@
         proxy.set(Fault::None);
     }
 
-    /// Gives replicas a fault for their next request.
+    /// Gives random replicas a fault for their next request.
     fn misbehave(&self, rng: &mut SmallRng) {
         for member in self.members.borrow().iter() {
             if member.service != "enc" && rng.random_bool(0.5) {
@@ -352,7 +353,7 @@
         }
     }
 
-    /// Ends all troubles; a daemon that is down is started.
+    /// Ends all faults and resumes paused daemons.
     pub async fn heal(&self) {
         self.store.set_fault(StoreFault::None);
         for member in self.members.borrow().iter() {
@@ -369,14 +370,14 @@
         }
     }
 
-    /// Records a finding for each daemon that ended without a stop of the soak.
+    /// Records a finding for each daemon that exited although the soak didn't stop it.
     pub fn record_unexpected_ends(&self) {
         for daemon in self.daemons.borrow_mut().iter_mut() {
             if !daemon.ending
                 && let Some(status) = daemon.ended()
             {
                 daemon.ending = true;
-                self.find(format!("{} ended by itself: {status}", daemon.name));
+                self.find(format!("{} exited unexpectedly: {status}", daemon.name));
             }
         }
     }
@@ -387,14 +388,14 @@
 }
 
 impl Daemon {
-    /// Sends a signal unless the process is about to end.
+    /// Sends a signal unless the soak stops the process.
     pub fn signal_if_up(&self, name: &str) {
         if !self.ending {
             self.signal(name);
         }
     }
 
-    /// Ends a pause.
+    /// Resumes a paused process.
     fn resume(&mut self) {
         if self.ended().is_none() {
             self.signal("CONT");
--- a/daemon/tests/test_process.rs
+++ b/daemon/tests/test_process.rs
@@ -1,4 +1,4 @@
-//! The real program: logs that nobody reads, signals, and a clean end.
+//! The daemon program as a process: a log pipe that nobody reads, descriptor limits, signals, reloads and a clean exit.
 
 #![allow(clippy::unwrap_used, reason = "a failed unwrap fails the test")]
 
@@ -25,7 +25,7 @@
     tokio::net::TcpStream,
 };
 
-/// A table whose requests may take long.
+/// Returns a table with one route, whose requests may take up to 8 s.
 fn config() -> Value {
     let mut table = plain_table(1, "/x/");
     let route = &mut table["routes"][0];
@@ -39,7 +39,7 @@
     client::send(listen, &text).await.status
 }
 
-/// Requests are answered while nobody drains the pipe that the log goes to.
+/// Requests are answered while nobody reads the pipe that the log is written to.
 #[test]
 fn unread_log() {
     run(async {
@@ -47,7 +47,7 @@
         store.publish(&config());
         let _replica = Replica::start(&store, "i-1", "s").await;
         let process = start_with("blocked", &store, Log::Unread, USUAL).await;
-        // Far more than a pipe and the queue of lines hold together.
+        // Writes far more log lines than the pipe and the queue of lines hold together.
         for round in 0..250 {
             let asks = (0..20).map(|n| format!("r{round}-{n}"));
             let asks = asks.map(|id| async move { get(process.listen, &id).await });
@@ -60,8 +60,8 @@
     });
 }
 
-/// A daemon that says it is ready takes new connections also while callers hold as many idle ones as it has
-/// descriptors.
+/// A daemon that reports that it is ready accepts new connections, also while callers hold more idle ones than it may
+/// open descriptors.
 #[test]
 fn idle_connections_make_room() {
     run(async {
@@ -83,7 +83,7 @@
     });
 }
 
-/// Found by the soak, seed 116: a signal that came while the daemon started ended it.
+/// Soak seed 116: a signal received while the daemon started terminated it.
 #[test]
 fn hangup_during_start() {
     run(async {
@@ -91,7 +91,7 @@
         store.publish(&config());
         let _replica = Replica::start(&store, "i-1", "s").await;
         let [front, ready, peer] = free_ports(test_ip());
-        // Settings that come through a pipe hold the daemon in its start until they are written.
+        // The daemon reads its settings from a pipe, so that its start blocks until they are written.
         let pipe = std::env::temp_dir().join(format!("hazelyoked-{}-pipe", std::process::id()));
         let _ = std::fs::remove_file(&pipe);
         let made = Command::new("mkfifo").arg(&pipe).status();
@@ -110,14 +110,14 @@
             ready: SocketAddr::new(test_ip(), ready),
             log: Log::File(log),
         };
-        // Opening it to write waits until the daemon has opened it to read, within its start.
+        // Opening the pipe for writing waits until the starting daemon has opened it for reading.
         let opened = pipe.clone();
         let writer = tokio::task::spawn_blocking(|| std::fs::File::create(opened).unwrap());
         let mut writer = writer.await.unwrap();
         signal(&process, "HUP");
         let text = settings_text("starting", [front, ready, peer], store.address, GRACE_S);
         std::io::Write::write_all(&mut writer, text.as_bytes()).unwrap();
-        // The reload that follows finds a file.
+        // The reload that the signal causes reads an ordinary file.
         std::fs::remove_file(&pipe).unwrap();
         std::fs::write(&pipe, &text).unwrap();
         drop(writer);
@@ -126,7 +126,7 @@
     });
 }
 
-/// `SIGHUP` survives a damaged file; `SIGTERM` ends readiness first, then the process.
+/// After `SIGHUP` with an invalid settings file the daemon keeps serving; `SIGTERM` ends readiness first, then the process.
 #[test]
 fn reload_and_stop() {
     run(async {
@@ -151,8 +151,8 @@
     });
 }
 
-/// The grace period of the settings file grows while the daemon runs; a request that needs the longer
-/// one is answered whole although the daemon stops.
+/// A reload raises the grace period of a stop: a request that takes longer than the earlier period is answered completely
+/// although the daemon stops.
 #[test]
 fn reload_takes_effect() {
     run(async {
--- a/daemon/tests/test_slow_readers.rs
+++ b/daemon/tests/test_slow_readers.rs
@@ -1,4 +1,5 @@
-//! Callers that read their reply slowly, or stop: what the daemon keeps for them is bounded, and others are served.
+//! Callers that read their reply slowly or stop reading: the daemon buffers a bounded amount for them, and serves other
+//! callers meanwhile.
 
 #![allow(clippy::unwrap_used, reason = "a failed unwrap fails the test")]
 
@@ -25,19 +26,19 @@
     },
 };
 
-/// Callers that read slowly at the same time.
+/// Number of concurrent callers that read slowly.
 const CALLERS: usize = 500;
 
-/// Memory of the smallest hosts, in kB.
+/// Memory of the smallest hosts, in kB: the most that the daemon may take.
 const HOST_KB: u64 = 120_000;
 
-/// Bytes of an event.
+/// Size of an event, in bytes.
 const EVENT: usize = 16_000;
 
-/// Room for bytes that a caller hasn't read, in its host.
+/// Size of a caller's receive buffer in its kernel, in bytes.
 const UNREAD: u32 = 8_192;
 
-/// A table whose streams last as long as the test, and whose engines take all callers.
+/// Returns a table whose routes allow streams as long as the test, and whose services allow connections of all callers.
 fn table() -> Value {
     let mut table = table_of_kinds(1);
     for route in table["routes"].as_array_mut().unwrap() {
@@ -49,7 +50,7 @@
     table
 }
 
-/// Returns the memory that a process takes, in kB.
+/// Returns the resident memory of a process, in kB.
 fn memory_kb(process: &Process) -> u64 {
     let status = fs::read_to_string(format!("/proc/{}/status", process.child.id())).unwrap();
     let line = status
@@ -59,10 +60,10 @@
     line.split_whitespace().nth(1).unwrap().parse().unwrap()
 }
 
-/// Callers that begin at the same moment: the engine accepts its connections on the thread of the test.
+/// Number of callers that connect at the same time; bounded because the engine accepts connections on the test's thread.
 const BEGIN_TOGETHER: usize = 50;
 
-/// Asks for a stream, reads its head, and keeps the connection.
+/// Requests a stream, reads the status line of the reply, and returns the open connection.
 async fn begin(listen: SocketAddr, number: usize) -> TcpStream {
     let socket = TcpSocket::new_v4().unwrap();
     socket.set_recv_buffer_size(UNREAD).unwrap();
@@ -75,8 +76,8 @@
     stream
 }
 
-/// Callers of streams that stop reading took what a daemon could read of their endpoint in memory, up to eight chunks of
-/// any size each; five hundred of them have to fit into the smallest host, and others are served meanwhile.
+/// For each caller that stopped reading its stream, the daemon once buffered up to eight chunks of any size from the
+/// endpoint. Five hundred such callers must fit into the memory of the smallest host while others are served.
 #[test]
 fn callers_stop() {
     run(async {
--- a/daemon/tests/test_soak.rs
+++ b/daemon/tests/test_soak.rs
@@ -1,9 +1,9 @@
-//! Randomised runs of the real program: several daemons as processes, faults from outside them, and
-//! checks of the promises against the observations of callers and replicas.
+//! Randomised runs of the daemon program: several daemon processes, faults injected from outside, and checks of the
+//! daemons' guarantees against what callers and replicas observed.
 //!
-//! A short series of seeds runs with the other tests. `HAZELYOKE_SOAK_SEEDS=100..150` runs others, and
-//! `HAZELYOKE_SOAK_SECONDS=20` makes each longer. A failed seed leaves its logs in the folder that is
-//! named, and is kept in `REGRESSIONS`.
+//! The environment variable `HAZELYOKE_SOAK_SEEDS=100..150` replaces the default seeds, and
+//! `HAZELYOKE_SOAK_SECONDS=20` sets the time with faults of each run, in seconds. A seed that fails leaves its logs in
+//! cargo's folder for temporary files of tests, and is added to `REGRESSIONS`.
 
 #![allow(clippy::unwrap_used, reason = "a failed unwrap fails the test")]
 
@@ -44,73 +44,76 @@
     tokio::task::LocalSet,
 };
 
-/// Seeds of the short series: without and with harm to links, with evacuations, with harmful requests, with a replica in
-/// need, and with a store that comes back from older copies.
+/// Default seeds beside `REGRESSIONS`: without and with faults of links, with evacuations, with harmful requests, with
+/// a replica that advertises a low rate, and with a store that is restored from older copies.
 const SHORT: [u64; 12] = [
     2, 3, 1_000, 1_001, 2_000, 2_002, 3_001, 3_002, 4_001, 4_003, 5_000, 5_002,
 ];
 
-/// Seeds from this one on also harm the links between daemons, and let tables grow large. Those before keep
-/// the events with which they once failed.
+/// First seed that also disturbs the links between daemons and lets tables grow large. Seeds below it keep the sequence
+/// of faults with which they once failed.
 const LINKS_FROM: u64 = 1_000;
 
-/// Seeds from this one on also evacuate the replicas' data centre and write foreign entries.
+/// First seed that also evacuates the replicas' data centre and writes invalid entries into the directory.
 const EVACUATIONS_FROM: u64 = 2_000;
 
-/// Seeds from this one on also have a request that ends each replica that begins to run it, and comes again and again.
+/// First seed that also sends a harmful request again and again: it terminates each replica that starts to run it.
 const HARMFUL_FROM: u64 = 3_000;
 
-/// Seeds from this one on also have a replica that names a low rate.
+/// First seed in which a replica also advertises a low rate limit.
 const NEED_FROM: u64 = 4_000;
 
-/// Seeds from this one on also have a store that comes back from older copies.
+/// First seed in which the store is also restored from older copies.
 const RETURNS_FROM: u64 = 5_000;
 
-/// Seeds that failed once, with what they showed.
+/// Seeds that failed once, each with the fault that it found.
 const REGRESSIONS: [(u64, &str); 7] = [
     (
         4,
-        "an endpoint that once called itself another was never used again",
+        "an endpoint that had once identified itself as another was never used again",
+    ),
+    (5, "the same fault as seed 4, in a large fleet"),
+    (
+        116,
+        "a signal received while the daemon started terminated it",
     ),
-    (5, "the same, in a large fleet"),
-    (116, "a signal that came while a daemon started ended it"),
     (
         302,
-        "a replica left while the store was silent, and the check began before all daemons knew",
+        "a replica left while the store didn't answer, and the final check began before all daemons had noticed",
     ),
     (
         3_107,
-        "both daemons were killed shortly after one another, and forgot a harmful request",
+        "both daemons were killed in short succession, and the record of a harmful request was lost",
     ),
     (
         3_137,
-        "a daemon that started behind a cut link ended as many replicas as one that knows nothing",
+        "a daemon that started behind a cut link let a harmful request terminate as many replicas as without reports",
     ),
     (
         5_105,
-        "an entry that was written again as it was before the store's return wasn't told to others, which dropped it",
+        "an entry rewritten unchanged after a restore of the store wasn't reported to other daemons, which dropped it",
     ),
 ];
 
-/// Time with faults of one run, in seconds. Chosen, not measured.
+/// Default time with faults of one run, in seconds.
 const SHORT_SECONDS: u64 = 4;
 
-/// Longest time between two faults, in milliseconds. Chosen, not measured.
+/// Upper bound of the random time between two faults, in milliseconds.
 const LONGEST_GAP_MS: u64 = 260;
 
-/// Callers of one run. Chosen, not measured.
+/// Number of concurrent callers in one run.
 const CALLERS: usize = 8;
 
-/// Longest wait for the daemons to settle after the faults. Chosen, not measured.
+/// Longest wait until all daemons have the current table and endpoints, or until one serves a kind of request.
 const SETTLE_LIMIT: Duration = Duration::from_secs(25);
 
-/// One run in so many has planned work only: no daemon dies and nothing fails.
+/// Seeds divisible by this number have planned work only: no daemon is killed and nothing fails.
 const PLANNED_EVERY: u64 = 3;
 
-/// One run in so many has many daemons, so that not every daemon hears every other.
+/// Seeds divisible by this number start a large fleet, in which not every daemon receives messages from every other.
 const MANY_EVERY: u64 = 5;
 
-/// Daemons of such a run. Chosen, not measured.
+/// Number of daemons in a large fleet.
 const MANY: usize = 18;
 
 fn seeds() -> Vec<u64> {
@@ -140,7 +143,7 @@
     run_seeds(&seeds());
 }
 
-/// Runs each seed and fails with all findings together.
+/// Runs all seeds, then panics with the findings of those that failed.
 fn run_seeds(seeds: &[u64]) {
     let mut failed = Vec::new();
     for seed in seeds.iter().copied() {
@@ -182,7 +185,7 @@
         starts: Rc::default(),
     };
     if !until_settled(&world).await {
-        return vec!["the daemons never served".into()];
+        return vec!["the daemons weren't ready in time".into()];
     }
     let outcomes = Outcomes::default();
     let stop = Rc::new(Cell::new(false));
@@ -239,7 +242,9 @@
     world.publish();
     if !until_settled(&world).await {
         let states = states(&world).await;
-        world.find(format!("not settled again: {states:?}"));
+        world.find(format!(
+            "the daemons didn't settle after the faults: {states:?}"
+        ));
     }
     check_service(&world, seed).await;
     world.record_unexpected_ends();
@@ -254,21 +259,21 @@
     findings
 }
 
-/// Returns whether a run has requests that end replicas.
+/// Returns whether a seed sends requests that terminate replicas.
 fn is_harmed(seed: u64) -> bool {
     seed >= HARMFUL_FROM && !seed.is_multiple_of(PLANNED_EVERY)
 }
 
-/// The state that a daemon reports of itself.
+/// The status that a daemon reports.
 #[derive(Debug, PartialEq)]
 struct DaemonStatus {
     ready: bool,
     version: u64,
-    /// Ids of the endpoints that may get requests.
+    /// Ids of the endpoints that are eligible for requests.
     open: BTreeSet<String>,
 }
 
-/// Reads a daemon's state; none if it doesn't answer soon.
+/// Reads a daemon's status; returns `None` if it doesn't answer within half a second.
 async fn read_status(daemon: std::net::SocketAddr) -> Option<DaemonStatus> {
     // A paused process accepts connections and doesn't answer.
     let read = tokio::time::timeout(Duration::from_millis(500), async {
@@ -302,14 +307,14 @@
     states
 }
 
-/// Returns the ids of the replicas that haven't left.
+/// Returns the ids of the replicas that aren't draining and weren't removed.
 fn staying(members: &[Member]) -> BTreeSet<String> {
     let staying = members.iter().filter(|member| !member.left);
     staying.map(|member| member.replica.id.clone()).collect()
 }
 
-/// Waits until every daemon serves with the newest table and exactly the endpoints that are there. Their
-/// number alone isn't enough: a daemon that missed a replacement has as many as one that didn't.
+/// Waits until every daemon is ready with the newest table and exactly the present endpoints; returns false on timeout.
+/// Compares ids, because a daemon that missed a replacement has the right number of endpoints.
 async fn until_settled(world: &World) -> bool {
     let settled = async {
         loop {
@@ -328,7 +333,7 @@
     tokio::time::timeout(SETTLE_LIMIT, settled).await.is_ok()
 }
 
-/// Checks that tables never get older within a life of a daemon.
+/// Checks that a daemon's table version never decreases while its process runs.
 async fn check_versions(world: World) {
     let mut last: BTreeMap<(usize, u32), u64> = BTreeMap::new();
     loop {
@@ -346,7 +351,7 @@
             let before = last.insert((number, life), status.version).unwrap_or(0);
             if status.version < before {
                 world.find(format!(
-                    "daemon {number} fell from table {before} to {}",
+                    "daemon {number} went back from table {before} to {}",
                     status.version
                 ));
             }
@@ -355,8 +360,7 @@
     }
 }
 
-/// Checks that every daemon serves every kind after the faults, and that replicas that left get
-/// nothing.
+/// Checks that every daemon serves every kind of request after the faults, and that replicas that left get no requests.
 async fn check_service(world: &World, seed: u64) {
     let ran_by_left = |world: &World| -> usize {
         let members = world.members.borrow();
