--- a/bench/src/caller.rs
+++ b/bench/src/caller.rs
@@ -1,7 +1,7 @@
-//! One caller's request: sent when it is due, judged by the value that only it could get.
+//! One caller's request: its attempts, and the check of each reply against the answer expected for this request alone.
 //!
-//! Owns how a caller sends again and how it reads answers; what the right answer is follows from
-//! `hazelyoke_testutils::expect`.
+//! This module defines when a caller retries and how it classifies replies. `hazelyoke_testutils::expect` computes the
+//! expected answer.
 
 use {
     bytes::Bytes,
@@ -16,83 +16,83 @@
     tokio::time::{Instant, sleep},
 };
 
-/// A request that a caller is to make.
+/// A request that a caller will send.
 #[derive(Debug, Clone)]
 pub struct PlannedRequest {
     /// Number of the request in its run.
     pub number: u64,
-    /// Path of the pipeline or service.
+    /// URL path of the pipeline or service.
     pub path: Arc<str>,
-    /// Its name.
+    /// Name of the pipeline or service.
     pub target: Arc<str>,
-    /// Beginning that its prompt shares with others; absent if its prompt is its own.
+    /// Prefix that the prompt shares with other prompts; absent if it shares none.
     pub context: Option<Arc<str>>,
-    /// Customer that asks.
+    /// Customer that sends the request.
     pub customer: Arc<str>,
-    /// Steps of the pipeline.
+    /// Steps of the pipeline, from which the expected answer is computed.
     pub steps: Arc<[Step]>,
-    /// Time within which the answer is of use, since the request was due.
+    /// Time from when the request is due until its answer is too late.
     pub deadline: Duration,
-    /// Whether an idempotency key is sent.
+    /// Whether the request carries an idempotency key.
     pub keyed: bool,
-    /// Times that it is sent again, at once, after an attempt without an answer.
+    /// Most retries, each sent at once after an attempt without the right answer.
     pub retries: u32,
 }
 
 /// How one attempt ended.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Ending {
-    /// Answered with the right value.
+    /// The reply is the expected answer.
     Answered,
-    /// Answered with another value: an answer lost, doubled or crossed.
+    /// The reply is a success with another body: part of the answer is lost or duplicated, or it is another request's.
     WrongAnswer,
-    /// Refused or failed with `not_run`, for the code given.
+    /// The reply is a problem with outcome `not_run` and this code.
     NotRun(String),
-    /// Failed with `unknown`, for the code given.
+    /// The reply is a problem with outcome `unknown` and this code.
     Unknown(String),
-    /// The connection to the daemon broke, or its response was neither answer nor problem.
+    /// The connection to the daemon failed, or its reply was neither an answer nor a problem.
     Unanswered(String),
 }
 
-/// One attempt of a caller, as the observer needs it.
+/// One attempt of a caller.
 #[derive(Debug, Clone)]
 pub struct Attempt {
-    /// Id that the daemon gave the request; absent if no response named one.
+    /// Id that the daemon assigned to the request; absent if there was no reply with an id.
     pub request: Option<String>,
-    /// How it ended.
+    /// How the attempt ended.
     pub ending: Ending,
 }
 
-/// A request with all that came of it.
+/// A request that has ended, with all its attempts.
 #[derive(Debug, Clone)]
 pub struct Outcome {
-    /// The request.
+    /// The request as it was planned.
     pub request: PlannedRequest,
-    /// Time from when it was due to the end of its last attempt.
+    /// Time from when the request was due to the end of its last attempt.
     pub latency: Duration,
-    /// All attempts but the last.
+    /// All attempts before the last one, oldest first.
     pub earlier: Vec<Attempt>,
-    /// The last attempt.
+    /// The last attempt, whose ending counts as the request's.
     pub last: Attempt,
 }
 
 impl Outcome {
-    /// Returns all attempts, the last one last.
+    /// Returns all attempts, oldest first.
     pub fn attempts(&self) -> impl Iterator<Item = &Attempt> {
         self.earlier.iter().chain([&self.last])
     }
 
-    /// Returns whether it was answered whole within its deadline.
+    /// Returns whether the request was answered correctly within its deadline.
     pub fn attained(&self) -> bool {
         self.last.ending == Ending::Answered && self.latency <= self.request.deadline
     }
 }
 
 impl PlannedRequest {
-    /// Sends the request until it is answered, has no retry left, or is late.
+    /// Sends the request until it is answered correctly, has no retries left, or its deadline has passed.
     ///
-    /// Attempts go round the daemons from the one numbered `first`. `due` is when the request
-    /// should have been sent, whether or not it could be.
+    /// The first attempt goes to the daemon with index `first`, each retry to the next one. `due` is when the request
+    /// should have been sent; its latency and deadline count from there even if it was sent later.
     pub async fn perform(self, callers: &[Caller], first: usize, due: Instant) -> Outcome {
         let body = self.body();
         let expected = expect::answer(&self.steps, &body);
@@ -116,12 +116,12 @@
                 };
             }
             earlier.push(attempt);
-            // Even a sleep of no time takes a tick of the timer, so others get their turn.
+            // Even a sleep of zero waits for the next tick of the timer, so that other tasks run in between.
             sleep(Duration::ZERO).await;
         }
     }
 
-    /// Returns the body, which no other request of the run has.
+    /// Returns the request body, which is unique in the run.
     fn body(&self) -> Bytes {
         let number = self.number;
         Bytes::from(match &self.context {
--- a/bench/src/commands/demo.rs
+++ b/bench/src/commands/demo.rs
@@ -11,7 +11,7 @@
     std::slice,
 };
 
-/// The demo's experiment; its one phase has a load of its own.
+/// Text of the demo's experiment. Its only phase defines its load.
 const DEMO: &str = include_str!("../../experiments/demo.jsonc");
 
 /// ten seconds of mixed load on the Bureau's tree, with everything in this process
@@ -20,11 +20,11 @@
 pub struct Demo {}
 
 impl Demo {
-    /// Runs the command; returns whether every promise was kept.
+    /// Runs the command; returns whether no guarantee was broken.
     ///
     /// # Errors
     ///
-    /// Returns an error when the installation can't be started.
+    /// Returns an error if the experiment can't be run.
     pub async fn run(self) -> Result<bool> {
         let experiments = Experiment::parse("demo.jsonc", DEMO.as_bytes())?;
         let experiment = &experiments[0];
--- a/bench/src/commands/mod.rs
+++ b/bench/src/commands/mod.rs
@@ -1,4 +1,4 @@
-//! The commands, a file each.
+//! The subcommands of `hazelyoke-bench`.
 
 mod demo;
 mod run;
@@ -15,11 +15,11 @@
     Run(run::RunExperiments),
 }
 
-/// Runs a command; returns whether every promise was kept.
+/// Runs a command; returns whether no guarantee was broken.
 ///
 /// # Errors
 ///
-/// Returns an error when the command can't be carried out.
+/// Returns an error if an experiment is invalid or can't be run.
 pub async fn run(command: Command) -> Result<bool> {
     match command {
         Command::Demo(command) => command.run().await,
--- a/bench/src/commands/run.rs
+++ b/bench/src/commands/run.rs
@@ -1,4 +1,4 @@
-//! `hazelyoke-bench run`: experiments from files, each under each of its policies.
+//! `hazelyoke-bench run`: runs experiments from files, each at each of its loads under each of its policies.
 
 use {
     crate::{
@@ -34,11 +34,11 @@
 }
 
 impl RunExperiments {
-    /// Runs the command; returns whether every promise was kept.
+    /// Runs the command; returns whether no guarantee was broken.
     ///
     /// # Errors
     ///
-    /// Returns an error when an experiment is invalid or can't be run.
+    /// Returns an error if an experiment is invalid or can't be run, or a file can't be read or written.
     pub async fn run(self) -> Result<bool> {
         let experiments = self.read()?;
         if self.check {
@@ -66,7 +66,7 @@
 
     fn read(&self) -> Result<Vec<Experiment>> {
         if self.files.is_empty() {
-            bail!("run needs an experiment; see bench/experiments");
+            bail!("`run` needs at least one experiment file; see bench/experiments");
         }
         let mut experiments = Vec::new();
         for path in &self.files {
@@ -91,7 +91,7 @@
     }
 }
 
-/// Returns a run at each load under each policy.
+/// Returns one run for each combination of load and policy.
 fn runs(experiment: &Experiment) -> impl Iterator<Item = Run<'_>> {
     let loads = experiment.loads.iter();
     loads.flat_map(move |load| {
--- a/bench/src/example_tree.rs
+++ b/bench/src/example_tree.rs
@@ -1,7 +1,7 @@
-//! The Bureau's example tree, built in.
+//! The Bureau's example settings tree, included in the program.
 //!
-//! Owns the texts of its values, in which the addresses of stand-ins take the place of the written
-//! ones; what they mean is the library's to say.
+//! This module holds the texts of the tree's values and replaces the endpoints' addresses by those of stand-ins. The
+//! library parses and checks the tree.
 
 use {
     hazelyoke_lib::{
@@ -17,7 +17,7 @@
 /// Name of the tree's root value.
 pub const ROOT: &str = "tree.jsonc";
 
-/// Start of the root's settings, as the example writes it.
+/// Text that opens the settings in the root value.
 const ROOT_SETTINGS: &str = "\"settings\": {";
 
 /// The tree's values by name.
@@ -33,7 +33,7 @@
     ),
 ];
 
-/// The values of one tree by name.
+/// The texts of one tree's values by name.
 #[derive(Debug, Clone)]
 pub struct Values(pub BTreeMap<String, String>);
 
@@ -47,13 +47,13 @@
 }
 
 impl Values {
-    /// Returns the Bureau's example tree as it is written.
+    /// Returns the Bureau's example tree, unchanged.
     pub fn example() -> Self {
         let named = EXAMPLE.map(|(name, text)| (name.to_owned(), text.to_owned()));
         Self(named.into())
     }
 
-    /// Puts other addresses in place of the written ones.
+    /// Replaces endpoint addresses; the map's keys are the addresses in the current texts.
     pub fn replace_addresses(&mut self, replacements: &BTreeMap<SocketAddr, SocketAddr>) {
         for text in self.0.values_mut() {
             for (old, new) in replacements {
@@ -62,13 +62,13 @@
         }
     }
 
-    /// Adds settings, as JSON fields, at the root before the ones that stand there.
+    /// Adds settings, as JSON fields, to the root value, before those that it has.
     pub fn add_root_settings(&mut self, fields: &str) {
         let root = self.0.get_mut(ROOT).expect("the example has a root value");
         *root = root.replacen(ROOT_SETTINGS, &format!("{ROOT_SETTINGS} {fields},"), 1);
     }
 
-    /// Reads and checks the tree.
+    /// Parses and checks the tree.
     ///
     /// # Errors
     ///
--- a/bench/src/experiment/mod.rs
+++ b/bench/src/experiment/mod.rs
@@ -1,7 +1,7 @@
-//! Experiments: what `hazelyoke-bench` runs, as checked values.
+//! Experiments: the load, the faults and the settings that `hazelyoke-bench` runs.
 //!
-//! [`reader`] turns a file into [`Experiment`]s and refuses what it doesn't know; everything after
-//! that relies on names of targets, customers, services and data centres that exist in the tree.
+//! [`reader`] parses a file into [`Experiment`]s and rejects unknown fields and names. The rest of the program relies on
+//! it: all targets, customers, services and data centres of an experiment exist in the tree.
 
 mod reader;
 mod weights;
@@ -23,69 +23,69 @@
 /// A checked experiment.
 #[derive(Debug, Clone)]
 pub struct Experiment {
-    /// Its name.
+    /// Name in reports; for a case, the names of the file's experiment and of the case, separated by a slash.
     pub name: String,
-    /// Number of daemons.
+    /// Number of daemons in the installation.
     pub daemons: Count,
-    /// Policies that are compared, each in a run of its own.
+    /// Policies to compare, each in a separate run.
     pub policies: Vec<PolicyKind>,
-    /// Further settings at the tree's root, as JSON fields.
+    /// Further settings for the tree's root value, as JSON fields; empty if there are none.
     pub settings: String,
-    /// Seed of all random choices.
+    /// Seed of the random arrival times and requests.
     pub seed: u64,
-    /// Loads that are compared, each in a run of its own.
+    /// Loads to compare, each in a separate run.
     pub loads: Vec<LoadFactor>,
-    /// Phases of load, one after the other.
+    /// Phases of load in the order in which they run.
     pub phases: Vec<Phase>,
     /// Weights of pipelines, and of services that are called directly.
     pub mix: Weights,
     /// Weights of customers.
     pub customers: Weights,
-    /// Shared beginnings of prompts; absent if each prompt has its own.
+    /// Shared prefixes of prompts; absent if prompts share none.
     pub contexts: Option<SharedContexts>,
-    /// Whether all engines of a service share one prefix cache: the most that an exchange of KV
-    /// caches between them could give.
+    /// Whether all engines of a service share one prefix cache. This is the upper bound of what exchanging KV caches
+    /// between engines could gain.
     pub shared_cache: bool,
-    /// Times that a caller sends an unanswered request again, at once.
+    /// Most retries of a caller, each sent at once after an attempt without the right answer.
     pub retries: u32,
-    /// Faults by time.
+    /// Faults to inject, in any order.
     pub faults: Vec<Fault>,
 }
 
-/// Beginnings that prompts share.
+/// Prefixes that prompts share.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct SharedContexts {
-    /// Number of different beginnings, the first twice as likely as the one four places later.
+    /// Number of different prefixes; the first is twice as likely as the fifth.
     pub groups: Count,
-    /// Bytes of each.
+    /// Least length of each prefix, in bytes.
     pub bytes: Count,
 }
 
-/// A time of steady load.
+/// A period of constant load.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Phase {
-    /// Its length.
+    /// Length of the phase.
     pub lasts: Duration,
-    /// Its load; absent if it takes the one of the run.
+    /// Load of the phase; absent if the load of the run applies.
     pub load: Option<LoadFactor>,
-    /// Whether its requests are counted.
+    /// Whether requests due in the phase are counted in reports.
     pub counted: bool,
 }
 
-/// A load as a multiple of the capacity.
+/// A load as a multiple of the installation's capacity.
 #[derive(Debug, Clone, Copy, PartialEq, PartialOrd)]
 pub struct LoadFactor(pub f64);
 
 impl LoadFactor {
-    /// Load of an experiment that names none.
+    /// Default load of an experiment.
     pub const CAPACITY: Self = Self(1.0);
 
-    /// Largest multiple accepted: far more than loopback can carry.
+    /// Highest accepted multiple: far more than loopback can carry.
     const MAX: f64 = 100.0;
 
     const EXPECTED: &'static str = "a multiple of the capacity from 0 to 100";
 
-    /// Returns the rate of requests at a capacity.
+    /// Returns the rate of requests that this load means at a capacity.
     pub fn rate(self, capacity: Rate) -> Rate {
         Rate(self.0 * capacity.0)
     }
@@ -112,16 +112,16 @@
 }
 
 impl Experiment {
-    /// Reads and checks the experiments of a file: one, or one for each of its cases.
+    /// Parses and checks the experiments of a file: one, or one for each of its cases.
     ///
     /// # Errors
     ///
-    /// Returns all findings with their places.
+    /// Returns all findings with their places in the file.
     pub fn parse(file: &str, bytes: &[u8]) -> Result<Vec<Self>, Findings> {
         reader::read(file, bytes)
     }
 
-    /// Returns the phase at a time since the start; none after the last.
+    /// Returns the phase at a time since the start of the run, or `None` after the last phase.
     pub fn phase(&self, at: Duration) -> Option<&Phase> {
         let mut end = Duration::ZERO;
         self.phases.iter().find(|phase| {
@@ -130,12 +130,12 @@
         })
     }
 
-    /// Returns the time of all phases.
+    /// Returns the total length of all phases.
     pub fn whole_time(&self) -> Duration {
         self.phases.iter().map(|phase| phase.lasts).sum()
     }
 
-    /// Returns the time of all counted phases.
+    /// Returns the total length of the counted phases.
     pub fn counted_time(&self) -> Duration {
         let counted = self.phases.iter().filter(|phase| phase.counted);
         counted.map(|phase| phase.lasts).sum()
--- a/bench/src/experiment/reader.rs
+++ b/bench/src/experiment/reader.rs
@@ -1,7 +1,7 @@
-//! Reads experiments from JSON with comments and checks them against the tree that they run.
+//! Parses experiments from JSON with comments, and checks them against the example tree.
 //!
-//! Every fault of a file becomes a finding with its place, so that one reading names all of them.
-//! Settings are the exception: they are checked together with the tree when a run starts.
+//! Every error in a file becomes a finding with its place, so that all of them are reported together. Settings are the
+//! exception: they are checked together with the tree when a run starts.
 
 use {
     super::{Experiment, LoadFactor, Phase, SharedContexts, Weights},
@@ -24,20 +24,20 @@
     std::{fmt::Display, str::FromStr},
 };
 
-/// Daemons of an experiment that names no number.
+/// Default number of daemons.
 const DAEMONS: Count = Count(6);
 
-/// Seed of an experiment that names none.
+/// Default seed.
 const SEED: u64 = 1;
 
-/// Factor of a slow endpoint whose fault names none.
+/// Default factor of the service time of a slow endpoint.
 const SLOWNESS: f64 = 10.0;
 
-/// Reads the experiments of a file: one, or one for each of its cases.
+/// Parses and checks the experiments of a file: one, or one for each of its cases.
 ///
 /// # Errors
 ///
-/// Returns all findings with their places.
+/// Returns all findings with their places in the file.
 pub fn read(file: &str, bytes: &[u8]) -> Result<Vec<Experiment>, Findings> {
     let value = document::parse_bytes(file, bytes)?;
     let tree = Values::example().tree()?;
@@ -46,7 +46,7 @@
     findings.into_result(experiments)
 }
 
-/// Reads all that a file holds; what can't be read stands as its default beside its finding.
+/// Reads the root object of a file. A field that is invalid gets its default, and its error is added to `findings`.
 fn read_root(file: &str, value: Value, tree: &Tree, findings: &mut Findings) -> Vec<Experiment> {
     let mut root = ObjectReader::new(file, value, findings);
     let name = root.take_required::<String>("name");
@@ -83,7 +83,7 @@
     }
 }
 
-/// Reads a case: the experiment under a name and with faults of its own beside the common ones.
+/// Reads a case: the common experiment under the case's name, with the case's faults in addition.
 fn read_case(
     value: Value,
     common: &Experiment,
@@ -111,7 +111,7 @@
     tree.customers.keys().map(ToString::to_string).collect()
 }
 
-/// Reads a list of scalars; an empty or absent one holds `default` alone.
+/// Reads a list of scalars; returns `default` alone if the list is empty or absent.
 fn read_list<T>(root: &mut ObjectReader<'_>, name: &'static str, default: T) -> Vec<T>
 where
     T: FromStr<Err: Display>,
@@ -252,7 +252,7 @@
     })
 }
 
-/// Reads the fields that a kind of fault has of its own.
+/// Reads the fields that are specific to a kind of fault.
 fn read_kind(
     reader: &mut ObjectReader<'_>,
     tree: &Tree,
--- a/bench/src/experiment/weights.rs
+++ b/bench/src/experiment/weights.rs
@@ -1,11 +1,11 @@
-//! Weights by name, and random choices that follow them.
+//! Weights by name, and weighted random choices.
 
 use {
     rand::{RngExt, rngs::SmallRng},
     std::collections::BTreeMap,
 };
 
-/// Weights of targets or of customers; only their ratios count.
+/// Weights of targets or of customers by name; only their ratios matter.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Weights(BTreeMap<String, f64>);
 
@@ -15,7 +15,7 @@
         self.0.values().sum()
     }
 
-    /// Returns a name's part of the whole, from 0 to 1; 0 for a name without a weight.
+    /// Returns the share of a name in the sum of all weights, from 0 to 1; 0 for a name without a weight.
     pub fn share(&self, name: &str) -> f64 {
         self.0.get(name).map_or(0.0, |weight| weight / self.total())
     }
@@ -25,7 +25,7 @@
         self.0.is_empty()
     }
 
-    /// Returns a choice among values that are built from the names.
+    /// Returns a weighted choice among the values that `value` builds from the names.
     pub fn choice<V: Clone>(&self, mut value: impl FnMut(&str) -> V) -> WeightedChoice<V> {
         let weighted = self.0.iter().map(|(name, weight)| Weighted {
             value: value(name),
@@ -44,13 +44,13 @@
 /// A value with its weight.
 #[derive(Debug, Clone)]
 pub struct Weighted<V> {
-    /// The value.
+    /// Value that can be chosen.
     pub value: V,
-    /// Its weight, above zero.
+    /// Weight of the value, above zero.
     pub weight: f64,
 }
 
-/// A random choice among values by their weights.
+/// A weighted random choice among values.
 #[derive(Debug, Clone)]
 pub struct WeightedChoice<V> {
     values: Vec<Weighted<V>>,
@@ -68,11 +68,11 @@
 }
 
 impl<V: Clone> WeightedChoice<V> {
-    /// Draws a value.
+    /// Draws a random value.
     ///
     /// # Panics
     ///
-    /// Panics if there is no value or all weights are zero; the reader of experiments refuses both.
+    /// Panics if there is no value or all weights are zero; the reader of experiments rejects both.
     pub fn draw(&self, rng: &mut SmallRng) -> V {
         let mut point = rng.random_range(0.0..self.total);
         for Weighted { value, weight } in &self.values {
@@ -81,7 +81,7 @@
             }
             point -= weight;
         }
-        // The subtractions round, so a point next to the total can pass the last value.
+        // Because of rounding in the subtractions, a point close to the total can fall behind the last value.
         self.values[self.values.len() - 1].value.clone()
     }
 }
--- a/bench/src/fault_injector.rs
+++ b/bench/src/fault_injector.rs
@@ -1,7 +1,7 @@
-//! Carries out the faults of an experiment when they are due.
+//! Starts and ends the faults of an experiment at their times.
 //!
-//! Owns the order of the moments at which faults begin and end; replicas and the configuration
-//! service do the misbehaving.
+//! This module orders the starts and ends of faults. The stand-ins for endpoints and for the configuration service
+//! implement the faults.
 
 use {
     crate::{
@@ -15,24 +15,24 @@
     tokio::time::{Instant, sleep_until},
 };
 
-/// Slowness of an endpoint without a fault.
+/// Factor of the service time of an endpoint that isn't slowed down.
 const USUAL_SPEED: f64 = 1.0;
 
-/// Share of damaged replies of an endpoint without a fault.
+/// Share of damaged replies at an endpoint without this fault.
 const NO_DAMAGE: Share = Share(0.0);
 
-/// A time at which a fault begins or ends.
+/// The start or the end of a fault; `at` is the time since the start of the run.
 struct Moment<'f> {
     at: Duration,
     kind: &'f FaultKind,
     begins: bool,
 }
 
-/// Carries all faults out, each at its time after `start`.
+/// Starts and ends all faults, each at its time after `start`.
 ///
 /// # Errors
 ///
-/// Returns an error when an endpoint that had ended can't be started again.
+/// Returns an error if an endpoint that was stopped can't be started again.
 pub async fn run(faults: &[Fault], installation: &Installation, start: Instant) -> Result<()> {
     for Moment { at, kind, begins } in moments(faults) {
         sleep_until(start + at).await;
@@ -46,7 +46,7 @@
     Ok(())
 }
 
-/// Returns all moments in the order of their times.
+/// Returns the starts and ends of all faults, ordered by time.
 fn moments(faults: &[Fault]) -> Vec<Moment<'_>> {
     let mut moments = Vec::new();
     for Fault { kind, from, until } in faults {
@@ -58,6 +58,7 @@
     moments
 }
 
+/// Returns the replicas that a kind of fault hits.
 fn targets<'i>(kind: &FaultKind, installation: &'i Installation) -> Vec<&'i Replica> {
     let replicas = installation.replicas.iter();
     match kind {
@@ -72,7 +73,7 @@
     }
 }
 
-/// Begins or ends a fault at one replica.
+/// Starts or ends a fault at one replica.
 async fn set(replica: &Replica, kind: &FaultKind, begins: bool) -> Result<()> {
     let fault = match kind {
         FaultKind::Endpoints { fault, .. } => *fault,
--- a/bench/src/fault_plan.rs
+++ b/bench/src/fault_plan.rs
@@ -1,4 +1,4 @@
-//! The faults that an experiment names: what goes wrong, where and when.
+//! The faults of an experiment: what fails, where and when.
 
 use {
     hazelyoke_lib::shared::{
@@ -12,46 +12,46 @@
 /// One fault.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Fault {
-    /// What goes wrong.
+    /// What fails, and where.
     pub kind: FaultKind,
-    /// When it begins, since the start of the run.
+    /// Time from the start of the run to the start of the fault.
     pub from: Duration,
-    /// When it ends, since the start of the run; never, if absent.
+    /// Time from the start of the run to the end of the fault; absent if it lasts until the end of the run.
     pub until: Option<Duration>,
 }
 
-/// What goes wrong, and where.
+/// What fails, and where.
 #[derive(Debug, Clone, PartialEq)]
 pub enum FaultKind {
     /// Some endpoints of a service misbehave.
     Endpoints {
-        /// The service.
+        /// Service whose endpoints have the fault.
         service: ServiceId,
-        /// Number of its endpoints that are hit.
+        /// Number of endpoints with the fault: the first ones in the tree.
         count: Count,
-        /// How they misbehave.
+        /// How these endpoints misbehave.
         fault: EndpointFault,
     },
-    /// All endpoints of a data centre end.
+    /// The processes of all endpoints in this data centre end.
     DataCentre(DataCentreId),
-    /// The configuration service is silent.
+    /// The configuration service doesn't answer.
     ConfigSilent,
 }
 
 /// How an endpoint misbehaves.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum EndpointFault {
-    /// Everything takes so many times as long.
+    /// Calls take this many times as long as usual.
     Slow(f64),
-    /// This share of its replies is damaged.
+    /// This share of the replies is damaged.
     Damage(Damage, Share),
-    /// Its load reports stay what they are.
+    /// Load reports don't change any more.
     FrozenReports,
-    /// Its process ends.
+    /// The endpoint's process ends.
     Death,
 }
 
-/// Returns the damage that an experiment names.
+/// Parses the name of a kind of damage in an experiment; returns `None` for an unknown name.
 pub fn parse_damage(text: &str) -> Option<Damage> {
     match text {
         "garbage" => Some(Damage::Garbage),
--- a/bench/src/installation.rs
+++ b/bench/src/installation.rs
@@ -1,6 +1,7 @@
-//! A whole installation on loopback: stand-ins for every endpoint of the tree, and several daemons.
+//! A whole installation on loopback: a configuration service, a stand-in for each endpoint of the tree, and several
+//! daemons, all in this process.
 //!
-//! Owns everything that a run starts; dropping it ends all of it.
+//! Dropping the installation stops everything that it started.
 
 use {
     crate::{
@@ -30,16 +31,16 @@
     tokio::net::TcpListener,
 };
 
-/// Time between two readings of the tree's root value.
+/// Interval at which daemons read the tree's root value.
 const POLL: Millis = Millis(500);
 
-/// Network time that daemons count for a call: an upper bound on loopback.
+/// Network time that daemons assume for a call: an upper bound on loopback.
 const HOP: Millis = Millis(1);
 
 /// Time between two load reports of an endpoint.
 const LOAD_INTERVAL: Millis = Millis(100);
 
-/// Limits of the callers' interface: so that no experiment meets them.
+/// Limits of the callers' interface, high enough that no experiment reaches them.
 const LIMITS: ApiLimits = ApiLimits {
     max_requests: Count(5_000),
     max_headers: ByteSize(16 << 10),
@@ -48,15 +49,15 @@
 
 /// A running installation.
 pub struct Installation {
-    /// The tree as the daemons have it.
+    /// The settings tree with the addresses of the stand-ins.
     pub tree: Arc<Tree>,
-    /// The configuration service.
+    /// The configuration service, from which the daemons read the tree.
     pub config: ConfigService,
-    /// All endpoints.
+    /// The stand-ins for all endpoints of the tree.
     pub replicas: Vec<Replica>,
-    /// All daemons.
+    /// All daemons, spread evenly over the tree's data centres.
     pub daemons: Vec<Daemon>,
-    /// A caller of each daemon.
+    /// One HTTP client for each daemon, in the order of `daemons`.
     pub callers: Vec<Caller>,
 }
 
@@ -65,7 +66,7 @@
     ///
     /// # Errors
     ///
-    /// Returns an error when the tree is invalid or something can't be started.
+    /// Returns an error if the tree is invalid, or a stand-in can't be started.
     pub async fn start(experiment: &Experiment, root_settings: &str) -> Result<Self> {
         let mut values = Values::example();
         values.add_root_settings(root_settings);
@@ -138,16 +139,16 @@
     }
 }
 
-/// One cache with the room of all engines of a service together.
+/// Returns a prefix cache with the capacity of the caches of all of a service's engines together.
 fn shared_cache(service: &Service) -> SharedCache {
     let mut times = engine_model(service);
     times.cache_blocks *= service.endpoints.len();
     engine::new_cache(&times)
 }
 
-/// Finds a free port and gives it back, so that an endpoint can come back on the same one.
+/// Returns a free loopback address. An endpoint binds it explicitly, so that it can be started again on the same port.
 ///
-/// Another program may take the port before the endpoint does; starting the endpoint fails then.
+/// If another program takes the port before that, starting the endpoint fails.
 async fn free_address() -> Result<SocketAddr> {
     let listener = TcpListener::bind(any_address()).await?;
     Ok(listener.local_addr()?)
--- a/bench/src/load.rs
+++ b/bench/src/load.rs
@@ -1,6 +1,6 @@
-//! Open-loop load: requests come when they are due, whether or not earlier ones are done.
+//! Open-loop load: requests are sent when they are due, whether or not earlier ones have completed.
 //!
-//! Owns the arrivals of a run and the draw of each request; callers perform them.
+//! This module draws the arrival times and the requests of a run; the caller module sends them.
 
 use {
     crate::{
@@ -22,23 +22,23 @@
     },
 };
 
-/// Least rate of requests: so that a run at no load ends.
+/// Lowest rate of requests, so that a run at zero load ends.
 const MIN_RATE: Rate = Rate(0.1);
 
-/// Places between the most likely shared context and the one half as likely.
+/// Distance in rank from the most likely shared context to the one that is half as likely.
 const CONTEXT_SKEW: u32 = 4;
 
 /// An outcome with the time at which its request was due.
 #[derive(Debug)]
 pub struct TimedOutcome {
-    /// Time since the start of the run.
+    /// Time from the start of the run until the request was due.
     pub at: Duration,
-    /// The outcome.
+    /// Outcome of the request.
     pub outcome: Outcome,
 }
 
-/// Runs the load at `factor` times the capacity, but for phases that have a load of their own, and
-/// hands each outcome over when it is known.
+/// Sends the requests of all phases at `factor` times the capacity, or at the phase's load where it has one. Sends each
+/// outcome to `outcomes` when the request ends.
 pub async fn run(
     installation: &Installation,
     experiment: &Experiment,
@@ -62,13 +62,13 @@
         let outcomes = outcomes.clone();
         tokio::spawn(async move {
             let outcome = request.perform(&callers, first, due).await;
-            // Nobody receives any more only if the run was given up with an error of its own.
+            // The receiver is gone only if the run was aborted because of another error.
             let _ = outcomes.send(TimedOutcome { at, outcome });
         });
     }
 }
 
-/// Returns when the next request is due after `at`, with exponential gaps.
+/// Returns when the request after the one at `at` is due. Gaps are distributed exponentially.
 fn next_arrival(at: Duration, rate: Rate, rng: &mut SmallRng) -> Duration {
     let uniform: f64 = rng.random_range(f64::EPSILON..1.0);
     at + Duration::from_secs_f64(-uniform.ln() / rate.0.max(MIN_RATE.0))
@@ -85,7 +85,7 @@
 }
 
 impl Target {
-    /// Finds a target by its name, which the reader of experiments has checked.
+    /// Returns the target with a name, which the reader of experiments has checked.
     fn find(tree: &Tree, name: &str) -> Self {
         let pipeline = name.parse().ok().and_then(|id| tree.pipelines.get(&id));
         let (path, pipeline) = match pipeline {
@@ -108,7 +108,7 @@
     }
 }
 
-/// Draws requests by the experiment's weights.
+/// Draws random requests by the experiment's weights.
 struct RequestSource<'e> {
     tree: &'e Tree,
     targets: WeightedChoice<Target>,
@@ -156,7 +156,7 @@
     }
 }
 
-/// Builds the shared beginnings of prompts; each one's text is its own.
+/// Builds the shared prefixes of prompts; their texts all differ.
 fn contexts(SharedContexts { groups, bytes }: SharedContexts) -> WeightedChoice<Arc<str>> {
     let context = |group: u32| {
         let word = format!("case-{group:06} ");
--- a/bench/src/main.rs
+++ b/bench/src/main.rs
@@ -1,7 +1,7 @@
 //! The load and experiment tool of hazelyoke.
 //!
-//! It runs the daemon that reads a settings tree, and the naive policy beside it, under load and
-//! faults that the users' bench can't play; that bench plays the forwarding daemon.
+//! It runs daemons that read a settings tree under load and faults, and compares their policies, among them the naive
+//! one. The users' bench can't produce these faults; it tests the forwarding daemon.
 
 mod caller;
 mod commands;
--- a/bench/src/model.rs
+++ b/bench/src/model.rs
@@ -1,6 +1,7 @@
-//! Times of the stand-ins, worked out from the tree, and the capacity that follows from them.
+//! Service times of the stand-ins, computed from the tree, and the capacity of the installation that follows from them.
 //!
-//! The factors make stand-ins a plausible multiple slower than the floors that the tree promises.
+//! A floor in the tree is the least time of a call. The factors here make stand-ins slower than their floors by a
+//! plausible multiple.
 
 use {
     crate::experiment::Weights,
@@ -15,25 +16,25 @@
     std::{collections::BTreeMap, time::Duration},
 };
 
-/// Factor from a service's floor to the usual time of a call.
+/// Usual time of a call to a plain service, as a multiple of the service's floor.
 const USUAL: f64 = 3.0;
 
-/// Factor from an engine's floor to the time of a generation alone on it.
+/// Time of a generation that is alone on an engine, as a multiple of the engine's floor.
 const ALONE: f64 = 2.0;
 
-/// Share by which a full batch slows each sequence down.
+/// Share by which a full batch lengthens the time of each sequence's tokens.
 const BATCH_COST: f64 = 0.5;
 
-/// Time of an engine's prefill for one byte.
+/// Prefill time of an engine for each byte of the prompt.
 const PREFILL_BYTE: Duration = Duration::from_micros(25);
 
-/// Blocks that an engine's prefix cache holds.
+/// Capacity of an engine's prefix cache, in blocks.
 const CACHE_BLOCKS: usize = 400;
 
-/// Bytes of an engine's usual input, for its capacity.
+/// Bytes of a usual prompt, with which an engine's capacity is computed.
 const INPUT_BYTES: u32 = 30;
 
-/// Model of a plain service's endpoint.
+/// Returns the model of a plain service's endpoint.
 pub fn plain_model(service: &Service) -> PlainModel {
     let settings = &service.settings;
     PlainModel {
@@ -43,7 +44,7 @@
     }
 }
 
-/// Model of an engine: its floor is less than a generation alone on it.
+/// Returns the model of an engine; a generation alone on it takes [`ALONE`] times the floor.
 pub fn engine_model(service: &Service) -> EngineModel {
     let settings = &service.settings;
     let tokens = settings.max_tokens.value.0;
@@ -57,7 +58,7 @@
     }
 }
 
-/// Returns the rate of calls that one endpoint of a service can take.
+/// Returns the rate of calls that one endpoint of a service can serve.
 fn endpoint_rate(service: &Service) -> Rate {
     match service.kind {
         ServiceKind::Plain => {
@@ -73,7 +74,7 @@
     }
 }
 
-/// Returns the rate of requests at which the busiest service is full, for a mix of targets.
+/// Returns the rate of requests at which the busiest service is fully used, for a mix of targets.
 pub fn capacity(tree: &Tree, mix: &Weights) -> Rate {
     let mut calls: BTreeMap<_, f64> = BTreeMap::new();
     for target in targets(tree) {
@@ -100,7 +101,7 @@
     calls.chain(pipelines.map(|pipeline| Pipeline::clone(pipeline)))
 }
 
-/// Returns the steps of a target, for its expected answers.
+/// Returns the steps of a target, from which its expected answers are computed.
 pub fn steps(tree: &Tree, target: &Pipeline) -> Vec<Step> {
     let stages = target.stages.iter();
     stages.map(|stage| step(tree, stage)).collect()
--- a/bench/src/observer.rs
+++ b/bench/src/observer.rs
@@ -1,4 +1,4 @@
-//! Compares what callers were told with what ran at the endpoints.
+//! Checks the daemons' guarantees: compares the replies that callers got with the calls that ran at the endpoints.
 
 use {
     crate::{
@@ -12,21 +12,21 @@
     },
 };
 
-/// Broken promises by kind; all zero in a good run.
+/// Number of broken guarantees by kind; all zero in a good run.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize)]
 pub struct Breaches {
-    /// Answers that weren't the request's own.
+    /// Replies that differ from the expected answer of their request.
     pub wrong: u64,
-    /// Requests that callers were told weren't run, of which something ran.
+    /// Requests that were reported as `not_run` although a call of them ran.
     pub false_not_run: u64,
-    /// Calls that may not be repeated and ran more than once under one key.
+    /// Calls of services that aren't repeatable that ran more than once under one idempotency key.
     pub run_twice: u64,
-    /// Attempts without any final answer.
+    /// Attempts without a final reply.
     pub unanswered: u64,
 }
 
 impl Breaches {
-    /// Returns the number of broken promises of all kinds.
+    /// Returns the number of broken guarantees of all kinds.
     pub fn total(&self) -> u64 {
         self.wrong + self.false_not_run + self.run_twice + self.unanswered
     }
@@ -41,7 +41,7 @@
     }
 }
 
-/// Endings that the observer remembers until it knows what ran.
+/// Endings of attempts, recorded until the run has ended.
 #[derive(Debug, Default)]
 pub struct Observer {
     wrong: u64,
@@ -50,20 +50,20 @@
 }
 
 impl Observer {
-    /// Remembers how the attempts of one request ended.
+    /// Records how the attempts of one request ended.
     pub fn add(&mut self, outcome: &Outcome) {
         for attempt in outcome.attempts() {
             match &attempt.ending {
                 Ending::WrongAnswer => self.wrong += 1,
                 Ending::Unanswered(_) => self.unanswered += 1,
-                // Without an id, the request never was one of the daemon's.
+                // A request without an id was never accepted by a daemon.
                 Ending::NotRun(_) => self.not_run.extend(attempt.request.clone()),
                 Ending::Answered | Ending::Unknown(_) => {}
             }
         }
     }
 
-    /// Returns the promises that were broken, given all that ran at the endpoints.
+    /// Returns the guarantees that were broken, given the calls that ran at the endpoints.
     pub fn judge(&self, replicas: &[Replica]) -> Breaches {
         let mut false_not_run = BTreeSet::new();
         let mut guarded: BTreeMap<_, u64> = BTreeMap::new();
--- a/bench/src/replica.rs
+++ b/bench/src/replica.rs
@@ -1,7 +1,6 @@
-//! One stand-in endpoint of an installation, which can end and be started again on its address.
+//! One stand-in endpoint of an installation, which can be stopped and started again on its address.
 //!
-//! Owns the running server and the records of all its lives, so that the observer also sees what
-//! ran before an endpoint ended.
+//! It keeps the records of all its incarnations, so that the observer also sees the calls that ran before a stop.
 
 use {
     crate::model::{engine_model, plain_model},
@@ -19,21 +18,21 @@
     },
 };
 
-/// What all replicas of a service share.
+/// State that all replicas of a service share.
 #[derive(Debug, Clone)]
 pub struct SharedState {
     /// Answers by idempotency key.
     pub answers: Answers,
-    /// The prefix cache of all engines; absent if each has its own.
+    /// The prefix cache that all engines share; absent if each has its own.
     pub cache: Option<SharedCache>,
 }
 
 /// A stand-in endpoint with what is needed to start it again.
 #[derive(Debug)]
 pub struct Replica {
-    /// Service that it belongs to.
+    /// Service that the endpoint belongs to.
     pub service: Arc<Service>,
-    /// Its entry in the tree as it is written.
+    /// The endpoint's entry in the example tree, with the address as written there.
     pub spec: Arc<EndpointSpec>,
     address: SocketAddr,
     shared: SharedState,
@@ -65,12 +64,12 @@
         Ok(replica)
     }
 
-    /// Ends the endpoint's process.
+    /// Stops the endpoint at once, as if its process were killed.
     pub fn kill(&self) {
         self.server.lock().expect("no panic while held").take();
     }
 
-    /// Starts the endpoint's process on its address, as a new life.
+    /// Starts a new incarnation of the endpoint on its address.
     ///
     /// # Errors
     ///
@@ -101,12 +100,12 @@
         }
     }
 
-    /// Returns the states of all lives, the latest one last.
+    /// Returns the states of all incarnations, oldest first.
     pub fn lives(&self) -> Vec<Arc<Endpoint>> {
         self.lives.lock().expect("no panic while held").clone()
     }
 
-    /// Returns the state of the latest life.
+    /// Returns the state of the latest incarnation.
     pub fn current(&self) -> Arc<Endpoint> {
         let lives = self.lives.lock().expect("no panic while held");
         lives.last().expect("launched with a life").clone()
--- a/bench/src/report.rs
+++ b/bench/src/report.rs
@@ -1,4 +1,4 @@
-//! The report of one run, as it is written to a line of JSON.
+//! The report of one run, which is written as one line of JSON.
 
 use {
     crate::{
@@ -20,31 +20,31 @@
 pub struct Report {
     /// Name of the experiment.
     pub experiment: String,
-    /// Policy that was in force.
+    /// Policy under which the daemons ran.
     pub policy: String,
     /// Mean load over the counted phases, as a multiple of capacity.
     pub load: f64,
-    /// Requests a second at which the busiest service is full.
+    /// Requests a second at which the busiest service is fully used.
     pub capacity: f64,
-    /// Counted requests.
+    /// Number of requests that were due in counted phases.
     pub requests: u64,
-    /// Share answered whole within their deadline.
+    /// Share of requests answered correctly within their deadline.
     pub attainment: f64,
-    /// Requests a second answered whole within their deadline.
+    /// Requests a second answered correctly within their deadline.
     pub goodput: f64,
-    /// Median latency of answered requests in milliseconds.
+    /// Median latency of answered requests, in milliseconds.
     pub p50_ms: f64,
-    /// 95th percentile in milliseconds.
+    /// 95th percentile of the latency of answered requests, in milliseconds.
     pub p95_ms: f64,
-    /// 99th percentile in milliseconds.
+    /// 99th percentile of the latency of answered requests, in milliseconds.
     pub p99_ms: f64,
-    /// Attained work at the busiest service, as a share of its capacity.
+    /// Work of requests answered within their deadline at the busiest service, as a share of its capacity.
     pub used: f64,
-    /// Share of endpoint time, as the endpoints measure it, that served no attained request.
+    /// Share of the endpoints' busy time, as they measure it, that daemons don't count as useful.
     pub wasted: f64,
-    /// Attempts beyond the first, as a share of first attempts.
+    /// Number of extra attempts, as a share of the number of first attempts.
     pub extra: f64,
-    /// Requests by how they ended.
+    /// Number of requests by how they ended.
     pub endings: BTreeMap<String, u64>,
     /// Attainment by target.
     pub targets: BTreeMap<String, f64>,
@@ -52,27 +52,27 @@
     pub customers: BTreeMap<String, f64>,
     /// Endpoint time by target and stage, as the daemons count it.
     pub stages: BTreeMap<String, StageTime>,
-    /// Share of the engines' prompt bytes that were found in their caches.
+    /// Share of the engines' prompt bytes that were found in prefix caches.
     pub cached: f64,
-    /// Share of their slots' time that the endpoints of each service were busy.
+    /// Share of the time of all slots of a service in which they were busy, by service.
     pub busy: BTreeMap<String, f64>,
-    /// Attainment by second since the start.
+    /// Attainment by the second in which requests were due, counted from the start of the run.
     pub seconds: Vec<f64>,
-    /// Promises that were broken.
+    /// Guarantees that were broken.
     pub breaches: Breaches,
 }
 
-/// Endpoint time of a stage.
+/// Endpoint time that a stage took, in milliseconds.
 #[derive(Debug, Clone, Copy, Default, Serialize)]
 pub struct StageTime {
     /// Time for requests that were answered in time.
     pub useful: WorkMillis,
-    /// Time for requests that weren't.
+    /// Time for all other requests.
     pub wasted: WorkMillis,
 }
 
 impl Report {
-    /// Returns whether every promise was kept.
+    /// Returns whether no guarantee was broken.
     pub fn kept(&self) -> bool {
         self.breaches.total() == 0
     }
@@ -143,7 +143,7 @@
     stages
 }
 
-/// Attained work at the busiest service, as a share of its capacity.
+/// Returns the work of requests answered within their deadline at the busiest service, as a share of its capacity.
 fn used(tree: &Tree, targets: &BTreeMap<String, Tally>, seconds: f64) -> f64 {
     let attained: Weights = targets
         .iter()
@@ -153,7 +153,7 @@
     attained.total() / seconds / model::capacity(tree, &attained).0
 }
 
-/// Share of the endpoints' busy time that daemons don't count as useful.
+/// Returns the share of the endpoints' busy time that daemons don't count as useful.
 fn wasted(installation: &Installation, stages: &BTreeMap<String, StageTime>) -> f64 {
     let useful: f64 = stages.values().map(|time| time.useful.0).sum();
     let replicas = installation.replicas.iter();
@@ -162,6 +162,7 @@
     (1.0 - useful / busy.max(f64::EPSILON)).max(0.0)
 }
 
+/// Returns the number of extra attempts of all daemons, as a share of the number of first attempts.
 fn extra(installation: &Installation) -> f64 {
     let mut first = 0;
     let mut extra = 0;
@@ -173,6 +174,7 @@
     extra as f64 / first.max(1) as f64
 }
 
+/// Returns the share of the engines' prompt bytes that were found in prefix caches.
 fn cached(installation: &Installation) -> f64 {
     let mut sum = PromptBytes::default();
     let replicas = installation.replicas.iter();
@@ -184,6 +186,7 @@
     1.0 - sum.uncached as f64 / sum.all.max(1) as f64
 }
 
+/// Returns the share of the time of all slots of a service in which they were busy, by service.
 fn busy(experiment: &Experiment, installation: &Installation) -> BTreeMap<String, f64> {
     let whole = experiment.whole_time().as_secs_f64();
     let mut busy: BTreeMap<String, f64> = BTreeMap::new();
--- a/bench/src/runner.rs
+++ b/bench/src/runner.rs
@@ -1,4 +1,4 @@
-//! Runs an experiment under one policy at one load, and collects what comes out.
+//! Runs an experiment under one policy at one load, and collects the outcomes of its requests.
 
 use {
     crate::{
@@ -20,10 +20,10 @@
     },
 };
 
-/// Longest wait for the last answers after the load has ended: longer than any deadline of the tree.
+/// Longest wait for the last replies after the load has ended: longer than any deadline in the tree.
 const DRAIN: Duration = Duration::from_secs(30);
 
-/// Pause after the last answer, so that endpoints finish work whose caller has left.
+/// Wait after the last reply, so that endpoints finish calls whose caller has already given up.
 const SETTLE: Duration = Duration::from_millis(300);
 
 /// Time between two reports of progress.
@@ -32,47 +32,47 @@
 /// One run of an experiment.
 #[derive(Debug, Clone, Copy)]
 pub struct Run<'e> {
-    /// The experiment.
+    /// Experiment that is run.
     pub experiment: &'e Experiment,
-    /// Policy in force.
+    /// Policy under which the daemons run.
     pub policy: PolicyKind,
-    /// Load of phases that have none of their own.
+    /// Load of the phases that don't define a load.
     pub load: LoadFactor,
 }
 
-/// How far a run is.
+/// Progress of a run.
 #[derive(Debug, Clone, Copy)]
 pub struct Progress {
-    /// Time since its start.
+    /// Time since the start of the run.
     pub elapsed: Duration,
-    /// Counted requests that have ended.
+    /// Number of counted requests that have ended.
     pub ended: u64,
-    /// Those of them that were answered whole within their deadline.
+    /// Number of counted requests that were answered correctly within their deadline.
     pub attained: u64,
 }
 
-/// All that a run has given.
+/// The results of a run.
 pub struct Results<'e> {
-    /// The run.
+    /// Run that gave the results.
     pub run: Run<'e>,
-    /// The installation as it was left.
+    /// The installation after the run, still running.
     pub installation: Installation,
     /// Counts of requests.
     pub tallies: Tallies,
-    /// Broken promises.
+    /// Guarantees that were broken.
     pub breaches: Breaches,
 }
 
-/// Counts of requests by several criteria; only `seconds` holds those of uncounted phases as well.
+/// Counts of requests by several criteria. Only `seconds` includes the requests of uncounted phases.
 #[derive(Debug, Default)]
 pub struct Tallies {
-    /// All requests.
+    /// All counted requests.
     pub all: Tally,
-    /// Requests by target.
+    /// Counted requests by target.
     pub targets: BTreeMap<String, Tally>,
-    /// Requests by customer.
+    /// Counted requests by customer.
     pub customers: BTreeMap<String, Tally>,
-    /// Requests by the second at which they were due.
+    /// Requests by the second, since the start of the run, in which they were due.
     pub seconds: BTreeMap<u64, Tally>,
 }
 
@@ -92,12 +92,12 @@
 }
 
 impl Run<'_> {
-    /// Runs the experiment; `progress` is called each second.
+    /// Runs the experiment, and calls `progress` each second.
     ///
     /// # Errors
     ///
-    /// Returns an error when the installation can't be started, a fault can't be carried out, or
-    /// answers are missing long after the load has ended.
+    /// Returns an error if the installation can't be started, a fault can't be injected, or requests haven't ended 30 s
+    /// after the load.
     pub async fn run(self, progress: impl FnMut(Progress)) -> Result<Report> {
         let experiment = self.experiment;
         let installation = Installation::start(experiment, &self.root_settings()).await?;
@@ -126,7 +126,7 @@
         }))
     }
 
-    /// Returns the settings of the run at the tree's root, as JSON fields.
+    /// Returns the run's settings for the tree's root value, as JSON fields.
     fn root_settings(&self) -> String {
         let policy = format!("\"policy\": \"{}\"", self.policy);
         if self.experiment.settings.is_empty() {
@@ -137,7 +137,7 @@
     }
 }
 
-/// Counts outcomes until every request has ended.
+/// Counts outcomes until all requests have ended.
 async fn collect(
     experiment: &Experiment,
     mut outcomes: UnboundedReceiver<TimedOutcome>,
@@ -165,7 +165,8 @@
     }
 }
 
-/// Waits until the faults fail; when they end well, the load decides how long the run lasts.
+/// Returns the error with which the injection of faults fails. Never returns if it succeeds, so that the load determines
+/// how long the run lasts.
 async fn failure(faults: impl Future<Output = Result<()>>) -> Error {
     match faults.await {
         Ok(()) => future::pending().await,
--- a/bench/src/tally.rs
+++ b/bench/src/tally.rs
@@ -1,4 +1,4 @@
-//! Counts of a group of requests: how they ended and how long answers took.
+//! Counts and latencies of a group of requests.
 
 use {
     crate::caller::{Ending, Outcome},
@@ -6,20 +6,20 @@
     std::{collections::BTreeMap, time::Duration},
 };
 
-/// Longest latency recorded, in microseconds: longer than any deadline.
+/// Longest latency that is recorded, in microseconds: longer than any deadline in the tree.
 const MAX_MICROS: u64 = 120_000_000;
 
-/// Decimal digits of a latency that are kept.
+/// Significant decimal digits of a recorded latency.
 const DIGITS: u8 = 3;
 
-/// Counts of one group of requests.
+/// Counts and latencies of one group of requests.
 #[derive(Debug, Clone)]
 pub struct Tally {
-    /// Requests.
+    /// Number of requests that have ended.
     pub total: u64,
-    /// Requests answered whole within their deadline.
+    /// Number of requests answered correctly within their deadline.
     pub attained: u64,
-    /// Endings by name.
+    /// Number of requests by the name of their ending.
     pub endings: BTreeMap<String, u64>,
     /// Latencies of answered requests, in microseconds.
     latency: Histogram<u64>,
@@ -51,8 +51,7 @@
         *self.endings.entry(ending_name(ending)).or_default() += 1;
     }
 
-    /// Returns the share of requests answered whole within their deadline, from 0 to 1; 1 if there
-    /// was no request.
+    /// Returns the share of requests answered correctly within their deadline, from 0 to 1; 1 if there are no requests.
     pub fn attainment(&self) -> f64 {
         if self.total == 0 {
             return 1.0;
@@ -60,7 +59,7 @@
         self.attained as f64 / self.total as f64
     }
 
-    /// Returns a quantile of the latency of answered requests.
+    /// Returns a quantile, given from 0 to 1, of the latency of answered requests.
     pub fn quantile(&self, quantile: f64) -> Duration {
         Duration::from_micros(self.latency.value_at_quantile(quantile))
     }
--- a/bench/tests/test_experiments.rs
+++ b/bench/tests/test_experiments.rs
@@ -1,4 +1,4 @@
-//! Every experiment that is committed, the demo's among them, can be run.
+//! All committed experiments, including the demo's, are valid.
 
 #![allow(clippy::unwrap_used, reason = "a failed unwrap fails the test")]
 
