--- a/bench/src/caller.rs
+++ b/bench/src/caller.rs
@@ -100,14 +100,14 @@
         loop {
             let caller = &callers[(first + earlier.len()) % callers.len()];
             let attempt = match caller.post(self.to_http(&body, due)).await {
-                Ok(reply) => judge(&reply, &expected),
+                Ok(reply) => classify_reply(&reply, &expected),
                 Err(error) => Attempt {
                     request: None,
                     ending: Ending::Unanswered(error),
                 },
             };
-            let spent = earlier.len() >= self.retries as usize;
-            if attempt.ending == Ending::Answered || spent || due.elapsed() >= self.deadline {
+            let is_last = earlier.len() >= self.retries as usize;
+            if attempt.ending == Ending::Answered || is_last || due.elapsed() >= self.deadline {
                 return Outcome {
                     request: self,
                     latency: due.elapsed(),
@@ -142,7 +142,7 @@
     }
 }
 
-fn judge(reply: &CallerReply, expected: &Bytes) -> Attempt {
+fn classify_reply(reply: &CallerReply, expected: &Bytes) -> Attempt {
     let header = reply.headers.get(REQUEST_ID_HEADER);
     let request = header
         .and_then(|value| value.to_str().ok())
--- a/bench/src/commands/demo.rs
+++ b/bench/src/commands/demo.rs
@@ -12,7 +12,7 @@
 };
 
 /// Text of the demo's experiment. Its only phase defines its load.
-const DEMO: &str = include_str!("../../experiments/demo.jsonc");
+const DEMO_EXPERIMENT: &str = include_str!("../../experiments/demo.jsonc");
 
 /// ten seconds of mixed load on the Bureau's tree, with everything in this process
 #[derive(Debug, FromArgs)]
@@ -26,7 +26,7 @@
     ///
     /// Returns an error if the experiment can't be run.
     pub async fn run(self) -> Result<bool> {
-        let experiments = Experiment::parse("demo.jsonc", DEMO.as_bytes())?;
+        let experiments = Experiment::parse("demo.jsonc", DEMO_EXPERIMENT.as_bytes())?;
         let experiment = &experiments[0];
         let daemons = experiment.daemons;
         println!("{daemons} daemons and their stand-ins on loopback, ten seconds of load");
@@ -40,14 +40,14 @@
         print_table(slice::from_ref(&report));
         println!();
         print_details(&report);
-        let kept = report.kept();
-        let verdict = if kept {
+        let passed = report.passed();
+        let verdict = if passed {
             "every promise was kept"
         } else {
             "A PROMISE WAS BROKEN"
         };
         println!("{verdict}");
-        Ok(kept)
+        Ok(passed)
     }
 }
 
--- a/bench/src/commands/run.rs
+++ b/bench/src/commands/run.rs
@@ -61,7 +61,7 @@
             reports.push(report);
         }
         print_table(&reports);
-        Ok(reports.iter().all(Report::kept))
+        Ok(reports.iter().all(Report::passed))
     }
 
     fn read(&self) -> Result<Vec<Experiment>> {
--- a/bench/src/example_tree.rs
+++ b/bench/src/example_tree.rs
@@ -15,14 +15,14 @@
 };
 
 /// Name of the tree's root value.
-pub const ROOT: &str = "tree.jsonc";
+pub const ROOT_VALUE: &str = "tree.jsonc";
 
 /// Text that opens the settings in the root value.
 const ROOT_SETTINGS: &str = "\"settings\": {";
 
 /// The tree's values by name.
-const EXAMPLE: [(&str, &str); 3] = [
-    (ROOT, include_str!("../../examples/bureau/tree.jsonc")),
+const EXAMPLE_VALUES: [(&str, &str); 3] = [
+    (ROOT_VALUE, include_str!("../../examples/bureau/tree.jsonc")),
     (
         "payments.jsonc",
         include_str!("../../examples/bureau/payments.jsonc"),
@@ -35,9 +35,9 @@
 
 /// The texts of one tree's values by name.
 #[derive(Debug, Clone)]
-pub struct Values(pub BTreeMap<String, String>);
+pub struct TreeValues(pub BTreeMap<String, String>);
 
-impl ValueSource for Values {
+impl ValueSource for TreeValues {
     type Error = &'static str;
 
     fn read(&self, name: &str) -> Result<Vec<u8>, Self::Error> {
@@ -46,10 +46,10 @@
     }
 }
 
-impl Values {
+impl TreeValues {
     /// Returns the Bureau's example tree, unchanged.
     pub fn example() -> Self {
-        let named = EXAMPLE.map(|(name, text)| (name.to_owned(), text.to_owned()));
+        let named = EXAMPLE_VALUES.map(|(name, text)| (name.to_owned(), text.to_owned()));
         Self(named.into())
     }
 
@@ -64,7 +64,10 @@
 
     /// Adds settings, as JSON fields, to the root value, before those that it has.
     pub fn add_root_settings(&mut self, fields: &str) {
-        let root = self.0.get_mut(ROOT).expect("the example has a root value");
+        let root = self
+            .0
+            .get_mut(ROOT_VALUE)
+            .expect("the example has a root value");
         *root = root.replacen(ROOT_SETTINGS, &format!("{ROOT_SETTINGS} {fields},"), 1);
     }
 
@@ -74,6 +77,6 @@
     ///
     /// Returns the findings of an invalid tree.
     pub fn tree(&self) -> Result<Tree, Findings> {
-        Tree::try_from(RawTree::read(self, ROOT)?)
+        Tree::try_from(RawTree::read(self, ROOT_VALUE)?)
     }
 }
--- a/bench/src/experiment/mod.rs
+++ b/bench/src/experiment/mod.rs
@@ -65,7 +65,7 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Phase {
     /// Length of the phase.
-    pub lasts: Duration,
+    pub length: Duration,
     /// Load of the phase; absent if the load of the run applies.
     pub load: Option<LoadFactor>,
     /// Whether requests due in the phase are counted in reports.
@@ -125,19 +125,19 @@
     pub fn phase(&self, at: Duration) -> Option<&Phase> {
         let mut end = Duration::ZERO;
         self.phases.iter().find(|phase| {
-            end += phase.lasts;
+            end += phase.length;
             at < end
         })
     }
 
     /// Returns the total length of all phases.
     pub fn whole_time(&self) -> Duration {
-        self.phases.iter().map(|phase| phase.lasts).sum()
+        self.phases.iter().map(|phase| phase.length).sum()
     }
 
     /// Returns the total length of the counted phases.
     pub fn counted_time(&self) -> Duration {
         let counted = self.phases.iter().filter(|phase| phase.counted);
-        counted.map(|phase| phase.lasts).sum()
+        counted.map(|phase| phase.length).sum()
     }
 }
--- a/bench/src/experiment/reader.rs
+++ b/bench/src/experiment/reader.rs
@@ -6,7 +6,7 @@
 use {
     super::{Experiment, LoadFactor, Phase, SharedContexts, Weights},
     crate::{
-        example_tree::Values,
+        example_tree::TreeValues,
         fault_plan::{EndpointFault, Fault, FaultKind, parse_damage},
     },
     hazelyoke_lib::{
@@ -25,13 +25,13 @@
 };
 
 /// Default number of daemons.
-const DAEMONS: Count = Count(6);
+const DEFAULT_DAEMONS: Count = Count(6);
 
 /// Default seed.
-const SEED: u64 = 1;
+const DEFAULT_SEED: u64 = 1;
 
 /// Default factor of the service time of a slow endpoint.
-const SLOWNESS: f64 = 10.0;
+const DEFAULT_SLOWDOWN: f64 = 10.0;
 
 /// Parses and checks the experiments of a file: one, or one for each of its cases.
 ///
@@ -40,7 +40,7 @@
 /// Returns all findings with their places in the file.
 pub fn read(file: &str, bytes: &[u8]) -> Result<Vec<Experiment>, Findings> {
     let value = document::parse_bytes(file, bytes)?;
-    let tree = Values::example().tree()?;
+    let tree = TreeValues::example().tree()?;
     let mut findings = Findings::default();
     let experiments = read_root(file, value, &tree, &mut findings);
     findings.into_result(experiments)
@@ -56,10 +56,10 @@
     let shared_cache = root.take_parsed::<bool>("shared_cache");
     let common = Experiment {
         name: name.map_or_else(String::new, |name| name.value),
-        daemons: daemons.map_or(DAEMONS, |daemons| daemons.value),
+        daemons: daemons.map_or(DEFAULT_DAEMONS, |daemons| daemons.value),
         policies: read_list(&mut root, "policies", PolicyKind::Estimated),
         settings: read_settings(&mut root),
-        seed: seed.map_or(SEED, |seed| seed.value),
+        seed: seed.map_or(DEFAULT_SEED, |seed| seed.value),
         loads: read_list(&mut root, "loads", LoadFactor::CAPACITY),
         phases: read_phases(&mut root),
         mix: read_weights(&mut root, "mix", &target_names(tree)),
@@ -216,13 +216,13 @@
 
 fn read_phase(value: Value, findings: &mut Findings) -> Option<Phase> {
     let mut reader = ObjectReader::new("phase", value, findings);
-    let lasts = reader.take_required::<Millis>("lasts");
+    let length = reader.take_required::<Millis>("lasts");
     let load = reader.take_parsed::<LoadFactor>("of_capacity");
     let counted = reader.take_parsed::<bool>("counted");
     reader.finish();
-    let lasts = lasts?.value;
+    let length = length?.value;
     Some(Phase {
-        lasts: lasts.to_duration(),
+        length: length.to_duration(),
         load: load.map(|load| load.value),
         counted: counted.is_none_or(|counted| counted.value),
     })
@@ -304,7 +304,7 @@
         "frozen_reports" => EndpointFault::FrozenReports,
         "slow" => {
             let factor = reader.take_parsed::<f64>("factor");
-            EndpointFault::Slow(factor.map_or(SLOWNESS, |factor| factor.value))
+            EndpointFault::Slow(factor.map_or(DEFAULT_SLOWDOWN, |factor| factor.value))
         }
         _ => {
             let Some(damage) = parse_damage(kind) else {
--- a/bench/src/fault_injector.rs
+++ b/bench/src/fault_injector.rs
@@ -16,16 +16,16 @@
 };
 
 /// Factor of the service time of an endpoint that isn't slowed down.
-const USUAL_SPEED: f64 = 1.0;
+const NORMAL_SLOWDOWN: f64 = 1.0;
 
 /// Share of damaged replies at an endpoint without this fault.
 const NO_DAMAGE: Share = Share(0.0);
 
 /// The start or the end of a fault; `at` is the time since the start of the run.
-struct Moment<'f> {
+struct FaultChange<'f> {
     at: Duration,
     kind: &'f FaultKind,
-    begins: bool,
+    starts: bool,
 }
 
 /// Starts and ends all faults, each at its time after `start`.
@@ -34,32 +34,32 @@
 ///
 /// Returns an error if an endpoint that was stopped can't be started again.
 pub async fn run(faults: &[Fault], installation: &Installation, start: Instant) -> Result<()> {
-    for Moment { at, kind, begins } in moments(faults) {
+    for FaultChange { at, kind, starts } in fault_changes(faults) {
         sleep_until(start + at).await;
         if let FaultKind::ConfigSilent = kind {
-            installation.config.set_silent(begins);
+            installation.config.set_silent(starts);
         }
-        for replica in targets(kind, installation) {
-            set(replica, kind, begins).await?;
+        for replica in target_replicas(kind, installation) {
+            set_fault(replica, kind, starts).await?;
         }
     }
     Ok(())
 }
 
 /// Returns the starts and ends of all faults, ordered by time.
-fn moments(faults: &[Fault]) -> Vec<Moment<'_>> {
-    let mut moments = Vec::new();
+fn fault_changes(faults: &[Fault]) -> Vec<FaultChange<'_>> {
+    let mut changes = Vec::new();
     for Fault { kind, from, until } in faults {
-        let moment = |at, begins| Moment { at, kind, begins };
-        moments.push(moment(*from, true));
-        moments.extend(until.map(|until| moment(until, false)));
+        let change = |at, starts| FaultChange { at, kind, starts };
+        changes.push(change(*from, true));
+        changes.extend(until.map(|until| change(until, false)));
     }
-    moments.sort_by_key(|moment| moment.at);
-    moments
+    changes.sort_by_key(|change| change.at);
+    changes
 }
 
 /// Returns the replicas that a kind of fault hits.
-fn targets<'i>(kind: &FaultKind, installation: &'i Installation) -> Vec<&'i Replica> {
+fn target_replicas<'i>(kind: &FaultKind, installation: &'i Installation) -> Vec<&'i Replica> {
     let replicas = installation.replicas.iter();
     match kind {
         FaultKind::Endpoints { service, count, .. } => replicas
@@ -74,7 +74,7 @@
 }
 
 /// Starts or ends a fault at one replica.
-async fn set(replica: &Replica, kind: &FaultKind, begins: bool) -> Result<()> {
+async fn set_fault(replica: &Replica, kind: &FaultKind, starts: bool) -> Result<()> {
     let fault = match kind {
         FaultKind::Endpoints { fault, .. } => *fault,
         FaultKind::DataCentre(_) => EndpointFault::Death,
@@ -83,13 +83,15 @@
     let endpoint = replica.current();
     let faults = &endpoint.faults;
     match fault {
-        EndpointFault::Slow(factor) => faults.slow_down(if begins { factor } else { USUAL_SPEED }),
+        EndpointFault::Slow(factor) => {
+            faults.slow_down(if starts { factor } else { NORMAL_SLOWDOWN })
+        }
         EndpointFault::Damage(damage, share) => {
-            let share = if begins { share } else { NO_DAMAGE };
+            let share = if starts { share } else { NO_DAMAGE };
             faults.damage(damage, share.0);
         }
-        EndpointFault::FrozenReports => faults.freeze_report(begins),
-        EndpointFault::Death if begins => replica.kill(),
+        EndpointFault::FrozenReports => faults.freeze_report(starts),
+        EndpointFault::Death if starts => replica.kill(),
         EndpointFault::Death => replica.start().await?,
     }
     Ok(())
--- a/bench/src/installation.rs
+++ b/bench/src/installation.rs
@@ -5,7 +5,7 @@
 
 use {
     crate::{
-        example_tree::{ROOT, Values},
+        example_tree::{ROOT_VALUE, TreeValues},
         experiment::Experiment,
         model::engine_model,
         replica::{Replica, SharedState},
@@ -32,16 +32,16 @@
 };
 
 /// Interval at which daemons read the tree's root value.
-const POLL: Millis = Millis(500);
+const POLL_INTERVAL: Millis = Millis(500);
 
 /// Network time that daemons assume for a call: an upper bound on loopback.
-const HOP: Millis = Millis(1);
+const NETWORK_TIME: Millis = Millis(1);
 
 /// Time between two load reports of an endpoint.
 const LOAD_INTERVAL: Millis = Millis(100);
 
 /// Limits of the callers' interface, high enough that no experiment reaches them.
-const LIMITS: ApiLimits = ApiLimits {
+const API_LIMITS: ApiLimits = ApiLimits {
     max_requests: Count(5_000),
     max_headers: ByteSize(16 << 10),
     receive_timeout: Millis(5_000),
@@ -68,7 +68,7 @@
     ///
     /// Returns an error if the tree is invalid, or a stand-in can't be started.
     pub async fn start(experiment: &Experiment, root_settings: &str) -> Result<Self> {
-        let mut values = Values::example();
+        let mut values = TreeValues::example();
         values.add_root_settings(root_settings);
         let written = values.tree()?;
         let mut replicas = Vec::new();
@@ -112,19 +112,19 @@
             listen: any_address(),
             config: ConfigSettings {
                 address: self.config.address(),
-                tree: ROOT.to_owned(),
-                poll: POLL,
+                tree: ROOT_VALUE.to_owned(),
+                poll: POLL_INTERVAL,
             },
-            hop: HOP,
+            hop: NETWORK_TIME,
             load_interval: LOAD_INTERVAL,
-            limits: LIMITS,
+            limits: API_LIMITS,
             stop_grace: Millis(0),
             traces: None,
         })
     }
 }
 
-async fn publish(values: &Values) -> Result<ConfigService> {
+async fn publish(values: &TreeValues) -> Result<ConfigService> {
     let config = ConfigService::start().await?;
     for (name, text) in &values.0 {
         config.publish(name, text.clone());
--- a/bench/src/main.rs
+++ b/bench/src/main.rs
@@ -34,8 +34,8 @@
     let runtime = tokio::runtime::Builder::new_multi_thread()
         .enable_all()
         .build()?;
-    let kept = runtime.block_on(commands::run(args.command))?;
-    Ok(if kept {
+    let passed = runtime.block_on(commands::run(args.command))?;
+    Ok(if passed {
         ExitCode::SUCCESS
     } else {
         ExitCode::FAILURE
--- a/bench/src/model.rs
+++ b/bench/src/model.rs
@@ -17,43 +17,52 @@
 };
 
 /// Usual time of a call to a plain service, as a multiple of the service's floor.
-const USUAL: f64 = 3.0;
+const PLAIN_TIME_FACTOR: f64 = 3.0;
 
 /// Time of a generation that is alone on an engine, as a multiple of the engine's floor.
-const ALONE: f64 = 2.0;
+const ENGINE_TIME_FACTOR: f64 = 2.0;
 
 /// Share by which a full batch lengthens the time of each sequence's tokens.
 const BATCH_COST: f64 = 0.5;
 
 /// Prefill time of an engine for each byte of the prompt.
-const PREFILL_BYTE: Duration = Duration::from_micros(25);
+const BYTE_PREFILL_TIME: Duration = Duration::from_micros(25);
 
 /// Capacity of an engine's prefix cache, in blocks.
 const CACHE_BLOCKS: usize = 400;
 
 /// Bytes of a usual prompt, with which an engine's capacity is computed.
-const INPUT_BYTES: u32 = 30;
+const PROMPT_BYTES: u32 = 30;
 
 /// Returns the model of a plain service's endpoint.
 pub fn plain_model(service: &Service) -> PlainModel {
     let settings = &service.settings;
     PlainModel {
-        call_time: settings.floor.value.to_duration().mul_f64(USUAL),
+        call_time: settings
+            .floor
+            .value
+            .to_duration()
+            .mul_f64(PLAIN_TIME_FACTOR),
         slots: settings.slots.value.0,
         checks_keys: settings.guard.value == Guard::Endpoint,
     }
 }
 
-/// Returns the model of an engine; a generation alone on it takes [`ALONE`] times the floor.
+/// Returns the model of an engine; a generation alone on it takes [`ENGINE_TIME_FACTOR`] times the floor.
 pub fn engine_model(service: &Service) -> EngineModel {
     let settings = &service.settings;
     let tokens = settings.max_tokens.value.0;
     EngineModel {
-        token: settings.floor.value.to_duration().mul_f64(ALONE) / tokens,
+        token: settings
+            .floor
+            .value
+            .to_duration()
+            .mul_f64(ENGINE_TIME_FACTOR)
+            / tokens,
         batch: settings.slots.value.0,
         batch_cost: BATCH_COST,
         tokens,
-        prefill_byte: PREFILL_BYTE,
+        prefill_byte: BYTE_PREFILL_TIME,
         cache_blocks: CACHE_BLOCKS,
     }
 }
@@ -68,7 +77,7 @@
         ServiceKind::Engine { .. } => {
             let model = engine_model(service);
             let token = model.token.mul_f64(1.0 + model.batch_cost);
-            let whole: Duration = token * model.tokens + model.prefill_byte * INPUT_BYTES;
+            let whole: Duration = token * model.tokens + model.prefill_byte * PROMPT_BYTES;
             Rate(f64::from(model.batch) / whole.as_secs_f64())
         }
     }
--- a/bench/src/observer.rs
+++ b/bench/src/observer.rs
@@ -64,13 +64,17 @@
     }
 
     /// Returns the guarantees that were broken, given the calls that ran at the endpoints.
-    pub fn judge(&self, replicas: &[Replica]) -> Breaches {
+    pub fn find_breaches(&self, replicas: &[Replica]) -> Breaches {
         let mut false_not_run = BTreeSet::new();
         let mut guarded: BTreeMap<_, u64> = BTreeMap::new();
         for replica in replicas {
             let service = &replica.service;
             let repeatable = service.settings.repeatable.value;
-            for run in replica.lives().iter().flat_map(|life| life.runs()) {
+            for run in replica
+                .incarnations()
+                .iter()
+                .flat_map(|incarnation| incarnation.runs())
+            {
                 if self.not_run.contains(&run.request) {
                     false_not_run.insert(run.request);
                 }
--- a/bench/src/replica.rs
+++ b/bench/src/replica.rs
@@ -37,7 +37,7 @@
     address: SocketAddr,
     shared: SharedState,
     server: Mutex<Option<EndpointServer>>,
-    lives: Mutex<Vec<Arc<Endpoint>>>,
+    incarnations: Mutex<Vec<Arc<Endpoint>>>,
 }
 
 impl Replica {
@@ -58,7 +58,7 @@
             address,
             shared,
             server: Mutex::new(None),
-            lives: Mutex::new(Vec::new()),
+            incarnations: Mutex::new(Vec::new()),
         };
         replica.start().await?;
         Ok(replica)
@@ -77,8 +77,11 @@
     pub async fn start(&self) -> Result<()> {
         let server = self.serve().await;
         let server = server.with_context(|| format!("can't start {}", self.spec.id))?;
-        let life = server.endpoint.clone();
-        self.lives.lock().expect("no panic while held").push(life);
+        let incarnation = server.endpoint.clone();
+        self.incarnations
+            .lock()
+            .expect("no panic while held")
+            .push(incarnation);
         *self.server.lock().expect("no panic while held") = Some(server);
         Ok(())
     }
@@ -101,13 +104,16 @@
     }
 
     /// Returns the states of all incarnations, oldest first.
-    pub fn lives(&self) -> Vec<Arc<Endpoint>> {
-        self.lives.lock().expect("no panic while held").clone()
+    pub fn incarnations(&self) -> Vec<Arc<Endpoint>> {
+        self.incarnations
+            .lock()
+            .expect("no panic while held")
+            .clone()
     }
 
     /// Returns the state of the latest incarnation.
     pub fn current(&self) -> Arc<Endpoint> {
-        let lives = self.lives.lock().expect("no panic while held");
-        lives.last().expect("launched with a life").clone()
+        let incarnations = self.incarnations.lock().expect("no panic while held");
+        incarnations.last().expect("launched with a life").clone()
     }
 }
--- a/bench/src/report.rs
+++ b/bench/src/report.rs
@@ -73,7 +73,7 @@
 
 impl Report {
     /// Returns whether no guarantee was broken.
-    pub fn kept(&self) -> bool {
+    pub fn passed(&self) -> bool {
         self.breaches.total() == 0
     }
 }
@@ -103,15 +103,15 @@
             p50_ms: millis(all.quantile(0.5)),
             p95_ms: millis(all.quantile(0.95)),
             p99_ms: millis(all.quantile(0.99)),
-            used: used(&installation.tree, &tallies.targets, counted),
-            wasted: wasted(installation, &stages),
-            extra: extra(installation),
+            used: used_share(&installation.tree, &tallies.targets, counted),
+            wasted: wasted_share(installation, &stages),
+            extra: extra_share(installation),
             endings: all.endings.clone(),
             targets: attainments(&tallies.targets),
             customers: attainments(&tallies.customers),
             stages,
-            cached: cached(installation),
-            busy: busy(experiment, installation),
+            cached: cached_share(installation),
+            busy: busy_shares(experiment, installation),
             seconds: tallies.seconds.values().map(Tally::attainment).collect(),
             breaches: *breaches,
         }
@@ -144,7 +144,7 @@
 }
 
 /// Returns the work of requests answered within their deadline at the busiest service, as a share of its capacity.
-fn used(tree: &Tree, targets: &BTreeMap<String, Tally>, seconds: f64) -> f64 {
+fn used_share(tree: &Tree, targets: &BTreeMap<String, Tally>, seconds: f64) -> f64 {
     let attained: Weights = targets
         .iter()
         .map(|(name, tally)| (name.clone(), tally.attained as f64))
@@ -154,16 +154,18 @@
 }
 
 /// Returns the share of the endpoints' busy time that daemons don't count as useful.
-fn wasted(installation: &Installation, stages: &BTreeMap<String, StageTime>) -> f64 {
+fn wasted_share(installation: &Installation, stages: &BTreeMap<String, StageTime>) -> f64 {
     let useful: f64 = stages.values().map(|time| time.useful.0).sum();
     let replicas = installation.replicas.iter();
-    let lives = replicas.flat_map(|replica| replica.lives());
-    let busy: f64 = lives.map(|life| millis(life.busy())).sum();
+    let incarnations = replicas.flat_map(|replica| replica.incarnations());
+    let busy: f64 = incarnations
+        .map(|incarnation| millis(incarnation.busy()))
+        .sum();
     (1.0 - useful / busy.max(f64::EPSILON)).max(0.0)
 }
 
 /// Returns the number of extra attempts of all daemons, as a share of the number of first attempts.
-fn extra(installation: &Installation) -> f64 {
+fn extra_share(installation: &Installation) -> f64 {
     let mut first = 0;
     let mut extra = 0;
     for daemon in &installation.daemons {
@@ -175,11 +177,11 @@
 }
 
 /// Returns the share of the engines' prompt bytes that were found in prefix caches.
-fn cached(installation: &Installation) -> f64 {
+fn cached_share(installation: &Installation) -> f64 {
     let mut sum = PromptBytes::default();
     let replicas = installation.replicas.iter();
-    for life in replicas.flat_map(|replica| replica.lives()) {
-        let prompts = life.prompt_bytes();
+    for incarnation in replicas.flat_map(|replica| replica.incarnations()) {
+        let prompts = incarnation.prompt_bytes();
         sum.uncached += prompts.uncached;
         sum.all += prompts.all;
     }
@@ -187,15 +189,17 @@
 }
 
 /// Returns the share of the time of all slots of a service in which they were busy, by service.
-fn busy(experiment: &Experiment, installation: &Installation) -> BTreeMap<String, f64> {
+fn busy_shares(experiment: &Experiment, installation: &Installation) -> BTreeMap<String, f64> {
     let whole = experiment.whole_time().as_secs_f64();
     let mut busy: BTreeMap<String, f64> = BTreeMap::new();
     for service in installation.tree.services.values() {
         let slots = f64::from(service.settings.slots.value.0) * service.endpoints.len() as f64;
         let replicas = installation.replicas.iter();
-        let own = replicas.filter(|replica| replica.service.id == service.id);
-        let lives = own.flat_map(|replica| replica.lives());
-        let seconds: f64 = lives.map(|life| life.busy().as_secs_f64()).sum();
+        let endpoints = replicas.filter(|replica| replica.service.id == service.id);
+        let incarnations = endpoints.flat_map(|replica| replica.incarnations());
+        let seconds: f64 = incarnations
+            .map(|incarnation| incarnation.busy().as_secs_f64())
+            .sum();
         busy.insert(service.id.to_string(), seconds / (slots * whole));
     }
     busy
--- a/bench/src/runner.rs
+++ b/bench/src/runner.rs
@@ -21,13 +21,13 @@
 };
 
 /// Longest wait for the last replies after the load has ended: longer than any deadline in the tree.
-const DRAIN: Duration = Duration::from_secs(30);
+const DRAIN_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Wait after the last reply, so that endpoints finish calls whose caller has already given up.
-const SETTLE: Duration = Duration::from_millis(300);
+const SETTLE_TIME: Duration = Duration::from_millis(300);
 
 /// Time between two reports of progress.
-const PROGRESS: Duration = Duration::from_secs(1);
+const PROGRESS_INTERVAL: Duration = Duration::from_secs(1);
 
 /// One run of an experiment.
 #[derive(Debug, Clone, Copy)]
@@ -107,17 +107,18 @@
         let faults = fault_injector::run(&experiment.faults, &installation, start);
         let collected = async {
             let collect = collect(experiment, outcomes, progress);
-            let limit = experiment.whole_time() + DRAIN;
+            let limit = experiment.whole_time() + DRAIN_TIMEOUT;
             let finished = timeout(limit, async { tokio::join!(load, collect).1 }).await;
-            finished
-                .map_err(|_| anyhow!("answers are still missing {DRAIN:?} after the load's end"))
+            finished.map_err(|_| {
+                anyhow!("answers are still missing {DRAIN_TIMEOUT:?} after the load's end")
+            })
         };
         let (tallies, observer) = tokio::select! {
             collected = collected => collected?,
-            error = failure(faults) => return Err(error),
+            error = fault_error(faults) => return Err(error),
         };
-        sleep(SETTLE).await;
-        let breaches = observer.judge(&installation.replicas);
+        sleep(SETTLE_TIME).await;
+        let breaches = observer.find_breaches(&installation.replicas);
         Ok(Report::from(&Results {
             run: self,
             installation,
@@ -146,7 +147,7 @@
     let mut tallies = Tallies::default();
     let mut observer = Observer::default();
     let start = Instant::now();
-    let mut ticks = interval(PROGRESS);
+    let mut ticks = interval(PROGRESS_INTERVAL);
     loop {
         tokio::select! {
             received = outcomes.recv() => match received {
@@ -167,7 +168,7 @@
 
 /// Returns the error with which the injection of faults fails. Never returns if it succeeds, so that the load determines
 /// how long the run lasts.
-async fn failure(faults: impl Future<Output = Result<()>>) -> Error {
+async fn fault_error(faults: impl Future<Output = Result<()>>) -> Error {
     match faults.await {
         Ok(()) => future::pending().await,
         Err(error) => error,
--- a/bench/src/tally.rs
+++ b/bench/src/tally.rs
@@ -7,10 +7,10 @@
 };
 
 /// Longest latency that is recorded, in microseconds: longer than any deadline in the tree.
-const MAX_MICROS: u64 = 120_000_000;
+const MAX_LATENCY_US: u64 = 120_000_000;
 
 /// Significant decimal digits of a recorded latency.
-const DIGITS: u8 = 3;
+const SIGNIFICANT_DIGITS: u8 = 3;
 
 /// Counts and latencies of one group of requests.
 #[derive(Debug, Clone)]
@@ -27,8 +27,8 @@
 
 impl Default for Tally {
     fn default() -> Self {
-        let latency =
-            Histogram::new_with_bounds(1, MAX_MICROS, DIGITS).expect("constant bounds are valid");
+        let latency = Histogram::new_with_bounds(1, MAX_LATENCY_US, SIGNIFICANT_DIGITS)
+            .expect("constant bounds are valid");
         Self {
             total: 0,
             attained: 0,
