--- a/bench/src/replica.rs
+++ b/bench/src/replica.rs
@@ -114,6 +114,9 @@
     /// Returns the state of the latest incarnation.
     pub fn current(&self) -> Arc<Endpoint> {
         let incarnations = self.incarnations.lock().expect("no panic while held");
-        incarnations.last().expect("launched with a life").clone()
+        incarnations
+            .last()
+            .expect("launched with an incarnation")
+            .clone()
     }
 }
--- a/bench/src/runner.rs
+++ b/bench/src/runner.rs
@@ -109,9 +109,7 @@
             let collect = collect(experiment, outcomes, progress);
             let limit = experiment.whole_time() + DRAIN_TIMEOUT;
             let finished = timeout(limit, async { tokio::join!(load, collect).1 }).await;
-            finished.map_err(|_| {
-                anyhow!("answers are still missing {DRAIN_TIMEOUT:?} after the load's end")
-            })
+            finished.map_err(|_| anyhow!("requests haven't ended {DRAIN_TIMEOUT:?} after the load"))
         };
         let (tallies, observer) = tokio::select! {
             collected = collected => collected?,
