--- a/daemon/tests/process/mod.rs
+++ b/daemon/tests/process/mod.rs
@@ -27,10 +27,10 @@
 pub const GRACE_S: f64 = 3.5;
 
 /// Most bytes that are printed from the end of a log.
-const SHOWN: usize = 20_000;
+const MAX_LOG_BYTES: usize = 20_000;
 
 /// Time between two samples of a process's threads; the difference in ticks shows which threads run.
-const LOOKS: Duration = Duration::from_millis(300);
+const SAMPLE_INTERVAL: Duration = Duration::from_millis(300);
 
 /// A running daemon; killed on drop.
 pub struct Process {
@@ -58,9 +58,9 @@
 
 impl Process {
     /// Returns whether the log file has an event of this name; false for an unread log.
-    pub fn logged(&self, event: &str) -> bool {
+    pub fn has_logged(&self, event: &str) -> bool {
         match &self.log {
-            Log::File(file) => file.names(event),
+            Log::File(file) => file.has_event(event),
             Log::Unread => false,
         }
     }
@@ -68,19 +68,19 @@
     /// Prints two samples of the threads' states and CPU ticks.
     fn show_threads(&self) {
         let before = threads(self.child.id());
-        thread::sleep(LOOKS);
+        thread::sleep(SAMPLE_INTERVAL);
         println!(
-            "threads of the daemon {LOOKS:?} apart (name, state, ticks in user and kernel mode):"
+            "threads of the daemon {SAMPLE_INTERVAL:?} apart (name, state, ticks in user and kernel mode):"
         );
-        for look in [before, threads(self.child.id())] {
-            println!("{}", look.join("\n"));
+        for sample in [before, threads(self.child.id())] {
+            println!("{}", sample.join("\n"));
         }
     }
 
     fn show_log(&mut self) {
         let text = match &self.log {
             Log::File(file) => fs::read_to_string(&file.0).unwrap_or_default(),
-            Log::Unread => self.unread(),
+            Log::Unread => self.read_unread(),
         };
         println!(
             "{} bytes of the daemon's log, the last of them:",
@@ -88,12 +88,12 @@
         );
         println!(
             "{}",
-            &text[text.floor_char_boundary(text.len().saturating_sub(SHOWN))..]
+            &text[text.floor_char_boundary(text.len().saturating_sub(MAX_LOG_BYTES))..]
         );
     }
 
     /// Reads what a process that has exited left in its log pipe.
-    fn unread(&mut self) -> String {
+    fn read_unread(&mut self) -> String {
         let mut text = String::new();
         if let Some(pipe) = &mut self.child.stdout {
             // On an error, what was read until then is returned.
@@ -142,7 +142,7 @@
         fs::File::create(&self.0).unwrap().into()
     }
 
-    fn names(&self, event: &str) -> bool {
+    fn has_event(&self, event: &str) -> bool {
         let text = fs::read_to_string(&self.0).unwrap();
         text.contains(&format!("\"event\":\"{event}\""))
     }
@@ -163,7 +163,7 @@
     pub descriptors: usize,
 }
 
-pub const USUAL: Limits = Limits {
+pub const DEFAULT_LIMITS: Limits = Limits {
     grace_s: GRACE_S,
     descriptors: 1_024,
 };
--- a/daemon/tests/soak/caller.rs
+++ b/daemon/tests/soak/caller.rs
@@ -11,10 +11,10 @@
 };
 
 /// Longest wait for a reply before a caller gives up; also the deadline that its requests carry.
-const PATIENCE: Duration = Duration::from_millis(3_000);
+const REPLY_TIMEOUT: Duration = Duration::from_millis(3_000);
 
 /// Number of requests after which a caller opens a new connection.
-const KEPT: u32 = 40;
+const MAX_REQUESTS: u32 = 40;
 
 /// A kind of request; each has a route of its own in the soak's table.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -81,7 +81,7 @@
 
 impl Connection {
     /// Reads more bytes; returns false at the end of the connection or on an error.
-    async fn more(&mut self) -> bool {
+    async fn read_more(&mut self) -> bool {
         let mut buffer = [0; 8 * 1024];
         match self.stream.read(&mut buffer).await {
             Ok(size) if size > 0 => {
@@ -92,22 +92,22 @@
         }
     }
 
-    async fn line(&mut self) -> Option<String> {
+    async fn read_line(&mut self) -> Option<String> {
         loop {
             if let Some(end) = self.bytes.windows(2).position(|two| two == b"\r\n") {
                 let line = String::from_utf8_lossy(&self.bytes[..end]).into_owned();
                 self.bytes.drain(..end + 2);
                 return Some(line);
             }
-            if !self.more().await {
+            if !self.read_more().await {
                 return None;
             }
         }
     }
 
-    async fn take(&mut self, size: usize, body: &mut Vec<u8>) -> bool {
+    async fn read_exactly(&mut self, size: usize, body: &mut Vec<u8>) -> bool {
         while self.bytes.len() < size {
-            if !self.more().await {
+            if !self.read_more().await {
                 body.append(&mut self.bytes);
                 return false;
             }
@@ -118,12 +118,12 @@
 
     /// Reads a reply into `answer` step by step: what was received stays there if the read is cancelled.
     async fn answer(&mut self, answer: &mut Answer) {
-        let Some(first) = self.line().await else {
+        let Some(first) = self.read_line().await else {
             return;
         };
         let (mut length, mut chunked, mut close) = (None, false, false);
         loop {
-            let Some(line) = self.line().await else {
+            let Some(line) = self.read_line().await else {
                 return;
             };
             let Some((name, value)) = line.split_once(':') else {
@@ -140,22 +140,23 @@
         }
         answer.status = first.split(' ').nth(1).and_then(|text| text.parse().ok());
         answer.whole = if chunked {
-            self.chunks(&mut answer.body).await
+            self.read_chunks(&mut answer.body).await
         } else {
-            self.take(length.unwrap_or(0), &mut answer.body).await
+            self.read_exactly(length.unwrap_or(0), &mut answer.body)
+                .await
         };
         answer.open = answer.whole && !close;
     }
 
-    async fn chunks(&mut self, body: &mut Vec<u8>) -> bool {
+    async fn read_chunks(&mut self, body: &mut Vec<u8>) -> bool {
         loop {
-            let Some(line) = self.line().await else {
+            let Some(line) = self.read_line().await else {
                 return false;
             };
             let Ok(size) = usize::from_str_radix(&line, 16) else {
                 return false;
             };
-            if !self.take(size, body).await || self.line().await.is_none() {
+            if !self.read_exactly(size, body).await || self.read_line().await.is_none() {
                 return false;
             }
             if size == 0 {
@@ -170,9 +171,9 @@
     connection: &mut Connection,
     id: &str,
     kind: Kind,
-    patience: Duration,
+    timeout: Duration,
 ) -> (Answer, bool) {
-    let text = client::keep_alive_request(&format!("{}{id}", kind.path()), id, PATIENCE);
+    let text = client::keep_alive_request(&format!("{}{id}", kind.path()), id, REPLY_TIMEOUT);
     let mut answer = Answer {
         status: None,
         stamp: None,
@@ -183,7 +184,7 @@
     if connection.stream.write_all(text.as_bytes()).await.is_err() {
         return (answer, false);
     }
-    let read = tokio::time::timeout(patience, connection.answer(&mut answer)).await;
+    let read = tokio::time::timeout(timeout, connection.answer(&mut answer)).await;
     (answer, read.is_err())
 }
 
@@ -192,7 +193,7 @@
     let stream = TcpStream::connect(listen).await.ok()?;
     let bytes = Vec::new();
     let mut connection = Connection { stream, bytes };
-    let (answer, _) = send(&mut connection, id, kind, PATIENCE).await;
+    let (answer, _) = send(&mut connection, id, kind, REPLY_TIMEOUT).await;
     answer.status.filter(|_| answer.whole)
 }
 
@@ -216,7 +217,7 @@
             stream,
             bytes: Vec::new(),
         };
-        for _ in 0..KEPT {
+        for _ in 0..MAX_REQUESTS {
             if stop.get() {
                 break;
             }
@@ -224,12 +225,12 @@
             let id = format!("{name}{count:04}");
             let kind = Kind::ALL[rng.random_range(0..Kind::ALL.len())];
             // Some callers give up early.
-            let patience = if rng.random_bool(0.05) {
+            let timeout = if rng.random_bool(0.05) {
                 Duration::from_millis(rng.random_range(1..60))
             } else {
-                PATIENCE
+                REPLY_TIMEOUT
             };
-            let (answer, left) = send(&mut connection, &id, kind, patience).await;
+            let (answer, left) = send(&mut connection, &id, kind, timeout).await;
             let open = answer.open;
             outcomes.borrow_mut().push(Outcome {
                 id,
--- a/daemon/tests/soak/checks.rs
+++ b/daemon/tests/soak/checks.rs
@@ -4,7 +4,7 @@
     super::{
         caller::{Kind, Outcome},
         fleet::{EVENTS, Member},
-        harm::HARMFUL,
+        harm::HARMFUL_PREFIX,
     },
     std::collections::BTreeMap,
 };
@@ -40,14 +40,14 @@
 
 /// Checks that a request that isn't repeatable ran at most once, and never if its caller was told that it didn't run.
 fn check_runs(outcome: &Outcome, ran: usize) -> Option<String> {
-    let once = matches!(outcome.kind, Kind::Guarded | Kind::Staged);
-    if once && ran > 1 {
+    let runs_once = matches!(outcome.kind, Kind::Guarded | Kind::Staged);
+    if runs_once && ran > 1 {
         return Some(format!("{}: ran {ran} times", outcome.id));
     }
     let refused = outcome
         .status
         .is_some_and(|status| NOT_RUN.contains(&status));
-    if once && refused && ran > 0 {
+    if runs_once && refused && ran > 0 {
         return Some(format!(
             "{}: refused as not run, but ran on a replica",
             outcome.id
@@ -97,7 +97,7 @@
     let seen = members.iter().flat_map(|member| member.replica.received());
     seen.filter_map(|seen| {
         let id = seen.id();
-        let is_probe = id.starts_with("end-") || id.starts_with(HARMFUL);
+        let is_probe = id.starts_with("end-") || id.starts_with(HARMFUL_PREFIX);
         let known = sent
             .get(id)
             .is_some_and(|kind| seen.head.starts_with(&format!("POST {}{id} ", kind.path())));
--- a/daemon/tests/soak/fleet.rs
+++ b/daemon/tests/soak/fleet.rs
@@ -31,7 +31,7 @@
     pub listen: SocketAddr,
     pub ready: SocketAddr,
     /// Number of restarts; together with the daemon's index it identifies one incarnation.
-    pub life: u32,
+    pub incarnation: u32,
     /// Start of the current incarnation.
     pub started: Instant,
     pub child: Child,
@@ -77,7 +77,7 @@
 
     /// Starts a new process with the same settings.
     pub fn restart(&mut self) {
-        self.life += 1;
+        self.incarnation += 1;
         self.started = Instant::now();
         self.ending = false;
         self.child = spawn(&self.settings, &self.log, &self.link);
@@ -154,7 +154,7 @@
             name,
             listen: SocketAddr::new(ip, front),
             ready: SocketAddr::new(ip, ready),
-            life: 0,
+            incarnation: 0,
             started: Instant::now(),
             child,
             store: proxy,
@@ -192,7 +192,7 @@
         address
     })
     .await;
-    replica.set_default_act(usual(service));
+    replica.set_default_act(default_act(service));
     replica.write_entry(store, service, "ready");
     Member {
         replica,
@@ -215,7 +215,7 @@
 }
 
 /// Returns how a replica of a service answers while it has no fault.
-fn usual(service: &str) -> Act {
+fn default_act(service: &str) -> Act {
     match service {
         "llm" => Act::Events {
             to: EVENTS,
@@ -227,7 +227,7 @@
 }
 
 /// Returns the fault with which a replica answers its next request; `choice` selects it.
-pub fn misbehaviour(service: &str, choice: u32) -> Act {
+pub fn replica_fault(service: &str, choice: u32) -> Act {
     let pause = Duration::from_millis(4);
     match (service, choice % 8) {
         ("llm", 0 | 1) => Act::Events {
@@ -252,7 +252,7 @@
         0 => Fault::Delay(Duration::from_millis(40)),
         1 => Fault::Reset,
         2 => Fault::Silence,
-        3 => Fault::CutThere,
-        _ => Fault::CutBack,
+        3 => Fault::CutToTarget,
+        _ => Fault::CutFromTarget,
     }
 }
--- a/daemon/tests/soak/proxy.rs
+++ b/daemon/tests/soak/proxy.rs
@@ -17,7 +17,7 @@
 };
 
 /// Time between two checks of the fault while bytes are held back.
-const CHECK_EVERY: Duration = Duration::from_millis(5);
+const CHECK_INTERVAL: Duration = Duration::from_millis(5);
 
 /// A fault that applies to all connections through a proxy.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -30,9 +30,9 @@
     /// No bytes pass in either direction, and connections stay open.
     Silence,
     /// No bytes reach the target.
-    CutThere,
+    CutToTarget,
     /// No bytes come back from the target.
-    CutBack,
+    CutFromTarget,
 }
 
 /// A running proxy; clones refer to the same one.
@@ -58,7 +58,7 @@
         let datagrams = UdpSocket::bind(address).await.unwrap();
         let proxy = Self::start_on(listener, target);
         let fault = proxy.fault.clone();
-        tokio::task::spawn_local(pass_datagrams(datagrams, target, fault));
+        tokio::task::spawn_local(forward_datagrams(datagrams, target, fault));
         proxy
     }
 
@@ -69,7 +69,7 @@
         let accepting = tokio::task::spawn_local(async move {
             loop {
                 let (near, _) = listener.accept().await.unwrap();
-                tokio::task::spawn_local(pass(near, target, passed.clone()));
+                tokio::task::spawn_local(forward(near, target, passed.clone()));
             }
         });
         Self {
@@ -84,7 +84,7 @@
         self.accepting.abort();
     }
 
-    pub fn is_harmed(&self) -> bool {
+    pub fn is_disturbed(&self) -> bool {
         self.fault.get() != Fault::None
     }
 
@@ -94,12 +94,15 @@
 }
 
 /// Forwards datagrams, each from the IP address of its sender. A fault that delays or holds back bytes drops them.
-async fn pass_datagrams(socket: UdpSocket, target: SocketAddr, fault: Rc<Cell<Fault>>) {
+async fn forward_datagrams(socket: UdpSocket, target: SocketAddr, fault: Rc<Cell<Fault>>) {
     let mut senders: HashMap<IpAddr, UdpSocket> = HashMap::new();
     let mut buffer = vec![0; 16 * 1024];
     loop {
         let (size, from) = socket.recv_from(&mut buffer).await.unwrap();
-        if !matches!(fault.get(), Fault::None | Fault::Reset | Fault::CutBack) {
+        if !matches!(
+            fault.get(),
+            Fault::None | Fault::Reset | Fault::CutFromTarget
+        ) {
             continue;
         }
         let sender = match senders.entry(from.ip()) {
@@ -111,14 +114,14 @@
     }
 }
 
-async fn pass(near: TcpStream, target: SocketAddr, fault: Rc<Cell<Fault>>) {
+async fn forward(near: TcpStream, target: SocketAddr, fault: Rc<Cell<Fault>>) {
     let Ok(far) = TcpStream::connect(target).await else {
         return;
     };
     let (near_read, near_write) = near.into_split();
     let (far_read, far_write) = far.into_split();
-    let there = flow(near_read, far_write, fault.clone(), Fault::CutThere);
-    let back = flow(far_read, near_write, fault, Fault::CutBack);
+    let there = forward_bytes(near_read, far_write, fault.clone(), Fault::CutToTarget);
+    let back = forward_bytes(far_read, near_write, fault, Fault::CutFromTarget);
     // When one direction ends, the connection is closed in both.
     tokio::select! {
         () = there => {}
@@ -128,7 +131,7 @@
 
 /// Forwards bytes in one direction until the connection ends. Bytes that are held back arrive after the fault, as after a
 /// network partition.
-async fn flow(
+async fn forward_bytes(
     mut from: impl AsyncRead + Unpin,
     mut to: impl AsyncWrite + Unpin,
     fault: Rc<Cell<Fault>>,
@@ -145,7 +148,7 @@
             Ok(size) => size,
         };
         while fault.get() == cut || fault.get() == Fault::Silence {
-            tokio::time::sleep(CHECK_EVERY).await;
+            tokio::time::sleep(CHECK_INTERVAL).await;
         }
         match fault.get() {
             Fault::Reset => return,
@@ -160,6 +163,6 @@
 
 async fn until_reset(fault: &Cell<Fault>) {
     while fault.get() != Fault::Reset {
-        tokio::time::sleep(CHECK_EVERY).await;
+        tokio::time::sleep(CHECK_INTERVAL).await;
     }
 }
--- a/daemon/tests/soak/trouble.rs
+++ b/daemon/tests/soak/trouble.rs
@@ -2,7 +2,7 @@
 
 use {
     super::{
-        fleet::{Daemon, Member, misbehaviour, proxy_fault, start_member},
+        fleet::{Daemon, Member, proxy_fault, replica_fault, start_member},
         proxy::Fault,
         stand_in::{
             documents::{table_of_kinds, with_routes},
@@ -27,19 +27,19 @@
     pub version: Rc<std::cell::Cell<u64>>,
     pub findings: Rc<RefCell<Vec<String>>>,
     /// Whether links between daemons are disturbed and tables grow large.
-    pub harms_links: bool,
+    pub disturbs_links: bool,
     /// Whether the replicas' data centre is evacuated now and then, and invalid entries are written into the directory.
     pub evacuates: bool,
     /// Whether the store is restored from an older copy now and then.
-    pub returns: bool,
+    pub restores: bool,
     /// Number of starts of daemons that couldn't receive the others' reports at once.
-    pub forgotten: Rc<std::cell::Cell<usize>>,
+    pub isolated_starts: Rc<std::cell::Cell<usize>>,
     /// Number of restarts of daemons.
     pub starts: Rc<std::cell::Cell<usize>>,
 }
 
 /// Time in which a daemon receives the others' reports over undisturbed links: several heartbeats.
-const TOLD: Duration = Duration::from_millis(800);
+const REPORT_TIME: Duration = Duration::from_millis(800);
 
 /// Key in the store of the order to evacuate the replicas' data centre.
 const EVACUATION: &str = "op/evacuate/here";
@@ -47,22 +47,22 @@
 /// Routes that each version adds where tables grow large.
 const ROUTES_PER_VERSION: usize = 100;
 /// Most added routes of a table: about 0.4 MB.
-const MOST_ROUTES: usize = 2_000;
+const MAX_ROUTES: usize = 2_000;
 
 /// Exclusive upper bound of the number of changes that an older copy of the store lacks.
-const LOST_CHANGES: u32 = 60;
+const MAX_LOST_CHANGES: u32 = 60;
 
 /// Longest time that a planned stop may take.
-const STOP_LIMIT: Duration = Duration::from_secs(10);
+const STOP_TIMEOUT: Duration = Duration::from_secs(10);
 
 impl World {
     /// Starts one random event. Events that take time run concurrently with those that follow.
-    pub async fn trouble(&self, rng: &mut SmallRng, planned: bool) {
+    pub async fn start_fault(&self, rng: &mut SmallRng, planned: bool) {
         let time = Duration::from_millis(rng.random_range(50..1_500));
         let daemon = rng.random_range(0..self.daemons.borrow().len());
         let choice = rng.random();
         let world = self.clone();
-        let kinds = match (planned, self.evacuates, self.returns) {
+        let kinds = match (planned, self.evacuates, self.restores) {
             (true, ..) => 5,
             (false, false, _) => 12,
             (false, true, false) => 15,
@@ -83,7 +83,7 @@
                 tokio::task::spawn_local(async move { world.pause(daemon, time).await });
             }
             8 => {
-                tokio::task::spawn_local(async move { world.store_fails(choice, time).await });
+                tokio::task::spawn_local(async move { world.fail_store(choice, time).await });
             }
             9 => {
                 tokio::task::spawn_local(
@@ -94,35 +94,35 @@
                 tokio::task::spawn_local(async move { world.disturb_member(choice, time).await });
             }
             11 => self.misbehave(rng),
-            12 => self.write_foreign(choice),
+            12 => self.write_invalid_entry(choice),
             13 => {
-                tokio::task::spawn_local(async move { world.spoil_entry(choice, time).await });
+                tokio::task::spawn_local(async move { world.corrupt_entry(choice, time).await });
             }
             14 => {
                 tokio::task::spawn_local(async move { world.evacuate(time).await });
             }
             _ => {
-                tokio::task::spawn_local(async move { world.store_returns(choice, time).await });
+                tokio::task::spawn_local(async move { world.restore_store(choice, time).await });
             }
         }
     }
 
     /// Restores the store from a copy that lacks the latest changes. The operator and the replicas write their entries
     /// again, some replicas before any daemon can read the store.
-    async fn store_returns(&self, choice: u32, time: Duration) {
+    async fn restore_store(&self, choice: u32, time: Duration) {
         self.store.set_fault(StoreFault::Refusing);
-        let lost = u64::from(choice % LOST_CHANGES);
+        let lost = u64::from(choice % MAX_LOST_CHANGES);
         self.store
             .restore(self.store.revision().saturating_sub(lost));
-        let places = self.members.borrow().len();
-        let first = choice as usize % (places + 1);
-        (0..first).for_each(|place| self.rewrite(place));
+        let member_count = self.members.borrow().len();
+        let first = choice as usize % (member_count + 1);
+        (0..first).for_each(|index| self.rewrite_entry(index));
         tokio::time::sleep(time / 4).await;
         self.store.set_fault(StoreFault::None);
         tokio::time::sleep(time / 4).await;
         self.publish_again();
-        let places = self.members.borrow().len();
-        (first..places).for_each(|place| self.rewrite(place));
+        let member_count = self.members.borrow().len();
+        (first..member_count).for_each(|index| self.rewrite_entry(index));
     }
 
     /// Orders the evacuation of the replicas' data centre, and withdraws the order after `time`.
@@ -133,7 +133,7 @@
     }
 
     /// Writes an invalid entry that belongs to no replica.
-    fn write_foreign(&self, choice: u32) {
+    fn write_invalid_entry(&self, choice: u32) {
         let texts = [
             "{\"service\": 7}",
             "[[[[",
@@ -146,18 +146,18 @@
     }
 
     /// Overwrites the entry of a replica with an invalid one for `time`.
-    async fn spoil_entry(&self, choice: u32, time: Duration) {
-        let place = choice as usize % self.members.borrow().len();
-        let key = format!("servers/{}", self.members.borrow()[place].replica.id);
+    async fn corrupt_entry(&self, choice: u32, time: Duration) {
+        let index = choice as usize % self.members.borrow().len();
+        let key = format!("servers/{}", self.members.borrow()[index].replica.id);
         self.store.put_text(&key, "{\"slots\": -1}");
         tokio::time::sleep(time).await;
-        self.rewrite(place);
+        self.rewrite_entry(index);
     }
 
     /// Writes a replica's entry again, as a replica does with each heartbeat.
-    fn rewrite(&self, place: usize) {
+    fn rewrite_entry(&self, index: usize) {
         let members = self.members.borrow();
-        let member = &members[place];
+        let member = &members[index];
         let state = if member.left { "draining" } else { "ready" };
         member
             .replica
@@ -173,8 +173,8 @@
     /// Publishes the table of the current version again.
     fn publish_again(&self) {
         let version = self.version.get();
-        let routes = if self.harms_links {
-            (version as usize * ROUTES_PER_VERSION).min(MOST_ROUTES)
+        let routes = if self.disturbs_links {
+            (version as usize * ROUTES_PER_VERSION).min(MAX_ROUTES)
         } else {
             0
         };
@@ -200,13 +200,13 @@
             TcpStream::connect(ready).await.is_ok()
         };
         self.daemons.borrow()[number].signal("TERM");
-        let ended = tokio::time::timeout(STOP_LIMIT, self.wait_for_end(number)).await;
+        let ended = tokio::time::timeout(STOP_TIMEOUT, self.wait_for_end(number)).await;
         match ended {
             Ok(true) => {}
             // Before the program has installed its handlers, a signal terminates the process at once.
             Ok(false) if !was_up => {}
-            Ok(false) => self.find(format!("daemon {number} failed during a planned stop")),
-            Err(_) => self.find(format!("daemon {number} didn't exit after a planned stop")),
+            Ok(false) => self.add_finding(format!("daemon {number} failed during a planned stop")),
+            Err(_) => self.add_finding(format!("daemon {number} didn't exit after a planned stop")),
         }
         self.restart(number);
     }
@@ -227,18 +227,18 @@
         self.starts.set(self.starts.get() + 1);
         let world = self.clone();
         tokio::task::spawn_local(async move {
-            if world.is_left_alone(number).await {
-                world.forgotten.set(world.forgotten.get() + 1);
+            if world.is_isolated(number).await {
+                world.isolated_starts.set(world.isolated_starts.get() + 1);
             }
         });
     }
 
     /// Returns whether a starting daemon may be unable to receive the others' reports for some of the time that this
     /// takes: no other daemon has been up long enough, or its link is disturbed.
-    async fn is_left_alone(&self, number: usize) -> bool {
+    async fn is_isolated(&self, number: usize) -> bool {
         let begun = Instant::now();
-        while begun.elapsed() < TOLD {
-            if !self.can_be_told(number) {
+        while begun.elapsed() < REPORT_TIME {
+            if !self.can_receive_reports(number) {
                 return true;
             }
             tokio::time::sleep(Duration::from_millis(10)).await;
@@ -247,14 +247,15 @@
     }
 
     /// Returns whether a daemon's link is undisturbed now and another daemon has been up long enough to report to it.
-    fn can_be_told(&self, number: usize) -> bool {
+    fn can_receive_reports(&self, number: usize) -> bool {
         let daemons = self.daemons.borrow();
         let mut others = daemons
             .iter()
             .enumerate()
             .filter(|(other, _)| *other != number);
-        let is_known = others.any(|(_, other)| !other.ending && other.started.elapsed() > TOLD);
-        is_known && !daemons[number].link.is_harmed()
+        let has_reporter =
+            others.any(|(_, other)| !other.ending && other.started.elapsed() > REPORT_TIME);
+        has_reporter && !daemons[number].link.is_disturbed()
     }
 
     /// Claims a daemon for a stop; returns false if it is stopping or has exited already.
@@ -284,24 +285,24 @@
 
     /// Starts a new replica in place of a random one, which begins to drain.
     async fn replace(&self, choice: u32) {
-        let place = {
+        let index = {
             let members = self.members.borrow();
             let staying: Vec<usize> = (0..members.len()).filter(|n| !members[*n].left).collect();
             staying[choice as usize % staying.len()]
         };
         let (service, number) = {
             let members = self.members.borrow();
-            (members[place].service, members.len())
+            (members[index].service, members.len())
         };
         let new = start_member(&self.store, service, number).await;
         let mut members = self.members.borrow_mut();
         members.push(new);
-        members[place].left = true;
-        let old = &members[place];
+        members[index].left = true;
+        let old = &members[index];
         old.replica.write_entry(&self.store, service, "draining");
     }
 
-    async fn store_fails(&self, choice: u32, time: Duration) {
+    async fn fail_store(&self, choice: u32, time: Duration) {
         let trouble = [
             StoreFault::Silent,
             StoreFault::Refusing,
@@ -321,7 +322,7 @@
     }
 
     /// Disturbs what other daemons send to one random daemon after the other, until it is aborted.
-    pub async fn harm_links(self, mut rng: SmallRng) {
+    pub async fn disturb_links(self, mut rng: SmallRng) {
         loop {
             let daemon = rng.random_range(0..self.daemons.borrow().len());
             let time = Duration::from_millis(rng.random_range(50..1_500));
@@ -348,7 +349,7 @@
             if member.service != "enc" && rng.random_bool(0.5) {
                 member
                     .replica
-                    .push_act(misbehaviour(member.service, rng.random()));
+                    .push_act(replica_fault(member.service, rng.random()));
             }
         }
     }
@@ -361,7 +362,7 @@
         }
         if self.evacuates {
             self.store.remove(EVACUATION);
-            (0..self.members.borrow().len()).for_each(|place| self.rewrite(place));
+            (0..self.members.borrow().len()).for_each(|index| self.rewrite_entry(index));
         }
         for daemon in self.daemons.borrow_mut().iter_mut() {
             daemon.store.set(Fault::None);
@@ -377,12 +378,12 @@
                 && let Some(status) = daemon.ended()
             {
                 daemon.ending = true;
-                self.find(format!("{} exited unexpectedly: {status}", daemon.name));
+                self.add_finding(format!("{} exited unexpectedly: {status}", daemon.name));
             }
         }
     }
 
-    pub fn find(&self, finding: String) {
+    pub fn add_finding(&self, finding: String) {
         self.findings.borrow_mut().push(finding);
     }
 }
--- a/daemon/tests/test_process.rs
+++ b/daemon/tests/test_process.rs
@@ -9,8 +9,8 @@
 
 use {
     process::{
-        GRACE_S, Limits, Log, LogFile, Process, USUAL, is_ready, settings_text, signal, start,
-        start_with,
+        DEFAULT_LIMITS, GRACE_S, Limits, Log, LogFile, Process, is_ready, settings_text, signal,
+        start, start_with,
     },
     serde_json::{Value, json},
     stand_in::{
@@ -46,12 +46,12 @@
         let store = StandInStore::start().await;
         store.publish(&config());
         let _replica = Replica::start(&store, "i-1", "s").await;
-        let process = start_with("blocked", &store, Log::Unread, USUAL).await;
+        let process = start_with("blocked", &store, Log::Unread, DEFAULT_LIMITS).await;
         // Writes far more log lines than the pipe and the queue of lines hold together.
         for round in 0..250 {
-            let asks = (0..20).map(|n| format!("r{round}-{n}"));
-            let asks = asks.map(|id| async move { get(process.listen, &id).await });
-            let tasks: Vec<_> = asks.collect();
+            let requests = (0..20).map(|n| format!("r{round}-{n}"));
+            let requests = requests.map(|id| async move { get(process.listen, &id).await });
+            let tasks: Vec<_> = requests.collect();
             for status in futures_util::future::join_all(tasks).await {
                 assert_eq!(status, 200);
             }
@@ -70,15 +70,15 @@
         let _replica = Replica::start(&store, "i-1", "s").await;
         let limits = Limits {
             descriptors: 64,
-            ..USUAL
+            ..DEFAULT_LIMITS
         };
         let process = start("idle", &store, limits).await;
         let mut idle = Vec::new();
         for _ in 0..100 {
             idle.push(TcpStream::connect(process.listen).await.unwrap());
         }
-        let asked = tokio::time::timeout(Duration::from_secs(8), get(process.listen, "r1"));
-        assert_eq!(asked.await.expect("the connection wasn't taken"), 200);
+        let reply = tokio::time::timeout(Duration::from_secs(8), get(process.listen, "r1"));
+        assert_eq!(reply.await.expect("the connection wasn't taken"), 200);
         assert!(is_ready(process.ready).await);
     });
 }
@@ -133,7 +133,7 @@
         let store = StandInStore::start().await;
         store.publish(&config());
         let _replica = Replica::start(&store, "i-1", "s").await;
-        let mut process = start("signals", &store, USUAL).await;
+        let mut process = start("signals", &store, DEFAULT_LIMITS).await;
         signal(&process, "HUP");
         std::fs::write(&process.settings, "not = [settings").unwrap();
         signal(&process, "HUP");
@@ -161,7 +161,7 @@
         let replica = Replica::start(&store, "i-1", "s").await;
         let limits = Limits {
             grace_s: 1.0,
-            ..USUAL
+            ..DEFAULT_LIMITS
         };
         let process = start("reload", &store, limits).await;
         let before = std::fs::read_to_string(&process.settings).unwrap();
@@ -169,7 +169,7 @@
         assert_ne!(changed, before);
         std::fs::write(&process.settings, changed).unwrap();
         signal(&process, "HUP");
-        until(|| async { process.logged("settings.reloaded") }, true).await;
+        until(|| async { process.has_logged("settings.reloaded") }, true).await;
         replica.push_act(Act::Wait(Duration::from_secs(3), "late".into()));
         let text = client::request("GET", "/x/1", "r1", &[], "");
         let stop = async {
--- a/daemon/tests/test_slow_readers.rs
+++ b/daemon/tests/test_slow_readers.rs
@@ -10,7 +10,7 @@
 
 use {
     futures_util::{StreamExt, stream},
-    process::{Limits, Process, USUAL, start},
+    process::{DEFAULT_LIMITS, Limits, Process, start},
     serde_json::{Value, json},
     stand_in::{
         client,
@@ -30,13 +30,13 @@
 const CALLERS: usize = 500;
 
 /// Memory of the smallest hosts, in kB: the most that the daemon may take.
-const HOST_KB: u64 = 120_000;
+const SMALLEST_HOST_KB: u64 = 120_000;
 
 /// Size of an event, in bytes.
-const EVENT: usize = 16_000;
+const EVENT_BYTES: usize = 16_000;
 
 /// Size of a caller's receive buffer in its kernel, in bytes.
-const UNREAD: u32 = 8_192;
+const RECEIVE_BUFFER_BYTES: u32 = 8_192;
 
 /// Returns a table whose routes allow streams as long as the test, and whose services allow connections of all callers.
 fn table() -> Value {
@@ -61,12 +61,12 @@
 }
 
 /// Number of callers that connect at the same time; bounded because the engine accepts connections on the test's thread.
-const BEGIN_TOGETHER: usize = 50;
+const CONCURRENT_STARTS: usize = 50;
 
 /// Requests a stream, reads the status line of the reply, and returns the open connection.
-async fn begin(listen: SocketAddr, number: usize) -> TcpStream {
+async fn start_stream(listen: SocketAddr, number: usize) -> TcpStream {
     let socket = TcpSocket::new_v4().unwrap();
-    socket.set_recv_buffer_size(UNREAD).unwrap();
+    socket.set_recv_buffer_size(RECEIVE_BUFFER_BYTES).unwrap();
     let mut stream = socket.connect(listen).await.unwrap();
     let text = client::keep_alive_request("/s/1", &format!("{number:08}"), Duration::from_secs(14));
     stream.write_all(text.as_bytes()).await.unwrap();
@@ -84,16 +84,16 @@
         let store = StandInStore::start().await;
         store.publish(&table());
         let engine = Replica::start(&store, "i-llm", "llm").await;
-        engine.set_default_act(Act::Endless(EVENT));
+        engine.set_default_act(Act::Endless(EVENT_BYTES));
         let _plain = Replica::start(&store, "i-plain", "plain").await;
         let limits = Limits {
             descriptors: 4_096,
-            ..USUAL
+            ..DEFAULT_LIMITS
         };
         let process = start("slow", &store, limits).await;
-        let begun = (0..CALLERS).map(|number| begin(process.listen, number));
-        let begun = stream::iter(begun).buffered(BEGIN_TOGETHER);
-        let mut callers: Vec<TcpStream> = begun.collect().await;
+        let streams = (0..CALLERS).map(|number| start_stream(process.listen, number));
+        let streams = stream::iter(streams).buffered(CONCURRENT_STARTS);
+        let mut callers: Vec<TcpStream> = streams.collect().await;
         for round in 0..5 {
             let text = client::request("POST", "/r/1", &format!("p{round}"), &[], "b");
             let answer = client::send(process.listen, &text).await;
@@ -105,6 +105,9 @@
         }
         let memory = memory_kb(&process);
         println!("{memory} kB for {CALLERS} callers");
-        assert!(memory < HOST_KB, "{memory} kB for {CALLERS} callers");
+        assert!(
+            memory < SMALLEST_HOST_KB,
+            "{memory} kB for {CALLERS} callers"
+        );
     });
 }
--- a/daemon/tests/test_soak.rs
+++ b/daemon/tests/test_soak.rs
@@ -46,25 +46,25 @@
 
 /// Default seeds beside `REGRESSIONS`: without and with faults of links, with evacuations, with harmful requests, with
 /// a replica that advertises a low rate, and with a store that is restored from older copies.
-const SHORT: [u64; 12] = [
+const DEFAULT_SEEDS: [u64; 12] = [
     2, 3, 1_000, 1_001, 2_000, 2_002, 3_001, 3_002, 4_001, 4_003, 5_000, 5_002,
 ];
 
 /// First seed that also disturbs the links between daemons and lets tables grow large. Seeds below it keep the sequence
 /// of faults with which they once failed.
-const LINKS_FROM: u64 = 1_000;
+const FIRST_LINK_FAULT_SEED: u64 = 1_000;
 
 /// First seed that also evacuates the replicas' data centre and writes invalid entries into the directory.
-const EVACUATIONS_FROM: u64 = 2_000;
+const FIRST_EVACUATION_SEED: u64 = 2_000;
 
 /// First seed that also sends a harmful request again and again: it terminates each replica that starts to run it.
-const HARMFUL_FROM: u64 = 3_000;
+const FIRST_HARMFUL_SEED: u64 = 3_000;
 
 /// First seed in which a replica also advertises a low rate limit.
-const NEED_FROM: u64 = 4_000;
+const FIRST_RATE_LIMIT_SEED: u64 = 4_000;
 
 /// First seed in which the store is also restored from older copies.
-const RETURNS_FROM: u64 = 5_000;
+const FIRST_RESTORE_SEED: u64 = 5_000;
 
 /// Seeds that failed once, each with the fault that it found.
 const REGRESSIONS: [(u64, &str); 7] = [
@@ -96,25 +96,25 @@
 ];
 
 /// Default time with faults of one run, in seconds.
-const SHORT_SECONDS: u64 = 4;
+const DEFAULT_SECONDS: u64 = 4;
 
 /// Upper bound of the random time between two faults, in milliseconds.
-const LONGEST_GAP_MS: u64 = 260;
+const MAX_FAULT_GAP_MS: u64 = 260;
 
 /// Number of concurrent callers in one run.
 const CALLERS: usize = 8;
 
 /// Longest wait until all daemons have the current table and endpoints, or until one serves a kind of request.
-const SETTLE_LIMIT: Duration = Duration::from_secs(25);
+const SETTLE_TIMEOUT: Duration = Duration::from_secs(25);
 
 /// Seeds divisible by this number have planned work only: no daemon is killed and nothing fails.
-const PLANNED_EVERY: u64 = 3;
+const PLANNED_DIVISOR: u64 = 3;
 
 /// Seeds divisible by this number start a large fleet, in which not every daemon receives messages from every other.
-const MANY_EVERY: u64 = 5;
+const LARGE_FLEET_DIVISOR: u64 = 5;
 
 /// Number of daemons in a large fleet.
-const MANY: usize = 18;
+const LARGE_FLEET_DAEMONS: usize = 18;
 
 fn seeds() -> Vec<u64> {
     let text = env::var("HAZELYOKE_SOAK_SEEDS").ok();
@@ -127,7 +127,7 @@
         None => REGRESSIONS
             .iter()
             .map(|(seed, _)| *seed)
-            .chain(SHORT)
+            .chain(DEFAULT_SEEDS)
             .collect(),
     }
 }
@@ -135,7 +135,7 @@
 fn seconds() -> u64 {
     let text = env::var("HAZELYOKE_SOAK_SECONDS").ok();
     text.and_then(|text| text.parse().ok())
-        .unwrap_or(SHORT_SECONDS)
+        .unwrap_or(DEFAULT_SECONDS)
 }
 
 #[test]
@@ -162,9 +162,9 @@
 
 async fn run_seed(seed: u64) -> Vec<String> {
     let mut rng = SmallRng::seed_from_u64(seed);
-    let planned = seed.is_multiple_of(PLANNED_EVERY);
-    let count = if seed.is_multiple_of(MANY_EVERY) {
-        MANY
+    let planned = seed.is_multiple_of(PLANNED_DIVISOR);
+    let count = if seed.is_multiple_of(LARGE_FLEET_DIVISOR) {
+        LARGE_FLEET_DAEMONS
     } else {
         rng.random_range(2..=6)
     };
@@ -178,13 +178,13 @@
         members: Rc::new(RefCell::new(members)),
         version: Rc::new(Cell::new(1)),
         findings: Rc::default(),
-        harms_links: seed >= LINKS_FROM && !planned,
-        evacuates: seed >= EVACUATIONS_FROM && !planned,
-        returns: seed >= RETURNS_FROM && !planned,
-        forgotten: Rc::default(),
+        disturbs_links: seed >= FIRST_LINK_FAULT_SEED && !planned,
+        evacuates: seed >= FIRST_EVACUATION_SEED && !planned,
+        restores: seed >= FIRST_RESTORE_SEED && !planned,
+        isolated_starts: Rc::default(),
         starts: Rc::default(),
     };
-    if !until_settled(&world).await {
+    if !wait_until_settled(&world).await {
         return vec!["the daemons weren't ready in time".into()];
     }
     let outcomes = Outcomes::default();
@@ -203,23 +203,23 @@
             ))
         })
         .collect();
-    let link_harm = world.harms_links.then(|| {
+    let link_faults = world.disturbs_links.then(|| {
         let rng = SmallRng::seed_from_u64(!seed);
-        tokio::task::spawn_local(world.clone().harm_links(rng))
+        tokio::task::spawn_local(world.clone().disturb_links(rng))
     });
-    let harm = is_harmed(seed).then(|| {
+    let harm = has_harmful_requests(seed).then(|| {
         let rng = SmallRng::seed_from_u64(seed << 1);
         tokio::task::spawn_local(harm::run(world.clone(), rng))
     });
-    let in_need = (seed >= NEED_FROM).then(|| {
+    let limited_replica = (seed >= FIRST_RATE_LIMIT_SEED).then(|| {
         let rng = SmallRng::seed_from_u64(seed << 2);
         tokio::task::spawn_local(need::begin(world.clone(), rng))
     });
     let version_check = tokio::task::spawn_local(check_versions(world.clone()));
     let end = tokio::time::Instant::now() + Duration::from_secs(seconds());
     while tokio::time::Instant::now() < end {
-        world.trouble(&mut rng, planned).await;
-        let gap = rng.random_range(0..LONGEST_GAP_MS);
+        world.start_fault(&mut rng, planned).await;
+        let gap = rng.random_range(0..MAX_FAULT_GAP_MS);
         tokio::time::sleep(Duration::from_millis(gap)).await;
         world.record_unexpected_ends();
     }
@@ -227,23 +227,23 @@
     for caller in callers {
         caller.await.unwrap();
     }
-    if let Some(in_need) = in_need {
-        in_need.await.unwrap().check(&world);
+    if let Some(limited_replica) = limited_replica {
+        limited_replica.await.unwrap().check(&world);
     }
-    if let Some(harm) = link_harm {
-        harm.abort();
+    if let Some(link_faults) = link_faults {
+        link_faults.abort();
     }
     if let Some(harm) = harm {
         harm.abort();
-        harm::until_replaced(&world).await;
-        harm::check_ended(&world);
+        harm::replace_remaining(&world).await;
+        harm::check_terminated(&world);
     }
     world.heal().await;
     world.publish();
-    if !until_settled(&world).await {
-        let states = states(&world).await;
-        world.find(format!(
-            "the daemons didn't settle after the faults: {states:?}"
+    if !wait_until_settled(&world).await {
+        let statuses = daemon_statuses(&world).await;
+        world.add_finding(format!(
+            "the daemons didn't settle after the faults: {statuses:?}"
         ));
     }
     check_service(&world, seed).await;
@@ -260,8 +260,8 @@
 }
 
 /// Returns whether a seed sends requests that terminate replicas.
-fn is_harmed(seed: u64) -> bool {
-    seed >= HARMFUL_FROM && !seed.is_multiple_of(PLANNED_EVERY)
+fn has_harmful_requests(seed: u64) -> bool {
+    seed >= FIRST_HARMFUL_SEED && !seed.is_multiple_of(PLANNED_DIVISOR)
 }
 
 /// The status that a daemon reports.
@@ -292,65 +292,70 @@
     read.await.ok().flatten()
 }
 
-fn addresses(
+fn daemon_addresses(
     world: &World,
     of: impl Fn(&Daemon) -> std::net::SocketAddr,
 ) -> Vec<std::net::SocketAddr> {
     world.daemons.borrow().iter().map(of).collect()
 }
 
-async fn states(world: &World) -> Vec<Option<DaemonStatus>> {
-    let mut states = Vec::new();
-    for address in addresses(world, |daemon| daemon.ready) {
-        states.push(read_status(address).await);
+async fn daemon_statuses(world: &World) -> Vec<Option<DaemonStatus>> {
+    let mut statuses = Vec::new();
+    for address in daemon_addresses(world, |daemon| daemon.ready) {
+        statuses.push(read_status(address).await);
     }
-    states
+    statuses
 }
 
 /// Returns the ids of the replicas that aren't draining and weren't removed.
-fn staying(members: &[Member]) -> BTreeSet<String> {
+fn present_ids(members: &[Member]) -> BTreeSet<String> {
     let staying = members.iter().filter(|member| !member.left);
     staying.map(|member| member.replica.id.clone()).collect()
 }
 
 /// Waits until every daemon is ready with the newest table and exactly the present endpoints; returns false on timeout.
 /// Compares ids, because a daemon that missed a replacement has the right number of endpoints.
-async fn until_settled(world: &World) -> bool {
+async fn wait_until_settled(world: &World) -> bool {
     let settled = async {
         loop {
             let wanted = DaemonStatus {
                 ready: true,
                 version: world.version.get(),
-                open: staying(&world.members.borrow()),
+                open: present_ids(&world.members.borrow()),
             };
-            let states = states(world).await;
-            if states.iter().all(|state| state.as_ref() == Some(&wanted)) {
+            let statuses = daemon_statuses(world).await;
+            if statuses
+                .iter()
+                .all(|status| status.as_ref() == Some(&wanted))
+            {
                 return;
             }
             tokio::time::sleep(Duration::from_millis(50)).await;
         }
     };
-    tokio::time::timeout(SETTLE_LIMIT, settled).await.is_ok()
+    tokio::time::timeout(SETTLE_TIMEOUT, settled).await.is_ok()
 }
 
 /// Checks that a daemon's table version never decreases while its process runs.
 async fn check_versions(world: World) {
     let mut last: BTreeMap<(usize, u32), u64> = BTreeMap::new();
     loop {
-        for (number, address) in addresses(&world, |daemon| daemon.ready)
+        for (number, address) in daemon_addresses(&world, |daemon| daemon.ready)
             .into_iter()
             .enumerate()
         {
-            let life = world.daemons.borrow()[number].life;
+            let incarnation = world.daemons.borrow()[number].incarnation;
             let Some(status) = read_status(address).await else {
                 continue;
             };
-            if world.daemons.borrow()[number].life != life {
+            if world.daemons.borrow()[number].incarnation != incarnation {
                 continue;
             }
-            let before = last.insert((number, life), status.version).unwrap_or(0);
+            let before = last
+                .insert((number, incarnation), status.version)
+                .unwrap_or(0);
             if status.version < before {
-                world.find(format!(
+                world.add_finding(format!(
                     "daemon {number} went back from table {before} to {}",
                     status.version
                 ));
@@ -362,7 +367,7 @@
 
 /// Checks that every daemon serves every kind of request after the faults, and that replicas that left get no requests.
 async fn check_service(world: &World, seed: u64) {
-    let ran_by_left = |world: &World| -> usize {
+    let runs_after_leaving = |world: &World| -> usize {
         let members = world.members.borrow();
         members
             .iter()
@@ -370,13 +375,13 @@
             .map(|m| m.replica.ran().len())
             .sum()
     };
-    let before = ran_by_left(world);
-    for (number, listen) in addresses(world, |daemon| daemon.listen)
+    let before = runs_after_leaving(world);
+    for (number, listen) in daemon_addresses(world, |daemon| daemon.listen)
         .into_iter()
         .enumerate()
     {
         for kind in Kind::ALL {
-            let served = tokio::time::timeout(SETTLE_LIMIT, async {
+            let served = tokio::time::timeout(SETTLE_TIMEOUT, async {
                 let mut tries = 0;
                 loop {
                     let id = format!("end-{seed}-{number}-{}-{tries}", kind.path().len());
@@ -389,13 +394,13 @@
                 }
             });
             if served.await.is_err() {
-                world.find(format!(
+                world.add_finding(format!(
                     "daemon {number} doesn't serve {kind:?} after the faults"
                 ));
             }
         }
     }
-    if ran_by_left(world) > before {
-        world.find("a replica that left still gets requests".into());
+    if runs_after_leaving(world) > before {
+        world.add_finding("a replica that left still gets requests".into());
     }
 }
