--- a/bench/src/example_tree.rs
+++ b/bench/src/example_tree.rs
@@ -41,7 +41,10 @@
     type Error = &'static str;
 
     fn read(&self, name: &str) -> Result<Vec<u8>, Self::Error> {
-        let value = self.0.get(name).ok_or("there is no such value")?;
+        let value = self
+            .0
+            .get(name)
+            .ok_or("the example tree has no such value")?;
         Ok(value.clone().into_bytes())
     }
 }
--- a/bench/src/experiment/reader.rs
+++ b/bench/src/experiment/reader.rs
@@ -170,8 +170,8 @@
         .filter_map(|field| read_weight(field, name, known, findings))
         .collect();
     if weights.is_empty() {
-        let message = format!("{name} holds no weight");
-        findings.add(&location, name, message, "add some");
+        let message = format!("{name} has no valid weights");
+        findings.add(&location, name, message, "add a name with its weight");
     }
     weights
 }
@@ -194,7 +194,7 @@
     let weight = document::scalar_text(&value).and_then(|text| text.parse().ok());
     let positive = weight.filter(|weight| *weight > 0.0 && f64::is_finite(*weight));
     if positive.is_none() {
-        let message = "the weight is no number above zero";
+        let message = "the weight isn't a number above zero";
         findings.add(&value.location, list, message, "correct the weight");
     }
     Some((name, positive?))
@@ -209,7 +209,7 @@
         .filter_map(|value| read_phase(value, findings))
         .collect();
     if phases.is_empty() {
-        findings.add(&location, "phases", "there is no phase", "add \"phases\"");
+        findings.add(&location, "phases", "there are no valid phases", "add one");
     }
     phases
 }
@@ -279,7 +279,7 @@
     if !tree.data_centres.contains(&centre.value) {
         let message = format!("unknown data centre \"{}\"", centre.value);
         let findings = reader.findings();
-        findings.add(&centre.location, "fault", message, "correct it");
+        findings.add(&centre.location, "fault", message, "correct the name");
     }
     Some(centre.value)
 }
@@ -289,7 +289,7 @@
     if !tree.services.contains_key(&service.value) {
         let message = format!("unknown service \"{}\"", service.value);
         let findings = reader.findings();
-        findings.add(&service.location, "fault", message, "correct it");
+        findings.add(&service.location, "fault", message, "correct the name");
     }
     Some(service.value)
 }
--- a/daemon/tests/process/mod.rs
+++ b/daemon/tests/process/mod.rs
@@ -70,7 +70,7 @@
         let before = threads(self.child.id());
         thread::sleep(SAMPLE_INTERVAL);
         println!(
-            "threads of the daemon {SAMPLE_INTERVAL:?} apart (name, state, ticks in user and kernel mode):"
+            "two samples of the daemon's threads, {SAMPLE_INTERVAL:?} apart (name, state, ticks in user and kernel mode):"
         );
         for sample in [before, threads(self.child.id())] {
             println!("{}", sample.join("\n"));
@@ -82,10 +82,7 @@
             Log::File(file) => fs::read_to_string(&file.0).unwrap_or_default(),
             Log::Unread => self.read_unread(),
         };
-        println!(
-            "{} bytes of the daemon's log, the last of them:",
-            text.len()
-        );
+        println!("the daemon's log has {} bytes and ends with:", text.len());
         println!(
             "{}",
             &text[text.floor_char_boundary(text.len().saturating_sub(MAX_LOG_BYTES))..]
--- a/daemon/tests/soak/trouble.rs
+++ b/daemon/tests/soak/trouble.rs
@@ -28,7 +28,7 @@
     pub findings: Rc<RefCell<Vec<String>>>,
     /// Whether links between daemons are disturbed and tables grow large.
     pub disturbs_links: bool,
-    /// Whether the replicas' data centre is evacuated now and then, and invalid entries are written into the directory.
+    /// Whether the replicas' data centre is evacuated now and then, and invalid entries are written into the store.
     pub evacuates: bool,
     /// Whether the store is restored from an older copy now and then.
     pub restores: bool,
--- a/daemon/tests/test_process.rs
+++ b/daemon/tests/test_process.rs
@@ -78,7 +78,7 @@
             idle.push(TcpStream::connect(process.listen).await.unwrap());
         }
         let reply = tokio::time::timeout(Duration::from_secs(8), get(process.listen, "r1"));
-        assert_eq!(reply.await.expect("the connection wasn't taken"), 200);
+        assert_eq!(reply.await.expect("the daemon didn't answer in time"), 200);
         assert!(is_ready(process.ready).await);
     });
 }
--- a/daemon/tests/test_soak.rs
+++ b/daemon/tests/test_soak.rs
@@ -54,7 +54,7 @@
 /// of faults with which they once failed.
 const FIRST_LINK_FAULT_SEED: u64 = 1_000;
 
-/// First seed that also evacuates the replicas' data centre and writes invalid entries into the directory.
+/// First seed that also evacuates the replicas' data centre and writes invalid entries into the store.
 const FIRST_EVACUATION_SEED: u64 = 2_000;
 
 /// First seed that also sends a harmful request again and again: it terminates each replica that starts to run it.
@@ -79,7 +79,7 @@
     ),
     (
         302,
-        "a replica left while the store didn't answer, and the final check began before all daemons had noticed",
+        "a replica left while the store didn't answer, and the check began before all daemons had noticed",
     ),
     (
         3_107,
