--- a/bench/src/replica.rs
+++ b/bench/src/replica.rs
@@ -27,7 +27,7 @@
     pub cache: Option<SharedCache>,
 }
 
-/// A stand-in endpoint with what is needed to start it again.
+/// A stand-in endpoint that can be started again.
 #[derive(Debug)]
 pub struct Replica {
     /// Service that the endpoint belongs to.
--- a/bench/src/report_table.rs
+++ b/bench/src/report_table.rs
@@ -26,13 +26,13 @@
 /// Headings of the table of a report's stages.
 const STAGE_HEADINGS: [&str; 4] = ["STAGE", "USEFUL", "WASTED", "WASTED SHARE"];
 
-/// Prints reports side by side.
+/// Prints a table with one row for each report.
 pub fn print_table(reports: &[Report]) {
     let rows = reports.iter().map(report_row);
     println!("{}", table(REPORT_HEADINGS, rows));
 }
 
-/// Prints one report in full.
+/// Prints the stages, services, endings and broken guarantees of one report.
 pub fn print_details(report: &Report) {
     let rows = report
         .stages
--- a/daemon/tests/soak/harm.rs
+++ b/daemon/tests/soak/harm.rs
@@ -36,12 +36,13 @@
         for number in 0.. {
             let daemons = world.daemons.borrow().len();
             let listen = world.daemons.borrow()[rng.random_range(0..daemons)].listen;
-            let text =
-                client::request(
+            let text = client::request(
                 "POST",
                 path,
                 &format!("{HARMFUL_PREFIX}{number}"),
-                &[], FATAL_BODY);
+                &[],
+                FATAL_BODY,
+            );
             tokio::task::spawn_local(async move {
                 // A daemon may be down or refuse the request.
                 let _ = client::try_send(listen, &text).await;
