--- a/lib/src/gateway/rules/backlog.rs
+++ b/lib/src/gateway/rules/backlog.rs
@@ -1,4 +1,4 @@
-//! How many of the outstanding pieces of a stage service are served before a given piece?
+//! Decides how many of the outstanding pieces of a stage service are served before a given piece.
 //!
 //! Inputs: the times by which waiting pieces are ordered (`rules::piece_order`), as spans from now in milliseconds.
 //!
--- a/lib/src/gateway/rules/call_fill.rs
+++ b/lib/src/gateway/rules/call_fill.rs
@@ -1,4 +1,4 @@
-//! How many of the waiting pieces go into one call?
+//! Decides how many of the waiting pieces go into one call.
 //!
 //! Inputs: the share of the waiting pieces that the call should take (`rules::piece_order`), the largest number of
 //! pieces that the table allows in a call, and the result capacity of its endpoint (bytes).
--- a/lib/src/gateway/rules/call_spacing.rs
+++ b/lib/src/gateway/rules/call_spacing.rs
@@ -1,4 +1,4 @@
-//! When may a free endpoint of a stage start a call that isn't full?
+//! Decides when a free endpoint of a stage may start a call that isn't full.
 //!
 //! Inputs: the time of the last call in the endpoint's data centre, the average time that calls there should take
 //! (milliseconds), and how many endpoints there may be called and are free.
--- a/lib/src/gateway/rules/call_timing.rs
+++ b/lib/src/gateway/rules/call_timing.rs
@@ -1,4 +1,4 @@
-//! How long should a call of pieces take, when is it overdue, and for how long is its answer awaited?
+//! Decides how long a call of pieces should take, when it is overdue, and for how long its answer is awaited.
 //!
 //! Inputs: the cost of a call of the service (`CallCost`, milliseconds), the number of its pieces, and the time for
 //! which it has run (milliseconds).
--- a/lib/src/gateway/rules/catch_up.rs
+++ b/lib/src/gateway/rules/catch_up.rs
@@ -1,4 +1,4 @@
-//! Which daemon is asked for a newer table or a newer list of endpoints, and when?
+//! Decides which daemon is asked for a newer table or a newer list of endpoints, and when.
 //!
 //! Inputs: versions of tables and revisions of lists as living daemons report them; the version or revision known here;
 //! the time (microseconds of this daemon's clock) of the directory's last answer; the longest time for which the
--- a/lib/src/gateway/rules/coordinator.rs
+++ b/lib/src/gateway/rules/coordinator.rs
@@ -1,4 +1,4 @@
-//! Which daemon coordinates a service, that is, schedules its calls and sums up its load?
+//! Decides which daemon coordinates a service, that is, schedules its calls and sums up its load.
 //!
 //! Inputs: the service's name, the address and capacity (thousandths of a core) of this daemon and of each other one,
 //! what is known of the others' state, the time (microseconds of this daemon's clock), and the daemons that already
--- a/lib/src/gateway/rules/directory_reads.rs
+++ b/lib/src/gateway/rules/directory_reads.rs
@@ -1,4 +1,4 @@
-//! Does this daemon read the directory itself, how long does one call wait, and when does it call again?
+//! Decides whether this daemon reads the directory itself, how long one call waits, and when the next call is made.
 //!
 //! Inputs: the daemon's role in the fleet, whether it lags behind its peers, the age of the last read that reading
 //! peers reported, the number of daemons alive, the apply and the drain time of the installation (all times in
--- a/lib/src/gateway/rules/fetch_turn.rs
+++ b/lib/src/gateway/rules/fetch_turn.rs
@@ -1,4 +1,4 @@
-//! Does a daemon ask another one now for something newer, or does it let others ask first?
+//! Decides whether a daemon asks another one now for something newer, or lets others ask first.
 //!
 //! Inputs: the number of daemons alive; of the daemons whose heartbeats arrived here within the last second, how many
 //! there are and how many have the newer state, counted separately for those that send their heartbeats to everybody; a
--- a/lib/src/gateway/rules/gossip.rs
+++ b/lib/src/gateway/rules/gossip.rs
@@ -1,4 +1,4 @@
-//! Which daemons get a heartbeat, and which daemons and loads does it name?
+//! Decides which daemons get a heartbeat, and which daemons and loads it names.
 //!
 //! Inputs: the number of other daemons known, their addresses, the coordinators of services, the seeds that aren't
 //! alive, whether this daemon coordinates, the loads in flight (requests, prompt tokens), and a generator of random
--- a/lib/src/gateway/rules/liveness.rs
+++ b/lib/src/gateway/rules/liveness.rs
@@ -1,4 +1,4 @@
-//! Is another daemon alive, suspect, lost, or to be forgotten?
+//! Decides whether another daemon is alive, suspect, lost, or to be forgotten.
 //!
 //! Inputs: the times (microseconds of this daemon's clock) of its last heartbeat received here and of its last sign of
 //! life anywhere, as reported by gossip; whether it sends each heartbeat to everybody; since when this daemon should
--- a/lib/src/gateway/rules/outcome.rs
+++ b/lib/src/gateway/rules/outcome.rs
@@ -1,4 +1,4 @@
-//! Tracks whether a request can have run, and decides which outcome its caller is told.
+//! Tracks whether a request can have run, and decides which outcome its caller gets.
 //!
 //! Inputs: the events of one request's attempts, in order: no connection was established, the request is about to be
 //! sent, a reply proves that it did not run. Results: counts of attempts, and the problem response that ends a request
--- a/lib/src/gateway/rules/piece_group.rs
+++ b/lib/src/gateway/rules/piece_group.rs
@@ -1,4 +1,4 @@
-//! How many pieces may share a call after an endpoint terminated while it ran them?
+//! Decides how many pieces may share a call after an endpoint terminated while it ran them.
 //!
 //! Inputs: the number of pieces of the call during which the endpoint terminated.
 //!
--- a/lib/src/gateway/rules/piece_order.rs
+++ b/lib/src/gateway/rules/piece_order.rs
@@ -1,4 +1,4 @@
-//! Which waiting pieces may an endpoint of a stage take, in which order, and how many of them?
+//! Decides which waiting pieces an endpoint of a stage may take, in which order, and how many of them.
 //!
 //! Inputs: the clock, each job with waiting pieces (`WaitingJob`: its objective, rank, preferred data centre and the
 //! bytes that would cross between data centres), the data centre of the endpoint, and the number of endpoints that may
--- a/lib/src/gateway/rules/piece_retry.rs
+++ b/lib/src/gateway/rules/piece_retry.rs
@@ -1,4 +1,4 @@
-//! May a piece be sent again, and when is a whole job given up?
+//! Decides whether a piece may be sent again, and when a whole job is given up.
 //!
 //! Inputs: how often the piece was sent, whether the endpoint may have run the lost send, the clock and the job's
 //! deadline, and the fixed time of a call (milliseconds).
--- a/lib/src/gateway/rules/prefill_rate.rs
+++ b/lib/src/gateway/rules/prefill_rate.rs
@@ -1,4 +1,4 @@
-//! The assumed rate at which an engine reads a prompt.
+//! States the assumed rate at which an engine reads a prompt.
 //!
 //! Admission, the choice of an endpoint, and the time that a request reserves for itself after its stages use the same
 //! rate.
--- a/lib/src/gateway/rules/result_capacity.rs
+++ b/lib/src/gateway/rules/result_capacity.rs
@@ -1,4 +1,4 @@
-//! How much result capacity does an endpoint have, and when may a call's inputs be released early?
+//! Decides how much result capacity an endpoint has, and when the inputs of a call may be released early.
 //!
 //! Inputs: the result capacity that the table states for an endpoint, the estimated size of the results kept there and
 //! the size reserved for calls in flight (bytes), and when the last pieces of a job, or a request, were sent.
--- a/lib/src/gateway/rules/shutdown.rs
+++ b/lib/src/gateway/rules/shutdown.rs
@@ -1,4 +1,4 @@
-//! When does a stopping daemon close its connections, and when does it end?
+//! Decides when a stopping daemon closes its connections, and when it ends.
 //!
 //! Input: the grace period, from the signal to the end of the process (milliseconds).
 //!
--- a/lib/src/gateway/rules/stage_objective.rs
+++ b/lib/src/gateway/rules/stage_objective.rs
@@ -1,4 +1,4 @@
-//! When should a stage of a request have ended, for the request to meet its objective?
+//! Decides when a stage of a request should have ended, for the request to meet its objective.
 //!
 //! Inputs: the request's objective (a time), the number of stages after this one along the longest path, and the time
 //! that the request itself needs (milliseconds).
--- a/lib/src/gateway/rules/stage_placement.rs
+++ b/lib/src/gateway/rules/stage_placement.rs
@@ -1,4 +1,4 @@
-//! In which data centre should a stage's pieces run?
+//! Chooses the data centre in which a stage's pieces should run.
 //!
 //! Inputs: the results that each piece of the stage fetches (by data centre, in bytes), the number of pieces, the size
 //! of one result, and the data centre where the request will probably run.
--- a/lib/src/gateway/rules/stall.rs
+++ b/lib/src/gateway/rules/stall.rs
@@ -1,4 +1,4 @@
-//! Did this process stall, and how much of a span of time did it run?
+//! Decides whether this process stalled, and how much of a span of time it ran.
 //!
 //! Inputs: the times (microseconds of this daemon's clock) at which it read the clock: with every heartbeat that it
 //! sends, and every [`CLOCK_CHECK`].
--- a/lib/src/gateway/rules/table_upload.rs
+++ b/lib/src/gateway/rules/table_upload.rs
@@ -1,4 +1,4 @@
-//! May a daemon send another batch of a table's chunks now?
+//! Decides whether a daemon may send another batch of a table's chunks now.
 //!
 //! Inputs: the bandwidth of the host's link (bits per second), the size of the batch (bytes), and when the batches sent
 //! so far will have been transmitted (microseconds of this daemon's clock).
--- a/lib/src/gateway/rules/unconfirmed_entry.rs
+++ b/lib/src/gateway/rules/unconfirmed_entry.rs
@@ -1,5 +1,5 @@
-//! Is an endpoint whose directory entry vanished gone, or only unconfirmed; and for how long is an unconfirmed endpoint
-//! used?
+//! Decides whether an endpoint whose directory entry vanished is gone or only unconfirmed, and for how long an
+//! unconfirmed endpoint is used.
 //!
 //! Inputs: when the directory last answered this daemon and last failed (times on the daemon's clock), whether another
 //! daemon reads the directory steadily, whether the endpoint was draining, the time between two writes of an endpoint's
--- a/lib/src/gateway/rules/worker_slowdown.rs
+++ b/lib/src/gateway/rules/worker_slowdown.rs
@@ -1,4 +1,4 @@
-//! How slow is an endpoint of a stage at present, and for how long does it get no call?
+//! Estimates how slow an endpoint of a stage is at present, and decides for how long it gets no call.
 //!
 //! Inputs: how long its calls took as a multiple of the expected time (`Slowdown`, a ratio), the clock, and why it gets
 //! no call.
