--- a/lib/src/gateway/directory/evacuate.rs
+++ b/lib/src/gateway/directory/evacuate.rs
@@ -59,10 +59,10 @@
         let now = self.now();
         let mut state = self.state.borrow_mut();
         if !state.evacuations.has_earlier_eras() {
-            state.held_orders = None;
+            state.earlier_orders = None;
             return;
         }
-        let since = *state.held_orders.get_or_insert(now);
+        let since = *state.earlier_orders.get_or_insert(now);
         if now.since(since) < REWRITE_TIME.to_duration() {
             return;
         }
--- a/lib/src/gateway/directory/follow.rs
+++ b/lib/src/gateway/directory/follow.rs
@@ -186,7 +186,7 @@
     /// Adapts the timeout of the next answer to this one, which took the time `took` beyond its wait for changes.
     fn adapt_timeout(&mut self, read: &Result<Items, DirectoryError>, took: Duration) {
         self.timeout = match read {
-            Err(DirectoryError::TimedOut) => self.timeout.after_late(),
+            Err(DirectoryError::TimedOut) => self.timeout.after_timeout(),
             _ => self.timeout.after_answer(took),
         };
     }
--- a/lib/src/gateway/peers/heartbeats.rs
+++ b/lib/src/gateway/peers/heartbeats.rs
@@ -100,11 +100,11 @@
     let loads = state.next_digest(now, ready);
     let recipients: Vec<SocketAddr> = state.peers.region_addresses().collect();
     drop(state);
-    for part in loads.chunks(DATAGRAM_LOADS) {
-        gateway.state.borrow_mut().load_sums.merge(now, part);
+    for batch in loads.chunks(DATAGRAM_LOADS) {
+        gateway.state.borrow_mut().load_sums.merge(now, batch);
         let digest = LoadDigest {
             protocol: PROTOCOL,
-            loads: part.to_vec(),
+            loads: batch.to_vec(),
         };
         let datagram = Datagram::Loads(digest);
         send_datagram(socket, &datagram, recipients.iter().copied());
@@ -123,10 +123,10 @@
     state.peers.merge_remote_services(now, &notes);
     let recipients: Vec<SocketAddr> = state.peers.region_addresses().collect();
     drop(state);
-    for part in notes.chunks(MAX_REMOTE_NOTES) {
+    for batch in notes.chunks(MAX_REMOTE_NOTES) {
         let report = RegionReport {
             protocol: PROTOCOL,
-            notes: part.to_vec(),
+            notes: batch.to_vec(),
         };
         send_datagram(
             socket,
--- a/lib/src/gateway/peers/job_message.rs
+++ b/lib/src/gateway/peers/job_message.rs
@@ -33,8 +33,8 @@
             rank: job.rank,
             result: job.result.0,
             home: job.preferred.clone(),
-            places: job.places.names(),
-            moved: job.moved.0,
+            places: job.allowed.names(),
+            moved: job.crossing_size.0,
             digest: job.digest,
         }
     }
@@ -52,8 +52,8 @@
             rank: self.rank,
             result: ByteSize(self.result),
             preferred: self.home,
-            places: AllowedDataCentres::of_names(self.places),
-            moved: ByteSize(self.moved),
+            allowed: AllowedDataCentres::of_names(self.places),
+            crossing_size: ByteSize(self.moved),
         }
     }
 }
--- a/lib/src/gateway/peers/outgoing.rs
+++ b/lib/src/gateway/peers/outgoing.rs
@@ -53,7 +53,8 @@
     pub fn heartbeat(&mut self, now: Time, report: SelfReport) -> OutgoingHeartbeat {
         self.sequence += 1;
         let coordinators = self.coordinators(now, &report);
-        let coordinates = report.phase == Phase::Ready && coordinators.contains(&Coordinator::Me);
+        let coordinates =
+            report.phase == Phase::Ready && coordinators.contains(&Coordinator::Local);
         self.broadcasts_left = gossip::broadcasts_left(coordinates, self.broadcasts_left);
         self.coordinates_since = coordinates.then(|| self.coordinates_since.unwrap_or(now));
         self.reads_directory = self
@@ -155,7 +156,7 @@
         let requesters = mem::take(&mut self.requesters);
         let coordinators = coordinators.iter().filter_map(|one| match one {
             Coordinator::Peer(address) => Some(*address),
-            Coordinator::Me => None,
+            Coordinator::Local => None,
         });
         let missing_seeds = self.seeds.iter().filter(|seed| !self.is_alive(seed));
         let required = coordinators.chain(missing_seeds.copied());
--- a/lib/src/gateway/peers/peer_loads.rs
+++ b/lib/src/gateway/peers/peer_loads.rs
@@ -28,7 +28,7 @@
         let was_named = |load: &LoadNote| self.reported_busy.contains(&load.endpoint);
         let services = published.table.services();
         let mine = services.filter(|service| {
-            self.peers.coordinator(now, &service.id, ready, &[]) == Coordinator::Me
+            self.peers.coordinator(now, &service.id, ready, &[]) == Coordinator::Local
         });
         let digests = mine.map(|service| {
             let members = self.endpoints.service(&service.id);
--- a/lib/src/gateway/peers/quarantine_reports.rs
+++ b/lib/src/gateway/peers/quarantine_reports.rs
@@ -107,10 +107,10 @@
 }
 
 fn send_notes(socket: &UdpSocket, notes: &[EvidenceNote], targets: &[SocketAddr]) {
-    for part in notes.chunks(DATAGRAM_NOTES) {
+    for batch in notes.chunks(DATAGRAM_NOTES) {
         let report = QuarantineReport {
             protocol: PROTOCOL,
-            notes: part.to_vec(),
+            notes: batch.to_vec(),
         };
         let datagram = Datagram::Quarantine(report);
         send_datagram(socket, &datagram, targets.iter().copied());
--- a/lib/src/gateway/peers/queries.rs
+++ b/lib/src/gateway/peers/queries.rs
@@ -239,7 +239,7 @@
         let me = self.candidate();
         match coordinator::coordinator(now, service, me, false, peers, except) {
             Coordinator::Peer(address) => Some(address),
-            Coordinator::Me => None,
+            Coordinator::Local => None,
         }
     }
 
--- a/lib/src/gateway/peers/rate_reports.rs
+++ b/lib/src/gateway/peers/rate_reports.rs
@@ -77,7 +77,7 @@
     fn add(&mut self, now: Time, ready: bool, peers: &mut Peers, messages: RateMessages) {
         let coordinator = peers.coordinator(now, &messages.service, ready, &[]);
         let address = match coordinator {
-            Coordinator::Me => peers.local_address(),
+            Coordinator::Local => peers.local_address(),
             Coordinator::Peer(address) => address,
         };
         if let Some(report) = messages.report {
@@ -87,7 +87,7 @@
             return;
         };
         let mut targets: Vec<SocketAddr> = match coordinator {
-            Coordinator::Me => peers.addresses().collect(),
+            Coordinator::Local => peers.addresses().collect(),
             Coordinator::Peer(_) => peers.draw_any(),
         };
         if !targets.contains(&address) && messages.report.is_none() {
--- a/lib/src/gateway/peers/receive.rs
+++ b/lib/src/gateway/peers/receive.rs
@@ -105,10 +105,10 @@
 fn send_roster<D: Dialect>(gateway: &Gateway<D>, socket: &UdpSocket, joining: SocketAddr) {
     let now = gateway.now();
     let living = gateway.state.borrow_mut().peers.roster(now, joining);
-    for part in living.chunks(ROSTER_PEERS) {
+    for batch in living.chunks(ROSTER_PEERS) {
         let roster = Roster {
             protocol: PROTOCOL,
-            peers: part.to_vec(),
+            peers: batch.to_vec(),
         };
         let datagram = Datagram::Roster(roster);
         send_datagram(socket, &datagram, iter::once(joining));
--- a/lib/src/gateway/peers/remote_reports.rs
+++ b/lib/src/gateway/peers/remote_reports.rs
@@ -39,7 +39,7 @@
     /// coordinates here. `ready` is whether it may coordinate.
     pub fn remote_notes(&self, now: Time, services: &[ServiceId], ready: bool) -> Vec<RemoteNote> {
         let is_mine =
-            |service: &&ServiceId| self.coordinator(now, service, ready, &[]) == Coordinator::Me;
+            |service: &&ServiceId| self.coordinator(now, service, ready, &[]) == Coordinator::Local;
         let mut notes = Vec::new();
         for service in services.iter().filter(is_mine) {
             for region in self.remote_regions() {
--- a/lib/src/gateway/peers/reports.rs
+++ b/lib/src/gateway/peers/reports.rs
@@ -63,7 +63,7 @@
     pub fn backlog(&self, service: ServiceHash, coordinator: Coordinator) -> Backlog {
         let summed = match coordinator {
             Coordinator::Peer(address) if !self.is_small() => self.summed_backlog(service, address),
-            Coordinator::Peer(_) | Coordinator::Me => None,
+            Coordinator::Peer(_) | Coordinator::Local => None,
         };
         summed.unwrap_or_else(|| self.reported_backlog(service))
     }
--- a/lib/src/gateway/peers/self_report.rs
+++ b/lib/src/gateway/peers/self_report.rs
@@ -61,7 +61,7 @@
     /// Returns the state of the stage services that this daemon coordinates.
     fn queue_notes(&self, now: Time, ready: bool) -> Vec<QueueNote> {
         let mine = |service: &ServiceId| {
-            self.peers.coordinator(now, service, ready, &[]) == Coordinator::Me
+            self.peers.coordinator(now, service, ready, &[]) == Coordinator::Local
         };
         let total = |service: &ServiceId| self.total_backlog(now, service).total();
         self.stage_queues.notes(now, mine, total)
--- a/lib/src/gateway/rates/permit_queue.rs
+++ b/lib/src/gateway/rates/permit_queue.rs
@@ -9,12 +9,12 @@
 pub(crate) struct PermitQueue(RefCell<HashMap<ServiceId, Vec<u32>>>);
 
 impl PermitQueue {
-    /// Adds a request, which is removed when the returned place is dropped.
-    pub(crate) fn join(&self, service: &ServiceId, urgency: u32) -> WaitingPlace<'_> {
+    /// Adds a request, which is removed when the returned value is dropped.
+    pub(crate) fn join(&self, service: &ServiceId, urgency: u32) -> WaitingRequest<'_> {
         let mut waiting = self.0.borrow_mut();
         let urgencies = waiting.entry(service.clone()).or_default();
         urgencies.push(urgency);
-        WaitingPlace {
+        WaitingRequest {
             queue: self,
             service: service.clone(),
             urgency,
@@ -22,15 +22,15 @@
     }
 }
 
-/// The place of a request that waits for a permit.
+/// A request that waits for a permit. Dropping it removes the request from the queue.
 #[derive(Debug)]
-pub(crate) struct WaitingPlace<'a> {
+pub(crate) struct WaitingRequest<'a> {
     queue: &'a PermitQueue,
     service: ServiceId,
     urgency: u32,
 }
 
-impl WaitingPlace<'_> {
+impl WaitingRequest<'_> {
     /// Returns the number of waiting requests that are at least as urgent, including this one.
     pub(crate) fn ahead(&self) -> usize {
         let waiting = self.queue.0.borrow();
@@ -41,7 +41,7 @@
     }
 }
 
-impl Drop for WaitingPlace<'_> {
+impl Drop for WaitingRequest<'_> {
     fn drop(&mut self) {
         let mut waiting = self.queue.0.borrow_mut();
         let Some(urgencies) = waiting.get_mut(&self.service) else {
--- a/lib/src/gateway/rates/store.rs
+++ b/lib/src/gateway/rates/store.rs
@@ -234,9 +234,9 @@
     /// Returns the entry for an endpoint if it is newer than the one of another daemon and they differ in whether there
     /// is a limit.
     pub fn newer(&self, now: Time, note: &RateNote) -> Option<RateNote> {
-        let own = self.records.get(&note.endpoint)?.note(now, note.endpoint);
-        let differs = own.rate_milli.is_some() != note.rate_milli.is_some();
-        (differs && own.age_ms < note.age_ms).then_some(own)
+        let local = self.records.get(&note.endpoint)?.note(now, note.endpoint);
+        let differs = local.rate_milli.is_some() != note.rate_milli.is_some();
+        (differs && local.age_ms < note.age_ms).then_some(local)
     }
 
     /// Records a coordinator's answer to a claim.
--- a/lib/src/gateway/routing/accept.rs
+++ b/lib/src/gateway/routing/accept.rs
@@ -164,9 +164,9 @@
     route: &Route,
     customer: Option<&CustomerEntry>,
 ) -> Result<AllowedDataCentres, Problem> {
-    let customer_homes = customer.and_then(|customer| customer.allowed_regions.clone());
+    let customer_regions = customer.and_then(|customer| customer.allowed_regions.clone());
     let regions = &gateway.settings().regions;
-    let data_centres = regions.allowed(&route.allowed_regions, &customer_homes);
+    let data_centres = regions.allowed(&route.allowed_regions, &customer_regions);
     if data_centres.is_nowhere() {
         let detail = "no data centre is in a region of both its route and its customer";
         return Err(Problem::not_run(Code::NoEndpoint, detail).retry_after(TABLE_UNKNOWN));
--- a/lib/src/gateway/routing/endpoint_state.rs
+++ b/lib/src/gateway/routing/endpoint_state.rs
@@ -15,7 +15,9 @@
             rules::{
                 allowed_regions::RegionHash,
                 eligibility::{EndpointRestrictions, RequestRestrictions},
-                endpoint_choice::{EndpointCandidate, EndpointChoice, Placement, RateLimitState},
+                endpoint_choice::{
+                    EndpointCandidate, EndpointChoice, EndpointRequest, RateLimitState,
+                },
                 endpoint_exclusion,
                 endpoint_slowdown::{CallTime, EngineSlowdown},
                 reply_proof::EndpointOutcome,
@@ -105,7 +107,7 @@
     }
 
     /// Returns the conditions that keep the endpoint from getting new work.
-    pub fn standing(&self) -> EndpointRestrictions {
+    pub fn restrictions(&self) -> EndpointRestrictions {
         EndpointRestrictions {
             draining: self.entry.draining || self.signals.leaves(),
             evacuated: self.evacuated,
@@ -121,7 +123,7 @@
 
     /// Returns whether nothing excludes the endpoint from new work.
     pub fn is_open(&self) -> bool {
-        self.standing().exclusion().is_none()
+        self.restrictions().exclusion().is_none()
     }
 
     /// Replaces the entry by a newer one of the same incarnation.
@@ -149,19 +151,19 @@
 
     /// Returns the conditions that keep the endpoint from getting a request. `limited` is set if the endpoint
     /// advertises a rate limit and this daemon has no permit for it.
-    pub(crate) fn standing_for(
+    pub(crate) fn restrictions_for(
         &self,
         now: Time,
-        placement: &Placement<'_>,
+        request: &EndpointRequest<'_>,
         limited: bool,
     ) -> RequestRestrictions {
-        let is_cold = self.cold.coldness(now, placement.cold_start) == Coldness::Stated;
+        let is_cold = self.cold.coldness(now, request.cold_start) == Coldness::Stated;
         RequestRestrictions {
-            restrictions: self.standing(),
-            not_allowed: !placement.allowed.allow(&self.entry.data_centre),
-            cold: is_cold && self.cold.is_share_used(now, placement.cold_share),
+            restrictions: self.restrictions(),
+            not_allowed: !request.allowed.allow(&self.entry.data_centre),
+            cold: is_cold && self.cold.is_share_used(now, request.cold_share),
             limited,
-            full: self.running >= placement.connection_limit,
+            full: self.running >= request.connection_limit,
         }
     }
 
@@ -194,24 +196,24 @@
         reachable && healthy && !self.has_terminated
     }
 
-    /// Returns the endpoint as a candidate for a request. `limit` is the state of its rate limit, `way` the round-trip
-    /// time to its region if that is another one.
+    /// Returns the endpoint as a candidate for a request. `limit` is the state of its rate limit. `round_trip` is
+    /// the round-trip time to its region; absent if that is the local region.
     pub(crate) fn candidate(
         &self,
         now: Time,
-        placement: &Placement<'_>,
+        request: &EndpointRequest<'_>,
         limit: RateLimitState,
         round_trip: Option<WorkMillis>,
     ) -> EndpointCandidate<'_> {
-        let cached_tokens = if placement.affinity {
-            self.sent_parts.cached_tokens(now, placement.prompt)
+        let cached_tokens = if request.affinity {
+            self.sent_parts.cached_tokens(now, request.prompt)
         } else {
             0
         };
-        let coldness = self.cold.coldness(now, placement.cold_start);
+        let coldness = self.cold.coldness(now, request.cold_start);
         // An endpoint that is only presumed cold may exceed its share if no other endpoint is available.
         let is_spared =
-            coldness == Coldness::Presumed && self.cold.is_share_used(now, placement.cold_share);
+            coldness == Coldness::Presumed && self.cold.is_share_used(now, request.cold_share);
         EndpointCandidate {
             entry: &self.entry,
             available: self.is_available(now) && !is_spared,
--- a/lib/src/gateway/routing/endpoint_states.rs
+++ b/lib/src/gateway/routing/endpoint_states.rs
@@ -18,7 +18,7 @@
                 allowed_regions::{RegionHash, Regions},
                 distance::{RegionRoundTrip, in_different_regions},
                 eligibility::{AllowedDataCentres, Exclusion, ExclusionCounts},
-                endpoint_choice::{self, EndpointChoice, Placement},
+                endpoint_choice::{self, EndpointChoice, EndpointRequest},
                 reply_proof::EndpointOutcome,
             },
         },
@@ -168,9 +168,9 @@
     /// Returns the open endpoints of a service whose calls this daemon may schedule: those in its region, or all if the
     /// region has none.
     pub fn schedulable(&self, id: &ServiceId) -> Vec<&EndpointState> {
-        let near =
+        let is_local =
             |member: &&EndpointState| !in_different_regions(self.local_region, member.region);
-        let schedulable: Vec<&EndpointState> = self.open(id).filter(near).collect();
+        let schedulable: Vec<&EndpointState> = self.open(id).filter(is_local).collect();
         if schedulable.is_empty() {
             return self.open(id).collect();
         }
@@ -207,16 +207,16 @@
         id: &ServiceId,
         data_centres: &AllowedDataCentres,
     ) -> Result<(), ExclusionCounts> {
-        let mut left_out = ExclusionCounts::default();
+        let mut excluded = ExclusionCounts::default();
         for member in self.service(id) {
             let away = !data_centres.allow(&member.entry.data_centre);
             let away = away.then_some(Exclusion::NotAllowed);
-            match member.standing().exclusion().or(away) {
-                Some(reason) => left_out.count(reason),
+            match member.restrictions().exclusion().or(away) {
+                Some(reason) => excluded.count(reason),
                 None => return Ok(()),
             }
         }
-        Err(left_out)
+        Err(excluded)
     }
 
     /// Returns all endpoints.
@@ -248,33 +248,30 @@
         now: Time,
         here: &DataCentreId,
         service: &ServiceId,
-        placement: &Placement<'_>,
+        request: &EndpointRequest<'_>,
     ) -> Result<EndpointChoice, ExclusionCounts> {
-        let mut left_out = ExclusionCounts::default();
+        let mut excluded = ExclusionCounts::default();
         let mut candidates = Vec::new();
         for member in self.service(service) {
-            if placement.tried.contains(&member.entry.id) {
+            if request.tried.contains(&member.entry.id) {
                 continue;
             }
             let limited = !self
                 .rates
-                .may_send(now, member.incarnation, placement.urgency);
-            match member.standing_for(now, placement, limited).exclusion() {
-                Some(reason) => left_out.count(reason),
+                .may_send(now, member.incarnation, request.urgency);
+            match member.restrictions_for(now, request, limited).exclusion() {
+                Some(reason) => excluded.count(reason),
                 None => {
                     let limit = self.rates.limit(now, member.incarnation);
                     let round_trip = self.round_trip(now, member.region);
-                    candidates.push(member.candidate(now, placement, limit, round_trip));
+                    candidates.push(member.candidate(now, request, limit, round_trip));
                 }
             }
         }
-        let choice = endpoint_choice::choose(&candidates, here, placement);
+        let choice = endpoint_choice::choose(&candidates, here, request);
         choice
-            .map(|choice| EndpointChoice {
-                excluded: left_out,
-                ..choice
-            })
-            .ok_or(left_out)
+            .map(|choice| EndpointChoice { excluded, ..choice })
+            .ok_or(excluded)
     }
 
     /// Returns the state of the incarnation that an entry describes, or `None` if the endpoint has restarted since.
@@ -483,7 +480,7 @@
         };
         let pool = self.service(&member.entry.service);
         let pool: Vec<&EndpointState> = pool.filter(|other| !other.is_evacuated()).collect();
-        let out = pool.iter().filter(|other| !other.is_available(now)).count();
-        can_spare(out, pool.len())
+        let unavailable = pool.iter().filter(|other| !other.is_available(now)).count();
+        can_spare(unavailable, pool.len())
     }
 }
--- a/lib/src/gateway/routing/endpoint_states/signals.rs
+++ b/lib/src/gateway/routing/endpoint_states/signals.rs
@@ -50,19 +50,19 @@
     /// Returns whether an endpoint is in a cooldown.
     pub(crate) fn in_cooldown(&self, entry: &EndpointEntry) -> bool {
         let member = self.incarnation(entry);
-        member.is_some_and(|member| member.standing().cooling_down)
+        member.is_some_and(|member| member.restrictions().cooling_down)
     }
 
     /// Returns the end of the first cooldown of a service's endpoints in `data_centres`; `None` if one of them is open,
     /// or if none is in a cooldown.
     pub fn cooldown_end(&self, id: &ServiceId, data_centres: &AllowedDataCentres) -> Option<Time> {
-        let near = |member: &&EndpointState| data_centres.allow(&member.entry.data_centre);
-        if self.open(id).any(|member| near(&member)) {
+        let is_allowed = |member: &&EndpointState| data_centres.allow(&member.entry.data_centre);
+        if self.open(id).any(|member| is_allowed(&member)) {
             return None;
         }
-        let members = self.service(id).filter(near);
-        let in_cooldown =
-            members.filter(|member| member.standing().exclusion() == Some(Exclusion::CoolingDown));
+        let members = self.service(id).filter(is_allowed);
+        let in_cooldown = members
+            .filter(|member| member.restrictions().exclusion() == Some(Exclusion::CoolingDown));
         in_cooldown
             .filter_map(|member| member.signals.cooldown_end())
             .min()
--- a/lib/src/gateway/routing/forward.rs
+++ b/lib/src/gateway/routing/forward.rs
@@ -142,7 +142,7 @@
             }
             let choice = match self.choose().await {
                 Ok(choice) => choice,
-                Err(left_out) => return self.end_unanswered(&no_endpoint(left_out)),
+                Err(excluded) => return self.end_unanswered(&no_endpoint(excluded)),
             };
             let failure = match self.attempt(choice).await {
                 AttemptOutcome::Streaming(reply) => {
@@ -331,8 +331,8 @@
 const QUARANTINED_DETAIL: &str = "endpoints ended under this request";
 
 /// Returns the problem detail for a request that no endpoint may get.
-fn no_endpoint(left_out: ExclusionCounts) -> String {
-    format!("no endpoint is left; left out: {left_out}")
+fn no_endpoint(excluded: ExclusionCounts) -> String {
+    format!("no endpoint is left; left out: {excluded}")
 }
 
 /// Returns the problem detail for a request whose last attempt failed and isn't retried.
--- a/lib/src/gateway/routing/outbound.rs
+++ b/lib/src/gateway/routing/outbound.rs
@@ -7,7 +7,7 @@
             routing::call::ForwardedCall,
             rules::{
                 eligibility::{AllowedDataCentres, ExclusionCounts},
-                endpoint_choice::{EndpointChoice, Placement},
+                endpoint_choice::{EndpointChoice, EndpointRequest},
             },
             stages::stage_results::Results,
             state::Gateway,
@@ -34,23 +34,23 @@
     choose_endpoint_in(gateway, call, &call.data_centres, tried, results)
 }
 
-/// Chooses an endpoint for a request like [`choose_endpoint`], but only in the data centres `places`.
+/// Chooses an endpoint for a request like [`choose_endpoint`], but only in the data centres `allowed`.
 pub(crate) fn choose_endpoint_in<D: Dialect>(
     gateway: &Gateway<D>,
     call: &ForwardedCall,
-    places: &AllowedDataCentres,
+    allowed: &AllowedDataCentres,
     tried: &[EndpointId],
     results: Option<&Results<D>>,
 ) -> Result<EndpointChoice, ExclusionCounts> {
     // A request without stages has no inputs.
     let inputs = results.map(Results::input_locations).unwrap_or_default();
-    let placement = Placement {
+    let request = EndpointRequest {
         prompt: &call.inbound.prompt,
         affinity: call.route.affinity,
         tried,
         inputs: &inputs,
         connection_limit: gateway.connections_each(&call.service),
-        allowed: places,
+        allowed,
         cold_share: gateway.cold_share(&call.service),
         cold_start: gateway.cold_start(&call.service),
         urgency: call.urgency,
@@ -60,7 +60,7 @@
     let state = gateway.state.borrow();
     state
         .endpoints
-        .choose(gateway.now(), here, &call.service, &placement)
+        .choose(gateway.now(), here, &call.service, &request)
 }
 
 /// Builds the request for an endpoint: the caller's method, path, headers and body, with the headers that the daemon
--- a/lib/src/gateway/routing/permits.rs
+++ b/lib/src/gateway/routing/permits.rs
@@ -44,34 +44,34 @@
     ) -> Result<EndpointChoice, ExclusionCounts> {
         let longest = longest_wait(call.route.objective);
         let end = call.deadline.min(self.now() + longest);
-        let mut place = None;
+        let mut waiting = None;
         loop {
             // Created before the choice, so that a permit that arrives after it ends the wait.
             let permits = self.permits.notified();
             self.end_cooldowns();
             let choice = choose_endpoint(self, call, tried, results);
-            let left_out = match &choice {
+            let excluded = match &choice {
                 Ok(choice) => choice.excluded,
-                Err(left_out) => *left_out,
+                Err(excluded) => *excluded,
             };
-            if left_out.of(Exclusion::Limited) == 0 {
+            if excluded.of(Exclusion::Limited) == 0 {
                 return choice;
             }
             self.claim_permits(&call.service, call.urgency);
             if choice.is_ok() || !self.may_expect_permit(call, end) {
                 return choice;
             }
-            let place =
-                place.get_or_insert_with(|| self.permit_queue.join(&call.service, call.urgency));
+            let waiting =
+                waiting.get_or_insert_with(|| self.permit_queue.join(&call.service, call.urgency));
             let rate = self.state.borrow().endpoints.total_rate(&call.service);
-            if !may_wait(place.ahead(), rate, longest) {
+            if !may_wait(waiting.ahead(), rate, longest) {
                 return choice;
             }
             // A claim expires unless it is renewed.
             let renewal = self.now() + CLAIM_RENEWAL_INTERVAL;
             let is_over = self.timeout_at(end.min(renewal), permits).await.is_none();
             if is_over && self.now() >= end {
-                return Err(left_out);
+                return Err(excluded);
             }
         }
     }
--- a/lib/src/gateway/routing/region_choice.rs
+++ b/lib/src/gateway/routing/region_choice.rs
@@ -24,13 +24,13 @@
     gateway: &Gateway<D>,
     call: &ForwardedCall,
 ) -> RegionDecision {
-    let home = gateway.state.borrow().endpoints.local_region();
-    let others = gateway.settings().regions.others(home);
-    let own = decide_in_region(gateway, call, None);
+    let local_region = gateway.state.borrow().endpoints.local_region();
+    let others = gateway.settings().regions.others(local_region);
+    let local = decide_in_region(gateway, call, None);
     let others = others
         .into_iter()
         .filter_map(|region| decide_in_region(gateway, call, Some(region)));
-    request_region::choose(own, others).unwrap_or_else(|| RegionDecision {
+    request_region::choose(local, others).unwrap_or_else(|| RegionDecision {
         region: None,
         decision: admit(gateway, &chain_request(call)),
     })
--- a/lib/src/gateway/routing/service_limits.rs
+++ b/lib/src/gateway/routing/service_limits.rs
@@ -60,11 +60,11 @@
         let rate = self
             .service_entry(service)
             .and_then(|entry| entry.cold_rate);
-        let bearable = rate.map(|rate| self.settings().bounds.cold.max_requests(rate));
-        if bearable.is_some() && !self.is_settled() {
+        let endpoint_limit = rate.map(|rate| self.settings().bounds.cold.max_requests(rate));
+        if endpoint_limit.is_some() && !self.is_settled() {
             return ColdShare::Nothing;
         }
-        ColdShare::new(bearable, self.state.borrow().peers.known_daemons())
+        ColdShare::new(endpoint_limit, self.state.borrow().peers.known_daemons())
     }
 
     /// Returns the time for which an endpoint of a service is usually cold after its start; 0 if the table doesn't
--- a/lib/src/gateway/routing/stage_load.rs
+++ b/lib/src/gateway/routing/stage_load.rs
@@ -130,7 +130,7 @@
     request: &ChainRequest,
 ) -> EndpointCounts {
     let open = state.endpoints.open(service);
-    let listed = open.filter(|member| request.places.allow(&member.entry.data_centre));
+    let listed = open.filter(|member| request.allowed.allow(&member.entry.data_centre));
     if let Some(region) = request.region {
         let remote = state.peers.remote_service(now, service, region);
         return EndpointCounts {
--- a/lib/src/gateway/routing/stages.rs
+++ b/lib/src/gateway/routing/stages.rs
@@ -78,8 +78,8 @@
     let now = gateway.now();
     let endpoints = &gateway.state.borrow().endpoints;
     for service in needed_services(call) {
-        if let Err(left_out) = endpoints.any_open(service, &call.data_centres) {
-            let detail = format!("no endpoint of {service} may get work; left out: {left_out}");
+        if let Err(excluded) = endpoints.any_open(service, &call.data_centres) {
+            let detail = format!("no endpoint of {service} may get work; left out: {excluded}");
             let cooldown_end = endpoints.cooldown_end(service, &call.data_centres);
             let wait = cooldown_end.map_or(NO_ENDPOINT, |cooldown_end| {
                 after_cooldown(now, cooldown_end)
@@ -121,7 +121,7 @@
     let request = chain_request_in(gateway, call, region);
     // If no endpoint may get the request now, the stages have no preferred data centre. The request is refused later if
     // that is still so.
-    let probable = choose_endpoint_in(gateway, call, &request.places, &[], None).ok();
+    let probable = choose_endpoint_in(gateway, call, &request.allowed, &[], None).ok();
     let request = request.served_in(probable.map(|choice| choice.entry.data_centre.clone()));
     match chain::run(gateway, &request).await {
         Ok(results) => Ok(Some(results)),
--- a/lib/src/gateway/routing/stream_resume.rs
+++ b/lib/src/gateway/routing/stream_resume.rs
@@ -211,7 +211,7 @@
             Exchange::CallerLeft => return Err(SourceError::CallerLeft),
         };
         let (head, body) = response.into_parts();
-        if let Err(outcome) = self.judge(&guard.choice.entry, &head, sent) {
+        if let Err(outcome) = self.check_head(&guard.choice.entry, &head, sent) {
             guard.end(outcome);
             return Err(SourceError::Failed);
         }
@@ -228,7 +228,7 @@
     /// # Errors
     ///
     /// Returns the outcome for the endpoint if it doesn't.
-    fn judge(
+    fn check_head(
         &self,
         endpoint: &EndpointEntry,
         head: &response::Parts,
--- a/lib/src/gateway/rules/backlog.rs
+++ b/lib/src/gateway/rules/backlog.rs
@@ -35,8 +35,8 @@
     pub fn of(now: Time, due: Time) -> Self {
         let span = due.millis_since(now);
         let doublings = (1.0 + span / FIRST_SPAN.0 as f64).log2();
-        let band = (doublings * BUCKETS_PER_DOUBLING) as usize;
-        Self(band.min(BUCKETS - 1))
+        let bucket = (doublings * BUCKETS_PER_DOUBLING) as usize;
+        Self(bucket.min(BUCKETS - 1))
     }
 }
 
@@ -47,8 +47,8 @@
 
 impl Backlog {
     /// Adds pieces to a bucket.
-    pub fn add(&mut self, band: DeadlineBucket, pieces: u32) {
-        let count = &mut self.0[band.0];
+    pub fn add(&mut self, bucket: DeadlineBucket, pieces: u32) {
+        let count = &mut self.0[bucket.0];
         *count = count.saturating_add(pieces);
     }
 
@@ -59,9 +59,9 @@
         backlog
     }
 
-    /// Returns the number of pieces that are served before one in `band`.
-    pub fn ahead(&self, band: DeadlineBucket) -> u32 {
-        let ahead = self.0[..=band.0].iter();
+    /// Returns the number of pieces that are served before one in `bucket`.
+    pub fn ahead(&self, bucket: DeadlineBucket) -> u32 {
+        let ahead = self.0[..=bucket.0].iter();
         ahead.copied().fold(0, u32::saturating_add)
     }
 
--- a/lib/src/gateway/rules/coordinator.rs
+++ b/lib/src/gateway/rules/coordinator.rs
@@ -42,7 +42,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Coordinator {
     /// This daemon.
-    Me,
+    Local,
     /// Another daemon.
     Peer(SocketAddr),
 }
@@ -93,7 +93,7 @@
         .max();
     match best {
         Some((best, address)) if !ready || best > rank(seed, me) => Coordinator::Peer(address),
-        _ => Coordinator::Me,
+        _ => Coordinator::Local,
     }
 }
 
@@ -126,7 +126,7 @@
         excluded_until: Time::default(),
     });
     let has_waited = now >= since + YIELD_TIME;
-    has_waited || coordinator(now, service, me, true, ready, &[]) == Coordinator::Me
+    has_waited || coordinator(now, service, me, true, ready, &[]) == Coordinator::Local
 }
 
 /// Returns until when a daemon that failed to accept a job at `now` is excluded.
--- a/lib/src/gateway/rules/directory_reads.rs
+++ b/lib/src/gateway/rules/directory_reads.rs
@@ -165,11 +165,11 @@
 /// from a failed call; `fraction` is random, from 0 up to 1. The turns of a fleet are spread evenly from the first one
 /// on, at [`FLEET_CALLS`] a second.
 pub fn next_turn(daemons: usize, last: LastCall, fraction: f64) -> Duration {
-    let part = match last {
+    let intervals = match last {
         LastCall::Answered | LastCall::FirstFailed => fraction,
         LastCall::Failed => NEXT_TURN_FRACTION + fraction,
     };
-    TURN_DELAY.to_duration() + turn_interval(daemons).mul_f64(part)
+    TURN_DELAY.to_duration() + turn_interval(daemons).mul_f64(intervals)
 }
 
 /// Returns whether a gap of this length between two checks ([`COVER_CHECK`]) means that this daemon stalled. What it
@@ -188,20 +188,20 @@
 /// smallest address among those with fresh reads, so that all coordinators report the same one. If there is none, its
 /// own.
 pub fn reported_read(
-    own: Option<Millis>,
+    local: Option<Millis>,
     substitutes: impl Iterator<Item = (SocketAddr, Millis)>,
     wait: Duration,
 ) -> Option<ReportedRead> {
-    let own = own.map(ReportedRead::local);
-    if own.is_some_and(|own| is_fresh(own.age, wait)) {
-        return own;
+    let local = local.map(ReportedRead::local);
+    if local.is_some_and(|local| is_fresh(local.age, wait)) {
+        return local;
     }
     let fresh = substitutes.filter(|(_, age)| is_fresh(*age, wait));
     let relayed = fresh.min().map(|(address, age)| ReportedRead {
         age,
         substitute: Some(address),
     });
-    relayed.or(own)
+    relayed.or(local)
 }
 
 /// Returns the time for which one call for changes waits. A silent connection is noticed shortly after it, which has to
@@ -249,9 +249,9 @@
         self.0
     }
 
-    /// Returns the limit after one more late answer.
+    /// Returns the limit after one more answer that didn't begin in time.
     #[must_use]
-    pub fn after_late(self) -> Self {
+    pub fn after_timeout(self) -> Self {
         Self((self.0 * 2).min(LONGEST_ANSWER_TIMEOUT.to_duration()))
     }
 
@@ -278,9 +278,9 @@
 }
 
 impl Backoff {
-    /// Returns the pause after this failure; `part` is drawn from [`PAUSE_FRACTIONS`].
-    pub fn pause(self, part: f64) -> Duration {
-        self.0.mul_f64(part)
+    /// Returns the pause after this failure; `fraction` is drawn from [`PAUSE_FRACTIONS`].
+    pub fn pause(self, fraction: f64) -> Duration {
+        self.0.mul_f64(fraction)
     }
 
     /// Returns the backoff for the next failure. `has_list` is set if the daemon has ever had a list of endpoints.
--- a/lib/src/gateway/rules/eligibility.rs
+++ b/lib/src/gateway/rules/eligibility.rs
@@ -34,20 +34,20 @@
     pub fn allow(&self, data_centre: &DataCentreId) -> bool {
         match self {
             Self::Anywhere => true,
-            Self::Only(places) => places.contains(data_centre),
+            Self::Only(data_centres) => data_centres.contains(data_centre),
         }
     }
 
     /// Returns whether there is no data centre where the request may run.
     pub fn is_nowhere(&self) -> bool {
-        matches!(self, Self::Only(places) if places.is_empty())
+        matches!(self, Self::Only(data_centres) if data_centres.is_empty())
     }
 
     /// Returns the names of the data centres; empty if the request may run anywhere.
     pub fn names(&self) -> Vec<DataCentreId> {
         match self {
             Self::Anywhere => Vec::new(),
-            Self::Only(places) => places.iter().cloned().collect(),
+            Self::Only(data_centres) => data_centres.iter().cloned().collect(),
         }
     }
 
--- a/lib/src/gateway/rules/endpoint_choice.rs
+++ b/lib/src/gateway/rules/endpoint_choice.rs
@@ -84,7 +84,7 @@
 
 /// A request that needs an endpoint.
 #[derive(Debug, Clone, Copy)]
-pub struct Placement<'a> {
+pub struct EndpointRequest<'a> {
     /// Prompt of the request; empty for a plain call.
     pub prompt: &'a Prompt,
     /// Set if endpoints that cache the beginning of the prompt are preferred.
@@ -186,20 +186,20 @@
 pub fn choose(
     candidates: &[EndpointCandidate<'_>],
     here: &DataCentreId,
-    placement: &Placement<'_>,
+    request: &EndpointRequest<'_>,
 ) -> Option<EndpointChoice> {
     let any_available = candidates.iter().any(|candidate| candidate.available);
     let compared: Vec<&EndpointCandidate<'_>> = candidates
         .iter()
         .filter(|candidate| candidate.available || !any_available)
         .collect();
-    let preferred = preferred_endpoint(&in_region(&compared), placement.prompt);
+    let preferred = preferred_endpoint(&in_region(&compared), request.prompt);
     let (best, estimate) = compared
         .iter()
         .map(|candidate| {
-            let holds_shared = placement.affinity && preferred == Some(&candidate.entry.id);
-            let mut estimate = estimate(candidate, placement, holds_shared);
-            estimate.time.0 += distance_cost(candidate, here, placement).0;
+            let holds_shared = request.affinity && preferred == Some(&candidate.entry.id);
+            let mut estimate = estimate(candidate, request, holds_shared);
+            estimate.time.0 += distance_cost(candidate, here, request).0;
             (candidate, estimate)
         })
         .min_by(|(a, at_a), (b, at_b)| {
@@ -261,10 +261,10 @@
 /// prompt, even if this daemon didn't send it.
 fn estimate(
     candidate: &EndpointCandidate<'_>,
-    placement: &Placement<'_>,
+    request: &EndpointRequest<'_>,
     holds_shared: bool,
 ) -> Estimate {
-    let prompt = placement.prompt;
+    let prompt = request.prompt;
     if prompt.tokens_in == 0 && prompt.parts.is_empty() {
         return Estimate {
             time: estimate_plain_call(candidate),
@@ -278,7 +278,7 @@
         candidate.cached_tokens
     };
     let uncached = prompt.tokens_in.saturating_sub(held);
-    let read_again_ms = if placement.affinity {
+    let read_again_ms = if request.affinity {
         f64::from(shared.saturating_sub(held)) * SHARED_TOKEN_MS
     } else {
         0.0
@@ -336,7 +336,7 @@
 fn distance_cost(
     candidate: &EndpointCandidate<'_>,
     here: &DataCentreId,
-    placement: &Placement<'_>,
+    request: &EndpointRequest<'_>,
 ) -> WorkMillis {
     let there = &candidate.entry.data_centre;
     let hop = match candidate.round_trip {
@@ -346,7 +346,7 @@
     };
     let mut crossing = 0;
     let mut remote = 0;
-    for input in placement.inputs {
+    for input in request.inputs {
         if in_different_regions(input.region, candidate.region) {
             remote += input.size.0;
         } else if input.data_centre != *there {
--- a/lib/src/gateway/rules/gossip.rs
+++ b/lib/src/gateway/rules/gossip.rs
@@ -146,22 +146,22 @@
 
 /// Returns the daemons that watch this one: the living ones that follow it on the ring.
 pub fn watchers(me: RingPosition, living: &[RingPosition]) -> Vec<SocketAddr> {
-    nearest(living, |place| (*place < me, *place))
+    nearest(living, |position| (*position < me, *position))
 }
 
 /// Returns the daemons that this one watches: the living ones just before it on the ring.
 pub fn watched(me: RingPosition, living: &[RingPosition]) -> Vec<SocketAddr> {
-    nearest(living, |place| (*place > me, Reverse(*place)))
+    nearest(living, |position| (*position > me, Reverse(*position)))
 }
 
 /// Returns the [`WATCHERS`] daemons with the smallest keys.
 fn nearest<K: Ord>(living: &[RingPosition], key: impl Fn(&RingPosition) -> K) -> Vec<SocketAddr> {
-    let mut places: Vec<&RingPosition> = living.iter().collect();
-    if places.len() > WATCHERS {
-        places.select_nth_unstable_by_key(WATCHERS, |place| key(place));
-        places.truncate(WATCHERS);
+    let mut positions: Vec<&RingPosition> = living.iter().collect();
+    if positions.len() > WATCHERS {
+        positions.select_nth_unstable_by_key(WATCHERS, |position| key(position));
+        positions.truncate(WATCHERS);
     }
-    places.iter().map(|place| place.address).collect()
+    positions.iter().map(|position| position.address).collect()
 }
 
 /// Draws the daemons that get a heartbeat whatever their role: all `known` ones in the order of their addresses, or
--- a/lib/src/gateway/rules/liveness.rs
+++ b/lib/src/gateway/rules/liveness.rs
@@ -95,12 +95,12 @@
 }
 
 /// Returns whether a daemon counts as alive.
-pub fn is_alive(now: Time, signs: LifeSigns, listening: ReceiveConditions) -> bool {
-    let direct = listening.small_fleet || signs.broadcasts;
+pub fn is_alive(now: Time, signs: LifeSigns, conditions: ReceiveConditions) -> bool {
+    let direct = conditions.small_fleet || signs.broadcasts;
     let last = if direct { signs.heartbeat } else { signs.sign };
     // Time missed in a pause is excluded only for a daemon that was alive before it.
     let resumed = if signs.alive {
-        listening.resumed
+        conditions.resumed
     } else {
         Time::default()
     };
@@ -114,10 +114,10 @@
     if silence <= GOSSIP_TIMEOUT.to_duration() {
         return true;
     }
-    let suspect = earliest(signs.suspect, isolated_since(now, listening));
-    let refuted = suspect
+    let suspect = earliest(signs.suspect, isolated_since(now, conditions));
+    let may_refute = suspect
         .is_none_or(|suspect| now.since(suspect.max(resumed)) <= SUSPICION_TIME.to_duration());
-    signs.alive && refuted && silence <= unsuspected_limit(listening.others).to_duration()
+    signs.alive && may_refute && silence <= unsuspected_limit(conditions.others).to_duration()
 }
 
 /// Returns the time without a sign of life after which a daemon is lost that nobody suspects.
@@ -149,8 +149,8 @@
 }
 
 /// Returns since when this daemon has received nothing although it should have; `None` while it receives something.
-fn isolated_since(now: Time, listening: ReceiveConditions) -> Option<Time> {
-    let since = listening.received.max(listening.resumed) + HEARTBEAT_TIMEOUT;
+fn isolated_since(now: Time, conditions: ReceiveConditions) -> Option<Time> {
+    let since = conditions.received.max(conditions.resumed) + HEARTBEAT_TIMEOUT;
     (now > since).then_some(since)
 }
 
--- a/lib/src/gateway/rules/piece_order.rs
+++ b/lib/src/gateway/rules/piece_order.rs
@@ -88,7 +88,7 @@
     /// Data centres where the pieces are allowed to run.
     pub allowed: &'a AllowedDataCentres,
     /// Bytes that cross between data centres for each piece that runs outside the preferred data centre.
-    pub moved: ByteSize,
+    pub crossing_size: ByteSize,
 }
 
 impl WaitingJob<'_> {
@@ -100,7 +100,7 @@
 
     /// Returns whether the pieces may run outside the preferred data centre, which has `endpoints` endpoints.
     fn may_run_elsewhere(&self, now: Time, endpoints: usize) -> bool {
-        now.since(self.added) >= preferred_wait(self.moved, endpoints).to_duration()
+        now.since(self.added) >= preferred_wait(self.crossing_size, endpoints).to_duration()
             || now > self.objective
     }
 }
@@ -194,19 +194,19 @@
 /// Returns the time by which the pieces of a job with this objective and rank are ordered, before the addition for
 /// endpoints outside its preferred data centre.
 pub fn due_time(now: Time, objective: Time, rank: u32) -> Time {
-    let late = if now > objective {
+    let late_step = if now > objective {
         LATE_STEP
     } else {
         Millis(0)
     };
-    objective + Millis(u64::from(rank) * RANK_STEP.0 + late.0)
+    objective + Millis(u64::from(rank) * RANK_STEP.0 + late_step.0)
 }
 
 /// Returns the time for which pieces wait for one of `endpoints` endpoints in the preferred data centre. With fewer
 /// endpoints, it takes longer until one is free, and the wait is worth less.
-pub fn preferred_wait(moved: ByteSize, endpoints: usize) -> Millis {
+pub fn preferred_wait(crossing_size: ByteSize, endpoints: usize) -> Millis {
     let chance = (endpoints as f64 / FULL_WAIT_ENDPOINTS).min(1.0);
-    let wait = moved.0 as f64 / BYTES_PER_MB * PREFERRED_WAIT_MS_PER_MB;
+    let wait = crossing_size.0 as f64 / BYTES_PER_MB * PREFERRED_WAIT_MS_PER_MB;
     let wait = wait.min(LONGEST_PREFERRED_WAIT.0 as f64) * chance;
     Millis(wait as u64)
 }
--- a/lib/src/gateway/rules/quarantine.rs
+++ b/lib/src/gateway/rules/quarantine.rs
@@ -41,10 +41,11 @@
 /// Number of times that a terminated endpoint is reported to each evidence holder, since datagrams get lost.
 pub const EVIDENCE_REPORTS: u32 = 3;
 
-/// Returns whether an endpoint that terminated at `ended` counts against a request that was last served at `served`.
-pub fn counts_against(now: Time, ended: Time, served: Option<Time>) -> bool {
-    let is_excused = served.is_some_and(|served| ended <= served + SERVED_GRACE);
-    !is_excused && now < counts_until(ended)
+/// Returns whether an endpoint that terminated at `terminated` counts against a request that was last served at
+/// `served`.
+pub fn counts_against(now: Time, terminated: Time, served: Option<Time>) -> bool {
+    let is_disproved = served.is_some_and(|served| terminated <= served + SERVED_GRACE);
+    !is_disproved && now < counts_until(terminated)
 }
 
 /// Returns whether a request is refused if `against` terminated endpoints count against it.
@@ -52,9 +53,9 @@
     against >= TERMINATED_LIMIT
 }
 
-/// Returns the time until which an endpoint that terminated at `ended` counts against a request.
-pub fn counts_until(ended: Time) -> Time {
-    ended + EVIDENCE_LIFETIME
+/// Returns the time until which an endpoint that terminated at `terminated` counts against a request.
+pub fn counts_until(terminated: Time) -> Time {
+    terminated + EVIDENCE_LIFETIME
 }
 
 /// Returns those of `daemons` that hold the evidence against a request, or all of them if there are no more than
--- a/lib/src/gateway/rules/reported_slowdown.rs
+++ b/lib/src/gateway/rules/reported_slowdown.rs
@@ -22,7 +22,7 @@
 pub fn factor(now: Time, last: Option<(Time, ReplyLoad)>) -> f64 {
     let recent = last.filter(|(at, _)| now.since(*at) <= REPORT_LIFETIME.to_duration());
     match recent.map(|(_, load)| load.slowdown) {
-        Some(SlowdownReport::Valid(pace)) => pace.factor(),
+        Some(SlowdownReport::Valid(slowdown)) => slowdown.factor(),
         Some(SlowdownReport::None | SlowdownReport::Invalid) | None => 1.0,
     }
 }
--- a/lib/src/gateway/rules/result_capacity.rs
+++ b/lib/src/gateway/rules/result_capacity.rs
@@ -37,9 +37,9 @@
     ByteSize(usable.saturating_sub(taken.0))
 }
 
-/// Returns whether a shortage of capacity at `met` still counts.
-pub fn is_shortage(now: Time, met: Time) -> bool {
-    now.since(met) < SHORTAGE_VALIDITY.to_duration()
+/// Returns whether a shortage of capacity at `shortage` still counts.
+pub fn is_shortage(now: Time, shortage: Time) -> bool {
+    now.since(shortage) < SHORTAGE_VALIDITY.to_duration()
 }
 
 /// Returns whether endpoints have fetched the inputs of calls, the last of which was sent at `sent`.
--- a/lib/src/gateway/rules/stage_objective.rs
+++ b/lib/src/gateway/rules/stage_objective.rs
@@ -15,6 +15,6 @@
 
 /// Returns when a stage should have ended; `request` is the objective of the request.
 pub fn stage_objective(request: Time, later_stages: u64, request_time: Millis) -> Time {
-    let kept = Millis(LATER_STAGE_TIME.0 * later_stages + request_time.0);
-    request - kept
+    let reserved = Millis(LATER_STAGE_TIME.0 * later_stages + request_time.0);
+    request - reserved
 }
--- a/lib/src/gateway/stages/batch_queue.rs
+++ b/lib/src/gateway/stages/batch_queue.rs
@@ -163,7 +163,7 @@
     /// Returns whether a recent call got fewer pieces because its endpoint lacked result capacity.
     pub fn is_short_of_capacity(&self, now: Time) -> bool {
         self.shortage_at
-            .is_some_and(|met| result_capacity::is_shortage(now, met))
+            .is_some_and(|shortage| result_capacity::is_shortage(now, shortage))
     }
 
     /// Returns inputs that endpoints have fetched and that can be released early, each once. `is_short` returns
--- a/lib/src/gateway/stages/call_runner.rs
+++ b/lib/src/gateway/stages/call_runner.rs
@@ -66,8 +66,8 @@
     drop(state);
     for ServiceCall { service, call } in calls {
         gateway.call_sent(&call.entry);
-        let firsts = call.pieces.len() - call.retries;
-        gateway.metrics.count_call(firsts, call.retries);
+        let first_sends = call.pieces.len() - call.retries;
+        gateway.metrics.count_call(first_sends, call.retries);
         log_start(&call_name(gateway, &service, &call), &service, &call);
         tokio::task::spawn_local(run_call(gateway.clone(), service, call));
     }
--- a/lib/src/gateway/stages/call_scheduling.rs
+++ b/lib/src/gateway/stages/call_scheduling.rs
@@ -88,8 +88,8 @@
 
     /// Schedules one call, for the first free endpoint that can run any of the waiting pieces.
     fn schedule_next(&mut self, now: Time, round: &mut SchedulingRound) -> Option<BatchCall> {
-        for place in 0..round.free.len() {
-            let worker = round.free[place].clone();
+        for index in 0..round.free.len() {
+            let worker = round.free[index].clone();
             let Some(call) = self.schedule_for(now, &worker, round) else {
                 continue;
             };
@@ -100,7 +100,7 @@
                 .get_mut(&worker.incarnation)
                 .map(|busy| busy.calls());
             if calls.is_none_or(|calls| calls >= self.slots()) {
-                round.remove(place);
+                round.remove(index);
             }
             return Some(call);
         }
--- a/lib/src/gateway/stages/chain.rs
+++ b/lib/src/gateway/stages/chain.rs
@@ -140,13 +140,13 @@
     /// Returns the data centre in which the pieces of a stage should run.
     fn preferred_centre(&self, index: usize, stage: &RouteStage) -> Option<DataCentreId> {
         let inputs = self.results.stage_inputs(stage);
-        let stage_place = StagePlacement {
+        let placement = StagePlacement {
             inputs: &inputs,
             pieces: self.request.count(index),
             result_size: stage.result,
             request: self.request.serving_centre.as_ref(),
         };
-        stage_place.preferred().cloned()
+        placement.preferred().cloned()
     }
 
     fn are_all_begun(&self) -> bool {
--- a/lib/src/gateway/stages/chain_request.rs
+++ b/lib/src/gateway/stages/chain_request.rs
@@ -51,7 +51,7 @@
     /// Data centre of the endpoint that will probably serve the request; `None` if unknown.
     pub serving_centre: Option<DataCentreId>,
     /// Data centres in which the request and its stages may run.
-    pub places: AllowedDataCentres,
+    pub allowed: AllowedDataCentres,
     /// Region whose coordinators run the stages; `None` stands for the region of this daemon.
     pub region: Option<RegionHash>,
 }
@@ -78,7 +78,7 @@
             tokens: inbound.prompt.tokens_in,
             request_time: Millis(admission::request_time(inbound.prompt.tokens_in).0 as u64),
             serving_centre: None,
-            places: AllowedDataCentres::Anywhere,
+            allowed: AllowedDataCentres::Anywhere,
             region: None,
         }
     }
@@ -92,8 +92,8 @@
 
     /// Sets the data centres in which the request and its stages may run.
     #[must_use]
-    pub fn within(mut self, places: AllowedDataCentres) -> Self {
-        self.places = places;
+    pub fn within(mut self, allowed: AllowedDataCentres) -> Self {
+        self.allowed = allowed;
         self
     }
 
@@ -144,14 +144,14 @@
             rank,
             result: self.route.stages[stage].result,
             preferred,
-            places: self.places.clone(),
-            moved: self.bytes_moved(stage),
+            allowed: self.allowed.clone(),
+            crossing_size: self.crossing_size(stage),
         }
     }
 
     /// Returns the bytes that cross between data centres if one piece of a stage runs outside its preferred data
     /// centre: its inputs, and its result once for each piece that uses it, or once for the request itself.
-    fn bytes_moved(&self, stage: usize) -> ByteSize {
+    fn crossing_size(&self, stage: usize) -> ByteSize {
         let stages = &self.route.stages;
         let inputs: u64 = stages[stage]
             .after
--- a/lib/src/gateway/stages/job.rs
+++ b/lib/src/gateway/stages/job.rs
@@ -103,10 +103,10 @@
     /// a preference.
     pub preferred: Option<DataCentreId>,
     /// Data centres in which the pieces may run.
-    pub places: AllowedDataCentres,
+    pub allowed: AllowedDataCentres,
     /// Bytes that cross between data centres if one piece runs outside the preferred data centre: its inputs, and
     /// its result once for each piece that uses it.
-    pub moved: ByteSize,
+    pub crossing_size: ByteSize,
 }
 
 /// Outcome of a job.
--- a/lib/src/gateway/stages/job_state.rs
+++ b/lib/src/gateway/stages/job_state.rs
@@ -95,8 +95,8 @@
             objective: self.job.objective,
             rank: self.job.rank,
             preferred: self.job.preferred.as_ref(),
-            allowed: &self.job.places,
-            moved: self.job.moved,
+            allowed: &self.job.allowed,
+            crossing_size: self.job.crossing_size,
         }
     }
 
--- a/lib/src/gateway/stages/release.rs
+++ b/lib/src/gateway/stages/release.rs
@@ -85,7 +85,7 @@
     };
     drop(state);
     match coordinator {
-        Coordinator::Me => gateway
+        Coordinator::Local => gateway
             .state
             .borrow_mut()
             .stage_queues
--- a/lib/src/gateway/stages/scheduling_round.rs
+++ b/lib/src/gateway/stages/scheduling_round.rs
@@ -56,8 +56,8 @@
     }
 
     /// Removes an endpoint that is no longer free.
-    pub(super) fn remove(&mut self, place: usize) {
-        let worker = self.free.remove(place);
+    pub(super) fn remove(&mut self, index: usize) {
+        let worker = self.free.remove(index);
         if let Some(count) = self.free_counts.get_mut(&worker.data_centre) {
             *count -= 1;
         }
--- a/lib/src/gateway/stages/work_claim.rs
+++ b/lib/src/gateway/stages/work_claim.rs
@@ -35,13 +35,13 @@
     pub(crate) fn new(gateway: &Rc<Gateway<D>>, request: &ChainRequest) -> Self {
         let mut state = gateway.state.borrow_mut();
         let mut stages = Vec::with_capacity(request.route.stages.len());
-        for (place, stage) in request.route.stages.iter().enumerate() {
+        for (index, stage) in request.route.stages.iter().enumerate() {
             let claim = StageClaim {
                 service: stage.service.clone(),
-                rank: request.piece_rank(place),
+                rank: request.piece_rank(index),
                 pieces: match request.region {
                     Some(_) => 0,
-                    None => request.count(place),
+                    None => request.count(index),
                 },
             };
             state.workload.add(&claim.service, claim.rank, claim.pieces);
--- a/lib/src/gateway/state.rs
+++ b/lib/src/gateway/state.rs
@@ -115,7 +115,7 @@
     pub(crate) era: Era,
     /// Since when the directory lacks evacuation orders that this daemon holds, because the directory was restored
     /// from an older copy; `None` if it lacks none.
-    pub(crate) held_orders: Option<Time>,
+    pub(crate) earlier_orders: Option<Time>,
     /// Batches of table chunks that other daemons requested.
     pub(crate) chunk_batches: ChunkBatches,
     /// Retry budget of each service.
@@ -145,7 +145,7 @@
             newer_since: None,
             table_read: Revision::default(),
             era: Era::default(),
-            held_orders: None,
+            earlier_orders: None,
             chunk_batches: ChunkBatches::default(),
             budgets: HashMap::default(),
         }
--- a/lib/tests/fleet/mod.rs
+++ b/lib/tests/fleet/mod.rs
@@ -190,7 +190,7 @@
 
     pub fn coordinator(&self, daemon: usize, service: &ServiceId) -> usize {
         match self.daemons[daemon].coordinator(self.now, service, true, &[]) {
-            Coordinator::Me => daemon,
+            Coordinator::Local => daemon,
             Coordinator::Peer(peer) => number(peer),
         }
     }
--- a/lib/tests/load/mod.rs
+++ b/lib/tests/load/mod.rs
@@ -175,8 +175,8 @@
             rank: 0,
             result: ByteSize(1_000),
             preferred: Some(format!("dc{centre}").parse().unwrap()),
-            places: AllowedDataCentres::Anywhere,
-            moved: ByteSize(1_000_000),
+            allowed: AllowedDataCentres::Anywhere,
+            crossing_size: ByteSize(1_000_000),
         };
         self.queue.add(now, id, job);
         self.arrived.insert(id, now);
--- a/lib/tests/test_batch_queue.rs
+++ b/lib/tests/test_batch_queue.rs
@@ -79,8 +79,8 @@
         rank: 0,
         result: ByteSize(1_000),
         preferred: None,
-        places: AllowedDataCentres::Anywhere,
-        moved: ByteSize(1_000),
+        allowed: AllowedDataCentres::Anywhere,
+        crossing_size: ByteSize(1_000),
     }
 }
 
@@ -413,10 +413,10 @@
     queue
 }
 
-fn job_at(request: &str, preferred: &str, moved: u64, now: Time) -> StageJob {
+fn job_at(request: &str, preferred: &str, crossing_size: u64, now: Time) -> StageJob {
     StageJob {
         preferred: Some(preferred.parse().unwrap()),
-        moved: ByteSize(moved),
+        crossing_size: ByteSize(crossing_size),
         ..job(request, 1, now)
     }
 }
--- a/lib/tests/test_coordinator_rule.rs
+++ b/lib/tests/test_coordinator_rule.rs
@@ -96,7 +96,7 @@
     SERVICES.map(|name| {
         let service: ServiceId = name.parse().unwrap();
         match me.coordinator(now, &service, ready, &except) {
-            Coordinator::Me => 0,
+            Coordinator::Local => 0,
             Coordinator::Peer(peer) => (1..40).find(|n| address(*n) == peer).unwrap(),
         }
     })
--- a/lib/tests/test_decision_pins.rs
+++ b/lib/tests/test_decision_pins.rs
@@ -287,7 +287,7 @@
 fn coordinator(peers: &Peers, service: &str, ready: bool, except: &[SocketAddr]) -> String {
     let service: ServiceId = service.parse().unwrap();
     match peers.coordinator(Time(0), &service, ready, except) {
-        Coordinator::Me => "me".into(),
+        Coordinator::Local => "me".into(),
         Coordinator::Peer(address) => address.to_string(),
     }
 }
--- a/lib/tests/test_directory_reads.rs
+++ b/lib/tests/test_directory_reads.rs
@@ -207,7 +207,7 @@
     let mut limit = AnswerTimeout::default();
     for expected in [500, 1_000, 2_000, 2_000] {
         assert_eq!(limit.to_duration(), Duration::from_millis(expected));
-        limit = limit.after_late();
+        limit = limit.after_timeout();
     }
     // The limit stays raised while answers are slow, and not longer.
     let slow = limit.after_answer(Duration::from_millis(500));
--- a/lib/tests/test_distance.rs
+++ b/lib/tests/test_distance.rs
@@ -14,7 +14,7 @@
                 cold_share::ColdShare,
                 distance::RegionRoundTrip,
                 eligibility::AllowedDataCentres,
-                endpoint_choice::{InputLocation, Placement},
+                endpoint_choice::{EndpointRequest, InputLocation},
             },
         },
         shared::{
@@ -87,8 +87,8 @@
     }
 }
 
-fn placement<'a>(prompt: &'a Prompt, inputs: &'a [InputLocation]) -> Placement<'a> {
-    Placement {
+fn request<'a>(prompt: &'a Prompt, inputs: &'a [InputLocation]) -> EndpointRequest<'a> {
+    EndpointRequest {
         prompt,
         affinity: true,
         tried: &[],
@@ -110,7 +110,7 @@
 ) -> String {
     let here: DataCentreId = here.parse().unwrap();
     let service = "s".parse().unwrap();
-    let choice = states.choose(NOW, &here, &service, &placement(prompt, inputs));
+    let choice = states.choose(NOW, &here, &service, &request(prompt, inputs));
     choice.unwrap().entry.data_centre.to_string()
 }
 
--- a/lib/tests/test_eligibility.rs
+++ b/lib/tests/test_eligibility.rs
@@ -15,7 +15,7 @@
                     AllowedDataCentres, EndpointRestrictions, Exclusion, ExclusionCounts,
                     RequestRestrictions,
                 },
-                endpoint_choice::{EndpointChoice, Placement},
+                endpoint_choice::{EndpointChoice, EndpointRequest},
                 reply_proof::EndpointOutcome,
             },
         },
@@ -59,12 +59,12 @@
     states
 }
 
-fn placement<'a>(
+fn request<'a>(
     prompt: &'a Prompt,
     allowed: &'a AllowedDataCentres,
     tried: &'a [EndpointId],
-) -> Placement<'a> {
-    Placement {
+) -> EndpointRequest<'a> {
+    EndpointRequest {
         prompt,
         affinity: true,
         tried,
@@ -85,7 +85,7 @@
     let prompt = Prompt::default();
     let here = "near".parse().unwrap();
     let service = "s".parse().unwrap();
-    states.choose(now, &here, &service, &placement(&prompt, allowed, &[]))
+    states.choose(now, &here, &service, &request(&prompt, allowed, &[]))
 }
 
 fn chosen(states: &EndpointStates, now: Time) -> String {
@@ -185,8 +185,8 @@
         entry(4, "south"),
     ]);
     states.set_evacuated(NOW, evacuated(&["north"]));
-    let left_out = choose(&states, NOW, &only(&["near", "north"])).unwrap_err();
-    assert_eq!(left_out.to_string(), "draining=1,evacuated=1,away=2");
+    let excluded = choose(&states, NOW, &only(&["near", "north"])).unwrap_err();
+    assert_eq!(excluded.to_string(), "draining=1,evacuated=1,away=2");
     assert_eq!(ExclusionCounts::default().to_string(), "none");
     let choice = choose(&states, NOW, &AllowedDataCentres::Anywhere).unwrap();
     assert_eq!(choice.excluded.of(Exclusion::Evacuated), 1);
@@ -217,8 +217,8 @@
     assert_eq!(chosen(&states, NOW), "e1");
     states.record_sent(NOW, &cold, &Prompt::default(), 0);
     states.record_ended(NOW, &cold, EndpointOutcome::Served(None));
-    let left_out = choose(&states, NOW + Millis(500), &AllowedDataCentres::Anywhere).unwrap_err();
-    assert_eq!(left_out.of(Exclusion::Cold), 1);
+    let excluded = choose(&states, NOW + Millis(500), &AllowedDataCentres::Anywhere).unwrap_err();
+    assert_eq!(excluded.of(Exclusion::Cold), 1);
     assert_eq!(chosen(&states, NOW + Millis(1_200)), "e1");
     states.record_sent(NOW + Millis(1_200), &cold, &Prompt::default(), 0);
     assert_eq!(chosen(&states, NOW + COLD), "e1");
@@ -240,8 +240,8 @@
     let service = "s".parse().unwrap();
     let mut states = states((1..=4).map(|number| entry(number, "near")));
     let choose = |states: &EndpointStates, now| {
-        let placement = placement(&prompt, &AllowedDataCentres::Anywhere, &[]);
-        states.choose(now, &here, &service, &placement).unwrap()
+        let request = request(&prompt, &AllowedDataCentres::Anywhere, &[]);
+        states.choose(now, &here, &service, &request).unwrap()
     };
     let first = choose(&states, NOW);
     assert_eq!(first.uncached, 100);
@@ -275,10 +275,10 @@
     let tried = ["e2".parse().unwrap()];
     let prompt = Prompt::default();
     let allowed = AllowedDataCentres::Anywhere;
-    let placement = placement(&prompt, &allowed, &tried);
+    let request = request(&prompt, &allowed, &tried);
     let here = "near".parse().unwrap();
     let service = "s".parse().unwrap();
-    let choice = states.choose(NOW + Millis(500), &here, &service, &placement);
+    let choice = states.choose(NOW + Millis(500), &here, &service, &request);
     assert_eq!(choice.unwrap().entry.id, one.id);
 }
 
--- a/lib/tests/test_fleet_choice.rs
+++ b/lib/tests/test_fleet_choice.rs
@@ -12,7 +12,7 @@
             rules::{
                 cold_share::ColdShare,
                 eligibility::AllowedDataCentres,
-                endpoint_choice::{EndpointChoice, InputLocation, Placement},
+                endpoint_choice::{EndpointChoice, EndpointRequest, InputLocation},
                 reply_proof::EndpointOutcome,
             },
         },
@@ -60,8 +60,8 @@
     format!("e{number}").parse().unwrap()
 }
 
-fn plain(prompt: &Prompt) -> Placement<'_> {
-    Placement {
+fn plain(prompt: &Prompt) -> EndpointRequest<'_> {
+    EndpointRequest {
         prompt,
         affinity: false,
         tried: &[],
@@ -74,8 +74,8 @@
     }
 }
 
-fn choose(endpoints: &EndpointStates, placement: &Placement<'_>) -> Option<EndpointChoice> {
-    endpoints.choose(NOW, &near(), &service(), placement).ok()
+fn choose(endpoints: &EndpointStates, request: &EndpointRequest<'_>) -> Option<EndpointChoice> {
+    endpoints.choose(NOW, &near(), &service(), request).ok()
 }
 
 fn prompt(parts: &[(u64, u32)]) -> Prompt {
@@ -100,11 +100,11 @@
     let prompt = Prompt::default();
     let choice = choose(&endpoints, &plain(&prompt)).unwrap();
     assert_eq!(choice.entry.id, id(2));
-    let placement = Placement {
+    let request = EndpointRequest {
         tried: &[id(2)],
         ..plain(&prompt)
     };
-    assert!(choose(&endpoints, &placement).is_none());
+    assert!(choose(&endpoints, &request).is_none());
 }
 
 #[test]
@@ -141,11 +141,11 @@
     endpoints.record_sent(NOW, &entry(1, "near", false), &prompt, 0);
     endpoints.record_ended(NOW, &entry(1, "near", false), EndpointOutcome::Unreachable);
     assert_eq!(choose(&endpoints, &plain(&prompt)).unwrap().entry.id, id(2));
-    let placement = Placement {
+    let request = EndpointRequest {
         tried: &[id(2)],
         ..plain(&prompt)
     };
-    assert_eq!(choose(&endpoints, &placement).unwrap().entry.id, id(1));
+    assert_eq!(choose(&endpoints, &request).unwrap().entry.id, id(1));
 }
 
 /// Failing endpoints are ejected, but never more than half of all endpoints.
@@ -169,12 +169,12 @@
     let (one, other) = (endpoints(9), endpoints(9));
     for part in 1..50 {
         let prompt = prompt(&[(part, 4_000), (1_000 + part, 500)]);
-        let placement = Placement {
+        let request = EndpointRequest {
             affinity: true,
             ..plain(&prompt)
         };
-        let a = choose(&one, &placement).unwrap();
-        let b = choose(&other, &placement).unwrap();
+        let a = choose(&one, &request).unwrap();
+        let b = choose(&other, &request).unwrap();
         assert_eq!(a.entry.id, b.entry.id);
         assert_eq!(a.uncached, 500);
     }
@@ -185,16 +185,16 @@
 fn crowded_part_moves() {
     let mut endpoints = endpoints(3);
     let prompt = prompt(&[(7, 2_000), (8, 500)]);
-    let placement = Placement {
+    let request = EndpointRequest {
         affinity: true,
         ..plain(&prompt)
     };
-    let first = choose(&endpoints, &placement).unwrap();
+    let first = choose(&endpoints, &request).unwrap();
     for _ in 0..30 {
         endpoints.record_sent(NOW, &first.entry, &prompt, 2_000);
     }
     assert_ne!(
-        choose(&endpoints, &placement).unwrap().entry.id,
+        choose(&endpoints, &request).unwrap().entry.id,
         first.entry.id
     );
 }
@@ -210,11 +210,11 @@
         region: None,
         size: ByteSize(1_000_000),
     }];
-    let placement = Placement {
+    let request = EndpointRequest {
         inputs: &inputs,
         ..plain(&prompt)
     };
-    assert_eq!(choose(&endpoints, &placement).unwrap().entry.id, id(2));
+    assert_eq!(choose(&endpoints, &request).unwrap().entry.id, id(2));
     assert_eq!(choose(&endpoints, &plain(&prompt)).unwrap().entry.id, id(1));
 }
 
@@ -223,18 +223,18 @@
 fn slow_endpoint_returns() {
     let mut endpoints = endpoints(2);
     let prompt = prompt(&[(1, 500)]);
-    let placement = plain(&prompt);
-    let first = choose(&endpoints, &placement).unwrap();
+    let request = plain(&prompt);
+    let first = choose(&endpoints, &request).unwrap();
     for _ in 0..20 {
         endpoints.record_first_event(NOW, &first, WorkMillis(2_000.0));
     }
     assert_ne!(
-        choose(&endpoints, &placement).unwrap().entry.id,
+        choose(&endpoints, &request).unwrap().entry.id,
         first.entry.id
     );
     let later = NOW + Millis(5_000);
     let choice = endpoints
-        .choose(later, &near(), &service(), &placement)
+        .choose(later, &near(), &service(), &request)
         .unwrap();
     assert_eq!(choice.entry.id, first.entry.id);
 }
@@ -244,20 +244,20 @@
 fn endpoint_connections() {
     let mut endpoints = endpoints(1);
     let prompt = Prompt::default();
-    let placement = Placement {
+    let request = EndpointRequest {
         connection_limit: 2,
         ..plain(&prompt)
     };
     endpoints.record_sent(NOW, &entry(1, "near", false), &prompt, 0);
-    assert!(choose(&endpoints, &placement).is_some());
+    assert!(choose(&endpoints, &request).is_some());
     endpoints.record_sent(NOW, &entry(1, "near", false), &prompt, 0);
-    assert!(choose(&endpoints, &placement).is_none());
+    assert!(choose(&endpoints, &request).is_none());
     endpoints.record_ended(
         NOW,
         &entry(1, "near", false),
         EndpointOutcome::Served(Some(WorkMillis(5.0))),
     );
-    assert!(choose(&endpoints, &placement).is_some());
+    assert!(choose(&endpoints, &request).is_some());
 }
 
 /// Guards against excluding an endpoint for as long as the daemon runs after a single reply in the name of another
--- a/lib/tests/test_fleet_pins.rs
+++ b/lib/tests/test_fleet_pins.rs
@@ -14,7 +14,7 @@
                 backend_choice::weighted,
                 cold_share::ColdShare,
                 eligibility::AllowedDataCentres,
-                endpoint_choice::{EndpointChoice, InputLocation, Placement},
+                endpoint_choice::{EndpointChoice, EndpointRequest, InputLocation},
                 reply_proof::EndpointOutcome,
             },
         },
@@ -141,7 +141,7 @@
         let tried: Vec<EndpointId> = (0..self.draws.below(3))
             .map(|_| format!("e{}", self.draws.below(ENDPOINTS)).parse().unwrap())
             .collect();
-        let placement = Placement {
+        let request = EndpointRequest {
             prompt: &prompt,
             affinity: self.draws.percent(75),
             tried: &tried,
@@ -155,7 +155,7 @@
         let service = "s".parse().unwrap();
         let choice = self
             .fleet
-            .choose(self.now, &centre(here), &service, &placement);
+            .choose(self.now, &centre(here), &service, &request);
         let parts: Vec<u64> = prompt.parts.iter().map(|part| part.id).collect();
         let at = self.now.0 / 1_000;
         write!(self.lines, "{at} {here} {parts:?}: ").unwrap();
--- a/lib/tests/test_harmful_pieces.rs
+++ b/lib/tests/test_harmful_pieces.rs
@@ -74,8 +74,8 @@
         rank: 0,
         result: ByteSize(1_000),
         preferred: None,
-        places: AllowedDataCentres::Anywhere,
-        moved: ByteSize(0),
+        allowed: AllowedDataCentres::Anywhere,
+        crossing_size: ByteSize(0),
     }
 }
 
--- a/lib/tests/test_homes.rs
+++ b/lib/tests/test_homes.rs
@@ -79,7 +79,7 @@
         rank: 0,
         preferred: Some(&home),
         allowed: &allowed,
-        moved: ByteSize(100),
+        crossing_size: ByteSize(100),
     };
     let centres = ["a1", "a2", "b1"].map(|name| name.parse().unwrap());
     let counts = DataCentreCounts::new(centres.iter());
--- a/lib/tests/test_job_message.rs
+++ b/lib/tests/test_job_message.rs
@@ -29,8 +29,8 @@
         rank: 3,
         result: ByteSize(800),
         preferred: Some("z".parse().unwrap()),
-        places: AllowedDataCentres::Anywhere,
-        moved: ByteSize(2_400),
+        allowed: AllowedDataCentres::Anywhere,
+        crossing_size: ByteSize(2_400),
     }
 }
 
@@ -95,5 +95,5 @@
     assert_eq!(received.rank, sent.rank);
     assert_eq!(received.result, sent.result);
     assert_eq!(received.preferred, sent.preferred);
-    assert_eq!(received.moved, sent.moved);
+    assert_eq!(received.crossing_size, sent.crossing_size);
 }
--- a/lib/tests/test_peers.rs
+++ b/lib/tests/test_peers.rs
@@ -174,7 +174,7 @@
     for name in ["enc", "retrieve", "rerank"] {
         let service: ServiceId = name.parse().unwrap();
         let coordinator = |n: usize| match all[n].coordinator(Time(0), &service, true, &[]) {
-            Coordinator::Me => address(n as u8 + 1),
+            Coordinator::Local => address(n as u8 + 1),
             Coordinator::Peer(peer) => peer,
         };
         let first = coordinator(0);
@@ -199,7 +199,7 @@
     let service: ServiceId = "enc".parse().unwrap();
     assert_eq!(
         me.coordinator(Time(0), &service, true, &[]),
-        Coordinator::Me
+        Coordinator::Local
     );
 }
 
@@ -212,12 +212,12 @@
         me.receive_heartbeat(Time(0), next_heartbeat(&mut other, Time(0)));
     }
     assert_eq!(me.reported_loads()[&EndpointHash(1)].running, 6);
-    assert_eq!(me.backlog(ServiceHash(9), Coordinator::Me).total(), 120);
+    assert_eq!(me.backlog(ServiceHash(9), Coordinator::Local).total(), 120);
     assert_eq!(me.available_endpoints(ServiceHash(9)), Some(3));
     assert!(me.is_short_of_capacity(ServiceHash(9)));
     me.update_liveness(Time(0) + Millis(2_000));
     assert!(me.reported_loads().is_empty());
-    assert_eq!(me.backlog(ServiceHash(9), Coordinator::Me).total(), 0);
+    assert_eq!(me.backlog(ServiceHash(9), Coordinator::Local).total(), 0);
 }
 
 /// Only a living daemon that reaches the directory counts as steady.
@@ -389,10 +389,10 @@
     assert_eq!(earlier.work, later.work);
     let mut me = peers(1, 1, &[]);
     me.receive_heartbeat(Time(0), later);
-    let known = me.backlog(ServiceHash(9), Coordinator::Me);
+    let known = me.backlog(ServiceHash(9), Coordinator::Local);
     assert_eq!(known, full_backlog(9).own);
     me.receive_heartbeat(Time(1), next_heartbeat(&mut other, Time(1)));
-    let known = me.backlog(ServiceHash(9), Coordinator::Me);
+    let known = me.backlog(ServiceHash(9), Coordinator::Local);
     assert_eq!(known, Backlog::unordered(40));
 }
 
--- a/lib/tests/test_plan_pins.rs
+++ b/lib/tests/test_plan_pins.rs
@@ -139,8 +139,8 @@
             rank: self.draws.below(3) as u32,
             result: ByteSize(size),
             preferred: CENTRES.get(centre).map(|name| name.parse().unwrap()),
-            places: AllowedDataCentres::Anywhere,
-            moved: ByteSize(size * *self.draws.pick(&[1, 3, 20])),
+            allowed: AllowedDataCentres::Anywhere,
+            crossing_size: ByteSize(size * *self.draws.pick(&[1, 3, 20])),
         };
         self.queue.add(self.now, id, job);
     }
--- a/lib/tests/test_regions.rs
+++ b/lib/tests/test_regions.rs
@@ -171,7 +171,7 @@
     let mut fleet = Fleet::in_regions(2, 60, REGIONS, report);
     fleet.rounds(40);
     let (now, there) = (fleet.now, RegionHash(1));
-    let Coordinator::Me =
+    let Coordinator::Local =
         fleet.daemons[fleet.coordinator(0, &service)].coordinator(now, &service, true, &[])
     else {
         panic!("the coordinator knows that it is one");
--- a/lib/tests/test_reported_pace.rs
+++ b/lib/tests/test_reported_pace.rs
@@ -11,7 +11,7 @@
             rules::{
                 cold_share::ColdShare,
                 eligibility::AllowedDataCentres,
-                endpoint_choice::{EndpointChoice, Placement},
+                endpoint_choice::{EndpointChoice, EndpointRequest},
                 reply_proof::EndpointOutcome,
                 reported_slowdown::factor,
             },
@@ -68,7 +68,7 @@
 fn choice(states: &EndpointStates, now: Time) -> EndpointChoice {
     let here: DataCentreId = "here".parse().unwrap();
     let prompt = Prompt::default();
-    let placement = Placement {
+    let request = EndpointRequest {
         prompt: &prompt,
         affinity: false,
         tried: &[],
@@ -80,7 +80,7 @@
         urgency: 0,
     };
     let service = "s".parse().unwrap();
-    states.choose(now, &here, &service, &placement).unwrap()
+    states.choose(now, &here, &service, &request).unwrap()
 }
 
 fn chosen(states: &EndpointStates, now: Time) -> Arc<EndpointEntry> {
--- a/lib/tests/test_scale.rs
+++ b/lib/tests/test_scale.rs
@@ -71,8 +71,8 @@
         rank: 0,
         result: ByteSize(8_000),
         preferred: Some(format!("dc{}", number % DATA_CENTRES).parse().unwrap()),
-        places: AllowedDataCentres::Anywhere,
-        moved: ByteSize(60_000),
+        allowed: AllowedDataCentres::Anywhere,
+        crossing_size: ByteSize(60_000),
     }
 }
 
--- a/lib/tests/test_stage_pins.rs
+++ b/lib/tests/test_stage_pins.rs
@@ -133,7 +133,7 @@
         self.jobs += 1;
         let homes = [None, Some("z"), Some("far"), Some("alone"), Some("none")];
         let home = *u.choose(&homes)?;
-        let moved = *u.choose(&[100, 20_000, 150_000, 400_000, 2_000_000])?;
+        let crossing_size = *u.choose(&[100, 20_000, 150_000, 400_000, 2_000_000])?;
         let objective = u.int_in_range(0..=1_500)?;
         let job = StageJob {
             digest: None,
@@ -148,12 +148,12 @@
             rank: u.int_in_range(0..=3)?,
             result: ByteSize(*u.choose(&[900, 2_500])?),
             preferred: home.map(|home| home.parse().unwrap()),
-            places: AllowedDataCentres::Anywhere,
-            moved: ByteSize(moved),
+            allowed: AllowedDataCentres::Anywhere,
+            crossing_size: ByteSize(crossing_size),
         };
         let asked = format!(
             "job {}: {} pieces, {} to move, {home:?}, rank {}, {objective} ms",
-            self.jobs, job.pieces, job.moved, job.rank
+            self.jobs, job.pieces, job.crossing_size, job.rank
         );
         self.note(&asked);
         self.queue.add(self.now, JobId(self.jobs), job);
--- a/lib/tests/test_stage_rules.rs
+++ b/lib/tests/test_stage_rules.rs
@@ -144,7 +144,7 @@
 
 #[test]
 fn home_waits() {
-    let wait = |moved, endpoints| preferred_wait(ByteSize(moved), endpoints).0;
+    let wait = |crossing_size, endpoints| preferred_wait(ByteSize(crossing_size), endpoints).0;
     // 1.2 s per MB and at most 0.6 s; a quarter of it with one endpoint, all of it from four on.
     assert_eq!(wait(100_000, 4), 120);
     assert_eq!(wait(100_000, 9), 120);
@@ -163,7 +163,7 @@
         rank: 0,
         preferred,
         allowed: &AllowedDataCentres::Anywhere,
-        moved: ByteSize(100_000),
+        crossing_size: ByteSize(100_000),
     }
 }
 
