--- a/lib/src/gateway/dialect.rs
+++ b/lib/src/gateway/dialect.rs
@@ -160,11 +160,11 @@
 pub struct AdvertisedRate {
     /// Requests per second that the endpoint accepts from all daemons together; 0 if the value can't be read.
     pub rate: Rate,
-    /// Whether the reply states the rate as a single number that isn't negative.
+    /// Set if the reply states the rate as a single number that isn't negative.
     pub valid: bool,
 }
 
-/// Whether an endpoint announces in a reply that it is leaving.
+/// Announcement in a reply that its endpoint is leaving.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum LeaveSignal {
     /// The reply doesn't mention it, or states that the endpoint is not leaving.
@@ -193,15 +193,15 @@
 pub struct ReplyFacts {
     /// Id of the request that the reply answers.
     pub request: Option<String>,
-    /// Whether the reply has the header by which an endpoint marks replies that it made itself.
+    /// Set if the reply has the header by which an endpoint marks replies that it made itself.
     pub signed: bool,
-    /// Whether the endpoint reports that it didn't run the request.
+    /// Set if the endpoint reports that it didn't run the request.
     pub not_run: bool,
     /// Load of the endpoint, if reported.
     pub load: Option<ReplyLoad>,
     /// Rate limit that the endpoint advertises, if any.
     pub rate: Option<AdvertisedRate>,
-    /// Whether the endpoint announces that it is leaving.
+    /// Announcement that the endpoint is leaving.
     pub leave: LeaveSignal,
     /// Time after which the endpoint asks the caller to retry.
     pub retry_after: RetryAfter,
--- a/lib/src/gateway/directory/apply.rs
+++ b/lib/src/gateway/directory/apply.rs
@@ -133,7 +133,8 @@
         drop(state);
         log::info!(revision:%, entries, changes = changes.len(), source; "endpoints.listed");
         if is_first {
-            // Other daemons choose a coordinator among those that are ready, so they are told at once.
+            // Other daemons choose a coordinator among those that are ready, so this one reports at once that it has a
+            // list.
             self.announcement.notify_one();
         }
         // Additions of the first list aren't logged one by one: that would be 3,001 lines at each daemon.
--- a/lib/src/gateway/directory/contact.rs
+++ b/lib/src/gateway/directory/contact.rs
@@ -18,7 +18,7 @@
     pub reads: ReadHistory,
     /// Time of the last answer for each topic; `None` before the first one.
     answered: [Option<Time>; TOPIC_COUNT],
-    /// Whether an answer for the topic is being received.
+    /// For each topic, whether an answer is being received.
     receiving: [bool; TOPIC_COUNT],
 }
 
--- a/lib/src/gateway/directory/coverage.rs
+++ b/lib/src/gateway/directory/coverage.rs
@@ -39,7 +39,7 @@
 
     /// Returns the age of the latest read that this daemon may rely on; `None` if there is none. A substitute doesn't
     /// count its local reads, so that it reads until another daemon does. Stalls of this process don't count towards
-    /// the age, since no later read could be received during them. Other daemons are told the full age.
+    /// the age, since no later read could be received during them. Reports to other daemons contain the full age.
     fn known_read_age(&self, now: Time) -> Option<Millis> {
         let others = self.peers.read_age(now);
         let local = self.contact.read_age(now).filter(|_| !self.is_substitute);
--- a/lib/src/gateway/peers/job_message.rs
+++ b/lib/src/gateway/peers/job_message.rs
@@ -1,7 +1,6 @@
 //! Converts jobs to and from the message that sends them to another daemon.
 //!
-//! Daemons share no clock: a job has times of its daemon's clock, a message has the time
-//! left.
+//! Daemons share no clock: a job contains times of its daemon's clock, a message the time left.
 
 use crate::{
     gateway::{
@@ -68,8 +67,7 @@
     }
 }
 
-/// Returns how a job ended at another daemon; `None` if there was no reply or if that daemon
-/// can't run jobs.
+/// Returns the outcome of a job at another daemon; `None` if there was no reply or if that daemon can't run jobs.
 pub(crate) fn job_end(reply: Option<LinkReply>) -> Option<JobEnd> {
     match reply {
         Some(LinkReply::Job(end)) => Some(end),
--- a/lib/src/gateway/peers/link_server.rs
+++ b/lib/src/gateway/peers/link_server.rs
@@ -86,8 +86,8 @@
 /// Detects silence of the daemon that opened a link, from its pings.
 #[derive(Debug, Default)]
 struct SilenceDetector {
-    /// When the last message was received; `None` until the first ping. An older release sends no pings, so its
-    /// links may be silent for any time.
+    /// Time at which the last message was received; `None` until the first ping. An older release sends no pings, so
+    /// its links may be silent for any time.
     last: Option<Instant>,
 }
 
--- a/lib/src/gateway/peers/link_socket.rs
+++ b/lib/src/gateway/peers/link_socket.rs
@@ -46,7 +46,7 @@
 /// A link over one TCP connection.
 pub(crate) type LinkSocket = WebSocketStream<TcpStream>;
 
-/// Why a link ended, or never came up.
+/// Reason for which a link ended or was never established.
 #[derive(Debug, Error)]
 pub(crate) enum LinkError {
     /// The TCP connection couldn't be opened or configured.
--- a/lib/src/gateway/peers/links.rs
+++ b/lib/src/gateway/peers/links.rs
@@ -132,7 +132,7 @@
     socket: LinkSocket,
     pending: HashMap<u64, oneshot::Sender<LinkReply>>,
     last_number: u64,
-    /// When the last ping was sent.
+    /// Time at which the last ping was sent.
     last_ping: Instant,
     /// Number of sweeps since the first ping after the last received message; `None` if no ping was sent since.
     silent_sweeps: Option<u32>,
--- a/lib/src/gateway/peers/membership.rs
+++ b/lib/src/gateway/peers/membership.rs
@@ -64,19 +64,19 @@
     /// Sequence number of this daemon's last heartbeat.
     pub(super) sequence: u64,
     pub(super) rng: SmallRng,
-    /// When the process last resumed after a pause.
+    /// Time at which the process last resumed after a pause.
     pub(super) resumed: Time,
     /// Periods in which the process made no progress.
     pub(crate) stalls: StallLog,
-    /// When the last heartbeat of any daemon was received.
+    /// Time at which the last heartbeat of any daemon was received.
     last_received: Time,
     /// Daemons that asked this one for a heartbeat, or reported it as suspect; the next heartbeat goes to them.
     pub(super) requesters: Vec<SocketAddr>,
     /// Number of heartbeats still to be sent to all daemons.
     pub(super) broadcasts_left: u32,
-    /// Since when this daemon has coordinated any service; `None` while it coordinates none.
+    /// Time since which this daemon has coordinated any service; `None` while it coordinates none.
     pub(super) coordinates_since: Option<Time>,
-    /// Whether this daemon reads the directory as the coordinator of a service.
+    /// Set if this daemon reads the directory as the coordinator of a service.
     pub(super) reads_directory: bool,
     /// Outstanding pieces that this daemon's last heartbeat reported.
     pub(super) reported_backlogs: Vec<BacklogNote>,
--- a/lib/src/gateway/peers/message.rs
+++ b/lib/src/gateway/peers/message.rs
@@ -92,7 +92,7 @@
     /// Number of the directory revision of the last change in the sender's endpoint list.
     #[serde(rename = "c")]
     pub catalogue: u64,
-    /// Whether the sender has read the directory without failures for some time.
+    /// Set if the sender has read the directory without failures for some time.
     #[serde(rename = "k")]
     pub steady: bool,
     /// Milliseconds since the directory last answered for every topic; `None` if others
@@ -102,13 +102,13 @@
     /// The daemon whose read `read_ms` reports; `None` if it is the sender's own.
     #[serde(rename = "x", default, skip_serializing_if = "Option::is_none")]
     pub read_by: Option<SocketAddr>,
-    /// Whether the sender, as a coordinator, sends its heartbeats to every daemon of its region.
+    /// Set if the sender, as a coordinator, sends its heartbeats to every daemon of its region.
     #[serde(rename = "b")]
     pub broadcasts: bool,
     /// Processor capacity that the sender may use.
     #[serde(rename = "m")]
     pub capacity: Capacity,
-    /// Whether the sender has just started; the receiver then sends it a roster.
+    /// Set if the sender has just started; the receiver then sends it a roster.
     #[serde(rename = "j")]
     pub joining: bool,
     /// Gossip about some other daemons.
@@ -366,7 +366,7 @@
     Endpoints(EndpointList),
     /// Changes in the endpoint list.
     Changes(EndpointChanges),
-    /// How a job ended.
+    /// Outcome of a job.
     Job(JobEnd),
     /// The request was carried out and has no result.
     Done,
--- a/lib/src/gateway/peers/notes.rs
+++ b/lib/src/gateway/peers/notes.rs
@@ -41,7 +41,7 @@
     /// Processor capacity that the daemon may use.
     #[serde(rename = "c")]
     pub capacity: Capacity,
-    /// Whether the daemon is suspect: heartbeats that are overdue since then haven't arrived.
+    /// Set if the daemon is suspect: heartbeats that are overdue since then haven't arrived.
     #[serde(rename = "s", default, skip_serializing_if = "is_false")]
     pub suspect: bool,
     /// Region of the daemon; `None` if it is unknown or the installation has only one.
@@ -139,9 +139,9 @@
     pub service: ServiceHash,
     /// Number of endpoints that accept calls at about their usual speed.
     pub endpoints: u32,
-    /// Whether the endpoints are short of capacity for results.
+    /// Set if the endpoints are short of capacity for results.
     pub short: bool,
-    /// Outstanding pieces at all daemons, as far as the coordinator knows.
+    /// Outstanding pieces at all daemons, by the reports that the coordinator has received.
     pub outstanding: u32,
 }
 
--- a/lib/src/gateway/peers/record.rs
+++ b/lib/src/gateway/peers/record.rs
@@ -1,4 +1,4 @@
-//! What this daemon knows about one other daemon.
+//! The state of one other daemon, as this daemon knows it.
 
 use {
     crate::{
@@ -43,9 +43,9 @@
     pub(crate) position: RingPosition,
     /// Region of the daemon; `None` until it is known.
     pub(crate) region: Option<RegionHash>,
-    /// Whether it is in another region than this daemon.
+    /// Set if it is in another region than this daemon.
     pub(crate) is_remote: bool,
-    /// When a heartbeat or gossip last gave its address.
+    /// Time at which a heartbeat or gossip last gave its address.
     pub(crate) last_mention: Time,
     /// Time of the last sign of life, received here or reported by a third daemon.
     pub(crate) last_sign: Option<Time>,
@@ -55,17 +55,17 @@
     /// Until when it is excluded as a coordinator.
     pub(crate) excluded_until: Time,
     pub(crate) alive: bool,
-    /// Since when it has been suspect; `None` if it isn't.
+    /// Time since which it has been suspect; `None` if it isn't.
     pub(crate) suspect: Option<Time>,
     /// Number of this daemon's heartbeats that reported it as suspect.
     pub(crate) reports_sent: u32,
-    /// When a suspicion of it last turned out to be wrong.
+    /// Time at which a suspicion of it last turned out to be wrong.
     pub(crate) refuted: Option<Time>,
-    /// Whether it sends this daemon all its heartbeats.
+    /// Set if it sends this daemon all its heartbeats.
     pub(crate) expected: bool,
-    /// When it was last sent a roster.
+    /// Time at which it was last sent a roster.
     pub(crate) roster_sent: Option<Time>,
-    /// When it was asked for a heartbeat that hasn't arrived yet.
+    /// Time at which it was asked for a heartbeat that hasn't arrived yet.
     pub(crate) asked: Option<Time>,
 }
 
--- a/lib/src/gateway/peers/self_report.rs
+++ b/lib/src/gateway/peers/self_report.rs
@@ -37,7 +37,7 @@
     pub table_until: Revision,
     /// Directory revision of the last change in the daemon's endpoint list.
     pub catalogue: Revision,
-    /// Whether the daemon has read the directory without failures for some time.
+    /// Set if the daemon has read the directory without failures for some time.
     pub steady: bool,
     /// Milliseconds since the directory last answered for every topic; `None` if others shouldn't rely on it.
     pub read_ms: Option<u32>,
--- a/lib/src/gateway/peers/table_fetch.rs
+++ b/lib/src/gateway/peers/table_fetch.rs
@@ -32,7 +32,7 @@
     tokio::time::{MissedTickBehavior, interval, timeout},
 };
 
-/// Why a request to a source made no progress on the table.
+/// Reason for which a request to a source made no progress on the table.
 #[derive(Debug, Error)]
 enum FetchError {
     /// The source already uses its network link in full.
@@ -77,7 +77,7 @@
     partial: Option<PartialTable>,
     /// The daemon that was last busy or failed.
     last_failed: Option<SocketAddr>,
-    /// When this daemon last drew whether it is its turn to ask.
+    /// Time at which this daemon last drew whether it is its turn to ask.
     drawn: Option<Time>,
 }
 
--- a/lib/src/gateway/quarantine/evidence.rs
+++ b/lib/src/gateway/quarantine/evidence.rs
@@ -20,7 +20,7 @@
 pub struct TerminatedRun {
     /// Incarnation that terminated.
     pub endpoint: IncarnationHash,
-    /// When the endpoint terminated, or when that was noticed.
+    /// Time at which the endpoint terminated, or at which that was noticed.
     pub at: Time,
 }
 
@@ -29,7 +29,7 @@
 pub struct Evidence {
     /// The last endpoints that terminated under the request, at most [`ENDED_LIMIT`], the earliest first.
     ended: Vec<TerminatedRun>,
-    /// When the request was last served; absent if that isn't known.
+    /// Time at which the request was last served; absent if that isn't known.
     served: Option<Time>,
 }
 
--- a/lib/src/gateway/quarantine/store.rs
+++ b/lib/src/gateway/quarantine/store.rs
@@ -1,4 +1,4 @@
-//! The evidence about all requests under which endpoints terminated, as far as this daemon knows them.
+//! The evidence that this daemon has about requests under which endpoints terminated.
 //!
 //! The store also tracks which evidence has still to be sent to others. The number of records is bounded: quarantined
 //! requests are kept before others, and later evidence before earlier. The store has no clock; callers pass the time of
@@ -34,7 +34,7 @@
 /// gossip among hundreds of daemons.
 const CLEARED_ANNOUNCED: Millis = Millis(10_000);
 
-/// Converts a time of the daemon's clock to one of the store, which is later by [`MEMORY`].
+/// Converts a time of the daemon's clock to one of the store, which is later by [`EVIDENCE_LIFETIME`].
 fn to_store_time(time: Time) -> Time {
     time + EVIDENCE_LIFETIME
 }
@@ -58,10 +58,10 @@
     evidence: Evidence,
     /// Number of times that this daemon's evidence is still to be sent to the evidence holders.
     sends_left: u32,
-    /// Whether the request is quarantined, as of the last update.
+    /// Set if the request is quarantined, as of the last update.
     quarantined: bool,
-    /// When the quarantine last ended, or when another daemon reported one of a request that was served here; absent
-    /// otherwise.
+    /// Time at which the quarantine last ended, or at which another daemon reported one of a request that was served
+    /// here; absent otherwise.
     cleared: Option<Time>,
 }
 
--- a/lib/src/gateway/rates/note.rs
+++ b/lib/src/gateway/rates/note.rs
@@ -20,7 +20,8 @@
 /// Wire units in one token, which stands for one request: tokens are sent in millionths.
 const TOKEN_WIRE_SCALE: f64 = 1e6;
 
-/// What a daemon knows of an endpoint's rate limit, and its share and claim if it sends them to the coordinator.
+/// A daemon's entry about the rate limit of an endpoint, with the daemon's share and claim if it goes to the
+/// coordinator.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(into = "RateFields", from = "RateFields")]
 pub struct RateNote {
--- a/lib/src/gateway/rates/record.rs
+++ b/lib/src/gateway/rates/record.rs
@@ -48,7 +48,7 @@
 pub(super) struct RateUpdate {
     /// Rate limit that the endpoint advertises, if any.
     pub(super) rate: Option<Rate>,
-    /// When the reply arrived.
+    /// Time at which the reply arrived.
     pub(super) at: Time,
 }
 
@@ -56,9 +56,9 @@
 #[derive(Debug, Clone, Copy)]
 struct PendingClaim {
     claim: Claim,
-    /// When a request was last denied for lack of a permit.
+    /// Time at which a request was last denied for lack of a permit.
     at: Time,
-    /// When the claim was last sent to the coordinator; absent if it has to be sent at once.
+    /// Time at which the claim was last sent to the coordinator; absent if it has to be sent at once.
     sent: Option<Time>,
 }
 
@@ -73,25 +73,25 @@
     }
 }
 
-/// What this daemon knows of the rate limit of one endpoint.
+/// The rate limit of one endpoint, as this daemon knows it.
 #[derive(Debug)]
 pub(super) struct RateRecord {
     pub(super) service: ServiceId,
     latest: RateUpdate,
-    /// When this daemon learned that the limit began, or that it ended.
+    /// Time at which this daemon learned that the limit began, or that it ended.
     since: Time,
-    /// Whether an advertised limit that can't be read has been logged.
+    /// Set if an advertised limit that can't be read has been logged.
     pub(super) unclear_logged: bool,
     /// Number of announcements that are sent at the interval of a heartbeat before the longer one applies.
     announcements: u32,
-    /// When the limit was last announced; absent before the first announcement.
+    /// Time at which the limit was last announced; absent before the first announcement.
     announced: Option<Time>,
     share: RateShare,
-    /// When share and claim were last reported to the coordinator; absent before the first report.
+    /// Time at which share and claim were last reported to the coordinator; absent before the first report.
     reported: Option<Time>,
     pending: Option<PendingClaim>,
     permits: Vec<Permit>,
-    /// When the first permit is expected, as reported by the coordinator; absent before its answer.
+    /// Time at which the first permit is expected, as reported by the coordinator; absent before its answer.
     permit_expected: Option<Time>,
     pub(super) pool: PermitPool,
 }
--- a/lib/src/gateway/rates/store.rs
+++ b/lib/src/gateway/rates/store.rs
@@ -30,7 +30,7 @@
 pub struct ObservedRate {
     /// Advertised limit; absent if the reply has none.
     pub advertised: Option<AdvertisedRate>,
-    /// When the request of the reply was sent.
+    /// Time at which the request of the reply was sent.
     pub sent: Time,
 }
 
--- a/lib/src/gateway/routing/cold_state.rs
+++ b/lib/src/gateway/routing/cold_state.rs
@@ -1,4 +1,4 @@
-//! Whether an endpoint is cold, and when this daemon last sent it a request.
+//! The cold period of an endpoint, and the time at which this daemon last sent it a request.
 //!
 //! An endpoint is cold for a time after its start. How much work it gets in that time is decided by
 //! [`rules::cold_share`](crate::gateway::rules::cold_share).
@@ -8,7 +8,7 @@
     shared::units::{Millis, Time},
 };
 
-/// Whether an endpoint is cold, and how that is known.
+/// Coldness of an endpoint, by how it is known.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Coldness {
     /// Nothing indicates that the endpoint is cold.
@@ -25,9 +25,9 @@
 pub(crate) struct ColdState {
     /// End of the cold period that the entry states.
     until: Time,
-    /// When there was last a reason to presume that the endpoint restarts; absent if there was none.
+    /// Time at which there was last a reason to presume that the endpoint restarts; absent if there was none.
     presumed: Option<Time>,
-    /// When this daemon last sent the endpoint a request; absent if it never did.
+    /// Time at which this daemon last sent the endpoint a request; absent if it never did.
     last_sent: Option<Time>,
     /// Random offset of this daemon's sending times within their interval, from 0 (inclusive) to 1 (exclusive).
     phase: f64,
--- a/lib/src/gateway/routing/endpoint_signals.rs
+++ b/lib/src/gateway/routing/endpoint_signals.rs
@@ -14,13 +14,13 @@
 /// The signals of one incarnation of an endpoint.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub(crate) struct EndpointSignals {
-    /// Whether the endpoint leaves. This is final, whatever its entry states later.
+    /// Set if the endpoint leaves. This is final, whatever its entry states later.
     leaves: bool,
     /// End of the cooldown in which the endpoint wants no requests; absent without one.
     cooldown_end: Option<Time>,
-    /// Whether a cooldown is over, and no reply has shown yet that the endpoint accepts requests again.
+    /// Set if a cooldown is over, and no reply has shown yet that the endpoint accepts requests again.
     is_probing: bool,
-    /// Whether the endpoint sent a signal that can't be read.
+    /// Set if the endpoint sent a signal that can't be read.
     unclear: bool,
 }
 
--- a/lib/src/gateway/routing/endpoint_state.rs
+++ b/lib/src/gateway/routing/endpoint_state.rs
@@ -64,16 +64,17 @@
     pub(crate) order: u64,
     /// Signals from the endpoint's replies: whether it leaves, and its cooldown.
     pub(crate) signals: EndpointSignals,
-    /// Whether the endpoint has reported a slowdown that can't be read.
+    /// Set if the endpoint has reported a slowdown that can't be read.
     unclear_slowdown: bool,
-    /// Whether the endpoint's data centre is evacuated.
+    /// Set if the endpoint's data centre is evacuated.
     evacuated: bool,
     cold: ColdState,
     health: Health,
     unreachable_until: Option<Time>,
-    /// Whether the endpoint refused a connection and hasn't accepted one since.
+    /// Set if the endpoint refused a connection and hasn't accepted one since.
     has_terminated: bool,
-    /// When the address answered as another endpoint, or the endpoint as leaving; absent once it may be tried again.
+    /// Time at which another endpoint replied at the address, or this one replied that it is leaving; absent once it
+    /// may be tried again.
     replaced: Option<Time>,
     call_time: CallTime,
     slowdown: EngineSlowdown,
@@ -175,7 +176,7 @@
             && !std::mem::replace(&mut self.unclear_slowdown, true)
     }
 
-    /// Returns the requests in flight from all daemons, as far as they are known.
+    /// Returns the number of requests in flight from this daemon, and from the others as they reported.
     pub fn outstanding(&self) -> u32 {
         self.running + self.peer_load.running
     }
@@ -309,7 +310,7 @@
         }
     }
 
-    /// Admits new work again if the address answered as another endpoint long enough ago; returns whether it does.
+    /// Admits new work again if another endpoint replied at the address long enough ago; returns whether it does.
     pub(crate) fn reopen(&mut self, now: Time) -> bool {
         let is_due = self
             .replaced
--- a/lib/src/gateway/routing/endpoint_states.rs
+++ b/lib/src/gateway/routing/endpoint_states.rs
@@ -300,7 +300,7 @@
         }
     }
 
-    /// Returns the endpoint whose incarnation has a hash.
+    /// Returns the endpoint whose incarnation has this hash.
     pub(crate) fn by_incarnation(&self, incarnation: IncarnationHash) -> Option<&EndpointState> {
         self.members
             .values()
@@ -464,8 +464,8 @@
         }
     }
 
-    /// Admits new work again at endpoints whose address answered as another endpoint long enough ago; returns whether
-    /// there were any.
+    /// Admits new work again at endpoints at whose address another one replied long enough ago; returns whether there
+    /// were any.
     pub fn reopen_replaced(&mut self, now: Time) -> bool {
         let reopened = self.members.values_mut().filter_map(|member| {
             let reopened = member.reopen(now);
--- a/lib/src/gateway/routing/forward.rs
+++ b/lib/src/gateway/routing/forward.rs
@@ -1,8 +1,8 @@
 //! Answers one request of a caller: accepts it, runs its stages, and makes attempts until there is a reply or the rules
 //! allow no further one.
 //!
-//! This module determines the order of these steps. The modules of `rules` decide about retries, time limits and what a
-//! caller may be told.
+//! This module determines the order of these steps. The modules of `rules` decide about retries, time limits and which
+//! outcome a caller gets.
 
 use {
     crate::{
--- a/lib/src/gateway/routing/reply_stream.rs
+++ b/lib/src/gateway/routing/reply_stream.rs
@@ -29,7 +29,7 @@
 struct StreamRelay<D: Dialect> {
     request: StreamedRequest<D>,
     splitter: EventSplitter,
-    /// Whether an event has arrived from any endpoint.
+    /// Set if an event has arrived from any endpoint.
     events_begun: bool,
     sink: mpsc::Sender<StreamPart>,
 }
--- a/lib/src/gateway/rules/admission.rs
+++ b/lib/src/gateway/rules/admission.rs
@@ -109,7 +109,7 @@
 
 impl EndpointCounts {
     /// Returns the count to use. A queue with jobs sees which endpoints are slow or excluded for a time; this daemon's
-    /// own queue is the most recent, then the queues that other daemons report. Neither may know yet that an endpoint
+    /// own queue is the most recent, then the queues that other daemons report. Both may still include an endpoint that
     /// has left, so the listed count is an upper bound.
     pub fn usable(&self) -> usize {
         let reported = self.local_queue.or(self.peers);
--- a/lib/src/gateway/rules/call_fill.rs
+++ b/lib/src/gateway/rules/call_fill.rs
@@ -23,7 +23,7 @@
     reserved: ByteSize,
 }
 
-/// Whether one more piece fits into a call.
+/// Result of the check whether one more piece fits into a call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fit {
     /// The piece fits.
--- a/lib/src/gateway/rules/catch_up.rs
+++ b/lib/src/gateway/rules/catch_up.rs
@@ -58,25 +58,25 @@
     pub version: Version,
     /// Fingerprint of the daemon's table.
     pub fingerprint: u64,
-    /// Whether the daemon sends its table in chunks.
+    /// Set if the daemon sends its table in chunks.
     pub in_chunks: bool,
 }
 
-/// Since when other daemons are known to have something newer than this one.
+/// Times since which other daemons are known to have something newer than this one.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct BehindSince {
-    /// Since when a newer table is known of which nothing has arrived; absent if none is.
+    /// Time since which a newer table is known of which nothing has arrived; absent if none is.
     pub table: Option<Time>,
-    /// Since when a newer list of endpoints is known of which nothing has arrived; absent if none is.
+    /// Time since which a newer list of endpoints is known of which nothing has arrived; absent if none is.
     pub list: Option<Time>,
 }
 
 /// State of this daemon's reads of the directory.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct DirectoryReading {
-    /// Whether the daemon leaves reading the directory to others.
+    /// Set if the daemon leaves reading the directory to others.
     pub covered: bool,
-    /// When the directory last answered; the start of this daemon if it never did.
+    /// Time at which the directory last answered; the start of this daemon if it never did.
     pub answered: Time,
     /// Longest time for which the directory holds a call for changes.
     pub wait: Duration,
--- a/lib/src/gateway/rules/coordinator.rs
+++ b/lib/src/gateway/rules/coordinator.rs
@@ -61,9 +61,9 @@
 pub struct PeerState {
     /// Address and capacity of the daemon.
     pub candidate: DaemonCandidate,
-    /// Whether the daemon is alive.
+    /// Set if the daemon is alive.
     pub alive: bool,
-    /// Whether the daemon reports that it serves requests.
+    /// Set if the daemon reports that it serves requests.
     pub ready: bool,
     /// End of the time for which the daemon is excluded.
     pub excluded_until: Time,
--- a/lib/src/gateway/rules/directory_reads.rs
+++ b/lib/src/gateway/rules/directory_reads.rs
@@ -69,13 +69,13 @@
 /// Role of a daemon as a reader of the directory.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Reader {
-    /// Whether the fleet is so small that every daemon reads.
+    /// Set if the fleet is so small that every daemon reads.
     pub small_fleet: bool,
-    /// Whether the daemon coordinates a service; coordinators read for all.
+    /// Set if the daemon coordinates a service; coordinators read for all.
     pub coordinates: bool,
 }
 
-/// What a daemon does about the directory.
+/// Way in which a daemon follows the directory: by its own reads, through its peers, or by probes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ReadDuty {
     /// Reads the directory and waits for changes.
@@ -112,10 +112,10 @@
     }
 }
 
-/// How recent the state is that a daemon receives from its peers.
+/// The peers' reads of the directory, and whether this daemon lags behind its peers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PeerReads {
-    /// Whether peers have had something newer than this daemon for too long.
+    /// Set if peers have had something newer than this daemon for too long.
     pub lags: bool,
     /// Time since the directory last answered a peer that reports its reads; absent if no peer does.
     pub read_age: Option<Millis>,
--- a/lib/src/gateway/rules/eligibility.rs
+++ b/lib/src/gateway/rules/eligibility.rs
@@ -1,7 +1,7 @@
 //! Decides whether an endpoint may get a request or piece now, and returns the reason if not.
 //!
 //! Inputs: what the directory and operators say about the endpoint (draining, evacuated), what its replies said (it is
-//! leaving, it answered as another endpoint, it asked for a cooldown), its data centre and the data centres where the
+//! leaving, another endpoint has its address, it asked for a cooldown), its data centre and the data centres where the
 //! request may run, and how much of the endpoint's limits this daemon has used (connections, its share of a cold
 //! endpoint, its permits for an endpoint that advertises a rate limit).
 //!
@@ -70,7 +70,7 @@
     Evacuated,
     /// The request may not run in its data centre.
     NotAllowed,
-    /// It answered as another endpoint, or as leaving.
+    /// Another endpoint replied at its address, or it replied that it is leaving.
     Replaced,
     /// It refused a request and asked this daemon to send nothing for a time.
     CoolingDown,
@@ -117,7 +117,7 @@
     pub draining: bool,
     /// Set if its data centre is being evacuated.
     pub evacuated: bool,
-    /// Set if it answered as another endpoint, or as leaving.
+    /// Set if another endpoint replied at its address, or it replied that it is leaving.
     pub replaced: bool,
     /// Set if it refused a request and asked this daemon to send nothing for a time.
     pub cooling_down: bool,
--- a/lib/src/gateway/rules/endpoint_choice.rs
+++ b/lib/src/gateway/rules/endpoint_choice.rs
@@ -124,9 +124,10 @@
     pub waiting_tokens: f64,
     /// Slowdown that this daemon observed: the ratio of observed to expected time to the first event.
     pub slowdown: f64,
-    /// Tokens of the prompt that the endpoint caches, as far as this daemon sent them; 0 without affinity.
+    /// Tokens of the prompt that the endpoint probably caches, since this daemon sent them recently; 0 without
+    /// affinity.
     pub cached_tokens: u32,
-    /// Whether the endpoint advertises a rate limit, and whether it has to be probed.
+    /// State of the rate limit that the endpoint advertises.
     pub limit: RateLimitState,
     /// Position among equal candidates, different in each daemon; the smallest goes first.
     pub tie_break: u64,
@@ -136,7 +137,7 @@
     pub round_trip: Option<WorkMillis>,
 }
 
-/// Whether an endpoint that may get a request advertises a rate limit.
+/// State of the advertised rate limit of an endpoint that may get a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RateLimitState {
     /// The endpoint advertises no limit.
--- a/lib/src/gateway/rules/endpoint_rate.rs
+++ b/lib/src/gateway/rules/endpoint_rate.rs
@@ -198,7 +198,7 @@
     address: SocketAddr,
     claim: Option<Claim>,
     claimed: Time,
-    /// When the daemon last got a permit; `None` if it never did.
+    /// Time at which the daemon last got a permit; `None` if it never did.
     last_permit: Option<Time>,
 }
 
--- a/lib/src/gateway/rules/fetch_turn.rs
+++ b/lib/src/gateway/rules/fetch_turn.rs
@@ -67,7 +67,7 @@
     }
 }
 
-/// Which of the daemons with something newer are asked for it.
+/// The daemons with something newer that are asked for it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Sources {
     /// All of them.
--- a/lib/src/gateway/rules/gossip.rs
+++ b/lib/src/gateway/rules/gossip.rs
@@ -62,8 +62,8 @@
 /// Number of loads that a heartbeat omits if it names eras of the directory.
 const LOADS_FOR_ERAS: usize = 2;
 
-/// A coordinator reports the services of other regions to its own region with one heartbeat in this many. Daemons may
-/// decide by reports that are up to a second old.
+/// Number of heartbeats of a coordinator for each of its reports to its own region about services in other regions.
+/// Daemons may decide by reports that are up to a second old.
 const REMOTE_EVERY: u64 = 5;
 
 /// Largest number of services of other regions in one datagram.
@@ -252,9 +252,9 @@
 pub struct HeartbeatExtras {
     /// Number of evacuated data centres that it names.
     pub evacuated: usize,
-    /// Whether it names regions.
+    /// Set if it names regions.
     pub regions: bool,
-    /// Whether it names eras of the directory.
+    /// Set if it names eras of the directory.
     pub eras: bool,
 }
 
--- a/lib/src/gateway/rules/liveness.rs
+++ b/lib/src/gateway/rules/liveness.rs
@@ -30,7 +30,7 @@
 
 use crate::shared::units::{Millis, Time};
 
-/// Time without a heartbeat after which a daemon is lost whose every heartbeat should arrive here. Five heartbeats.
+/// Time without a heartbeat after which a daemon whose every heartbeat should arrive here is lost. Five heartbeats.
 pub const HEARTBEAT_TIMEOUT: Millis = Millis(1_000);
 
 /// Time without a sign of life after which a daemon known by gossip is lost, if it is suspect.
@@ -45,7 +45,7 @@
 /// daemons, with six receivers each.
 pub const SUSPICION_TIME: Millis = Millis(1_000);
 
-/// Time without a sign of life after which a daemon is lost that nobody suspects: the minimum, and the time for each
+/// Time without a sign of life after which a daemon that nobody suspects is lost: the minimum, and the time for each
 /// daemon known. Signs of life of one daemon arrive at a rate of 300 a second divided by the number of daemons (30
 /// heartbeats a second that name ten daemons each), so that a living daemon exceeds the limit once in 26 thousand
 /// million such times.
@@ -69,28 +69,28 @@
 /// Signs of life of another daemon.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LifeSigns {
-    /// When the last heartbeat of the daemon was received here.
+    /// Time at which the last heartbeat of the daemon was received here.
     pub heartbeat: Option<Time>,
-    /// When the last sign of life was received, here or by another daemon that reported it.
+    /// Time at which the last sign of life was received, here or by another daemon that reported it.
     pub sign: Option<Time>,
-    /// Whether the daemon sends each heartbeat to everybody, by its last one.
+    /// Set if the daemon sends each heartbeat to everybody, as its last one states.
     pub broadcasts: bool,
-    /// Whether the daemon counted as alive until now.
+    /// Set if the daemon counted as alive until now.
     pub alive: bool,
-    /// Since when the daemon is suspect; absent if it isn't.
+    /// Time since which the daemon is suspect; absent if it isn't.
     pub suspect: Option<Time>,
 }
 
 /// Conditions under which this daemon receives signs of life.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ReceiveConditions {
-    /// Whether the fleet is so small that every heartbeat goes to everybody.
+    /// Set if the fleet is so small that every heartbeat goes to everybody.
     pub small_fleet: bool,
-    /// When this process last resumed after a pause; zero if there was none.
+    /// Time at which this process last resumed after a pause; zero if there was none.
     pub resumed: Time,
     /// Number of other daemons known.
     pub others: usize,
-    /// When anything was last received from any daemon.
+    /// Time at which anything was last received from any daemon.
     pub received: Time,
 }
 
@@ -120,7 +120,7 @@
     signs.alive && may_refute && silence <= unsuspected_limit(conditions.others).to_duration()
 }
 
-/// Returns the time without a sign of life after which a daemon is lost that nobody suspects.
+/// Returns the time without a sign of life after which a daemon that nobody suspects is lost.
 pub fn unsuspected_limit(others: usize) -> Millis {
     UNSUSPECTED_TIMEOUT.max(Millis(UNSUSPECTED_TIMEOUT_EACH.0 * others as u64))
 }
@@ -158,7 +158,7 @@
     one.into_iter().chain(other).min()
 }
 
-/// Returns whether a lost daemon is forgotten whose last sign of life or mention was at `known`.
+/// Returns whether a lost daemon whose last sign of life or mention was at `known` is forgotten.
 pub fn is_forgotten(now: Time, known: Time) -> bool {
     now.since(known) >= FORGET_TIME.to_duration()
 }
--- a/lib/src/gateway/rules/piece_order.rs
+++ b/lib/src/gateway/rules/piece_order.rs
@@ -77,9 +77,9 @@
     pub id: JobId,
     /// Number of pieces that are accepted and not sent yet.
     pub waiting: usize,
-    /// When the job was queued.
+    /// Time at which the job was queued.
     pub added: Time,
-    /// When the job should have ended.
+    /// Time by which the job should have ended.
     pub objective: Time,
     /// Rank of the job's route; 0 goes first.
     pub rank: u32,
@@ -114,11 +114,11 @@
     pub local: usize,
     /// Number of pieces that endpoints in any allowed data centre may take.
     pub shared: usize,
-    /// Which endpoints may take the pieces of each job.
+    /// The endpoints that may take the pieces of each job.
     pub eligible: HashMap<JobId, EligibleEndpoints>,
 }
 
-/// Which endpoints may take the pieces of a job at present.
+/// The endpoints that may take the pieces of a job at present.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EligibleEndpoints {
     /// Only endpoints in the preferred data centre.
--- a/lib/src/gateway/rules/piece_retry.rs
+++ b/lib/src/gateway/rules/piece_retry.rs
@@ -55,8 +55,8 @@
     tries < MAX_PIECE_SENDS
 }
 
-/// Returns whether the next send of a piece that was sent `tries` times is a retry, which needs a
-/// unit of the budget.
+/// Returns whether the next send of a piece that was sent `tries` times is a retry, which needs a unit of the retry
+/// budget.
 pub fn is_retry(tries: u32) -> bool {
     tries > 0
 }
--- a/lib/src/gateway/rules/reply_proof.rs
+++ b/lib/src/gateway/rules/reply_proof.rs
@@ -20,8 +20,8 @@
     thiserror::Error,
 };
 
-/// How a request at an endpoint ended, as far as it says something about the endpoint. The names of the variants appear
-/// in the log (`endpoint.set_aside`).
+/// Outcome of a request for the state of its endpoint. The names of the variants appear in the log
+/// (`endpoint.set_aside`).
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum EndpointOutcome {
     /// The request was served; for a plain call, within this time.
@@ -30,7 +30,7 @@
     Failed,
     /// The endpoint refused the request for lack of capacity.
     Full,
-    /// The endpoint answered as another one, or as leaving.
+    /// Another endpoint replied at the address, or the endpoint replied that it is leaving.
     Replaced,
     /// The connection could not be established.
     Unreachable,
@@ -91,7 +91,7 @@
     Unsigned(StatusCode),
 }
 
-/// What the head of a reply means for the request.
+/// Meaning of the head of a reply for the request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum HeadVerdict {
     /// The request certainly did not run.
--- a/lib/src/gateway/rules/request_region.rs
+++ b/lib/src/gateway/rules/request_region.rs
@@ -2,7 +2,7 @@
 //!
 //! Inputs: the admission decision for the local region (that of the request's daemon), and for each remote region the
 //! decision with the round-trip time added to each stage and to the request itself. Regions where a service that the
-//! request needs has no endpoint are left out.
+//! request needs has no endpoint are excluded.
 //!
 //! Rule: the local region if the request is admitted there; otherwise the region that admits it with the shortest
 //! expected time; otherwise the request is refused with the decision of the first region, the local one if it has
--- a/lib/src/gateway/rules/result_capacity.rs
+++ b/lib/src/gateway/rules/result_capacity.rs
@@ -27,8 +27,8 @@
 const CALL_FETCH_TIME: Millis = Millis(100);
 
 /// Time within which the endpoint of a request has fetched its inputs: it does so as soon as it takes the request,
-/// before it reads the prompt. Releasing them then and not at the first event frees capacity where it is short; 20 ms
-/// instead of 50 brings nothing more.
+/// before it reads the prompt. Releasing them then instead of at the first event frees capacity where it is short; a
+/// shorter time, such as 20 ms, frees no more.
 pub const REQUEST_FETCH_TIME: Millis = Millis(50);
 
 /// Returns the capacity that is left of `stated`, where `taken` is kept at the endpoint or reserved.
--- a/lib/src/gateway/rules/shutdown.rs
+++ b/lib/src/gateway/rules/shutdown.rs
@@ -22,9 +22,9 @@
 /// Steps of a shutdown, as times since its signal.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct StopSchedule {
-    /// When callers are no longer accepted, and idle connections are closed.
+    /// Time after which callers are no longer accepted, and idle connections are closed.
     pub close: Duration,
-    /// When the daemon ends, even if something is in flight.
+    /// Time after which the daemon ends, even if something is in flight.
     pub end: Duration,
 }
 
--- a/lib/src/gateway/rules/stage_objective.rs
+++ b/lib/src/gateway/rules/stage_objective.rs
@@ -3,7 +3,7 @@
 //! Inputs: the request's objective (a time), the number of stages after this one along the longest path, and the time
 //! that the request itself needs (milliseconds).
 //!
-//! Rule: `LATER_STAGE_TIME` is reserved for each later stage, and the request's own time.
+//! Rule: the request's objective, less `LATER_STAGE_TIME` for each later stage and less the time of the request itself.
 //!
 //! Reason: waiting pieces are ordered by this time (`rules::piece_order`). Without it, the first stages of a request
 //! would be served after the last stages of less urgent requests. Test: `test_stage_rules`.
--- a/lib/src/gateway/rules/table_upload.rs
+++ b/lib/src/gateway/rules/table_upload.rs
@@ -25,7 +25,7 @@
 /// Batches that are being transmitted.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Uploads {
-    /// When the last batch will have been transmitted.
+    /// Time at which the last batch will have been transmitted.
     idle_from: Time,
 }
 
--- a/lib/src/gateway/rules/unconfirmed_entry.rs
+++ b/lib/src/gateway/rules/unconfirmed_entry.rs
@@ -41,12 +41,12 @@
 /// keeps it for three, and daemons learn of its end within one.
 const LAPSE_INTERVALS: u64 = 4;
 
-/// When one daemon's own reads of the directory last succeeded and last failed.
+/// Times at which one daemon's own reads of the directory last succeeded and last failed.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct ReadHistory {
-    /// When the directory last answered.
+    /// Time at which the directory last answered.
     pub answered: Option<Time>,
-    /// When a read last failed.
+    /// Time at which a read last failed.
     pub failed: Option<Time>,
 }
 
--- a/lib/src/gateway/rules/worker_slowdown.rs
+++ b/lib/src/gateway/rules/worker_slowdown.rs
@@ -31,7 +31,7 @@
 const MIN_SLOWDOWN: f64 = 0.5;
 const MAX_SLOWDOWN: f64 = 20.0;
 
-/// Time for which an endpoint is excluded that refused or broke off a call, or wasn't reached.
+/// Time for which an endpoint that refused or broke off a call, or wasn't reached, is excluded.
 const NO_ANSWER_EXCLUSION: Millis = Millis(300);
 
 /// Time for which an endpoint without capacity for a result is excluded.
@@ -104,7 +104,7 @@
     }
 }
 
-/// Why an endpoint gets no call for a time.
+/// Reason for which an endpoint gets no call for a time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum WorkerExclusion {
     /// The endpoint refused or broke off a call, or wasn't reached.
--- a/lib/src/gateway/serving/endpoint_metrics.rs
+++ b/lib/src/gateway/serving/endpoint_metrics.rs
@@ -61,7 +61,7 @@
         self.terminated.inc();
     }
 
-    /// Counts a failed connection to an endpoint; `refused` tells whether the connection was refused.
+    /// Counts a failed connection to an endpoint; `refused` is set if the connection was refused.
     pub(crate) fn count_failed_connect(&self, refused: bool) {
         self.connect_counter(refused).inc();
     }
--- a/lib/src/gateway/stages/batch_call.rs
+++ b/lib/src/gateway/stages/batch_call.rs
@@ -106,6 +106,6 @@
     pub(crate) pieces: Vec<SentPiece>,
     /// Result capacity of the endpoint that is reserved for the results of the call.
     pub(crate) reserved: ByteSize,
-    /// Whether the pieces were queued again because the call took too long.
+    /// Set if the pieces were queued again because the call took too long.
     pub(crate) overdue: bool,
 }
--- a/lib/src/gateway/stages/batch_queue.rs
+++ b/lib/src/gateway/stages/batch_queue.rs
@@ -48,13 +48,13 @@
     pub(super) surplus: Vec<ResultHandle>,
     /// Spacing of calls in each data centre.
     pub(super) spacing: HashMap<DataCentreId, CallSpacing>,
-    /// When the first held call is due; `None` if no call is held.
+    /// Time at which the first held call is due; `None` if no call is held.
     pub(super) held_until: Option<Time>,
     /// Number of jobs put in order so far; a job counts each time.
     pub(super) ordered: u64,
-    /// When the first endpoint finishes its cooldown; `None` unless all endpoints are cooling down.
+    /// Time at which the first endpoint finishes its cooldown; `None` unless all endpoints are cooling down.
     pub(super) cooldown_end: Option<Time>,
-    /// When a call last got fewer pieces because its endpoint lacked result capacity.
+    /// Time at which a call last got fewer pieces because its endpoint lacked result capacity.
     pub(super) shortage_at: Option<Time>,
 }
 
--- a/lib/src/gateway/stages/batch_results.rs
+++ b/lib/src/gateway/stages/batch_results.rs
@@ -1,7 +1,6 @@
-//! Applies the outcomes of calls to a queue: stores results, queues retries, and updates what is known of the
-//! endpoint.
+//! Applies the outcomes of calls to a queue: stores results, queues retries, and updates the state of the endpoint.
 //!
-//! Applies `rules::piece_retry`, `rules::piece_group` and `rules::worker_pace`.
+//! Applies `rules::piece_retry`, `rules::piece_group` and `rules::worker_slowdown`.
 
 use crate::{
     gateway::{
--- a/lib/src/gateway/stages/chain.rs
+++ b/lib/src/gateway/stages/chain.rs
@@ -95,7 +95,7 @@
 struct Chain<'a, D: Dialect> {
     gateway: &'a Rc<Gateway<D>>,
     request: &'a ChainRequest,
-    /// Whether each stage of the route has begun.
+    /// For each stage of the route, whether it has begun.
     begun: Vec<bool>,
     restarts: u32,
     claim: WorkClaim<D>,
--- a/lib/src/gateway/stages/chain_request.rs
+++ b/lib/src/gateway/stages/chain_request.rs
@@ -1,4 +1,4 @@
-//! What the stages of a request need to know of it.
+//! The values of a request that its stages need.
 //!
 //! The values are read once from the request; `chain` runs the stages with them.
 
--- a/lib/src/gateway/stages/endpoint_post.rs
+++ b/lib/src/gateway/stages/endpoint_post.rs
@@ -42,7 +42,7 @@
 ///
 /// # Errors
 ///
-/// Returns why there is no complete answer; the error tells whether the endpoint may have received the body.
+/// Returns why there is no complete answer; the error shows whether the endpoint may have received the body.
 ///
 /// # Panics
 ///
--- a/lib/src/gateway/stages/job_state.rs
+++ b/lib/src/gateway/stages/job_state.rs
@@ -35,9 +35,9 @@
 pub(crate) struct JobState {
     job: StageJob,
     added: Time,
-    /// When a piece was last sent.
+    /// Time at which a piece was last sent.
     last_sent: Time,
-    /// Whether the inputs were released early.
+    /// Set if the inputs were released early.
     inputs_released: bool,
     pieces: Vec<Piece>,
     waiting: usize,
--- a/lib/src/gateway/stages/queues.rs
+++ b/lib/src/gateway/stages/queues.rs
@@ -39,7 +39,7 @@
     last_job: u64,
     /// Number of times that the endpoints of the queues were updated.
     endpoint_updates: u64,
-    /// Whether any endpoint advertised a rate limit when the allowed calls were last set.
+    /// Set if any endpoint advertised a rate limit when the allowed calls were last set.
     has_limited: bool,
 }
 
--- a/lib/src/gateway/stages/scheduling_round.rs
+++ b/lib/src/gateway/stages/scheduling_round.rs
@@ -23,7 +23,7 @@
     idle_counts: HashMap<DataCentreId, usize>,
     /// Number of endpoints in each data centre that may get calls, busy or not.
     pub(super) counts: DataCentreCounts,
-    /// Waiting jobs in their order, for each data centre for which it was needed so far.
+    /// Order of the waiting jobs, for each data centre whose order was needed so far.
     pub(super) orders: HashMap<DataCentreId, WaitingOrder>,
     /// Number of waiting pieces.
     pub(super) waiting: usize,
--- a/lib/src/gateway/stages/stage_results.rs
+++ b/lib/src/gateway/stages/stage_results.rs
@@ -30,12 +30,12 @@
     service: ServiceId,
     /// Usual size of one result.
     size: ByteSize,
-    /// Whether the request itself uses the results, because no other stage does.
+    /// Set if the request itself uses the results, because no other stage does.
     is_last: bool,
     /// `None` until the stage is complete; empty once the results are released.
     handles: Option<Vec<ResultHandle>>,
-    /// Whether the results were released, early or when the stages started over or ended. Shared with the task
-    /// that releases them early.
+    /// Set if the results were released, early or when the stages started over or ended. Shared with the task that
+    /// releases them early.
     released: Rc<Cell<bool>>,
 }
 
--- a/lib/src/gateway/stages/worker.rs
+++ b/lib/src/gateway/stages/worker.rs
@@ -1,7 +1,7 @@
 //! The state of one endpoint of a stage service as the coordinator knows it: calls, slowdown and stored results.
 //!
-//! Owns the number of calls and the reserved result capacity. Relies on `rules::worker_pace` and
-//! `rules::result_room` for the decisions based on them.
+//! Owns the number of calls and the reserved result capacity. Relies on `rules::worker_slowdown` and
+//! `rules::result_capacity` for the decisions based on them.
 
 use {
     crate::{
@@ -19,18 +19,18 @@
     std::sync::Arc,
 };
 
-/// A result that an endpoint stores, as far as the coordinator knows.
+/// A result that an endpoint stores, as recorded by the coordinator.
 #[derive(Debug, Clone, Copy)]
 struct StoredResult {
     size: ByteSize,
-    /// When the endpoint drops the result even if it isn't released.
+    /// Time at which the endpoint drops the result even if it isn't released.
     until: Time,
 }
 
 #[derive(Debug)]
 pub(crate) struct Worker {
     pub(crate) entry: Arc<EndpointEntry>,
-    /// Whether the endpoint may get calls at all. False for an endpoint that left, restarted or was replaced, until
+    /// Set if the endpoint may get calls at all; not set for an endpoint that left, restarted or was replaced, until
     /// its calls have ended.
     pub(crate) listed: bool,
     calls: usize,
--- a/lib/src/gateway/state.rs
+++ b/lib/src/gateway/state.rs
@@ -49,7 +49,7 @@
     pub table: Table,
     /// Bytes of the published document, which are passed on to other daemons.
     pub bytes: Bytes,
-    /// Fingerprint of the bytes, which tells different documents of the same version apart.
+    /// Fingerprint of the bytes, which distinguishes different documents of the same version.
     pub fingerprint: u64,
     /// Chunks of the bytes; computed when first needed.
     chunks: OnceCell<TableChunks>,
@@ -93,11 +93,11 @@
     pub stage_queues: StageQueues,
     /// Times at which this daemon read the directory.
     pub contact: DirectoryContact,
-    /// Whether this daemon reads the directory for the others, because no daemon that is meant to read it does.
+    /// Set if this daemon reads the directory for the others, because no daemon that is meant to read it does.
     pub(crate) is_substitute: bool,
-    /// Whether a complete endpoint list was applied at least once.
+    /// Set if a complete endpoint list was applied at least once.
     pub has_list: bool,
-    /// Whether some entries of the first endpoint list are in use before the list is complete.
+    /// Set if some entries of the first endpoint list are in use before the list is complete.
     pub(crate) has_partial: bool,
     /// The outstanding pieces of this daemon's requests.
     pub workload: Workload,
@@ -105,16 +105,16 @@
     pub load_sums: LoadSums,
     /// Endpoints that the last load digest of this daemon reported as busy.
     pub(crate) reported_busy: HashSet<EndpointHash>,
-    /// Since when a peer has had a newer table or endpoint list than this daemon.
+    /// Time since which a peer has had a newer table or endpoint list than this daemon.
     pub behind_since: BehindSince,
-    /// Since when a peer has had a newer table than this daemon, whether or not some of its bytes have arrived.
+    /// Time since which a peer has had a newer table than this daemon, whether or not some of its bytes have arrived.
     pub(crate) newer_since: Option<Time>,
     /// Directory revision up to which this daemon has read and found no newer table.
     pub(crate) table_read: Revision,
     /// Latest era of the directory that this daemon has read or that a peer has reported.
     pub(crate) era: Era,
-    /// Since when the directory lacks evacuation orders that this daemon holds, because the directory was restored
-    /// from an older copy; `None` if it lacks none.
+    /// Time since which the directory lacks evacuation orders that this daemon holds, because the directory was
+    /// restored from an older copy; `None` if it lacks none.
     pub(crate) earlier_orders: Option<Time>,
     /// Batches of table chunks that other daemons requested.
     pub(crate) chunk_batches: ChunkBatches,
@@ -195,13 +195,13 @@
     pub links: Links,
     /// Metrics of the daemon.
     pub metrics: GatewayMetrics,
-    /// Whether a signal has requested a stop.
+    /// Set if a signal has requested a stop.
     pub stopping: Cell<bool>,
     /// Number of accepted requests without a final answer.
     pub in_flight: Cell<usize>,
     /// Wakes the loop that schedules calls of stage services.
     pub stage_work: Notify,
-    /// Whether endpoints, services or limits have changed since the queues of stage services were last updated.
+    /// Set if endpoints, services or limits have changed since the queues of stage services were last updated.
     stale_queues: Cell<bool>,
     /// Wakes the loop that fetches newer tables, when another daemon reports one.
     pub(crate) newer_table: Notify,
@@ -281,8 +281,8 @@
         self.settings.borrow().clone()
     }
 
-    /// Applies settings that were read again, as far as a running daemon can change them. Returns which changes were
-    /// applied and which need a restart.
+    /// Applies settings that were read again, if a running daemon can change them. Returns which changes were applied
+    /// and which need a restart.
     pub fn reload(&self, read: &GatewaySettings) -> Reload {
         let reload = Reload::new(&self.settings(), read);
         let settings = Rc::new(reload.settings.clone());
--- a/lib/src/gateway/table.rs
+++ b/lib/src/gateway/table.rs
@@ -28,7 +28,7 @@
     /// The answer is a stream of events; a request runs at most once unless the stream can be
     /// resumed.
     Stream {
-        /// Whether another endpoint can resume a broken stream.
+        /// Set if another endpoint can resume a broken stream.
         resumable: bool,
         /// Longest pause between two events for which an answer counts as in time.
         gap: Millis,
@@ -94,15 +94,15 @@
     pub attempts: u32,
     /// Stages that run before the request.
     pub stages: Vec<RouteStage>,
-    /// Whether requests need no key.
+    /// Set if requests need no key.
     pub public: bool,
-    /// Whether endpoints that have cached the beginning of a prompt are preferred.
+    /// Set if endpoints that have cached the beginning of a prompt are preferred.
     pub affinity: bool,
     /// Regions in which the requests may run.
     pub allowed_regions: AllowedRegions,
 }
 
-/// How endpoints of a service run pieces of a stage.
+/// Limits and cost of the calls in which the endpoints of a service run pieces of a stage.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct BatchLimits {
     /// Maximum number of concurrent calls per endpoint.
@@ -126,7 +126,7 @@
     pub id: ServiceId,
     /// Maximum number of connections that one endpoint accepts from all daemons together.
     pub connections: usize,
-    /// Whether the endpoints generate text in batches and cache the beginnings of prompts.
+    /// Set if the endpoints generate text in batches and cache the beginnings of prompts.
     pub engine: bool,
     /// Time after its start during which an endpoint is cold.
     pub cold_start: Millis,
--- a/lib/src/gateway/table_chunks.rs
+++ b/lib/src/gateway/table_chunks.rs
@@ -63,7 +63,7 @@
     pub marks: Vec<ChunkMark>,
 }
 
-/// Why received chunks or their list can't be used.
+/// Reason for which received chunks or their list can't be used.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum ChunkError {
     /// The chunks of the list have more bytes than a table may have.
