--- a/lib/src/gateway/dialect.rs
+++ b/lib/src/gateway/dialect.rs
@@ -34,7 +34,7 @@
 }
 
 impl FormatError {
-    /// Creates an error for a value at a place in a document or message.
+    /// Creates an error for a value at a location in a document or message.
     pub fn new(place: impl Into<String>, message: impl Into<String>) -> Self {
         Self {
             place: place.into(),
--- a/lib/src/gateway/directory/catalogue.rs
+++ b/lib/src/gateway/directory/catalogue.rs
@@ -79,7 +79,7 @@
         }
     }
 
-    /// Sets the time for which endpoints are used whose entries vanish after this call.
+    /// Sets the time for which endpoints whose entries vanish after this call are used.
     pub fn set_unconfirmed_time(&mut self, time: Millis) {
         self.unconfirmed_time = time;
     }
--- a/lib/src/gateway/directory/change_log.rs
+++ b/lib/src/gateway/directory/change_log.rs
@@ -8,7 +8,7 @@
     std::collections::VecDeque,
 };
 
-/// Number of changes that are kept at least. Of a list with more entries, as many changes are kept as it has entries: a
+/// Minimum number of changes that are kept. Of a list with more entries, as many changes are kept as it has entries: a
 /// daemon that lacks more is sent the whole list, which is then no longer than the changes.
 const MIN_CHANGES_KEPT: usize = 512;
 
@@ -20,7 +20,7 @@
     id: EndpointId,
 }
 
-/// Number of gaps that are kept at most; changes before the end of a dropped gap count as missing.
+/// Maximum number of gaps that are kept; changes before the end of a dropped gap count as missing.
 const MAX_GAPS_KEPT: usize = 16;
 
 /// Range of revisions in which changes may be missing: a daemon that knows the list as of a revision in it may know an
--- a/lib/src/gateway/directory/evacuate.rs
+++ b/lib/src/gateway/directory/evacuate.rs
@@ -1,7 +1,7 @@
 //! Applies and withdraws orders to evacuate data centres, as reported by the directory or by peers.
 //!
 //! Relies on [`Evacuations`], which decides which report is newer. The rule
-//! [`eligibility`](crate::gateway::rules::eligibility) decides what endpoints in an evacuated data centre are sent.
+//! [`eligibility`](crate::gateway::rules::eligibility) excludes endpoints in an evacuated data centre from new work.
 
 use {
     crate::{
--- a/lib/src/gateway/directory/follow.rs
+++ b/lib/src/gateway/directory/follow.rs
@@ -29,8 +29,8 @@
 /// Source in the log for what was read from the directory.
 const DIRECTORY_SOURCE: &str = "directory";
 
-/// Characters that are logged at most of a refused entry's name, and of the reason. An entry may be as large as the
-/// directory allows.
+/// Maximum number of characters that are logged of a refused entry's name, and of the reason. An entry may be as large
+/// as the directory allows.
 const MAX_LOGGED_CHARS: usize = 200;
 
 /// Follows one topic as long as the process runs.
--- a/lib/src/gateway/directory/source.rs
+++ b/lib/src/gateway/directory/source.rs
@@ -14,7 +14,7 @@
     thiserror::Error,
 };
 
-/// Part of the directory that is read and followed by itself.
+/// Part of the directory that is read and followed separately.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Topic {
     /// Published by operators: the table, and orders to evacuate data centres. These are one topic, since the directory
--- a/lib/src/gateway/peers/membership.rs
+++ b/lib/src/gateway/peers/membership.rs
@@ -250,7 +250,7 @@
         changes
     }
 
-    /// Marks daemons as suspect that send this one all their heartbeats and have been silent.
+    /// Marks silent daemons as suspect if they should send this one all their heartbeats.
     fn suspect_silent(&mut self, now: Time) {
         if self.is_small() {
             return;
--- a/lib/src/gateway/peers/quarantine_reports.rs
+++ b/lib/src/gateway/peers/quarantine_reports.rs
@@ -1,8 +1,9 @@
 //! Exchanges reports with other daemons about requests during which endpoints terminated.
 //!
-//! Evidence that this daemon saw itself is sent a few times to the evidence holders of each request. Which requests are
-//! refused is sent repeatedly to daemons drawn anew each time, in a small fleet to all, so that daemons that start
-//! later receive it too. A fleet without such requests sends nothing. [`Quarantine`] decides what to report.
+//! Evidence that this daemon saw itself is sent a few times to the evidence holders of each request. The refused
+//! requests are reported repeatedly to daemons drawn anew each time, in a small fleet to all, so that daemons that
+//! start later receive the reports too. A fleet without such requests sends nothing. [`Quarantine`] decides what to
+//! report.
 
 use {
     crate::{
@@ -27,7 +28,8 @@
     tokio::net::UdpSocket,
 };
 
-/// Most entries in one datagram: an entry takes up to 70 bytes, and any network transmits 1,400 bytes unfragmented.
+/// Maximum number of entries in one datagram. An entry takes up to 70 bytes, and any network transmits 1,400 bytes
+/// unfragmented.
 const DATAGRAM_NOTES: usize = 16;
 
 /// Time for which reports are collected before they are sent: when an endpoint terminates, all its requests break off
--- a/lib/src/gateway/peers/queries.rs
+++ b/lib/src/gateway/peers/queries.rs
@@ -106,7 +106,7 @@
         })
     }
 
-    /// Returns the time since the most recent read of the directory that the daemons report which broadcast their
+    /// Returns the time since the most recent read of the directory reported by the daemons that broadcast their
     /// heartbeats. Reads by this daemon that they forward don't count.
     pub fn read_age(&self, now: Time) -> Option<Millis> {
         self.received()
@@ -208,7 +208,7 @@
         })
     }
 
-    /// Returns the coordinator of a service in this region. `ready` is whether this daemon may coordinate. Daemons in
+    /// Returns the coordinator of a service in this region. `ready` is set if this daemon may coordinate. Daemons in
     /// `except` are excluded, since they already failed to accept the current job.
     pub fn coordinator(
         &self,
--- a/lib/src/gateway/peers/rate_reports.rs
+++ b/lib/src/gateway/peers/rate_reports.rs
@@ -29,7 +29,8 @@
     tokio::net::UdpSocket,
 };
 
-/// Most entries in one datagram: an entry takes up to 33 bytes, and any network transmits 1,400 bytes unfragmented.
+/// Maximum number of entries in one datagram. An entry takes up to 33 bytes, and any network transmits 1,400 bytes
+/// unfragmented.
 const RATE_NOTES: usize = 36;
 
 /// Time for which claims are collected before they are sent.
--- a/lib/src/gateway/peers/record.rs
+++ b/lib/src/gateway/peers/record.rs
@@ -52,7 +52,7 @@
     pub(crate) last_heartbeat: Option<ReceivedHeartbeat>,
     pub(crate) phase: Phase,
     pub(crate) capacity: Capacity,
-    /// Until when it is excluded as a coordinator.
+    /// Time until which it is excluded as a coordinator.
     pub(crate) excluded_until: Time,
     pub(crate) alive: bool,
     /// Time since which it has been suspect; `None` if it isn't.
--- a/lib/src/gateway/quarantine/evidence.rs
+++ b/lib/src/gateway/quarantine/evidence.rs
@@ -27,7 +27,7 @@
 /// The evidence about one request.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Evidence {
-    /// The last endpoints that terminated under the request, at most [`ENDED_LIMIT`], the earliest first.
+    /// The last endpoints that terminated under the request, at most [`TERMINATED_LIMIT`], the earliest first.
     ended: Vec<TerminatedRun>,
     /// Time at which the request was last served; absent if that isn't known.
     served: Option<Time>,
--- a/lib/src/gateway/quarantine/store.rs
+++ b/lib/src/gateway/quarantine/store.rs
@@ -2,8 +2,8 @@
 //!
 //! The store also tracks which evidence has still to be sent to others. The number of records is bounded: quarantined
 //! requests are kept before others, and later evidence before earlier. The store has no clock; callers pass the time of
-//! the daemon's clock. Inside, times are shifted by [`EVIDENCE_LIFETIME`], so that events that other daemons saw before this
-//! process started have a time as well.
+//! the daemon's clock. In the store, times are shifted by [`EVIDENCE_LIFETIME`], so that events that other daemons saw
+//! before this process started have a time as well.
 
 use {
     crate::{
--- a/lib/src/gateway/state.rs
+++ b/lib/src/gateway/state.rs
@@ -217,7 +217,7 @@
     pub(crate) announcement: Notify,
     /// Wakes the tasks that wait for a time, since it may have passed while the host was suspended.
     pub(crate) host_resumed: Notify,
-    /// Wakes the loop that reports to other daemons during which requests endpoints terminated.
+    /// Wakes the loop that reports the requests during which endpoints terminated to other daemons.
     pub(crate) quarantine_reports: Notify,
     /// Wakes the loop that reports advertised rate limits to other daemons and requests permits.
     pub(crate) rate_reports: Notify,
