--- a/lib/src/gateway/dialect.rs
+++ b/lib/src/gateway/dialect.rs
@@ -25,19 +25,19 @@
 
 /// Reports a document or message that doesn't follow the installation's format.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
-#[error("{place}: {message}")]
+#[error("{location}: {message}")]
 pub struct FormatError {
     /// Path of the value in the document, or name of the header.
-    pub place: String,
+    pub location: String,
     /// Description of what is wrong with the value.
     pub message: String,
 }
 
 impl FormatError {
     /// Creates an error for a value at a location in a document or message.
-    pub fn new(place: impl Into<String>, message: impl Into<String>) -> Self {
+    pub fn new(location: impl Into<String>, message: impl Into<String>) -> Self {
         Self {
-            place: place.into(),
+            location: location.into(),
             message: message.into(),
         }
     }
--- a/lib/src/gateway/peers/membership.rs
+++ b/lib/src/gateway/peers/membership.rs
@@ -145,7 +145,7 @@
         if peer.is_outdated(&heartbeat) {
             return Vec::new();
         }
-        let met = !peer.alive;
+        let became_alive = !peer.alive;
         let restarted = peer.is_restart(&heartbeat);
         let notes = heartbeat.peers.clone();
         let asked = heartbeat.asked.clone();
@@ -159,7 +159,7 @@
         peer.refute(now);
         self.record_probe(address, &asked, &notes);
         let mut changes = Vec::new();
-        if met {
+        if became_alive {
             changes.push(PeerChange::Met(address, Some(host)));
         } else if restarted {
             changes.push(PeerChange::Restarted(address, Some(host)));
--- a/lib/src/gateway/peers/quarantine_reports.rs
+++ b/lib/src/gateway/peers/quarantine_reports.rs
@@ -163,9 +163,9 @@
 
     fn log_quarantine(&self, change: &QuarantineChange, source: &impl Display) {
         match change {
-            QuarantineChange::Began { digest, ended } => {
+            QuarantineChange::Began { digest, terminated } => {
                 let state = self.state.borrow();
-                let names = ended
+                let names = terminated
                     .iter()
                     .map(|incarnation| state.incarnation_name(*incarnation));
                 let names: Vec<String> = names.collect();
--- a/lib/src/gateway/quarantine/evidence.rs
+++ b/lib/src/gateway/quarantine/evidence.rs
@@ -28,27 +28,27 @@
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Evidence {
     /// The last endpoints that terminated under the request, at most [`TERMINATED_LIMIT`], the earliest first.
-    ended: Vec<TerminatedRun>,
+    terminated: Vec<TerminatedRun>,
     /// Time at which the request was last served; absent if that isn't known.
     served: Option<Time>,
 }
 
 impl Evidence {
     /// Builds evidence from terminated endpoints and the time at which the request was last served.
-    pub fn new(ended: impl IntoIterator<Item = TerminatedRun>, served: Option<Time>) -> Self {
+    pub fn new(terminated: impl IntoIterator<Item = TerminatedRun>, served: Option<Time>) -> Self {
         let mut evidence = Self {
-            ended: Vec::new(),
+            terminated: Vec::new(),
             served,
         };
-        for run in ended {
+        for run in terminated {
             evidence.record_terminated(run);
         }
         evidence
     }
 
     /// Returns the last endpoints that terminated under the request, the earliest first.
-    pub fn ended(&self) -> &[TerminatedRun] {
-        &self.ended
+    pub fn terminated(&self) -> &[TerminatedRun] {
+        &self.terminated
     }
 
     /// Returns when the request was last served, if that is known.
@@ -76,7 +76,7 @@
 
     /// Merges the evidence of another daemon.
     pub fn merge(&mut self, other: &Self) {
-        for run in &other.ended {
+        for run in &other.terminated {
             self.record_terminated(*run);
         }
         if let Some(served) = other.served {
@@ -94,21 +94,21 @@
     /// Records an endpoint that terminated. Of two reports of the same incarnation, the earlier time counts.
     pub fn record_terminated(&mut self, run: TerminatedRun) {
         let known = self
-            .ended
+            .terminated
             .iter_mut()
             .find(|known| known.endpoint == run.endpoint);
         match known {
             Some(known) => known.at = known.at.min(run.at),
-            None => self.ended.push(run),
+            None => self.terminated.push(run),
         }
-        self.ended.sort_by_key(|run| (run.at, run.endpoint));
-        let surplus = self.ended.len().saturating_sub(TERMINATED_LIMIT);
-        self.ended.drain(..surplus);
+        self.terminated.sort_by_key(|run| (run.at, run.endpoint));
+        let surplus = self.terminated.len().saturating_sub(TERMINATED_LIMIT);
+        self.terminated.drain(..surplus);
     }
 
     fn counted(&self, now: Time) -> impl Iterator<Item = &TerminatedRun> {
         let served = self.served;
-        let ended = self.ended.iter();
-        ended.filter(move |run| counts_against(now, run.at, served))
+        let terminated = self.terminated.iter();
+        terminated.filter(move |run| counts_against(now, run.at, served))
     }
 }
--- a/lib/src/gateway/quarantine/note.rs
+++ b/lib/src/gateway/quarantine/note.rs
@@ -18,20 +18,20 @@
 /// An endpoint that terminated under a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(into = "(IncarnationHash, u32)", from = "(IncarnationHash, u32)")]
-pub struct EndedNote {
+pub struct TerminatedNote {
     /// Incarnation that terminated.
     pub endpoint: IncarnationHash,
     /// Time since the termination, in milliseconds.
     pub age_ms: u32,
 }
 
-impl From<EndedNote> for (IncarnationHash, u32) {
-    fn from(note: EndedNote) -> Self {
+impl From<TerminatedNote> for (IncarnationHash, u32) {
+    fn from(note: TerminatedNote) -> Self {
         (note.endpoint, note.age_ms)
     }
 }
 
-impl From<(IncarnationHash, u32)> for EndedNote {
+impl From<(IncarnationHash, u32)> for TerminatedNote {
     fn from((endpoint, age_ms): (IncarnationHash, u32)) -> Self {
         Self { endpoint, age_ms }
     }
@@ -40,26 +40,26 @@
 /// The evidence of a daemon about one request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(
-    into = "(RequestDigest, Vec<EndedNote>, Option<u32>)",
-    from = "(RequestDigest, Vec<EndedNote>, Option<u32>)"
+    into = "(RequestDigest, Vec<TerminatedNote>, Option<u32>)",
+    from = "(RequestDigest, Vec<TerminatedNote>, Option<u32>)"
 )]
 pub struct EvidenceNote {
     /// Digest of the request.
     pub digest: RequestDigest,
     /// The last endpoints that terminated under the request, the earliest first.
-    pub ended: Vec<EndedNote>,
+    pub ended: Vec<TerminatedNote>,
     /// Time since the request was last served, in milliseconds; absent if that isn't known.
     pub served_ms: Option<u32>,
 }
 
-impl From<EvidenceNote> for (RequestDigest, Vec<EndedNote>, Option<u32>) {
+impl From<EvidenceNote> for (RequestDigest, Vec<TerminatedNote>, Option<u32>) {
     fn from(note: EvidenceNote) -> Self {
         (note.digest, note.ended, note.served_ms)
     }
 }
 
-impl From<(RequestDigest, Vec<EndedNote>, Option<u32>)> for EvidenceNote {
-    fn from((digest, ended, served_ms): (RequestDigest, Vec<EndedNote>, Option<u32>)) -> Self {
+impl From<(RequestDigest, Vec<TerminatedNote>, Option<u32>)> for EvidenceNote {
+    fn from((digest, ended, served_ms): (RequestDigest, Vec<TerminatedNote>, Option<u32>)) -> Self {
         Self {
             digest,
             ended,
@@ -71,24 +71,24 @@
 impl EvidenceNote {
     /// Builds the entry about a request.
     pub fn new(now: Time, digest: RequestDigest, evidence: &Evidence) -> Self {
-        let ended = evidence.ended().iter().map(|run| EndedNote {
+        let terminated = evidence.terminated().iter().map(|run| TerminatedNote {
             endpoint: run.endpoint,
             age_ms: age(now, run.at),
         });
         Self {
             digest,
-            ended: ended.collect(),
+            ended: terminated.collect(),
             served_ms: evidence.served().map(|at| age(now, at)),
         }
     }
 
     /// Returns the evidence in an entry that is received now.
     pub fn evidence(&self, now: Time) -> Evidence {
-        let ended = self.ended.iter().map(|note| TerminatedRun {
+        let terminated = self.ended.iter().map(|note| TerminatedRun {
             endpoint: note.endpoint,
             at: time(now, note.age_ms),
         });
-        Evidence::new(ended, self.served_ms.map(|age| time(now, age)))
+        Evidence::new(terminated, self.served_ms.map(|age| time(now, age)))
     }
 }
 
--- a/lib/src/gateway/quarantine/store.rs
+++ b/lib/src/gateway/quarantine/store.rs
@@ -47,7 +47,7 @@
         /// Digest of the request.
         digest: RequestDigest,
         /// Incarnations of endpoints that terminated under the request.
-        ended: Vec<IncarnationHash>,
+        terminated: Vec<IncarnationHash>,
     },
     /// A request isn't quarantined any more.
     Ended(RequestDigest),
@@ -67,8 +67,8 @@
 
 impl Record {
     /// Returns when an endpoint last terminated under the request.
-    fn last_ended(&self) -> Time {
-        let last = self.evidence.ended().last();
+    fn last_terminated(&self) -> Time {
+        let last = self.evidence.terminated().last();
         last.map_or(Time::default(), |run| run.at)
     }
 
@@ -85,9 +85,9 @@
         }
         if quarantined {
             self.cleared = None;
-            let ended = self.evidence.ended().iter().map(|run| run.endpoint);
-            let ended = ended.collect();
-            return Some(QuarantineChange::Began { digest, ended });
+            let terminated = self.evidence.terminated().iter().map(|run| run.endpoint);
+            let terminated = terminated.collect();
+            return Some(QuarantineChange::Began { digest, terminated });
         }
         self.cleared = Some(now);
         Some(QuarantineChange::Ended(digest))
@@ -226,7 +226,8 @@
             .iter()
             .filter(|(_, record)| record.quarantined || record.is_recently_cleared(now));
         let mut reported: Vec<(&RequestDigest, &Record)> = reported.collect();
-        reported.sort_unstable_by_key(|(digest, record)| (Reverse(record.last_ended()), **digest));
+        reported
+            .sort_unstable_by_key(|(digest, record)| (Reverse(record.last_terminated()), **digest));
         let notes = reported.into_iter().take(ANNOUNCED_LIMIT);
         notes
             .map(|(digest, record)| EvidenceNote::new(now, *digest, &record.evidence))
@@ -238,10 +239,9 @@
         if self.records.len() <= RECORD_LIMIT {
             return;
         }
-        let first = self
-            .records
-            .iter()
-            .min_by_key(|(digest, record)| (record.quarantined, record.last_ended(), **digest));
+        let first = self.records.iter().min_by_key(|(digest, record)| {
+            (record.quarantined, record.last_terminated(), **digest)
+        });
         if let Some(digest) = first.map(|(digest, _)| *digest) {
             self.records.remove(&digest);
         }
--- a/lib/tests/test_message_bytes.rs
+++ b/lib/tests/test_message_bytes.rs
@@ -20,7 +20,7 @@
                 LoadDigest, LoadNote, PROTOCOL, PeerNote, Phase, QuarantineReport, QueueNote,
                 RateReport, RegionReport, RemoteNote, Roster, WorkNote, decode, encode,
             },
-            quarantine::note::{EndedNote, EvidenceNote},
+            quarantine::note::{EvidenceNote, TerminatedNote},
             rates::note::{PermitNote, RateNote},
             rules::{
                 allowed_regions::RegionHash,
@@ -269,11 +269,11 @@
     let note = EvidenceNote {
         digest: "0123456789abcdef00000000000000ff".parse().unwrap(),
         ended: vec![
-            EndedNote {
+            TerminatedNote {
                 endpoint: IncarnationHash(0xdead_beef),
                 age_ms: 70_000,
             },
-            EndedNote {
+            TerminatedNote {
                 endpoint: IncarnationHash(7),
                 age_ms: 12,
             },
--- a/lib/tests/test_quarantine.rs
+++ b/lib/tests/test_quarantine.rs
@@ -15,7 +15,7 @@
             },
             quarantine::{
                 evidence::{Evidence, TerminatedRun},
-                note::{EndedNote, EvidenceNote},
+                note::{EvidenceNote, TerminatedNote},
                 store::{Quarantine, QuarantineChange},
             },
             request_digest::RequestDigest,
@@ -136,7 +136,7 @@
     let began = end(&mut quarantine, 7, 3);
     let expected = QuarantineChange::Began {
         digest: digest(7),
-        ended: (1..=3).map(IncarnationHash).collect(),
+        terminated: (1..=3).map(IncarnationHash).collect(),
     };
     assert_eq!(began, [expected]);
     let now = seconds(110);
@@ -178,7 +178,7 @@
     let old = EvidenceNote {
         digest: digest(7),
         ended: (1..=3)
-            .map(|number| EndedNote {
+            .map(|number| TerminatedNote {
                 endpoint: IncarnationHash(number),
                 age_ms: 4_000,
             })
@@ -196,7 +196,7 @@
     let note = |served_ms| EvidenceNote {
         digest: digest(7),
         ended: (1..=3)
-            .map(|number| EndedNote {
+            .map(|number| TerminatedNote {
                 endpoint: IncarnationHash(number),
                 age_ms: 60_000 + number,
             })
@@ -243,7 +243,7 @@
 /// The largest datagram isn't fragmented.
 #[test]
 fn datagram_size() {
-    let ended = (0..TERMINATED_LIMIT).map(|_| EndedNote {
+    let ended = (0..TERMINATED_LIMIT).map(|_| TerminatedNote {
         endpoint: IncarnationHash(u32::MAX),
         age_ms: u32::MAX,
     });
