--- a/lib/src/gateway/peers/links.rs
+++ b/lib/src/gateway/peers/links.rs
@@ -61,8 +61,8 @@
     pub fn notify(&self, peer: SocketAddr, content: LinkRequest) {
         let (reply, _) = oneshot::channel();
         let request = PendingRequest { content, reply };
-        // The request is lost if the queue is full or the link has just closed. Endpoints drop the results that it
-        // would have released after a timeout.
+        // The request is lost if the queue is full or the link has just closed. If it was a release, the endpoints drop
+        // the results after a timeout.
         let _ = self.link(peer).requests.try_send(request);
     }
 
