--- a/lib/src/gateway/rates/store.rs
+++ b/lib/src/gateway/rates/store.rs
@@ -187,9 +187,9 @@
                 announcement: record.announcement(now, *incarnation),
             }
         });
-        let something =
+        let is_due =
             |messages: &RateMessages| messages.report.is_some() || messages.announcement.is_some();
-        messages.filter(something).collect()
+        messages.filter(is_due).collect()
     }
 
     /// Takes a daemon's report as the coordinator, and returns the permits that are granted now. A daemon with a claim
--- a/lib/src/gateway/routing/endpoint_state.rs
+++ b/lib/src/gateway/routing/endpoint_state.rs
@@ -177,7 +177,7 @@
     }
 
     /// Returns the number of requests in flight from this daemon, and from the others as they reported.
-    pub fn outstanding(&self) -> u32 {
+    pub fn in_flight(&self) -> u32 {
         self.running + self.peer_load.running
     }
 
@@ -213,13 +213,13 @@
         };
         let coldness = self.cold.coldness(now, request.cold_start);
         // An endpoint that is only presumed cold may exceed its share if no other endpoint is available.
-        let is_spared =
+        let is_share_used =
             coldness == Coldness::Presumed && self.cold.is_share_used(now, request.cold_share);
         EndpointCandidate {
             entry: &self.entry,
-            available: self.is_available(now) && !is_spared,
+            available: self.is_available(now) && !is_share_used,
             cold: coldness != Coldness::Warm,
-            in_flight: self.outstanding(),
+            in_flight: self.in_flight(),
             call_time: self.call_time.get(),
             reported_slowdown: reported_slowdown::factor(now, self.reported_load),
             waiting_tokens: self.prefill + self.peer_load.prefill,
--- a/lib/src/gateway/routing/endpoint_states.rs
+++ b/lib/src/gateway/routing/endpoint_states.rs
@@ -209,9 +209,9 @@
     ) -> Result<(), ExclusionCounts> {
         let mut excluded = ExclusionCounts::default();
         for member in self.service(id) {
-            let away = !data_centres.allow(&member.entry.data_centre);
-            let away = away.then_some(Exclusion::NotAllowed);
-            match member.restrictions().exclusion().or(away) {
+            let not_allowed = !data_centres.allow(&member.entry.data_centre);
+            let not_allowed = not_allowed.then_some(Exclusion::NotAllowed);
+            match member.restrictions().exclusion().or(not_allowed) {
                 Some(reason) => excluded.count(reason),
                 None => return Ok(()),
             }
--- a/lib/src/gateway/routing/stage_load.rs
+++ b/lib/src/gateway/routing/stage_load.rs
@@ -86,7 +86,7 @@
         endpoints: endpoint_counts(&state, now, service, request).usable(),
         batch: stated.batch,
         cost: stated.cost,
-        result_capacity: stated.room,
+        result_capacity: stated.result_capacity,
         outstanding: PieceCount(f64::from(outstanding)),
     }
 }
@@ -96,7 +96,7 @@
     batch: usize,
     cost: CallCost,
     /// Number of results of the stage that an endpoint has capacity for.
-    room: PieceCount,
+    result_capacity: PieceCount,
 }
 
 impl StatedLimits {
@@ -108,7 +108,7 @@
             fixed: WorkMillis(0.0),
             piece: WorkMillis(0.0),
         },
-        room: PieceCount(f64::MAX),
+        result_capacity: PieceCount(f64::MAX),
     };
 
     fn new(limits: &BatchLimits, result: ByteSize) -> Self {
@@ -117,7 +117,7 @@
         Self {
             batch: limits.pieces,
             cost: limits.call_cost(),
-            room: PieceCount(results),
+            result_capacity: PieceCount(results),
         }
     }
 }
--- a/lib/src/gateway/rules/endpoint_rate.rs
+++ b/lib/src/gateway/rules/endpoint_rate.rs
@@ -274,12 +274,12 @@
     /// Returns the time after which the daemon at `address`, which has no permit, may expect one for its claim.
     pub fn wait(&self, now: Time, advertised: Rate, address: SocketAddr) -> Millis {
         let claimants = self.claimants.iter();
-        let mine = claimants.clone().find(|one| one.address == address);
-        let mine = mine.and_then(|one| one.open_claim(now));
-        let mine = mine.unwrap_or(Claim(u32::MAX));
+        let claim = claimants.clone().find(|one| one.address == address);
+        let claim = claim.and_then(|one| one.open_claim(now));
+        let claim = claim.unwrap_or(Claim(u32::MAX));
         let others = claimants.filter(|one| one.address != address);
         let open = others.filter_map(|one| one.open_claim(now));
-        let ahead = open.filter(|claim| *claim <= mine).count();
+        let ahead = open.filter(|other| *other <= claim).count();
         let missing = ahead as f64 + Tokens::ONE.0 - self.tokens.0;
         accrual_time(Tokens(missing.max(0.0)), advertised)
     }
--- a/lib/src/gateway/rules/gossip.rs
+++ b/lib/src/gateway/rules/gossip.rs
@@ -221,8 +221,8 @@
 ) -> Vec<T> {
     let mut named = suspects;
     for others in [refuted, living] {
-        let room = MAX_NAMED - asked.div_ceil(ASKED_PER_NAMED) - named.len();
-        named.extend(others.sample(rng, room).cloned());
+        let space = MAX_NAMED - asked.div_ceil(ASKED_PER_NAMED) - named.len();
+        named.extend(others.sample(rng, space).cloned());
     }
     named
 }
--- a/lib/src/gateway/stages/call_scheduling.rs
+++ b/lib/src/gateway/stages/call_scheduling.rs
@@ -54,7 +54,7 @@
     /// Returns the calls to send now, and records them as in flight. Before that, ends the jobs that can't meet
     /// their deadlines and queues the pieces of overdue calls again.
     pub fn schedule(&mut self, now: Time) -> Vec<BatchCall> {
-        self.end_hopeless(now);
+        self.end_late_jobs(now);
         self.requeue_overdue(now);
         self.held_until = None;
         let mut calls = Vec::new();
@@ -283,12 +283,12 @@
 
     /// Ends jobs with waiting pieces that no call can complete before the deadline. While all endpoints are cooling
     /// down, no call starts before the first of them has finished its cooldown.
-    fn end_hopeless(&mut self, now: Time) {
+    fn end_late_jobs(&mut self, now: Time) {
         let call = self.limits.call_cost().fixed;
         let begin = self
             .cooldown_end
             .map_or(now, |cooldown_end| cooldown_end.max(now));
-        let hopeless: Vec<JobId> = self
+        let late: Vec<JobId> = self
             .jobs
             .iter()
             .filter(|(_, state)| {
@@ -296,7 +296,7 @@
             })
             .map(|(id, _)| *id)
             .collect();
-        for id in hopeless {
+        for id in late {
             self.end(id, JobEnd::Late);
         }
     }
