--- a/lib/src/gateway/rules/backend_choice.rs
+++ b/lib/src/gateway/rules/backend_choice.rs
@@ -1,11 +1,11 @@
 //! Chooses which of a route's services gets a request.
 //!
-//! **Inputs.** The request's id and the weights of the route's services.
+//! Inputs: the request's id and the weights of the route's services.
 //!
-//! **Rule.** A hash of the id selects a service, with a probability proportional to its weight. The same id selects the
+//! Rule: a hash of the id selects a service, with a probability proportional to its weight. The same id selects the
 //! same service on every daemon.
 //!
-//! **Reason.** A request that its caller sends again through another host must not change its service.
+//! Reason: a request that its caller sends again through another host must not change its service.
 
 use std::hash::{BuildHasher, Hash};
 
--- a/lib/src/gateway/rules/endpoint_choice.rs
+++ b/lib/src/gateway/rules/endpoint_choice.rs
@@ -1,18 +1,18 @@
 //! Chooses the endpoint that gets a request.
 //!
-//! **Inputs.** The candidates: endpoints of the service that may get the request
+//! Inputs: the candidates: endpoints of the service that may get the request
 //! ([`eligibility`](crate::gateway::rules::eligibility)) and haven't been tried for it. Of each candidate: requests in
 //! flight, slots, the usual time of a call (ms), prompt tokens waiting to be read, slowdown, cached tokens, region, and
 //! the round-trip time to it if it is in another region (ms). Of the request: its prompt (tokens) and the size of its
 //! inputs by data centre (bytes).
 //!
-//! **Rule.** Available candidates go first; the others are considered only if none is available. A candidate whose
+//! Rule: available candidates go first; the others are considered only if none is available. A candidate whose
 //! advertised rate limit has to be probed goes first of all; otherwise the candidate with the least expected time wins.
 //! For a plain call that is its usual time, and more where calls have to queue. For a prompt it is the time to read the
 //! waiting and the uncached tokens, plus a cost for requests in flight, multiplied by the endpoint's slowdown. Both add
 //! the cost of the round trip, and of inputs in another data centre or region.
 //!
-//! **Reason.** A request should start as early as possible. Daemons share no state, so all of them prefer the same
+//! Reason: a request should start as early as possible. Daemons share no state, so all of them prefer the same
 //! endpoint for a shared part of a prompt, chosen by rendezvous hashing: the part is then read once in each region.
 //! Among endpoints that are equal otherwise, each daemon has a different order, so that a fleet doesn't send everything
 //! to one of them.
--- a/lib/src/gateway/rules/endpoint_exclusion.rs
+++ b/lib/src/gateway/rules/endpoint_exclusion.rs
@@ -1,12 +1,12 @@
 //! Decides for how long an endpoint gets no work after it was unreachable or another endpoint replied at its address.
 //!
-//! **Inputs.** The time of the failed connect, or of the reply from another endpoint.
+//! Inputs: the time of the failed connect, or of the reply from another endpoint.
 //!
-//! **Rule.** An endpoint that couldn't be reached is excluded for a moment, unless no other one is left. An endpoint at
+//! Rule: an endpoint that couldn't be reached is excluded for a moment, unless no other one is left. An endpoint at
 //! whose address another one replied, or that replied that it is leaving, gets nothing for some seconds even if its
 //! entry stays. Failed calls are handled by `shared::health`, refused connections by `routing::endpoint_check`.
 //!
-//! **Reason.** The address may have been given to another endpoint since the directory was last read. The exclusion has
+//! Reason: the address may have been given to another endpoint since the directory was last read. The exclusion has
 //! to expire: if it lasted as long as the daemon runs, a single wrong reply would exclude an endpoint forever (soak
 //! test, seeds 4 and 5).
 //!
--- a/lib/src/gateway/rules/endpoint_slowdown.rs
+++ b/lib/src/gateway/rules/endpoint_slowdown.rs
@@ -1,11 +1,11 @@
 //! Estimates how slow an endpoint is compared with expectations.
 //!
-//! **Inputs.** The expected and the observed time of each call or first event, in milliseconds.
+//! Inputs: the expected and the observed time of each call or first event, in milliseconds.
 //!
-//! **Rule.** Both estimates are moving averages. The slowdown of an engine is the ratio of observed to expected time,
+//! Rule: both estimates are moving averages. The slowdown of an engine is the ratio of observed to expected time,
 //! within bounds. It returns to 1 after some seconds without a new observation.
 //!
-//! **Reason.** A slow endpoint gets less work. Since it then gives fewer observations, the slowdown has to expire;
+//! Reason: a slow endpoint gets less work. Since it then gives fewer observations, the slowdown has to expire;
 //! otherwise an endpoint that recovered would never be used again.
 //!
 //! Tests: `lib/tests/test_fleet_choice.rs`.
