--- a/lib/src/gateway/rules/endpoint_choice.rs
+++ b/lib/src/gateway/rules/endpoint_choice.rs
@@ -1,6 +1,6 @@
 //! Chooses the endpoint that gets a request.
 //!
-//! Inputs: the candidates: endpoints of the service that may get the request
+//! Inputs: the candidates, which are endpoints of the service that may get the request
 //! ([`eligibility`](crate::gateway::rules::eligibility)) and haven't been tried for it. Of each candidate: requests in
 //! flight, slots, the usual time of a call (ms), prompt tokens waiting to be read, slowdown, cached tokens, region, and
 //! the round-trip time to it if it is in another region (ms). Of the request: its prompt (tokens) and the size of its
