--- a/lib/src/pipeline/trace.rs
+++ b/lib/src/pipeline/trace.rs
@@ -285,11 +285,11 @@
         let lost = match export.send(spans).await {
             Ok(0) => continue,
             Ok(refused) => {
-                log::info!(spans = count, refused; "the collector refused some of the exported spans");
+                log::info!(spans = count, refused; "spans refused by the collector");
                 refused.min(count)
             }
             Err(error) => {
-                log::info!(spans = count, error:%; "can't export spans to the collector");
+                log::info!(spans = count, error:%; "spans not exported");
                 count
             }
         };
