--- a/lib/src/gateway/directory/catalogue.rs
+++ b/lib/src/gateway/directory/catalogue.rs
@@ -94,7 +94,7 @@
         self.revision
     }
 
-    /// Returns the revision of the last change of an endpoint. Daemons announce this one, not
+    /// Returns the revision of the last change of any endpoint. Daemons announce this one, not
     /// [`revision`](Self::revision): otherwise all others would fetch a list that has a newer revision but the same
     /// entries.
     pub fn last_change(&self) -> Revision {
--- a/lib/src/gateway/directory/change_log.rs
+++ b/lib/src/gateway/directory/change_log.rs
@@ -65,8 +65,7 @@
         self.last.max(gap.unwrap_or_default())
     }
 
-    /// Records a change of a list that has the number `entries` of entries. The oldest changes are dropped when there
-    /// are too many.
+    /// Records a change of a list that has `entries` entries. The oldest changes are dropped when there are too many.
     pub(crate) fn record(&mut self, revision: Revision, id: &EndpointId, entries: usize) {
         self.last = self.last.max(revision);
         self.changes.push_back(Change {
--- a/lib/src/gateway/directory/evacuations.rs
+++ b/lib/src/gateway/directory/evacuations.rs
@@ -125,7 +125,7 @@
         self.ordered.is_empty()
     }
 
-    /// Returns the evacuations after `orders`, the changes of this state that are complete up to the revision `until`.
+    /// Returns the evacuations after applying `orders`, which are all changes up to the revision `until`.
     #[must_use]
     pub fn after<'a>(
         &self,
--- a/lib/src/gateway/quarantine/evidence.rs
+++ b/lib/src/gateway/quarantine/evidence.rs
@@ -1,6 +1,7 @@
 //! The evidence about one request: the endpoints that terminated while they ran it, and when it was last served.
 //!
-//! Daemons exchange evidence and merge what they receive. The result doesn't depend on the order of the reports.
+//! Daemons exchange evidence and merge what they receive. The result doesn't depend on the order of the reports, except
+//! that the time at which the request was last served may differ by up to `SAME_SERVED`.
 
 use crate::{
     gateway::{
@@ -66,8 +67,8 @@
         self.counted(now).next().is_none()
     }
 
-    /// Returns the time until the first terminated endpoint that counts against the request stops to count; 0 if there
-    /// is none.
+    /// Returns the time until the first terminated endpoint that counts against the request no longer counts; 0 if
+    /// there is none.
     pub fn time_left(&self, now: Time) -> Millis {
         let first = self.counted(now).next();
         let left = first.map(|run| counts_until(run.at).since(now));
--- a/lib/src/gateway/quarantine/served.rs
+++ b/lib/src/gateway/quarantine/served.rs
@@ -9,7 +9,8 @@
     std::collections::VecDeque,
 };
 
-/// Number of successful ends that a daemon keeps: a quarter of a megabyte, and some minutes at 20 requests per second.
+/// Largest number of successful ends that a daemon keeps. They take a quarter of a megabyte and reach back some minutes
+/// at 20 requests per second.
 const SERVED_LIMIT: usize = 4_096;
 
 /// The requests that this daemon served lately.
--- a/lib/src/gateway/rates/record.rs
+++ b/lib/src/gateway/rates/record.rs
@@ -125,7 +125,8 @@
         sent > self.since
     }
 
-    /// Updates the advertised limit, unless the known one is newer.
+    /// Updates the advertised limit if the update is newer than the known one. The end of a limit has to be newer by the
+    /// margin of [`may_end_limit`].
     pub(super) fn update(&mut self, now: Time, update: RateUpdate) -> Option<RateChange> {
         let known = self.latest;
         let counts = match (known.rate, update.rate) {
@@ -208,8 +209,8 @@
         pending.is_due(now)
     }
 
-    /// Adds this daemon's share of the time since the last call, as one of `daemons`. Nothing is added while the number
-    /// of daemons is unknown.
+    /// Adds the tokens of this daemon's share since they were last added, as one of `daemons`. Nothing is added while the
+    /// number of daemons is unknown.
     pub(super) fn count_share(&mut self, now: Time, daemons: Option<usize>) {
         match (self.latest.rate, daemons) {
             (Some(rate), Some(daemons)) => self.share.accrue(now, rate, daemons),
--- a/lib/src/gateway/rates/store.rs
+++ b/lib/src/gateway/rates/store.rs
@@ -129,7 +129,8 @@
         Some(RateChange::Began(rate))
     }
 
-    /// Returns whether this is the first limit of an endpoint that can't be read; further calls return false.
+    /// Marks that an endpoint advertised a limit that can't be read. Returns whether this is the first time; false as
+    /// well for an endpoint without a record.
     pub fn mark_unclear(&mut self, incarnation: IncarnationHash) -> bool {
         let record = self.records.get_mut(&incarnation);
         record.is_some_and(|record| !std::mem::replace(&mut record.unclear_logged, true))
--- a/lib/src/gateway/rules/admission.rs
+++ b/lib/src/gateway/rules/admission.rs
@@ -6,9 +6,11 @@
 //! round-trip time to the region where it would run (milliseconds).
 //!
 //! Rule: the outstanding pieces of a service that go ahead (`rules::backlog`), divided by the service's throughput,
-//! plus the wait for the first endpoint to become free, give the time at which a new piece starts. Adding the time of a
-//! call at the present load, and of the stages before, gives the time until all stages have ended. The request is
-//! admitted if that time and its own fit into its objective, less `RANK_FRACTION` of the objective for each rank.
+//! plus the wait for the first endpoint to become free, give the time at which an endpoint can take a new piece. A stage
+//! starts then, or when the stages that it needs have ended if that is later, and takes the time of a call at the
+//! present load and one round trip. The request is admitted if the time until all stages have ended, one more round trip
+//! and the request's own time, at most `MAX_COUNTED_REQUEST_TIME`, fit into its objective, less `RANK_FRACTION` of the
+//! objective for each rank.
 //!
 //! Reason: work that starts and doesn't finish in time displaces work that could have finished. `test_stage_admission`
 //! checks the rule.
@@ -80,7 +82,7 @@
 
     /// Returns the time until the first endpoint is free for a piece with nothing ahead of it. Running calls are not
     /// interrupted. Endpoints whose calls began at random times become free one after the other within the time of one
-    /// call. Without this wait the estimate is too low, and the value of the answers on days with failures falls.
+    /// call. Without this wait the estimate is too low, and during failures the value of the answers falls.
     fn free_endpoint_wait(&self) -> WorkMillis {
         let call = self.cost.expected(self.fill()).0;
         let backlog = self.outstanding.0 / self.pieces_per_ms();
--- a/lib/src/gateway/rules/piece_order.rs
+++ b/lib/src/gateway/rules/piece_order.rs
@@ -44,8 +44,7 @@
 /// Added to the objective of a job for each rank; rank 0 goes first.
 const RANK_STEP: Millis = Millis(400);
 
-/// Added to the objective of a job that has missed it, so that late jobs go behind all others. A step of 2.5 s gave
-/// worse results.
+/// Added to the objective of a job that has missed it, so that late jobs go behind all others.
 const LATE_STEP: Millis = Millis(20_000);
 
 const BYTES_PER_MB: f64 = 1e6;
