--- a/lib/src/gateway/directory/adopt_table.rs
+++ b/lib/src/gateway/directory/adopt_table.rs
@@ -109,8 +109,8 @@
     }
 }
 
-/// Returns the mark of the table in force. Before the first table it is the mark of an empty document of
-/// version 0, so that a table needs a version above 0.
+/// Returns the version and fingerprint of the table in force. Before the first table they are those of an empty document
+/// of version 0, so that a table needs a version above 0.
 fn mark(current: Option<&PublishedTable>) -> DocumentIdentity<Version> {
     current.map_or_else(
         || DocumentIdentity {
--- a/lib/src/gateway/directory/contact.rs
+++ b/lib/src/gateway/directory/contact.rs
@@ -45,7 +45,7 @@
     }
 
     /// Returns the time since the directory last answered for the topic whose answer is oldest; `None` if it never
-    /// answered for some topic. An answer that is being received counts as one of now: otherwise other daemons would
+    /// answered for some topic. An answer that is being received counts as given now: otherwise other daemons would
     /// call the directory while their reader receives a large table.
     pub(crate) fn read_age(&self, now: Time) -> Option<Millis> {
         let answers = self.answered.iter().zip(self.receiving);
--- a/lib/src/gateway/directory/follow.rs
+++ b/lib/src/gateway/directory/follow.rs
@@ -116,8 +116,8 @@
         topic_wait(self.topic, bounds.directory_wait())
     }
 
-    /// Skips changes received from other daemons: a table that they know to be the newest needn't be read again.
-    /// Reading a table of 0.96 MB takes 1 s on a link of 10 Mbit/s.
+    /// Moves the position past the changes of the operator topic that this daemon received from others, so that it
+    /// doesn't read a table again that it already has. Reading a table of 0.96 MB takes 1 s on a link of 10 Mbit/s.
     fn skip_known_table(&mut self) {
         let known = self.gateway.known_revision(self.topic);
         if self.topic == Topic::Operator && known > Revision::default() && !self.must_list {
--- a/lib/src/gateway/peers/message.rs
+++ b/lib/src/gateway/peers/message.rs
@@ -203,7 +203,7 @@
     pub peers: Vec<PeerNote>,
 }
 
-/// Requests during which endpoints terminated. They may be split over several datagrams.
+/// Requests under which endpoints terminated. They may be split over several datagrams.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct QuarantineReport {
     /// Version of the messages.
@@ -255,7 +255,7 @@
     /// Living daemons.
     #[serde(rename = "r")]
     Roster(Roster),
-    /// Requests during which endpoints terminated. An older release that doesn't know this variant ignores it.
+    /// Requests under which endpoints terminated. An older release that doesn't know this variant ignores it.
     #[serde(rename = "q")]
     Quarantine(QuarantineReport),
     /// Endpoints that advertise a rate limit. An older release that doesn't know this variant ignores it.
--- a/lib/src/gateway/peers/quarantine_reports.rs
+++ b/lib/src/gateway/peers/quarantine_reports.rs
@@ -1,6 +1,6 @@
-//! Exchanges reports with other daemons about requests during which endpoints terminated.
+//! Exchanges reports with other daemons about requests under which endpoints terminated.
 //!
-//! Evidence that this daemon saw itself is sent a few times to the evidence holders of each request. The refused
+//! Evidence that this daemon saw itself is sent a few times to the evidence holders of each request. The quarantined
 //! requests are reported repeatedly to daemons drawn anew each time, in a small fleet to all, so that daemons that
 //! start later receive the reports too. A fleet without such requests sends nothing. [`Quarantine`] decides what to
 //! report.
@@ -65,8 +65,8 @@
     pub targets: Vec<SocketAddr>,
 }
 
-/// Collects the reports to send now: what this daemon saw to the evidence holders of each request, and the refused
-/// requests to some daemons.
+/// Collects the reports to send now: what this daemon saw to the evidence holders of each request, and the
+/// quarantined requests to some daemons.
 pub fn collect_reports(
     now: Time,
     peers: &mut Peers,
@@ -120,7 +120,7 @@
 }
 
 impl<D: Dialect> Gateway<D> {
-    /// Merges a report of another daemon about requests during which endpoints terminated.
+    /// Merges a report of another daemon about requests under which endpoints terminated.
     pub(crate) fn merge_quarantine(&self, notes: &[EvidenceNote], from: SocketAddr) {
         let now = self.now();
         let mut state = self.state.borrow_mut();
@@ -129,7 +129,7 @@
         let has_reports = state.quarantine.has_reports(now);
         drop(state);
         if has_reports && !had_reports {
-            // This is also needed if nothing changes here: a request that was served here isn't refused, and the
+            // This is also needed if nothing changes here: a request that was served here isn't quarantined, and the
             // others have to receive that.
             self.quarantine_reports.notify_one();
         }
@@ -142,7 +142,7 @@
         self.apply_quarantine(changes, "time");
     }
 
-    /// Logs changes of the refused requests, and wakes the task that reports to others.
+    /// Logs changes of the quarantined requests, and wakes the task that reports to others.
     pub(crate) fn apply_quarantine(
         &self,
         changes: impl IntoIterator<Item = QuarantineChange>,
--- a/lib/src/gateway/state.rs
+++ b/lib/src/gateway/state.rs
@@ -85,7 +85,7 @@
     pub(crate) refused: RefusedEntries,
     /// State of the endpoints that decides where requests are sent: load, health, response times.
     pub endpoints: EndpointStates,
-    /// Requests during which endpoints terminated.
+    /// Requests under which endpoints terminated.
     pub quarantine: Quarantine,
     /// Other daemons.
     pub peers: Peers,
@@ -101,7 +101,7 @@
     pub(crate) has_partial: bool,
     /// The outstanding pieces of this daemon's requests.
     pub workload: Workload,
-    /// Sums of the requests in flight from all daemons, as reported by coordinators.
+    /// Sums of all daemons' loads on the endpoints, as reported by coordinators.
     pub load_sums: LoadSums,
     /// Endpoints that the last load digest of this daemon reported as busy.
     pub(crate) reported_busy: HashSet<EndpointHash>,
@@ -217,7 +217,7 @@
     pub(crate) announcement: Notify,
     /// Wakes the tasks that wait for a time, since it may have passed while the host was suspended.
     pub(crate) host_resumed: Notify,
-    /// Wakes the loop that reports the requests during which endpoints terminated to other daemons.
+    /// Wakes the loop that reports the requests under which endpoints terminated to other daemons.
     pub(crate) quarantine_reports: Notify,
     /// Wakes the loop that reports advertised rate limits to other daemons and requests permits.
     pub(crate) rate_reports: Notify,
--- a/lib/src/gateway/table_chunks.rs
+++ b/lib/src/gateway/table_chunks.rs
@@ -195,7 +195,7 @@
     ///
     /// # Errors
     ///
-    /// Returns an error, and adds nothing, if the batch contains anything else.
+    /// Returns an error, and adds nothing, if the batch doesn't begin with the wanted chunks in their order.
     pub fn add(&mut self, wanted: &[ChunkMark], batch: &[u8]) -> Result<(), ChunkError> {
         let chunks = read_batch(wanted, batch).map_err(|_| ChunkError::Batch)?;
         let hashes = wanted.iter().map(|mark| mark.hash);
--- a/lib/src/gateway/wire/event_stream.rs
+++ b/lib/src/gateway/wire/event_stream.rs
@@ -27,7 +27,7 @@
 
     /// Appends the next bytes of the stream, and returns the events that they complete, unchanged.
     ///
-    /// Returns nothing more after an event whose id doesn't increase; see [`Self::is_broken`].
+    /// Returns nothing more after an event that is too long or whose id doesn't increase; see [`Self::is_broken`].
     pub fn feed(&mut self, bytes: &[u8]) -> Bytes {
         self.buffer.extend_from_slice(bytes);
         let mut end = 0;
