--- a/lib/src/gateway/peers/catch_up.rs
+++ b/lib/src/gateway/peers/catch_up.rs
@@ -75,7 +75,8 @@
 }
 
 /// Records that a daemon is asked. In a large fleet its answer may take long, so the time for which this daemon has
-/// been behind starts again: one that doesn't read the directory shouldn't begin to before the request has timed out.
+/// been behind starts again: a daemon that leaves the reads of the directory to peers shouldn't start to read before the
+/// request has timed out.
 fn record_asked<D: Dialect>(gateway: &Gateway<D>) {
     let now = gateway.now();
     let mut state = gateway.state.borrow_mut();
--- a/lib/src/gateway/peers/notes.rs
+++ b/lib/src/gateway/peers/notes.rs
@@ -41,7 +41,7 @@
     /// Processor capacity that the daemon may use.
     #[serde(rename = "c")]
     pub capacity: Capacity,
-    /// Set if the daemon is suspect: heartbeats that are overdue since then haven't arrived.
+    /// Set if the daemon is suspect: it left a request for a heartbeat unanswered.
     #[serde(rename = "s", default, skip_serializing_if = "is_false")]
     pub suspect: bool,
     /// Region of the daemon; `None` if it is unknown or the installation has only one.
--- a/lib/src/gateway/peers/rate_reports.rs
+++ b/lib/src/gateway/peers/rate_reports.rs
@@ -1,5 +1,5 @@
-//! Exchanges reports with other daemons about endpoints that advertise a rate limit: sends this daemon's share in the
-//! use of each to the coordinator, and permits from the coordinator to the others.
+//! Exchanges reports with other daemons about endpoints that advertise a rate limit: sends this daemon's share of
+//! each limit and its claims to the coordinator, and permits from the coordinator to the others.
 //!
 //! A daemon that receives an advertised rate reports it to the coordinator of the endpoint's service and to some
 //! daemons drawn anew each time, in a small fleet to all; the coordinator forwards new rates to all daemons. A fleet
@@ -178,7 +178,7 @@
     report: &RateReport,
     from: SocketAddr,
 ) {
-    // A daemon may send reports only in its own name.
+    // A daemon may send reports only from the IP address that they state.
     if report.address.ip() != from.ip() {
         log::warn!(from:% = from, protocol = report.protocol; "heartbeat.refused");
         return;
--- a/lib/src/gateway/peers/receive.rs
+++ b/lib/src/gateway/peers/receive.rs
@@ -78,7 +78,7 @@
     heartbeat: Heartbeat,
     from: SocketAddr,
 ) {
-    // A daemon may send heartbeats only in its own name.
+    // A daemon may send heartbeats only from the IP address that they state.
     if heartbeat.address.ip() != from.ip() {
         log::warn!(from:% = from, protocol = heartbeat.protocol; "heartbeat.refused");
         return;
--- a/lib/src/gateway/peers/record.rs
+++ b/lib/src/gateway/peers/record.rs
@@ -45,7 +45,8 @@
     pub(crate) region: Option<RegionHash>,
     /// Set if it is in another region than this daemon.
     pub(crate) is_remote: bool,
-    /// Time at which a heartbeat or gossip last gave its address.
+    /// Time at which it was last known to exist: when its first mention or a heartbeat was received, or the time of a
+    /// sign of life that gossip reported.
     pub(crate) last_mention: Time,
     /// Time of the last sign of life, received here or reported by a third daemon.
     pub(crate) last_sign: Option<Time>,
--- a/lib/src/gateway/serving/ingress.rs
+++ b/lib/src/gateway/serving/ingress.rs
@@ -88,7 +88,7 @@
     accept_failed: Rc<Notify>,
 ) {
     tokio::select! {
-        // Fails only if the sender is dropped, which lives as long as the daemon.
+        // Fails only if the sender, which lives as long as the daemon, is dropped.
         _ = listener_state.wait_for(|state| *state == ListenerState::Closing) => {}
         () = accept_failed.notified() => {}
     }
--- a/lib/src/gateway/serving/reload.rs
+++ b/lib/src/gateway/serving/reload.rs
@@ -28,7 +28,7 @@
     Metrics,
     /// Address for other daemons.
     Peer,
-    /// Processing capacity.
+    /// Processor capacity that the daemon may use.
     Capacity,
     /// Addresses of the daemons that this one contacts first.
     Seeds,
--- a/lib/src/gateway/serving/settings.rs
+++ b/lib/src/gateway/serving/settings.rs
@@ -60,7 +60,7 @@
         unconfirmed_entry::unconfirmed_time(self.endpoint_heartbeat, self.drain)
     }
 
-    /// Returns the time after which an entry that is no longer written has certainly expired; see
+    /// Returns the time after which an entry that its endpoint no longer renews has certainly lapsed; see
     /// [`unconfirmed_entry`].
     pub fn lapse_time(&self) -> Millis {
         unconfirmed_entry::lapse_time(self.endpoint_heartbeat)
@@ -104,7 +104,7 @@
     pub budget: BudgetLimits,
     /// Times and rates that the installation guarantees or allows.
     pub bounds: Bounds,
-    /// Processing capacity that this daemon can use.
+    /// Processor capacity that this daemon may use.
     pub capacity: Capacity,
     /// Bandwidth of the host's network link; `None` if unknown, which counts as unlimited.
     pub link: Option<BitRate>,
