--- a/lib/src/gateway/peers/message.rs
+++ b/lib/src/gateway/peers/message.rs
@@ -38,7 +38,7 @@
 /// Version of this protocol. A daemon ignores datagrams of any other version.
 pub const PROTOCOL: u16 = 2;
 
-/// Largest message accepted on a link, in bytes: well above the size of a table or an endpoint list.
+/// Largest message accepted on a link, in bytes: well above the usual size of a table or an endpoint list.
 pub const MAX_MESSAGE: usize = 8 << 20;
 
 /// Initial capacity of the buffer for an encoded message, in bytes: about the size of a heartbeat.
@@ -55,7 +55,7 @@
 /// A sign of life of the sender, with its state and gossip about some other daemons.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Heartbeat {
-    /// Version of the messages.
+    /// Version of the protocol that the sender uses.
     #[serde(rename = "v")]
     pub protocol: u16,
     /// Name of the sender's host.
@@ -117,7 +117,8 @@
     /// Silent daemons that the sender asks for a heartbeat.
     #[serde(rename = "i", default, skip_serializing_if = "Vec::is_empty")]
     pub asked: Vec<SocketAddr>,
-    /// The evacuated data centres as the sender knows them; `None` if it never received any evacuation.
+    /// The evacuated data centres as the sender knows them; `None` if it has received no report of them yet, or if they
+    /// are too many for a heartbeat.
     #[serde(rename = "z", default, skip_serializing_if = "Option::is_none")]
     pub evacuations: Option<Evacuations>,
     /// Eras of the revisions in this heartbeat; absent from a daemon of an older release, which knows no eras.
@@ -184,7 +185,7 @@
 /// Loads of all daemons, summed by a coordinator. The sums may be split over several datagrams.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoadDigest {
-    /// Version of the messages.
+    /// Version of the protocol that the sender uses.
     #[serde(rename = "v")]
     pub protocol: u16,
     /// Sums by endpoint; the receiver keeps its sums of endpoints that aren't listed.
@@ -195,7 +196,7 @@
 /// Living daemons, sent to one that has just started. They may be split over several datagrams.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Roster {
-    /// Version of the messages.
+    /// Version of the protocol that the sender uses.
     #[serde(rename = "v")]
     pub protocol: u16,
     /// One gossip entry per daemon.
@@ -206,7 +207,7 @@
 /// Requests under which endpoints terminated. They may be split over several datagrams.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct QuarantineReport {
-    /// Version of the messages.
+    /// Version of the protocol that the sender uses.
     #[serde(rename = "v")]
     pub protocol: u16,
     /// The sender's evidence, one entry per request.
@@ -217,13 +218,13 @@
 /// Reports about endpoints that advertise a rate limit. They may be split over several datagrams.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RateReport {
-    /// Version of the messages.
+    /// Version of the protocol that the sender uses.
     #[serde(rename = "v")]
     pub protocol: u16,
     /// Address at which other daemons reach the sender.
     #[serde(rename = "a")]
     pub address: SocketAddr,
-    /// Advertised rates as the sender knows them, and its share in their use.
+    /// Advertised limits as the sender knows them, with its shares and claims if the receiver is the coordinator.
     #[serde(rename = "n", default, skip_serializing_if = "Vec::is_empty")]
     pub notes: Vec<RateNote>,
     /// Permits that the sender grants the receiver.
@@ -235,7 +236,7 @@
 /// several datagrams.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RegionReport {
-    /// Version of the messages.
+    /// Version of the protocol that the sender uses.
     #[serde(rename = "v")]
     pub protocol: u16,
     /// State as the coordinators in the other regions report it.
--- a/lib/src/gateway/rules/worker_slowdown.rs
+++ b/lib/src/gateway/rules/worker_slowdown.rs
@@ -1,7 +1,7 @@
 //! Estimates how slow an endpoint of a stage is at present, and decides for how long it gets no call.
 //!
-//! Inputs: how long its calls took as a multiple of the expected time (`Slowdown`, a ratio), the clock, and why it gets
-//! no call.
+//! Inputs: how long its calls took as a multiple of the expected time (`Slowdown`, a ratio), the clock, and the reason
+//! for which it is excluded (`WorkerExclusion`).
 //!
 //! Rule: the slowdown of an endpoint is a moving average over its answered calls, with weight `SLOWDOWN_GAIN` for the
 //! newest. An overdue call raises it at once. It is valid for `SLOWDOWN_VALIDITY`; after that the endpoint counts as
