--- a/lib/src/gateway/directory/adopt_table.rs
+++ b/lib/src/gateway/directory/adopt_table.rs
@@ -54,7 +54,7 @@
             version,
             fingerprint,
         };
-        let current = mark(current.as_deref());
+        let current = identity(current.as_deref());
         match compare_versions(Some(current), read) {
             VersionVerdict::Adopt => {
                 log::info!(
@@ -111,7 +111,7 @@
 
 /// Returns the version and fingerprint of the table in force. Before the first table they are those of an empty document
 /// of version 0, so that a table needs a version above 0.
-fn mark(current: Option<&PublishedTable>) -> DocumentIdentity<Version> {
+fn identity(current: Option<&PublishedTable>) -> DocumentIdentity<Version> {
     current.map_or_else(
         || DocumentIdentity {
             version: Version::default(),
--- a/lib/src/gateway/rates/record.rs
+++ b/lib/src/gateway/rates/record.rs
@@ -145,13 +145,13 @@
         };
         self.announcements = ANNOUNCEMENTS;
         if !matches!(change, RateChange::Changed(_)) {
-            self.begin(now);
+            self.reset_permits(now);
         }
         Some(change)
     }
 
     /// Resets share, claim, permits and pool when a limit begins or ends.
-    fn begin(&mut self, now: Time) {
+    fn reset_permits(&mut self, now: Time) {
         self.since = now;
         self.share = RateShare::new(now);
         self.pending = None;
