--- a/lib/src/pipeline/api/context.rs
+++ b/lib/src/pipeline/api/context.rs
@@ -44,9 +44,9 @@
     pub limits: ApiLimits,
     /// Metrics that aren't part of a [`Snapshot`](crate::pipeline::node::Snapshot).
     pub metrics: Metrics,
-    /// True once a settings tree has been adopted.
+    /// Set once a settings tree has been adopted.
     pub ready: AtomicBool,
-    /// True once the daemon has begun to stop.
+    /// Set once the daemon has begun to stop.
     pub stopping: AtomicBool,
     permits: Arc<Semaphore>,
 }
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Returns true if the load balancer may send requests to this daemon.
+    /// Returns whether the load balancer may send requests to this daemon.
     pub fn is_ready(&self) -> bool {
         self.ready.load(Ordering::Acquire) && !self.stopping.load(Ordering::Acquire)
     }
--- a/lib/src/pipeline/api/headers.rs
+++ b/lib/src/pipeline/api/headers.rs
@@ -102,7 +102,7 @@
     pub priority: Option<Priority>,
     /// Key under which the request may be repeated.
     pub key: Option<IdempotencyKey>,
-    /// True if the answer is streamed token by token.
+    /// Set if the answer is streamed token by token.
     pub stream: bool,
 }
 
--- a/lib/src/pipeline/config_service.rs
+++ b/lib/src/pipeline/config_service.rs
@@ -202,7 +202,7 @@
     })
 }
 
-/// Returns true if `name` is valid for a value: letters, digits and `._-/`, no leading `/` and no `..`.
+/// Returns whether `name` is valid for a value: letters, digits and `._-/`, no leading `/` and no `..`.
 pub fn is_value_name(name: &str) -> bool {
     let allowed = |c: char| c.is_ascii_alphanumeric() || matches!(c, '.' | '_' | '-' | '/');
     !name.is_empty()
--- a/lib/src/pipeline/daemon_settings.rs
+++ b/lib/src/pipeline/daemon_settings.rs
@@ -19,7 +19,7 @@
 /// Default of `hop`: extra time that a call into another data centre is expected to take.
 const DEFAULT_HOP: Millis = Millis(1);
 
-/// Default interval between reads of the endpoints' load reports.
+/// Default interval between reads of the endpoints' load reports and the engines' cache events.
 const DEFAULT_LOAD_INTERVAL: Millis = Millis(100);
 
 /// Default interval between reads of the settings tree.
@@ -53,7 +53,7 @@
     pub config: ConfigSettings,
     /// Extra time that a call into another data centre is expected to take.
     pub hop: Millis,
-    /// Interval between reads of the endpoints' load reports.
+    /// Interval between reads of the endpoints' load reports and the engines' cache events.
     pub load_interval: Millis,
     /// Limits on callers' requests.
     pub limits: ApiLimits,
--- a/lib/src/pipeline/decision/core.rs
+++ b/lib/src/pipeline/decision/core.rs
@@ -7,8 +7,8 @@
 //! [`Core::next_timer`] is due, and reports the end of each attempt that wasn't cancelled.
 //!
 //! The core owns all requests, attempts and pools, and the only random number generator, which is seeded once: the same
-//! events at the same times give the same actions. Each request gets exactly one final answer. This module holds the
-//! state and handles events; `admit`, `send`, [`attempt`](super::attempt) and `finish` hold the steps of a request.
+//! events at the same times give the same actions. Each request gets exactly one final answer, or none if its caller has
+//! left. This module holds the state and handles events; `admit`, `send`, [`attempt`](super::attempt) and `finish` hold the steps of a request.
 
 use {
     crate::{
--- a/lib/src/pipeline/decision/endpoint.rs
+++ b/lib/src/pipeline/decision/endpoint.rs
@@ -209,7 +209,7 @@
     pub slots: u32,
     /// Age of the report when it was sent.
     pub age: Millis,
-    /// True if the endpoint is leaving.
+    /// Set if the endpoint is leaving.
     #[serde(default)]
     pub leaving: bool,
 }
@@ -232,7 +232,7 @@
     /// Informs an endpoint that the result of a call is no longer needed; best effort.
     fn cancel(&self, call: EndpointCall) -> impl Future<Output = ()> + Send;
 
-    /// Reads the changes of an engine's cache from the sequence number `after` on; `None` if the engine reports none.
+    /// Reads the changes of an engine's cache with sequence numbers above `after`; `None` if the read fails.
     fn cache_events(
         &self,
         address: SocketAddr,
--- a/lib/src/pipeline/decision/estimate.rs
+++ b/lib/src/pipeline/decision/estimate.rs
@@ -7,8 +7,8 @@
 //! Rule: the backlog is that of the last report, less what the endpoint has completed since, plus what this daemon has
 //! sent since. It is divided by the endpoint's slots; while slots are free, only [`FREE_SLOT_WEIGHT`] of it counts. The
 //! call's own work is added, and the sum is multiplied by the ratio of observed to expected times, within
-//! [`CORRECTION_RANGE`]. If the report is missing, older than [`STALE_AFTER`] or absurd, only this daemon's calls in
-//! flight count, since they are certain.
+//! [`CORRECTION_RANGE`]. An absurd report is ignored. If there is no report, or the last one is older than
+//! [`STALE_AFTER`], only this daemon's calls in flight count, since they are certain.
 //!
 //! Reason: a report is out of date when it arrives, and other daemons send calls as well, so neither the reports nor
 //! this daemon's calls are enough by themselves. The correction is a ratio of two sums of times, so that long calls
--- a/lib/src/pipeline/decision/finish.rs
+++ b/lib/src/pipeline/decision/finish.rs
@@ -63,7 +63,8 @@
         self.finish(now, id, Err(problem));
     }
 
-    /// Ends a request: cancels its attempts, accounts for its endpoint time, and answers its caller.
+    /// Ends a request: cancels its attempts, accounts for its endpoint time, and answers its caller
+    /// unless it has left.
     pub(crate) fn finish(&mut self, now: Time, id: RequestId, result: Result<Answer, Problem>) {
         self.cancel_attempts(now, id);
         let Some(request) = self.requests.remove(&id) else {
--- a/lib/src/pipeline/decision/member.rs
+++ b/lib/src/pipeline/decision/member.rs
@@ -28,7 +28,7 @@
     pub load: LoadEstimate,
     /// Health of the endpoint, judged by how its calls ended.
     pub health: Health,
-    /// True if the endpoint itself reports that it is leaving.
+    /// Set if the endpoint itself reports that it is leaving.
     pub leaving: bool,
 }
 
--- a/lib/src/pipeline/decision/prefix.rs
+++ b/lib/src/pipeline/decision/prefix.rs
@@ -69,16 +69,17 @@
 pub struct CacheEvent {
     /// Hash of the prefix that ends with the block.
     pub block: u64,
-    /// True if the engine has cached the block, false if it has evicted it.
+    /// Set if the engine has cached the block, unset if it has evicted it.
     pub held: bool,
 }
 
-/// Changes of an engine's cache from a sequence number on.
+/// Changes of an engine's cache that are numbered above a given sequence number.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CacheEvents {
-    /// Sequence number from which to ask the next time: the one after the last change.
+    /// Sequence number of the last change in `events`, or the given one if there is none. The next read asks for the
+    /// changes above it.
     pub next: u64,
-    /// The changes that the engine still has, oldest first.
+    /// The changes that the engine still has in its log, oldest first.
     pub events: Vec<CacheEvent>,
 }
 
--- a/lib/src/pipeline/decision/request.rs
+++ b/lib/src/pipeline/decision/request.rs
@@ -44,7 +44,7 @@
     pub priority: Option<Priority>,
     /// Idempotency key, with which the caller may send the request again.
     pub key: Option<IdempotencyKey>,
-    /// True if tokens are delivered as they arrive.
+    /// Set if tokens are delivered as they arrive.
     pub stream: bool,
     /// Input of the first stage: a JSON value.
     pub body: Bytes,
@@ -112,7 +112,7 @@
     pub end: &'a AttemptEnd,
     /// Endpoint time that the attempt took.
     pub spent: WorkMillis,
-    /// True if endpoints that fail are ejected.
+    /// Set if endpoints that fail are ejected.
     pub may_eject: bool,
 }
 
@@ -125,7 +125,7 @@
     pub customer: CustomerId,
     /// Pipeline that the request runs; for a direct call of a service, one with a single stage.
     pub pipeline: Arc<Pipeline>,
-    /// True for a direct call of a service, whose reply is passed on unchanged, a rejection included.
+    /// Set for a direct call of a service, whose reply is passed on unchanged, a rejection included.
     pub direct_call: bool,
     /// Time by which the request must be answered.
     pub deadline: Time,
@@ -133,7 +133,7 @@
     pub priority: Priority,
     /// Idempotency key, if the caller gave one.
     pub key: Option<IdempotencyKey>,
-    /// True if tokens are delivered as they arrive.
+    /// Set if tokens are delivered as they arrive.
     pub stream: bool,
     /// Index of the current stage.
     pub stage: usize,
@@ -155,7 +155,7 @@
     pub wasted: Vec<WorkMillis>,
     /// Trace context (`traceparent`) for the calls of endpoints, if the request is traced.
     pub trace_parent: Option<String>,
-    /// True once the caller has left.
+    /// Set once the caller has left.
     pub abandoned: bool,
 }
 
--- a/lib/src/pipeline/decision/retry.rs
+++ b/lib/src/pipeline/decision/retry.rs
@@ -16,7 +16,7 @@
 //!
 //! Reason: a payment must not run twice, and a stage that fails under overload must not get even more calls. Each first
 //! attempt pays a share (`retry_budget`) into the budget, which limits retries to that share of the traffic.
-//! `test_core_random.rs` checks that a guarded call never runs twice, `test_retry.rs` pins the table; figures with
+//! `test_core_random.rs` checks that a guarded call never runs twice, `test_retry.rs` pins the rule; figures with
 //! faults are in `docs/MEASUREMENTS.md` ("Faults at 0.8 of capacity", "Hedges").
 
 use crate::{
@@ -71,11 +71,11 @@
     pub in_flight: usize,
     /// Largest number of attempts, the `attempts` setting.
     pub max_attempts: Count,
-    /// True if the call may run twice, the `repeatable` setting.
+    /// Set if the call may run twice, the `repeatable` setting.
     pub repeatable: bool,
     /// Tokens received of this stage's generation.
     pub tokens: u32,
-    /// True once the caller has left.
+    /// Set once the caller has left.
     pub abandoned: bool,
 }
 
--- a/lib/src/pipeline/endpoints/dispatch.rs
+++ b/lib/src/pipeline/endpoints/dispatch.rs
@@ -15,7 +15,8 @@
     std::net::SocketAddr,
 };
 
-/// Size of the largest load report accepted. A report holds five numbers, which take far less.
+/// Size of the largest load report accepted. A report holds four numbers and a flag, which take far
+/// less.
 const MAX_LOAD_REPORT: ByteSize = ByteSize(4096);
 
 /// Size of the largest list of cache events accepted.
--- a/lib/src/pipeline/endpoints/reply_head.rs
+++ b/lib/src/pipeline/endpoints/reply_head.rs
@@ -3,7 +3,7 @@
 //! Inputs: the ids of the call, and the status and headers of the reply. Output: the end of the attempt, or nothing if
 //! the body has to be read first.
 //!
-//! The rule:
+//! Rule:
 //! - A reply whose ids differ from the call's proves nothing about the call, which may have run.
 //! - A server error with the header `x-not-run` proves that the call didn't run. With the value `leaving` the endpoint
 //!   is shutting down; any other value counts as a lack of capacity.
@@ -11,7 +11,7 @@
 //! - With any other status the body decides. A plain service answers with a success or a client error; an engine
 //!   streams only after a success.
 //!
-//! The reason: a call that certainly didn't run may be sent to another endpoint even if it must not run twice. So only
+//! Reason: a call that certainly didn't run may be sent to another endpoint even if it must not run twice. So only
 //! the endpoint's explicit statement counts as proof.
 //!
 //! `docs/PROTOCOLS.md` describes the headers.
@@ -50,13 +50,13 @@
     Ok(())
 }
 
-/// Returns true if a plain service's reply with this status is an answer. A client error is one, since another
+/// Returns whether a plain service's reply with this status is an answer. A client error is one, since another
 /// endpoint would refuse the same input as well.
 pub fn is_answer_status(status: StatusCode) -> bool {
     status.is_success() || status.is_client_error()
 }
 
-/// Returns true if an engine's reply with this status has a stream as its body.
+/// Returns whether an engine's reply with this status has a stream as its body.
 pub fn is_stream_status(status: StatusCode) -> bool {
     status.is_success()
 }
--- a/lib/src/pipeline/endpoints/wire.rs
+++ b/lib/src/pipeline/endpoints/wire.rs
@@ -84,7 +84,7 @@
     },
 }
 
-/// Returns true if a reply carries the ids of the call.
+/// Returns whether a reply carries the ids of the call.
 pub fn ids_match(headers: &HeaderMap, ids: &CallIds) -> bool {
     let is = |name: &str, expected: &str| {
         headers
--- a/lib/src/pipeline/node/mod.rs
+++ b/lib/src/pipeline/node/mod.rs
@@ -129,7 +129,7 @@
         self.lock().callers.len()
     }
 
-    /// Adopts a checked settings tree: it applies from now on.
+    /// Puts a checked settings tree in force, if it is newer than the current one.
     pub fn adopt(&self, tree: Arc<Tree>) {
         self.apply(Event::Adopt(tree));
     }
--- a/lib/src/pipeline/node/snapshot.rs
+++ b/lib/src/pipeline/node/snapshot.rs
@@ -29,7 +29,7 @@
     pub in_flight: usize,
     /// Counters since the daemon's start.
     pub counters: Counters,
-    /// Cost of each stage since the daemon's start, in no particular order.
+    /// Cost of each stage since the daemon's start, in order of pipeline and stage.
     pub stage_costs: Vec<StageCostView>,
     /// State of each endpoint as this daemon sees it, ordered by service and name.
     pub endpoints: Vec<EndpointView>,
@@ -42,7 +42,7 @@
     pub pipeline: PipelineId,
     /// Name of the stage.
     pub stage: StageId,
-    /// Endpoint time since the daemon's start, by whether its result was used.
+    /// Useful and wasted endpoint time since the daemon's start.
     pub cost: StageCost,
 }
 
@@ -53,7 +53,7 @@
     pub service: String,
     /// Name of the endpoint.
     pub endpoint: String,
-    /// True if it may be sent new calls.
+    /// Set if it may be sent new calls.
     pub open: bool,
     /// Number of calls in flight from this daemon.
     pub in_flight: u32,
