--- a/lib/src/report/histogram.rs
+++ b/lib/src/report/histogram.rs
@@ -5,7 +5,7 @@
 /// Ratio of the upper to the lower bound of a bucket. Quantiles are accurate to 5 %.
 const BUCKET_RATIO: f64 = 1.05;
 
-/// Number of buckets, which cover times up to 17 minutes.
+/// Number of buckets. The last one begins at about 17 minutes and includes all longer times.
 const BUCKET_COUNT: usize = 285;
 
 /// A histogram of times in milliseconds, with exponential buckets.
--- a/lib/src/settings/raw_tree/service.rs
+++ b/lib/src/settings/raw_tree/service.rs
@@ -40,7 +40,7 @@
     pub address: Option<Located<SocketAddr>>,
     /// Data centre of the endpoint's host; `None` if the field is missing or malformed, which is reported.
     pub data_centre: Option<Located<DataCentreId>>,
-    /// Whether operators are taking the endpoint out of service.
+    /// Set if operators are taking the endpoint out of service.
     pub leaving: bool,
 }
 
--- a/lib/src/settings/tree.rs
+++ b/lib/src/settings/tree.rs
@@ -82,7 +82,7 @@
     pub address: SocketAddr,
     /// Data centre of the endpoint's host.
     pub data_centre: DataCentreId,
-    /// Whether operators are taking the endpoint out of service.
+    /// Set if operators are taking the endpoint out of service.
     pub leaving: bool,
 }
 
--- a/lib/src/settings/values/mod.rs
+++ b/lib/src/settings/values/mod.rs
@@ -102,13 +102,13 @@
     Request deadline: Millis = "4s";
     /// Rank of a request when the daemon sheds load, and in an engine's queue.
     Request priority: Priority = "normal";
-    /// Requests that a customer may send per second, across all daemons.
+    /// Requests that a customer may send per second to one daemon.
     Request rate: Optional<Rate> = "none";
     /// Requests that a customer may have in flight at one daemon.
     Request concurrency: Optional<Count> = "none";
     /// Largest request body accepted.
     Request max_body: ByteSize = "256KB";
-    /// Whether the call may be retried, at the same or another endpoint.
+    /// Set if the call may be retried, at the same or another endpoint.
     Call repeatable: bool = "true";
     /// Mechanism that prevents a call that may not be retried from running twice.
     Call guard: Guard = "none";
@@ -126,7 +126,7 @@
     Call max_tokens: Count = "256";
     /// Calls that one endpoint runs at the same time, assumed until the endpoint reports its load.
     Call slots: Count = "8";
-    /// Whether engines are preferred that have the prefix of the prompt in their cache.
+    /// Set if engines are preferred that have the prefix of the prompt in their cache.
     Call affinity: bool = "true";
     /// Algorithm that selects endpoints.
     Call policy: PolicyKind = "estimated";
--- a/lib/src/shared/health.rs
+++ b/lib/src/shared/health.rs
@@ -32,7 +32,7 @@
 /// Longest duration of an ejection.
 const MAX_EJECTION: Millis = Millis(16_000);
 
-/// Largest number of doublings. Keeps the shift within its type, and is more than [`MAX_EJECTION`] allows.
+/// Largest number of doublings. Keeps the shift within its type; [`MAX_EJECTION`] is reached with fewer.
 const MAX_DOUBLINGS: u32 = 10;
 
 /// Successes in a row after which past ejections no longer count.
@@ -56,9 +56,9 @@
     successes: u32,
     /// Ejections that still count for the duration of the next one.
     ejections: u32,
-    /// End of the last ejection; `None` once a call has succeeded.
+    /// End of the last ejection; `None` before the first one and once a call has succeeded after it.
     ejected_until: Option<Time>,
-    /// Moving average of recent calls, with 1 for a failed one.
+    /// Moving average over the calls since the last ejection, with 1 for a failure and 0 for a success.
     failure_rate: f64,
     /// Calls since the last ejection.
     calls: u32,
--- a/lib/src/shared/ids.rs
+++ b/lib/src/shared/ids.rs
@@ -117,9 +117,9 @@
     EndpointId;
     /// Names a data centre.
     DataCentreId;
-    /// Names a region: data centres under the same law, with short ways between them.
+    /// Names a region: data centres under the same law, with short round-trip times between them.
     RegionId;
-    /// Names an entry host of hazelyoke.
+    /// Names a host that runs a daemon.
     HostId;
 }
 
@@ -214,7 +214,7 @@
 pub struct CallIds {
     /// Request the attempt serves.
     pub request: RequestId,
-    /// Stage of the pipeline, or the service's name in a plain call.
+    /// Stage of the pipeline, or the service's name in a direct call of a service.
     pub stage: StageId,
     /// The attempt itself.
     pub attempt: AttemptId,
--- a/lib/src/shared/problem.rs
+++ b/lib/src/shared/problem.rs
@@ -15,7 +15,7 @@
 pub enum Outcome {
     /// The request was answered whole.
     Answered,
-    /// No byte of the work reached an endpoint, and none will.
+    /// None of the work ran, and none will.
     NotRun,
     /// Some of the work may have run, or may still run.
     Unknown,
@@ -89,7 +89,7 @@
     NoTime = "no_time", 503;
     /// No endpoint is available for the stage.
     NoEndpoint = "no_endpoint", 503;
-    /// Endpoints ended under this request, so that it is sent to no other one.
+    /// Endpoints terminated while they ran this request, so it is sent to no other one.
     Quarantined = "quarantined", 503;
     /// The deadline has passed.
     DeadlineExceeded = "deadline_exceeded", 504;
