--- a/lib/src/pipeline/decision/call_costs.rs
+++ b/lib/src/pipeline/decision/call_costs.rs
@@ -47,7 +47,7 @@
 /// What the choice of an endpoint depends on in a call: its work, and the engines that probably have the start of its
 /// prompt in their cache.
 #[derive(Debug, Clone)]
-pub struct CallPlacement {
+pub struct CallEstimate {
     /// Size of the call.
     pub size: CallSize,
     /// Work of the call at an endpoint that has nothing of it in its cache.
@@ -58,7 +58,7 @@
     pub holders: Vec<Holder>,
 }
 
-impl CallPlacement {
+impl CallEstimate {
     /// Estimates the work of the call at one endpoint, less what its cache saves.
     pub fn work_at(&self, serial: MemberSerial) -> WorkMillis {
         let held = self.holders.iter().find(|holder| holder.serial == serial);
--- a/lib/src/pipeline/decision/policy.rs
+++ b/lib/src/pipeline/decision/policy.rs
@@ -7,7 +7,7 @@
 
 use {
     crate::{
-        pipeline::decision::{admission::RequiredTime, call_costs::CallPlacement, pool::Pool},
+        pipeline::decision::{admission::RequiredTime, call_costs::CallEstimate, pool::Pool},
         settings::values::Priority,
         shared::{
             ids::MemberSerial,
@@ -27,7 +27,7 @@
         &self,
         now: Time,
         pool: &mut Pool,
-        placement: &CallPlacement,
+        estimate: &CallEstimate,
         tried: &[MemberSerial],
         rng: &mut SmallRng,
     ) -> Option<usize>;
--- a/lib/src/pipeline/decision/policy_choice.rs
+++ b/lib/src/pipeline/decision/policy_choice.rs
@@ -5,7 +5,7 @@
 use {
     crate::{
         pipeline::decision::{
-            admission::RequiredTime, call_costs::CallPlacement, policy::Policy,
+            admission::RequiredTime, call_costs::CallEstimate, policy::Policy,
             policy_estimated::Estimated, policy_naive::Naive, pool::Pool,
         },
         settings::values::{PolicyKind, Priority},
@@ -50,11 +50,11 @@
         &self,
         now: Time,
         pool: &mut Pool,
-        placement: &CallPlacement,
+        estimate: &CallEstimate,
         tried: &[MemberSerial],
         rng: &mut SmallRng,
     ) -> Option<usize> {
-        delegate!(self, policy => policy.choose(now, pool, placement, tried, rng))
+        delegate!(self, policy => policy.choose(now, pool, estimate, tried, rng))
     }
 
     fn admits(
--- a/lib/src/pipeline/decision/policy_estimated.rs
+++ b/lib/src/pipeline/decision/policy_estimated.rs
@@ -1,7 +1,7 @@
 //! Which endpoint would finish a call first?
 //!
 //! Inputs: a pool with what is known of its endpoints' load and health, the call's work in milliseconds
-//! ([`CallPlacement`]), the endpoints that the call was already sent to, and random numbers. Output: the index of an
+//! ([`CallEstimate`]), the endpoints that the call was already sent to, and random numbers. Output: the index of an
 //! endpoint, or none if no endpoint may get the call.
 //!
 //! Rule: the candidates are [`LOCAL_SAMPLE`] endpoints of the local data centre and [`REMOTE_SAMPLE`] of the others,
@@ -21,7 +21,7 @@
     crate::{
         pipeline::decision::{
             admission::{self, RequiredTime},
-            call_costs::CallPlacement,
+            call_costs::CallEstimate,
             policy::Policy,
             pool::Pool,
         },
@@ -68,7 +68,7 @@
 struct Search<'s> {
     now: Time,
     pool: &'s Pool,
-    placement: &'s CallPlacement,
+    estimate: &'s CallEstimate,
     tried: &'s [MemberSerial],
     best: Option<PoolCandidate>,
 }
@@ -80,7 +80,7 @@
         if !member.is_open(self.now) {
             return false;
         }
-        let work = self.placement.work_at(member.serial);
+        let work = self.estimate.work_at(member.serial);
         let candidate = PoolCandidate {
             tried: self.tried.contains(&member.serial),
             finish: WorkMillis(member.load.time_to_finish(self.now, work).0 + hop.0),
@@ -124,7 +124,7 @@
         &self,
         now: Time,
         pool: &mut Pool,
-        placement: &CallPlacement,
+        estimate: &CallEstimate,
         tried: &[MemberSerial],
         rng: &mut SmallRng,
     ) -> Option<usize> {
@@ -133,7 +133,7 @@
         let mut search = Search {
             now,
             pool,
-            placement,
+            estimate,
             tried,
             best: None,
         };
@@ -146,7 +146,7 @@
         search.sample(&pool.remote, remote_hop, wanted, rng);
         // An engine that has the start of the prompt in its cache has less work to do, but a long queue can outweigh
         // that. It is counted as in another data centre wherever it is.
-        for holder in &placement.holders {
+        for holder in &estimate.holders {
             if let Some(index) = pool.index_of(holder.serial) {
                 search.check(index, remote_hop);
             }
--- a/lib/src/pipeline/decision/policy_naive.rs
+++ b/lib/src/pipeline/decision/policy_naive.rs
@@ -10,7 +10,7 @@
 use {
     crate::{
         pipeline::decision::{
-            admission::RequiredTime, call_costs::CallPlacement, policy::Policy, pool::Pool,
+            admission::RequiredTime, call_costs::CallEstimate, policy::Policy, pool::Pool,
         },
         settings::values::Priority,
         shared::{
@@ -30,7 +30,7 @@
         &self,
         _now: Time,
         pool: &mut Pool,
-        _placement: &CallPlacement,
+        _estimate: &CallEstimate,
         _tried: &[MemberSerial],
         _rng: &mut SmallRng,
     ) -> Option<usize> {
--- a/lib/src/pipeline/decision/pool.rs
+++ b/lib/src/pipeline/decision/pool.rs
@@ -9,7 +9,7 @@
 use {
     crate::{
         pipeline::decision::{
-            call_costs::{CallCosts, CallPlacement, CallSize},
+            call_costs::{CallCosts, CallEstimate, CallSize},
             endpoint::{AttemptEnd, Generation, NotRunCause},
             member::PoolMember,
             prefix::{CacheEvent, Prefix, PrefixIndex},
@@ -117,9 +117,9 @@
     }
 
     /// Estimates the work of a call, and finds the engines that probably have the start of its prompt in their cache.
-    pub fn placement(&self, now: Time, input: &[u8], tokens: u32) -> CallPlacement {
+    pub fn estimate_call(&self, now: Time, input: &[u8], tokens: u32) -> CallEstimate {
         let size = self.size(input, tokens);
-        CallPlacement {
+        CallEstimate {
             work: self.costs.call_work(&self.service.kind, &size),
             block_saving: self.costs.block_work(),
             holders: self.prefixes.holders(now, &size.prefix),
@@ -128,8 +128,8 @@
     }
 
     fn size(&self, input: &[u8], tokens: u32) -> CallSize {
-        let prompts = matches!(self.service.kind, ServiceKind::Engine { .. });
-        let affinity = prompts && self.service.settings.affinity.value;
+        let is_engine = matches!(self.service.kind, ServiceKind::Engine { .. });
+        let affinity = is_engine && self.service.settings.affinity.value;
         CallSize {
             bytes: input.len(),
             tokens,
@@ -147,17 +147,17 @@
         now: Time,
         id: AttemptId,
         index: usize,
-        placement: CallPlacement,
+        estimate: CallEstimate,
     ) -> Attempt {
         let member = &mut self.members[index];
-        let work = placement.work_at(member.serial);
+        let work = estimate.work_at(member.serial);
         let attempt = Attempt {
             id,
             endpoint: member.spec.id.clone(),
             serial: member.serial,
             sent: now,
             expected: member.load.sent(now, work),
-            size: placement.size,
+            size: estimate.size,
         };
         self.record_prompt(now, attempt.serial, &attempt.size.prefix);
         attempt
--- a/lib/src/pipeline/decision/send.rs
+++ b/lib/src/pipeline/decision/send.rs
@@ -34,9 +34,9 @@
         let Some(pool) = self.pools.pool_mut(&stage.service) else {
             return self.fail(now, id, Code::NoEndpoint, "the service is gone".into());
         };
-        let placement = pool.placement(now, &request.input, settings.max_tokens.value.0);
+        let estimate = pool.estimate_call(now, &request.input, settings.max_tokens.value.0);
         let tried = &request.tried;
-        let Some(chosen) = policy.choose(now, pool, &placement, tried, &mut self.rng) else {
+        let Some(chosen) = policy.choose(now, pool, &estimate, tried, &mut self.rng) else {
             if kind == AttemptKind::Regular {
                 let detail = format!("no endpoint of {} can take the call", stage.service);
                 self.fail(now, id, Code::NoEndpoint, detail);
@@ -51,7 +51,7 @@
             policy.record_first_attempt(pool, settings.retry_budget.value);
         }
         self.last_attempt += 1;
-        let attempt = pool.start_attempt(now, AttemptId(self.last_attempt), chosen, placement);
+        let attempt = pool.start_attempt(now, AttemptId(self.last_attempt), chosen, estimate);
         let call = endpoint_call(now, request, pool, &attempt, chosen);
         self.counters.sent(is_first);
         self.attempts.insert(attempt.id, id);
--- a/lib/src/report/reader.rs
+++ b/lib/src/report/reader.rs
@@ -159,7 +159,7 @@
             code: text(&line.code),
             outcome: text(&line.outcome),
         };
-        let has_run = key.outcome != "not_run";
+        let may_have_run = key.outcome != "not_run";
         let problem = self.problems.entry(key).or_insert_with(|| ReportedProblem {
             route,
             code: text(&line.code),
@@ -169,7 +169,7 @@
         });
         problem.count += 1;
         self.end(request, line, |counts| {
-            if has_run {
+            if may_have_run {
                 counts.failed += 1;
             } else {
                 counts.refused += 1;
--- a/lib/tests/test_policy_pins.rs
+++ b/lib/tests/test_policy_pins.rs
@@ -286,7 +286,7 @@
         cached_bytes: 512 * draws.below(5),
     };
     let is_engine = pool.service.kind != ServiceKind::Plain;
-    let size = pool.placement(now, &[1; 2_048], 20).size;
+    let size = pool.estimate_call(now, &[1; 2_048], 20).size;
     let generation = Generation {
         tokens: 20,
         prefill: is_engine.then_some(prefill),
@@ -309,19 +309,19 @@
         let at = now.0 / 1_000;
         if sent.is_empty() || draws.percent(50) {
             let input = vec![draws.below(4) as u8; 512 * (1 + draws.below(8) as usize)];
-            let placement = pool.placement(now, &input, 20);
+            let estimate = pool.estimate_call(now, &input, 20);
             let tried: Vec<MemberSerial> = (0..draws.below(3))
                 .map(|_| MemberSerial(1 + draws.below(10)))
                 .collect();
-            let choice = policy.choose(now, &mut pool, &placement, &tried, &mut rng);
-            let (work, name) = (placement.work, names(&pool, choice));
+            let choice = policy.choose(now, &mut pool, &estimate, &tried, &mut rng);
+            let (work, name) = (estimate.work, names(&pool, choice));
             let back = pool.retry_after(now);
-            let holders = placement.holders.len();
+            let holders = estimate.holders.len();
             writeln!(lines, "{at}: {work}, {holders} holders: {name}; {back}").unwrap();
             if let Some(member) = choice {
                 let PoolMember { serial, load, .. } = &mut pool.members[member];
                 let (serial, expected) = (*serial, load.sent(now, work));
-                pool.record_prompt(now, serial, &placement.size.prefix);
+                pool.record_prompt(now, serial, &estimate.size.prefix);
                 sent.push(Sent {
                     at: now,
                     member,
