--- a/lib/src/pipeline/decision/call_costs.rs
+++ b/lib/src/pipeline/decision/call_costs.rs
@@ -44,8 +44,8 @@
     pub prefix: Prefix,
 }
 
-/// What the choice of an endpoint depends on in a call: its work, and the engines that probably have the start of its
-/// prompt in their cache.
+/// Estimated work of a call, and the engines that probably have the start of its prompt in their cache. The choice of an
+/// endpoint depends on both.
 #[derive(Debug, Clone)]
 pub struct CallEstimate {
     /// Size of the call.
