--- a/lib/src/pipeline/decision/prefix.rs
+++ b/lib/src/pipeline/decision/prefix.rs
@@ -79,7 +79,7 @@
     /// Sequence number of the last change in `events`, or the given one if there is none. The next read asks for the
     /// changes above it.
     pub next: u64,
-    /// The changes that the engine still has in its log, oldest first.
+    /// Changes reported, oldest first; those that the engine no longer has are missing.
     pub events: Vec<CacheEvent>,
 }
 
